--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -7,7 +7,7 @@
 use base::ids::Ticket;
 use base::reason::{Ran, Refusal, Retry};
 use policy::placement::{ServerIndex, Want};
-use policy::retry::{Failure, Verdict};
+use policy::retry::{FailedAttempt, RetryDecision};
 
 use crate::refuse::Refused;
 use crate::request::Request;
@@ -68,7 +68,7 @@
 /// A try that came to nothing, and what its caller is told if it is the last.
 pub struct Failed {
     /// What is known about it.
-    pub failure: Failure,
+    pub failure: FailedAttempt,
     /// The refusal.
     pub refused: Refused,
 }
@@ -145,7 +145,7 @@
         match run.start(request).await {
             Outcome::Running => {
                 let share = state.shares().retries;
-                state.budget.borrow_mut().granted(&request.class, share);
+                state.budget.borrow_mut().earn(&request.class, share);
                 counters::grant(request.promise.tier);
                 return Ok(run);
             }
@@ -181,7 +181,7 @@
     let Failed { failure, refused } = failed;
     let left = time_left(state, request, tries);
     let need = time_needed(state, request, tries);
-    if alone || failure.judge(request.repeatable, left, need) != Verdict::Again {
+    if alone || failure.decide(request.repeatable, left, need) != RetryDecision::Again {
         return Err(refused);
     }
 
@@ -245,7 +245,7 @@
         Some(reason) => Refused::not_run(reason, "no backend server can take it in time"),
     };
     Failed {
-        failure: Failure {
+        failure: FailedAttempt {
             cause,
             ran: Ran::No,
             delivered: false,
@@ -261,7 +261,7 @@
         Outcome::Running | Outcome::Unknown => (Retry::Unknown, Ran::Unknown, unknown()),
     };
     Failed {
-        failure: Failure {
+        failure: FailedAttempt {
             cause,
             ran,
             delivered: false,
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use base::reason::{Ran, Refusal, Retry};
-use policy::retry::Failure;
+use policy::retry::FailedAttempt;
 use spdlog::warn;
 use tokio::time::Instant;
 use wire::{End, Piece, Pull, Pulled};
@@ -254,7 +254,7 @@
             _ => Retry::BackendFailed,
         };
         Failed {
-            failure: Failure {
+            failure: FailedAttempt {
                 cause,
                 ran,
                 delivered: self.delivered(),
@@ -276,7 +276,7 @@
             refused.ran = Ran::Partial;
         }
         Failed {
-            failure: Failure {
+            failure: FailedAttempt {
                 cause,
                 ran: refused.ran,
                 delivered: self.delivered(),
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -9,8 +9,8 @@
 use base::ids::Ticket;
 use clients::hosts::{Error, Host as Listed, Hosts, Role, Standing};
 use metrics::{counter, gauge};
-use policy::membership::{Applied, Host, Kind, Limits, Membership};
-use policy::subset::Size;
+use policy::membership::{Host, HostKind, ListOutcome, Membership, MembershipLimits};
+use policy::subset::SubsetSize;
 use spdlog::{info, warn};
 use wire::Pull;
 
@@ -44,18 +44,18 @@
     #[must_use]
     pub fn new(state: Rc<State>) -> Self {
         let settings = &state.settings;
-        let limits = Limits {
-            size: Size {
+        let limits = MembershipLimits {
+            subset_size: SubsetSize {
                 total: settings.roster.subset,
-                far: settings.roster.far,
+                other_zones: settings.roster.far,
             },
-            forget: settings.roster.forget.0,
+            forget_after: settings.roster.forget.0,
         };
         let mut known = Membership::new(&settings.name, &settings.zone, limits);
         // Sidecars named in the settings are believed until a list shows
         // otherwise and they stop answering.
         let named: Vec<Host> = settings.sidecars.iter().map(named).collect();
-        known.list(state.clock.now(), &named);
+        known.apply_list(state.clock.now(), &named);
 
         let region = &settings.roster.region;
         let hosts = settings
@@ -99,9 +99,9 @@
             Ok(None) => "unchanged",
             Ok(Some(list)) => {
                 let hosts: Vec<Host> = list.iter().map(host).collect();
-                match self.known.list(self.state.clock.now(), &hosts) {
-                    Applied::Taken => "taken",
-                    Applied::Ignored => "empty",
+                match self.known.apply_list(self.state.clock.now(), &hosts) {
+                    ListOutcome::Taken => "taken",
+                    ListOutcome::Ignored => "empty",
                 }
             }
             Err(_) => "failed",
@@ -123,7 +123,7 @@
     fn hear(&mut self) {
         for server in self.state.servers() {
             if let Some((at, life)) = server.heard.get() {
-                self.known.answered(at, &server.known.name, life);
+                self.known.note_answer(at, &server.known.name, life);
             }
         }
     }
@@ -145,7 +145,7 @@
         }
         for server in self.state.servers() {
             let open = self.state.placement.borrow().open(server.index);
-            if !open || !self.known.listed(&server.known.name) {
+            if !open || !self.known.is_listed(&server.known.name) {
                 self.ask(server);
             }
         }
@@ -170,7 +170,12 @@
 
     /// Gives the entry the sidecars that it should know.
     fn apply(&self) {
-        let chosen: Vec<Known> = self.known.chosen().into_iter().filter_map(known).collect();
+        let chosen: Vec<Known> = self
+            .known
+            .chosen_sidecars()
+            .into_iter()
+            .filter_map(known)
+            .collect();
         self.state.set_servers(&chosen);
         self.mark();
         gauge!("pimentocart_hosts_known").set(self.known.len() as f64);
@@ -182,7 +187,7 @@
         let servers = self.state.servers();
         let mut placement = self.state.placement.borrow_mut();
         for server in servers {
-            placement.close(server.index, self.known.leaving(&server.known.name));
+            placement.close(server.index, self.known.is_leaving(&server.known.name));
         }
     }
 }
@@ -197,7 +202,7 @@
 }
 
 fn named(known: &Known) -> Host {
-    let kind = Kind::Sidecar {
+    let kind = HostKind::Sidecar {
         serves: known.serves.clone(),
     };
     Host {
@@ -211,8 +216,8 @@
 
 fn host(listed: &Listed) -> Host {
     let kind = match listed.role {
-        Role::Entry => Kind::Entry,
-        Role::Sidecar => Kind::Sidecar {
+        Role::Entry => HostKind::Entry,
+        Role::Sidecar => HostKind::Sidecar {
             serves: listed.serves.clone(),
         },
     };
@@ -226,7 +231,7 @@
 }
 
 fn known(host: &Host) -> Option<Known> {
-    let Kind::Sidecar { serves } = &host.kind else {
+    let HostKind::Sidecar { serves } = &host.kind else {
         return None;
     };
     Some(Known {
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -12,10 +12,10 @@
 use claims::Claims;
 use policy::Placement;
 use policy::lengths::Lengths;
-use policy::outlier::{Fault, Good};
+use policy::outlier::{Fault, Success};
 use policy::pace::{Load, Pace};
 use policy::placement::{Options, ServerIndex};
-use policy::retry::Budget;
+use policy::retry::RetryBudget;
 use wire::peer::{Error, Timing};
 use wire::{Peer, Reply, Stamp};
 
@@ -42,7 +42,7 @@
     /// Where to ask for a slot.
     pub placement: RefCell<Placement>,
     /// The retries that are left to each class.
-    pub budget: RefCell<Budget>,
+    pub budget: RefCell<RetryBudget>,
     /// How long answers are.
     pub lengths: RefCell<Lengths>,
     /// Whether readiness is off: the balancer should send nothing more.
@@ -86,7 +86,7 @@
             calls: Calls::default(),
             spread,
             placement: RefCell::new(Placement::new(options)),
-            budget: RefCell::new(Budget::new(!settings.routing.budget)),
+            budget: RefCell::new(RetryBudget::new(!settings.routing.budget)),
             lengths: RefCell::default(),
             draining: Cell::new(false),
             listed: Stop::new(),
@@ -188,7 +188,7 @@
         }
         let ejected = match &answer {
             Ok(reply) => placement.heard(now, server.index, load(&reply.load), share),
-            Err(_) => placement.fault(now, server.index, Fault::Link, share),
+            Err(_) => placement.fault(now, server.index, Fault::Unreachable, share),
         };
         drop(placement);
         if ejected {
@@ -206,9 +206,9 @@
         let share = self.shares().ejected;
         let mut placement = self.placement.borrow_mut();
         if whole {
-            return placement.good(now, server.index, Good::Run);
+            return placement.good(now, server.index, Success::RunCompleted);
         }
-        if placement.fault(now, server.index, Fault::Run, share) {
+        if placement.fault(now, server.index, Fault::RunFailed, share) {
             counters::ejection(server);
         }
     }
--- a/crates/forward/src/call.rs
+++ b/crates/forward/src/call.rs
@@ -16,7 +16,7 @@
 use base::reason::Refusal;
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
-use policy::balance::Listed;
+use policy::balance::ServerRecord;
 use policy::pools::{Coming, Work};
 use policy::routes::{Access, Catalog, Kind, Route, Workspace};
 use policy::suspects::Fingerprint;
@@ -186,7 +186,7 @@
             let host = self.headers.get(http::header::HOST);
             let path = self.uri.path_and_query().map_or("", |p| p.as_str());
             let workspace = self.workspace.as_ref().map_or("", |w| w.name.as_str());
-            Fingerprint::of(&[
+            Fingerprint::from_parts(&[
                 self.method.as_str().as_bytes(),
                 host.map_or(&[], |h| h.as_bytes()),
                 path.as_bytes(),
@@ -214,7 +214,7 @@
 
     /// Notes that its connection to `server` broke before the answer was
     /// whole.
-    pub(crate) fn broke(&self, server: &Listed) {
+    pub(crate) fn broke(&self, server: &ServerRecord) {
         crashes::broke(&self.state, server, self.fingerprint());
     }
 
@@ -245,7 +245,7 @@
         self.state
             .budget
             .borrow_mut()
-            .sent(self.came, &self.service);
+            .record_call(self.came, &self.service);
         let mut last = None;
         // A failure that a server vouches for, for the case that no other
         // server does better.
@@ -359,7 +359,11 @@
     /// Takes one repeat from the budget.
     fn repeat(&self) -> bool {
         let now = self.state.clock.now();
-        let left = self.state.budget.borrow_mut().repeat(now, &self.service);
+        let left = self
+            .state
+            .budget
+            .borrow_mut()
+            .take_repeat(now, &self.service);
         let outcome = if left { "taken" } else { "none_left" };
         metrics::counter!("pimentocart_repeats_total", "outcome" => outcome).increment(1);
         if !left {
@@ -392,7 +396,7 @@
         let now = self.state.clock.now();
         let balance = self.state.balance.borrow();
         let turn = balance.next_turn(now, &self.service);
-        let wait = turn.max(balance.next_try(now, &self.service));
+        let wait = turn.max(balance.cooldown_left(now, &self.service));
         let wait = wait.unwrap_or_default().max(least);
         waits::spread(wait, rand::rng().random())
     }
--- a/crates/forward/src/call/attempt.rs
+++ b/crates/forward/src/call/attempt.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::Request;
 use http_body_util::Full;
-use policy::balance::{Listed, Word};
+use policy::balance::{ServerFeedback, ServerRecord};
 use spdlog::{info, warn};
 
 use super::place::Place;
@@ -137,18 +137,21 @@
     /// Notes that another server has the address of `server` by now. The list
     /// shows the old one for seconds, in which every call to it would be
     /// refused; it counts as missing from here on.
-    pub(super) fn gone(&self, now: Instant, server: &Listed) {
+    pub(super) fn gone(&self, now: Instant, server: &ServerRecord) {
         info!("server replaced", kv: {
             id = self.name(), server = &*server.id, addr = server.addr.to_string().as_str()
         });
-        self.state.balance.borrow_mut().miss(now, &server.id, now);
+        self.state
+            .balance
+            .borrow_mut()
+            .mark_missing(now, &server.id, now);
     }
 
     /// Notes that the sidecar beside `server` says that it leaves.
-    pub(super) fn leaves(&self, server: &Listed) {
-        let word = Word {
+    pub(super) fn leaves(&self, server: &ServerRecord) {
+        let word = ServerFeedback {
             leaving: true,
-            ..Word::default()
+            ..ServerFeedback::default()
         };
         exchange::note_word(&self.state, server, self.state.clock.now(), &word);
     }
@@ -156,7 +159,7 @@
     fn request(
         &self,
         now: Instant,
-        server: &Listed,
+        server: &ServerRecord,
         begin: Begin,
         fetch: Option<SocketAddr>,
     ) -> Request<Full<Bytes>> {
@@ -179,14 +182,14 @@
     }
 
     /// Notes what a send tells about the server.
-    fn note(&self, server: &Listed, sent: &Result<Answer, Failure>) {
+    fn note(&self, server: &ServerRecord, sent: &Result<Answer, Failure>) {
         let now = self.state.clock.now();
         let mut balance = self.state.balance.borrow_mut();
         match sent {
-            Ok(answer) if answer.status < 500 => balance.good(&server.id),
-            Ok(_) => balance.failed(now, &server.id),
-            Err(Failure::Unknown(_)) => balance.failed(now, &server.id),
-            Err(Failure::NotRun(_)) => balance.turned_away(now, &server.id),
+            Ok(answer) if answer.status < 500 => balance.call_succeeded(&server.id),
+            Ok(_) => balance.call_failed(now, &server.id),
+            Err(Failure::Unknown(_)) => balance.call_failed(now, &server.id),
+            Err(Failure::NotRun(_)) => balance.call_rejected(now, &server.id),
             Err(_) => {}
         }
         drop(balance);
--- a/crates/forward/src/call/place.rs
+++ b/crates/forward/src/call/place.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::balance::{By, Listed, Part, Want};
+use policy::balance::{Partition, ServerQuery, ServerRecord, Strategy};
 use policy::grants::fetch;
 use policy::pools::Work;
 use policy::rendezvous;
@@ -50,12 +50,12 @@
 struct Holder {
     /// Tokens from the prompt's start.
     tokens: u32,
-    server: Option<Listed>,
+    server: Option<ServerRecord>,
 }
 
 impl Holder {
     /// Notes that `server` holds `tokens`.
-    fn note(&mut self, tokens: u32, server: &Listed) {
+    fn note(&mut self, tokens: u32, server: &ServerRecord) {
         if tokens > self.tokens {
             *self = Self {
                 tokens,
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub(super) struct Place {
     /// The server.
-    pub(super) server: Listed,
+    pub(super) server: ServerRecord,
     /// Calls that wait there for their first event.
     pub(super) ahead: u32,
     /// The sidecar's leave, if there is one.
@@ -130,7 +130,7 @@
         avoid: &[Rc<str>],
         begin: Begin,
     ) -> Result<Option<Place>, Failure> {
-        let mut least: Option<(Duration, Listed)> = None;
+        let mut least: Option<(Duration, ServerRecord)> = None;
         let mut holder = Holder::default();
         let candidates = self.candidates(now, work, avoid);
         for (n, server) in candidates.iter().enumerate() {
@@ -190,7 +190,7 @@
         grant: &Grant,
         held: Held,
         holder: Holder,
-        asked: &[Listed],
+        asked: &[ServerRecord],
     ) -> Option<SocketAddr> {
         let wanted = held.tokens.saturating_add(fetch::LEAST);
         let shared = self.ask.parts.split_last().map_or(&[][..], |(_, s)| s);
@@ -220,17 +220,17 @@
 
     /// Asks the homes of the prompt's shared parts, but those in `asked`, what
     /// they hold.
-    async fn find_holder(&self, sidecars: &Rc<Sidecars>, asked: &[Listed]) -> Holder {
+    async fn find_holder(&self, sidecars: &Rc<Sidecars>, asked: &[ServerRecord]) -> Holder {
         let now = self.state.clock.now();
         let holders = {
             let balance = self.state.balance.borrow();
-            balance.holders(now, &self.want(Part::All, &[]))
+            balance.prefix_holders(now, &self.want(Partition::All, &[]))
         };
-        let fresh = |s: &Listed| asked.iter().all(|a| a.id != s.id);
+        let fresh = |s: &ServerRecord| asked.iter().all(|a| a.id != s.id);
         let mut fresh = holders.into_iter().filter(fresh);
         let mut holder = Holder::default();
         let (one, two) = (fresh.next(), fresh.next());
-        let look = async |server: &Option<Listed>| match server {
+        let look = async |server: &Option<ServerRecord>| match server {
             Some(server) => sidecars.look(server, self.parts()).await,
             None => 0,
         };
@@ -244,12 +244,12 @@
     }
 
     /// The engines to ask, the best first.
-    fn candidates(&self, now: Instant, work: Work, avoid: &[Rc<str>]) -> Vec<Listed> {
+    fn candidates(&self, now: Instant, work: Work, avoid: &[Rc<str>]) -> Vec<ServerRecord> {
         let part = self.part(now);
         let other = match part {
-            Part::First(count) => Part::Rest(count),
-            Part::Rest(count) => Part::First(count),
-            Part::All => Part::All,
+            Partition::First(count) => Partition::Rest(count),
+            Partition::Rest(count) => Partition::First(count),
+            Partition::All => Partition::All,
         };
         let mut balance = self.state.balance.borrow_mut();
         let mut ranked = balance.ranked(now, &self.want(part, avoid));
@@ -259,13 +259,13 @@
         }
         // One that is late anyway is not to stretch the pauses of streams.
         let other = match self.returned() {
-            true => Want {
-                by: By::Open,
+            true => ServerQuery {
+                strategy: Strategy::TwoChoices,
                 ..self.want(part, avoid)
             },
             false => self.want(other, avoid),
         };
-        let fresh = |s: &Listed| ranked.iter().all(|r| r.id != s.id);
+        let fresh = |s: &ServerRecord| ranked.iter().all(|r| r.id != s.id);
         let other = balance.ranked(now, &other).into_iter().find(fresh);
         ranked.extend(other);
         ranked
@@ -275,7 +275,7 @@
     async fn ask_one(
         &self,
         sidecars: &Rc<Sidecars>,
-        server: &Listed,
+        server: &ServerRecord,
         begin: Begin,
         terms: Terms,
         holder: &Holder,
@@ -288,7 +288,7 @@
         let want = grants::Want {
             name: self.name().to_owned(),
             server: server.id.to_string(),
-            born: server.born,
+            born: server.started_ms,
             parts: self.parts(),
             allowed_ms: ms(allowed),
             left_ms: ms(left),
@@ -325,10 +325,15 @@
     }
 
     /// A place that was granted, unless the server has left meanwhile.
-    fn granted(&self, server: &Listed, grant: Grant, fetch: Option<SocketAddr>) -> Option<Place> {
+    fn granted(
+        &self,
+        server: &ServerRecord,
+        grant: Grant,
+        fetch: Option<SocketAddr>,
+    ) -> Option<Place> {
         let balance = self.state.balance.borrow();
-        let ahead = balance.waiting(&server.id);
-        balance.open(&server.id).then(|| Place {
+        let ahead = balance.waiting_calls(&server.id);
+        balance.accepts_calls(&server.id).then(|| Place {
             server: server.clone(),
             ahead,
             grant: Some(grant),
@@ -336,7 +341,7 @@
         })
     }
 
-    fn too_late(&self, server: &Listed, expected: Duration) -> Failure {
+    fn too_late(&self, server: &ServerRecord, expected: Duration) -> Failure {
         let target = self.route.target;
         let after = waits::comeback(expected, target, rand::rng().random());
         info!("call refused", kv: {
@@ -355,22 +360,22 @@
     }
 
     /// What is asked of the balance.
-    fn want<'a>(&'a self, part: Part, tried: &'a [Rc<str>]) -> Want<'a> {
-        let prefix = prefix(&self.ask.parts);
-        Want {
+    fn want<'a>(&'a self, partition: Partition, tried: &'a [Rc<str>]) -> ServerQuery<'a> {
+        let prefix_hash = prefix(&self.ask.parts);
+        ServerQuery {
             service: &self.service,
-            by: match self.work {
-                None => By::Own,
+            strategy: match self.work {
+                None => Strategy::LeastOwnCalls,
                 // What little these calls share is read faster than a crowded
                 // server writes.
-                Some(Work::Writing) => By::Open,
-                Some(Work::Reading) if prefix.is_none() => By::Open,
-                Some(Work::Reading) => By::Prefix,
+                Some(Work::Writing) => Strategy::TwoChoices,
+                Some(Work::Reading) if prefix_hash.is_none() => Strategy::TwoChoices,
+                Some(Work::Reading) => Strategy::PrefixAffinity,
             },
-            prefix,
+            prefix_hash,
             tried,
-            part,
-            silence: (self.route.target * SILENCE).clamp(SILENCE_LEAST, SILENCE_MOST),
+            partition,
+            silence_timeout: (self.route.target * SILENCE).clamp(SILENCE_LEAST, SILENCE_MOST),
         }
     }
 
@@ -391,8 +396,8 @@
     }
 
     /// Whether the call may go to a server, or would come too late there.
-    fn admit(&self, server: &Listed, begin: Begin) -> Result<u32, Failure> {
-        let ahead = self.state.balance.borrow().waiting(&server.id);
+    fn admit(&self, server: &ServerRecord, begin: Begin) -> Result<u32, Failure> {
+        let ahead = self.state.balance.borrow().waiting_calls(&server.id);
         // A caller that has a part of its stream is not turned away.
         if self.work != Some(Work::Reading) || begin != Begin::Fresh {
             return Ok(ahead);
@@ -425,17 +430,17 @@
     }
 
     /// The part of the engines that the call should go to.
-    fn part(&self, now: Instant) -> Part {
+    fn part(&self, now: Instant) -> Partition {
         let Some(work) = self.work else {
-            return Part::All;
+            return Partition::All;
         };
-        let (engines, slots) = self.state.balance.borrow().size(&self.service);
+        let (engines, slots) = self.state.balance.borrow().serving_capacity(&self.service);
         let mut pools = self.state.pools.borrow_mut();
         let writers = pools.writers(now, &self.service, engines, slots);
         match (writers, work) {
-            (0, _) => Part::All,
-            (count, Work::Writing) => Part::First(count),
-            (count, Work::Reading) => Part::Rest(count),
+            (0, _) => Partition::All,
+            (count, Work::Writing) => Partition::First(count),
+            (count, Work::Reading) => Partition::Rest(count),
         }
     }
 }
@@ -445,5 +450,5 @@
 fn prefix(parts: &[edge::Part]) -> Option<u64> {
     let (_, shared) = parts.split_last()?;
     let last = shared.last().or(parts.last())?;
-    Some(rendezvous::weight(last.id, u64::from(last.tokens)))
+    Some(rendezvous::score(last.id, u64::from(last.tokens)))
 }
--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -13,10 +13,10 @@
 use std::time::{Duration, Instant};
 
 use base::stop::Stop;
-use policy::balance::Listed;
+use policy::balance::ServerRecord;
 use policy::rendezvous;
 use policy::replica::Records;
-use policy::suspects::{Crash, Fingerprint, HELD, Suspects};
+use policy::suspects::{CRASH_TTL, Crash, CrashSuspects, Fingerprint};
 use spdlog::{info, warn};
 use tokio::sync::Notify;
 use wire::gossip;
@@ -53,12 +53,12 @@
 
 /// Records of crashes that were seen so long ago were left behind by an entry that
 /// has ended. The margin is for hosts whose clocks differ.
-const FORGOTTEN: Duration = HELD.saturating_mul(2);
+const FORGOTTEN: Duration = CRASH_TTL.saturating_mul(2);
 
 /// What an entry knows of servers that have crashed under calls.
 #[derive(Debug, Default)]
 pub struct Crashes {
-    suspects: RefCell<Suspects>,
+    suspects: RefCell<CrashSuspects>,
     /// Calls whose connections broke, by server, until it is known why.
     broken: RefCell<HashMap<Rc<str>, Vec<Fingerprint>>>,
     /// What the store is to be told: when a crash was seen in Unix
@@ -80,18 +80,18 @@
     /// Crashes that are held against calls.
     #[must_use]
     pub fn count(&self) -> usize {
-        self.suspects.borrow().count()
+        self.suspects.borrow().crash_count()
     }
 
     /// For how long a call is not to be sent to any server; none if it may be.
     #[must_use]
     pub fn refused(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
-        self.suspects.borrow().refused(now, fingerprint)
+        self.suspects.borrow().refusal_left(now, fingerprint)
     }
 
     /// Notes that a server has run a call whole.
     pub fn served(&self, fingerprint: Fingerprint) {
-        let cleared = self.suspects.borrow_mut().served(fingerprint);
+        let cleared = self.suspects.borrow_mut().request_served(fingerprint);
         for crash in cleared {
             self.tell(crash, None);
         }
@@ -124,7 +124,7 @@
         let told = held.cycle().skip(from).take(count.min(TOLD));
         let told = told.map(|(crash, at)| gossip::Crash {
             fingerprint: crash.fingerprint.0,
-            life: crash.life,
+            life: crash.incarnation,
             age_ms: u32::try_from(wall_ms.saturating_sub(at)).unwrap_or(u32::MAX),
         });
         told.collect()
@@ -150,7 +150,7 @@
 
 /// Notes that the connection of call `fingerprint` to `server` broke before its
 /// answer was whole. A lost connection alone says nothing of the call.
-pub(crate) fn broke(state: &Rc<State>, server: &Listed, fingerprint: Fingerprint) {
+pub(crate) fn broke(state: &Rc<State>, server: &ServerRecord, fingerprint: Fingerprint) {
     let mut broken = state.crashes.broken.borrow_mut();
     let fingerprints = broken.entry(Rc::clone(&server.id)).or_default();
     let first = fingerprints.is_empty();
@@ -161,7 +161,7 @@
 }
 
 /// Looks whether `server` has crashed.
-async fn look(state: Rc<State>, server: Listed) {
+async fn look(state: Rc<State>, server: ServerRecord) {
     let now = state.clock.now();
     let dialled = dial(now, &server).await;
     let fingerprints = state.crashes.broken.borrow_mut().remove(&server.id);
@@ -191,7 +191,7 @@
 
 /// Connects to `server`, again where nothing comes back: on a link that loses
 /// packets a server that has crashed would else count as cut off.
-async fn dial(now: Instant, server: &Listed) -> io::Result<Conn> {
+async fn dial(now: Instant, server: &ServerRecord) -> io::Result<Conn> {
     let mut dialled = Pool::dial(now, server.addr).await;
     for _ in 1..DIALS {
         match &dialled {
@@ -204,14 +204,17 @@
 }
 
 /// Holds it against `fingerprints` that `server` has crashed.
-fn crashed(state: &State, server: &Listed, fingerprints: &[Fingerprint]) {
+fn crashed(state: &State, server: &ServerRecord, fingerprints: &[Fingerprint]) {
     let (now, at) = (state.clock.now(), state.clock.wall_ms());
-    let life = rendezvous::weight(rendezvous::number(&server.id), server.born.unwrap_or(0));
+    let life = rendezvous::score(
+        rendezvous::hash_name(&server.id),
+        server.started_ms.unwrap_or(0),
+    );
     let crashes = state
         .crashes
         .suspects
         .borrow_mut()
-        .crashed(now, life, fingerprints);
+        .server_crashed(now, life, fingerprints);
     for crash in crashes {
         state.crashes.tell(crash, Some(at));
         note_refused(state, now, crash.fingerprint);
@@ -251,10 +254,15 @@
     for said in crashes {
         let crash = Crash {
             fingerprint: Fingerprint(said.fingerprint),
-            life: said.life,
+            incarnation: said.life,
         };
         let age = Duration::from_millis(u64::from(said.age_ms));
-        if state.crashes.suspects.borrow_mut().hold(now, crash, age) {
+        if state
+            .crashes
+            .suspects
+            .borrow_mut()
+            .add_crash(now, crash, age)
+        {
             note_refused(state, now, crash.fingerprint);
         }
     }
@@ -263,7 +271,12 @@
 /// Holds a crash that the store tells of and that was seen at `at`.
 fn hold(state: &State, now: Instant, crash: Crash, at: u64) {
     let age = Duration::from_millis(state.clock.wall_ms().saturating_sub(at));
-    if state.crashes.suspects.borrow_mut().hold(now, crash, age) {
+    if state
+        .crashes
+        .suspects
+        .borrow_mut()
+        .add_crash(now, crash, age)
+    {
         note_refused(state, now, crash.fingerprint);
     } else if age > FORGOTTEN && reads(state, now) {
         state.crashes.tell(crash, None);
@@ -272,7 +285,7 @@
 
 /// Notes that the store does not hold a crash any more.
 fn dropped(state: &State, now: Instant, crash: Crash, whole: bool) {
-    let age = state.crashes.suspects.borrow().age(now, crash);
+    let age = state.crashes.suspects.borrow().crash_age(now, crash);
     match age {
         Some(age) if whole && age < LOST => {
             let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
@@ -280,7 +293,7 @@
             info!("crash written again", kv: { crash = crash.to_string().as_str() });
             state.crashes.tell(crash, Some(at));
         }
-        _ => state.crashes.suspects.borrow_mut().clear(crash),
+        _ => state.crashes.suspects.borrow_mut().remove_crash(crash),
     }
 }
 
--- a/crates/forward/src/duties.rs
+++ b/crates/forward/src/duties.rs
@@ -153,7 +153,7 @@
         peers.insert(addr, Peer { rank, until, told });
         drop(peers);
         let wall = Duration::from_millis(wall_ms);
-        let peer = policy::rendezvous::number(&addr.to_string());
+        let peer = policy::rendezvous::hash_name(&addr.to_string());
         self.time.borrow_mut().hear(now, peer, wall);
     }
 
--- a/crates/forward/src/duties/scale.rs
+++ b/crates/forward/src/duties/scale.rs
@@ -6,7 +6,7 @@
 
 use base::stop::Stop;
 use futures_util::future::join_all;
-use policy::balance::Listed;
+use policy::balance::ServerRecord;
 use policy::routes::Service;
 use policy::scaling::{Order, Scaler, Zone};
 use spdlog::{info, warn};
@@ -74,7 +74,7 @@
 
     /// How busy a server is, by its sidecar if it has one, else by the calls
     /// that are open there.
-    async fn busy_at(&self, server: &Listed, open: u32) -> f64 {
+    async fn busy_at(&self, server: &ServerRecord, open: u32) -> f64 {
         let sidecars = self.sidecars.borrow().clone();
         let told = match sidecars {
             Some(sidecars) => sidecars.busy(server.addr.ip()).await,
--- a/crates/forward/src/edge.rs
+++ b/crates/forward/src/edge.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use http::HeaderMap;
-use policy::balance::{Listed, Word};
+use policy::balance::{ServerFeedback, ServerRecord};
 use policy::duty::{Term, Written};
 use policy::routes::Catalog;
 use policy::scaling;
@@ -19,7 +19,7 @@
     /// What the operators declare.
     type Catalogs: Source<Item = Catalog> + 'static;
     /// The backend servers.
-    type Servers: Source<Item = Listed> + 'static;
+    type Servers: Source<Item = ServerRecord> + 'static;
     /// Where entries find each other.
     type Directory: Directory + 'static;
     /// Servers that have crashed under calls.
@@ -129,7 +129,7 @@
     /// Whether the server closes the connection after this answer.
     pub close: bool,
     /// What it says of the server itself.
-    pub word: Word,
+    pub word: ServerFeedback,
 }
 
 /// A table in the platform's store: the newest record of each key, and what
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, Request, Response, header};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use policy::balance::{Listed, Word};
+use policy::balance::{ServerFeedback, ServerRecord};
 use rand::RngExt;
 use spdlog::info;
 
@@ -106,7 +106,7 @@
 pub struct Body {
     state: Rc<State>,
     /// The server that makes it.
-    pub server: Listed,
+    pub server: ServerRecord,
     incoming: Incoming,
     conn: Option<Conn>,
     reusable: bool,
@@ -152,7 +152,10 @@
     /// Notes that the call does not wait any more.
     fn begun(&mut self) {
         if std::mem::take(&mut self.waiting) {
-            self.state.balance.borrow_mut().begun(&self.server.id);
+            self.state
+                .balance
+                .borrow_mut()
+                .call_started(&self.server.id);
             if let Some(grant) = &self.grant {
                 grant.begun();
             }
@@ -169,7 +172,10 @@
     /// Notes that the server is alive.
     fn heard(&self) {
         let now = self.state.clock.now();
-        self.state.balance.borrow_mut().heard(now, &self.server.id);
+        self.state
+            .balance
+            .borrow_mut()
+            .bytes_received(now, &self.server.id);
     }
 
     /// Gives the connection back for the next call.
@@ -186,9 +192,9 @@
     fn drop(&mut self) {
         let mut balance = self.state.balance.borrow_mut();
         if self.waiting {
-            balance.begun(&self.server.id);
+            balance.call_started(&self.server.id);
         }
-        balance.ended(&self.server.id);
+        balance.call_ended(&self.server.id);
     }
 }
 
@@ -200,7 +206,7 @@
 /// Returns what is known about the call having run.
 pub async fn send(
     state: &Rc<State>,
-    server: &Listed,
+    server: &ServerRecord,
     request: Request<Full<Bytes>>,
     id: Option<&str>,
     until: Instant,
@@ -216,7 +222,7 @@
     let status = response.status().as_u16();
     let now = state.clock.now();
     let signs = state.dialect.signs(status, response.headers());
-    state.balance.borrow_mut().heard(now, &server.id);
+    state.balance.borrow_mut().bytes_received(now, &server.id);
     if let Some(keep) = signs.keep {
         conn.keep_for(keep);
     }
@@ -271,18 +277,24 @@
 
 /// Notes what a server says of itself in its answer to a call that was sent at
 /// `sent`.
-pub(crate) fn note_word(state: &State, server: &Listed, sent: Instant, word: &Word) {
+pub(crate) fn note_word(
+    state: &State,
+    server: &ServerRecord,
+    sent: Instant,
+    word: &ServerFeedback,
+) {
     let now = state.clock.now();
-    let news = state
-        .balance
-        .borrow_mut()
-        .answered(now, server, sent, word, rand::rng().random());
+    let news =
+        state
+            .balance
+            .borrow_mut()
+            .apply_feedback(now, server, sent, word, rand::rng().random());
     if news.leaving {
         metrics::counter!("pimentocart_servers_leaving_total").increment(1);
         info!("server leaves", kv: { server = &*server.id });
         state.pool.forget(&server.id);
     }
-    if let Some(rest) = news.rest {
+    if let Some(rest) = news.backoff {
         metrics::counter!("pimentocart_rests_asked_total").increment(1);
         info!("server rests", kv: { server = &*server.id, ms = millis(rest) });
     }
@@ -290,7 +302,7 @@
         info!("server limit changed", kv: {
             server = &*server.id,
             named,
-            rate = word.limit.unwrap_or(0.0)
+            rate = word.rate_limit.unwrap_or(0.0)
         });
     }
 }
@@ -305,7 +317,7 @@
 impl<'a> Out<'a> {
     fn new(state: &'a State, id: &'a str) -> Self {
         let now = state.clock.now();
-        state.balance.borrow_mut().sent(now, id);
+        state.balance.borrow_mut().call_sent(now, id);
         Self {
             state,
             id,
@@ -322,8 +334,8 @@
     fn drop(&mut self) {
         if !self.kept {
             let mut balance = self.state.balance.borrow_mut();
-            balance.begun(self.id);
-            balance.ended(self.id);
+            balance.call_started(self.id);
+            balance.call_ended(self.id);
         }
     }
 }
@@ -333,7 +345,7 @@
 /// is sent again.
 async fn deliver(
     state: &Rc<State>,
-    server: &Listed,
+    server: &ServerRecord,
     mut request: Request<Full<Bytes>>,
 ) -> Result<(Response<Incoming>, Conn), Failure> {
     while let Some(mut conn) = state.pool.take(state.clock.now(), &server.id) {
@@ -349,7 +361,7 @@
     let now = state.clock.now();
     let dialled = Pool::dial(now, server.addr).await;
     let mut conn = dialled.map_err(|e| {
-        state.balance.borrow_mut().unreachable(now, &server.id);
+        state.balance.borrow_mut().connect_failed(now, &server.id);
         Failure::NeverSent(e.to_string())
     })?;
     metrics::counter!("pimentocart_dials_total").increment(1);
@@ -364,7 +376,7 @@
 
 /// Reads the short body of a refusal, so that the connection can be used
 /// again.
-async fn drain(state: &Rc<State>, server: &Listed, response: Response<Incoming>, conn: Conn) {
+async fn drain(state: &Rc<State>, server: &ServerRecord, response: Response<Incoming>, conn: Conn) {
     let read = response.into_body().collect();
     let read = tokio::time::timeout(REFUSAL_LIMIT, read).await;
     if matches!(read, Ok(Ok(_))) {
--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/follow.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::balance::Listed;
+use policy::balance::ServerRecord;
 use policy::replica::{Records, Scope, Update};
 use policy::routes::Catalog;
 use spdlog::{info, warn};
@@ -107,7 +107,7 @@
 }
 
 /// Follows the backend servers.
-pub async fn servers<S: Source<Item = Listed>>(state: Rc<State>, source: S) {
+pub async fn servers<S: Source<Item = ServerRecord>>(state: Rc<State>, source: S) {
     let mut reader = Reader::new(SERVERS, source);
     loop {
         let (asked, age) = {
@@ -165,10 +165,10 @@
 
 /// Keeps servers leaving that were known to leave before the store came back
 /// from a copy in which they still stay.
-fn keep_leaving(state: &State, records: &mut Records<Listed>) {
+fn keep_leaving(state: &State, records: &mut Records<ServerRecord>) {
     let balance = state.balance.borrow();
     for listed in records.iter_mut().filter_map(|(_, listed)| listed.as_mut()) {
-        listed.leaving |= balance.leaves(listed);
+        listed.leaving |= balance.is_leaving(listed);
     }
 }
 
--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -13,7 +13,7 @@
 
 use base::ids::Incarnation;
 use base::stop::Stop;
-use policy::balance::Turns;
+use policy::balance::TurnSchedule;
 use policy::others::{BELIEVED, Intervals};
 use policy::pools::Told;
 use policy::roster::{Count, Named, Seat, Targets};
@@ -168,7 +168,7 @@
         let state = &self.state;
         self.seq.set(self.seq.get() + 1);
         let services = state.pools.borrow_mut().told(now);
-        let mut calls = state.balance.borrow().told();
+        let mut calls = state.balance.borrow().own_calls();
         calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
         let service = |(name, told): &(Rc<str>, Told)| service(number(name), told);
         Saying {
@@ -364,7 +364,7 @@
         let count = state.roster.borrow().count();
         metrics::gauge!("pimentocart_entries_heard").set(count.all.saturating_sub(1) as f64);
         let calls = |server: u16| sum.calls.get(&server).copied().unwrap_or_default();
-        state.balance.borrow_mut().hear(calls);
+        state.balance.borrow_mut().set_remote_calls(calls);
         state.readers.borrow_mut().sized(count.near);
         self.share(now, count);
         let Some(catalog) = state.catalog.borrow().clone() else {
@@ -382,13 +382,13 @@
     fn share(&self, now: Instant, count: Count) {
         let state = &self.state;
         let entries = state.entry_count.borrow_mut().note(now, count.all);
-        state.budget.borrow_mut().shared(entries);
+        state.budget.borrow_mut().set_entries(entries);
         let number = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
-        state.balance.borrow_mut().share(Turns {
+        state.balance.borrow_mut().set_turns(TurnSchedule {
             entries: number(entries),
-            place: number(count.place),
-            at: now,
-            wall: Duration::from_millis(state.clock.wall_ms()),
+            turn_index: number(count.place),
+            instant: now,
+            unix_time: Duration::from_millis(state.clock.wall_ms()),
         });
     }
 }
--- a/crates/forward/src/gossip/words.rs
+++ b/crates/forward/src/gossip/words.rs
@@ -10,7 +10,7 @@
 
 /// A service's number between entries.
 pub(super) fn number(service: &str) -> u32 {
-    rendezvous::number(service) as u32
+    rendezvous::hash_name(service) as u32
 }
 
 pub(super) fn millis(span: Duration) -> u32 {
@@ -56,7 +56,7 @@
         let age = Duration::from_millis(u64::from(crash.age_ms));
         let crash = Crash {
             fingerprint: Fingerprint(crash.fingerprint),
-            life: crash.life,
+            incarnation: crash.life,
         };
         (crash, age)
     };
@@ -84,7 +84,7 @@
     calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
     let crash = |(crash, age): (Crash, Duration)| gossip::Crash {
         fingerprint: crash.fingerprint.0,
-        life: crash.life,
+        life: crash.incarnation,
         age_ms: millis(age),
     };
     Saying {
--- a/crates/forward/src/grants.rs
+++ b/crates/forward/src/grants.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use base::ids::Incarnation;
-use policy::balance::Listed;
+use policy::balance::ServerRecord;
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -115,10 +115,10 @@
 
     /// Tells the sidecar that the engine has refused the call as meant for
     /// another life than `server`.
-    pub fn gone(&self, server: &Listed) {
+    pub fn gone(&self, server: &ServerRecord) {
         let gone = What::Gone {
             server: server.id.to_string(),
-            born: server.born,
+            born: server.started_ms,
         };
         self.sidecars.tell(self.to, self.number, gone);
     }
@@ -172,7 +172,7 @@
     }
 
     /// Asks the sidecar beside `server` and waits until it has decided.
-    pub async fn ask(self: &Rc<Self>, now: Instant, server: &Listed, want: Want) -> Decided {
+    pub async fn ask(self: &Rc<Self>, now: Instant, server: &ServerRecord, want: Want) -> Decided {
         let host = server.addr.ip();
         if self
             .silent
@@ -212,7 +212,7 @@
 
     /// How many tokens from the start of a prompt the engine beside a sidecar
     /// holds; 0 when the sidecar does not say so at once.
-    pub async fn look(&self, server: &Listed, parts: Vec<(u64, u32)>) -> u32 {
+    pub async fn look(&self, server: &ServerRecord, parts: Vec<(u64, u32)>) -> u32 {
         let (number, mut answers) = self.asking();
         let _open = Looking {
             sidecars: self,
--- a/crates/forward/src/http.rs
+++ b/crates/forward/src/http.rs
@@ -100,7 +100,7 @@
 /// Counts a body that has come over the link.
 fn note(state: &State, body: Bytes) -> Bytes {
     if let Some(link) = state.link.borrow_mut().as_mut() {
-        link.passed(state.clock.now(), body.len());
+        link.record_bytes(state.clock.now(), body.len());
     }
     body
 }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use futures_util::Stream;
-use policy::balance::Listed;
+use policy::balance::ServerRecord;
 use snafu::Snafu;
 use spdlog::info;
 
@@ -207,7 +207,7 @@
             .state
             .balance
             .borrow_mut()
-            .failed(self.call.state.clock.now(), &from);
+            .call_failed(self.call.state.clock.now(), &from);
         let resumable = self.call.route.kind == policy::routes::Kind::Resumable;
         if !resumable || self.last.is_none() && self.count > 0 {
             return Err(broken(from, cause));
@@ -233,7 +233,7 @@
     }
 
     fn server(&self) -> String {
-        let Listed { id, .. } = &self.body.server;
+        let ServerRecord { id, .. } = &self.body.server;
         id.to_string()
     }
 
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -5,7 +5,7 @@
 
 use base::logging::Level;
 use base::settings::Span;
-use policy::budget;
+use policy::repeat_budget;
 use serde::{Deserialize, Serialize};
 
 /// Part of the grace time that is left for closing connections once calls in
@@ -199,8 +199,8 @@
 
     /// The share of calls that may be repeated.
     #[must_use]
-    pub fn repeats(&self) -> budget::Share {
-        budget::Share {
+    pub fn repeats(&self) -> repeat_budget::RepeatLimit {
+        repeat_budget::RepeatLimit {
             ratio: self.repeat_ratio,
             window: Duration::from_secs_f64(self.repeat_window_s),
             slack: self.repeat_slack,
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -6,14 +6,14 @@
 
 use base::clock::Clock;
 use base::stop::Stop;
-use policy::balance::Balance;
-use policy::budget::Budget;
+use policy::balance::Balancer;
 use policy::finding::Finder;
-use policy::link::Link;
+use policy::link::LinkLoad;
 use policy::others::{EntryCount, Others};
 use policy::pools::Pools;
 use policy::readers::{Rank, Readers};
 use policy::rendezvous;
+use policy::repeat_budget::RepeatBudget;
 use policy::roster::{Roster, Seat};
 use policy::routes::Catalog;
 use policy::waits::Waits;
@@ -46,7 +46,7 @@
     /// The catalog in force, once there is one.
     pub catalog: RefCell<Option<Rc<Catalog>>>,
     /// The known servers.
-    pub balance: RefCell<Balance>,
+    pub balance: RefCell<Balancer>,
     /// What calls load the engines with.
     pub pools: RefCell<Pools>,
     /// How long calls wait at engines.
@@ -64,7 +64,7 @@
     /// How many entries there are.
     pub entry_count: RefCell<EntryCount>,
     /// Repeats that are left.
-    pub budget: RefCell<Budget>,
+    pub budget: RefCell<RepeatBudget>,
     /// The sidecars beside engines, if there are any.
     pub sidecars: RefCell<Option<Rc<Sidecars>>>,
     /// What one entry does for all, if there is anything.
@@ -80,7 +80,7 @@
     /// Whether the store does not answer questions about servers.
     pub lost: Cell<bool>,
     /// What the host's link carries towards the callers, if it matters.
-    pub link: RefCell<Option<Link>>,
+    pub link: RefCell<Option<LinkLoad>>,
     /// Whether the servers are known.
     pub listed: Cell<bool>,
     /// Set when the entry is about to stop.
@@ -103,7 +103,7 @@
     #[must_use]
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>, clock: Rc<dyn Clock>) -> Rc<Self> {
         Rc::new(Self {
-            balance: RefCell::new(Balance::new(&settings.zone)),
+            balance: RefCell::new(Balancer::new(&settings.zone)),
             pools: RefCell::default(),
             waits: RefCell::default(),
             tables: Tables::default(),
@@ -116,7 +116,7 @@
                 settings.first_start,
             )),
             entry_count: RefCell::default(),
-            budget: RefCell::new(Budget::new(settings.repeats())),
+            budget: RefCell::new(RepeatBudget::new(settings.repeats())),
             dialect,
             clock,
             catalog: RefCell::default(),
@@ -127,7 +127,7 @@
             regained: Notify::new(),
             speak: Notify::new(),
             lost: Cell::new(false),
-            link: RefCell::new(settings.link_mbps.map(Link::new)),
+            link: RefCell::new(settings.link_mbps.map(LinkLoad::new)),
             listed: Cell::new(false),
             stopping: Stop::new(),
             open: Cell::new(0),
@@ -179,7 +179,7 @@
     pub fn crowded(&self) -> bool {
         let now = self.clock.now();
         let mut link = self.link.borrow_mut();
-        link.as_mut().is_some_and(|link| link.full(now))
+        link.as_mut().is_some_and(|link| link.congested(now))
     }
 }
 
@@ -199,7 +199,7 @@
 
 /// An availability zone's number between entries.
 pub(crate) fn zone_number(zone: &str) -> u32 {
-    rendezvous::number(zone) as u32
+    rendezvous::hash_name(zone) as u32
 }
 
 /// What the host's link carries, in million bits a second, as others are told.
--- a/crates/forward/src/status.rs
+++ b/crates/forward/src/status.rs
@@ -38,7 +38,7 @@
     /// What `state` holds.
     #[must_use]
     pub fn of(state: &State) -> Self {
-        let said = state.balance.borrow().said(state.clock.now());
+        let said = state.balance.borrow().feedback_counts(state.clock.now());
         Self {
             name: state.settings.name.clone(),
             zone: state.settings.zone.clone(),
@@ -47,7 +47,7 @@
             entries: state.roster.borrow().count().all.saturating_sub(1),
             servers: state.balance.borrow().ids().len(),
             leaving: said.leaving,
-            resting: said.resting,
+            resting: said.backing_off,
             limited: said.limited,
             crashes: state.crashes.count(),
             open: state.open.get(),
--- a/crates/forward/src/tables.rs
+++ b/crates/forward/src/tables.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::balance::{Change, Listed};
+use policy::balance::{RecordChange, ServerRecord};
 use policy::replica::{Records, Replica};
 use policy::routes::Catalog;
 use spdlog::info;
@@ -36,7 +36,7 @@
     /// What the operators declare.
     pub catalog: RefCell<Replica<Rc<Catalog>>>,
     /// The backend servers.
-    pub servers: RefCell<Replica<Listed>>,
+    pub servers: RefCell<Replica<ServerRecord>>,
     /// Servers that have crashed under calls, each with the Unix millisecond.
     pub crashes: RefCell<Replica<u64>>,
     /// Wakes those who wait for a change of any.
@@ -109,7 +109,7 @@
 }
 
 /// Puts news of the servers to use.
-pub(crate) fn use_servers(state: &State, now: Instant, news: Records<Listed>) {
+pub(crate) fn use_servers(state: &State, now: Instant, news: Records<ServerRecord>) {
     if !news.is_empty() {
         state.tables.changed.notify_waiters();
     }
@@ -131,21 +131,21 @@
 
 /// Forgets the servers that have been missing for long.
 pub(crate) fn forget(state: &State, now: Instant) {
-    for id in state.balance.borrow_mut().forget(now, RETURN) {
+    for id in state.balance.borrow_mut().forget_missing(now, RETURN) {
         state.pool.forget(&id);
         info!("server forgotten", kv: { server = &*id });
     }
 }
 
-fn list(state: &State, now: Instant, listed: Listed, log: bool) {
+fn list(state: &State, now: Instant, listed: ServerRecord, log: bool) {
     let (id, leaving) = (Rc::clone(&listed.id), listed.leaving);
-    let (addr, zone, born) = (listed.addr, Rc::clone(&listed.zone), listed.born);
-    let change = state.balance.borrow_mut().list(now, listed);
-    if change == Change::None {
+    let (addr, zone, born) = (listed.addr, Rc::clone(&listed.zone), listed.started_ms);
+    let change = state.balance.borrow_mut().upsert(now, listed);
+    if change == RecordChange::Unchanged {
         return;
     }
     // Connections to its earlier life lead nowhere any more.
-    if leaving || change == Change::Restarted {
+    if leaving || change == RecordChange::Restarted {
         state.pool.forget(&id);
     }
     if !log {
@@ -157,12 +157,12 @@
         zone = &*zone,
         leaving,
         born = born.unwrap_or(0),
-        restarted = change == Change::Restarted
+        restarted = change == RecordChange::Restarted
     });
 }
 
 fn miss(state: &State, now: Instant, id: &str, until: Instant) {
-    if state.balance.borrow_mut().miss(now, id, until) {
+    if state.balance.borrow_mut().mark_missing(now, id, until) {
         info!("server missing", kv: { server = id });
     }
 }
--- a/crates/forward/tests/calls/common.rs
+++ b/crates/forward/tests/calls/common.rs
@@ -13,7 +13,7 @@
 use forward::settings::Settings;
 use forward::state::State;
 use http::{HeaderMap, HeaderValue};
-use policy::balance::{Listed, Word};
+use policy::balance::{ServerFeedback, ServerRecord};
 use policy::routes::{Catalog, Engine, Kind, Limits, Route, Service, Workspace};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -78,12 +78,12 @@
                 .and_then(|t| t.parse().ok())
                 .map(Duration::from_millis),
             close: text(headers, "connection").is_some_and(|c| c == "close"),
-            word: Word {
+            word: ServerFeedback {
                 leaving: headers.contains_key("leaving"),
-                rest: text(headers, "rest-ms")
+                backoff: text(headers, "rest-ms")
                     .and_then(|t| t.parse().ok())
                     .map(Duration::from_millis),
-                limit: text(headers, "limit").and_then(|l| l.parse().ok()),
+                rate_limit: text(headers, "limit").and_then(|l| l.parse().ok()),
             },
         }
     }
@@ -326,12 +326,15 @@
             state
                 .balance
                 .borrow_mut()
-                .list(Instant::now(), listed(id, addr));
+                .upsert(Instant::now(), listed(id, addr));
         }
         // Earlier calls that earned repeats.
         let service = Rc::from("app");
         for _ in 0..100 {
-            state.budget.borrow_mut().sent(state.clock.now(), &service);
+            state
+                .budget
+                .borrow_mut()
+                .record_call(state.clock.now(), &service);
         }
         *state.catalog.borrow_mut() = Some(Rc::new(catalog(&plan)));
         *servers.inner.acts.borrow_mut() = plan.acts;
@@ -354,21 +357,21 @@
         self.state
             .balance
             .borrow_mut()
-            .list(Instant::now(), listed("s2", addr));
+            .upsert(Instant::now(), listed("s2", addr));
     }
 
     /// Has a server say that it takes no new calls.
     pub(crate) fn leave(&self, id: &str) {
         let addr = "127.0.0.1:1".parse().expect("an address");
-        let leaving = Listed {
+        let leaving = ServerRecord {
             leaving: true,
-            born: None,
+            started_ms: None,
             ..listed(id, addr)
         };
         self.state
             .balance
             .borrow_mut()
-            .list(Instant::now(), leaving);
+            .upsert(Instant::now(), leaving);
     }
 
     /// Puts the route into the lowest tier.
@@ -384,7 +387,7 @@
         let (now, service) = (self.state.clock.now(), Rc::from("app"));
         let mut budget = self.state.budget.borrow_mut();
         (0..1000)
-            .take_while(|_| budget.repeat(now, &service))
+            .take_while(|_| budget.take_repeat(now, &service))
             .count()
     }
 
@@ -421,15 +424,15 @@
     serde_json::from_value(text).expect("settings")
 }
 
-fn listed(id: &str, addr: SocketAddr) -> Listed {
-    Listed {
+fn listed(id: &str, addr: SocketAddr) -> ServerRecord {
+    ServerRecord {
         id: Rc::from(id),
         service: Rc::from("app"),
         addr,
         zone: Rc::from("a"),
         slots: 4,
         leaving: false,
-        born: None,
+        started_ms: None,
     }
 }
 
--- a/crates/forward/tests/calls/grants.rs
+++ b/crates/forward/tests/calls/grants.rs
@@ -222,7 +222,7 @@
     let (_, leaving) = sidecar.say(Verdict::Leaving, 0).await;
     sidecar.say(Verdict::Granted, 0).await;
     assert_eq!(status(&call.await.expect("an answer")), "200");
-    assert!(!entry.state.balance.borrow().open(&leaving));
+    assert!(!entry.state.balance.borrow().accepts_calls(&leaving));
     let requests = entry.servers.requests();
     assert_eq!(requests.len(), 1);
     assert_ne!(field(&requests[0], "server"), Some(leaving));
--- a/crates/forward/tests/calls/repeats.rs
+++ b/crates/forward/tests/calls/repeats.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::balance::Turns;
+use policy::balance::TurnSchedule;
 use policy::routes::Kind;
 use rstest::rstest;
 
@@ -167,7 +167,7 @@
     let entry = Entry::start(Plan::new(Kind::Idempotent, 2, &acts)).await;
     let service = std::rc::Rc::from("app");
     let now = entry.state.clock.now();
-    while entry.state.budget.borrow_mut().repeat(now, &service) {}
+    while entry.state.budget.borrow_mut().take_repeat(now, &service) {}
     assert_eq!(status(&entry.call(ID).await), "500");
     assert_eq!(entry.servers.requests().len(), 1);
 }
@@ -312,10 +312,10 @@
 
 /// Has the entry know that there is no other one.
 fn share(entry: &Entry) {
-    entry.state.balance.borrow_mut().share(Turns {
+    entry.state.balance.borrow_mut().set_turns(TurnSchedule {
         entries: 1,
-        place: 0,
-        at: entry.state.clock.now(),
-        wall: Duration::from_secs(50),
+        turn_index: 0,
+        instant: entry.state.clock.now(),
+        unix_time: Duration::from_secs(50),
     });
 }
--- a/crates/forward/tests/duties/common.rs
+++ b/crates/forward/tests/duties/common.rs
@@ -14,7 +14,7 @@
 use forward::settings::Settings;
 use forward::state::State;
 use http::HeaderMap;
-use policy::balance::Listed;
+use policy::balance::ServerRecord;
 use policy::duty::Written;
 use policy::readers::Rank;
 use policy::routes::{Catalog, Limits, Service};
@@ -281,9 +281,9 @@
         let now = state.clock.now();
         let mut balance = state.balance.borrow_mut();
         for zone in ["a", "b"] {
-            balance.list(now, server(zone));
+            balance.upsert(now, server(zone));
             for _ in 0..calls {
-                balance.sent(now, zone);
+                balance.call_sent(now, zone);
             }
         }
     }
@@ -400,9 +400,9 @@
 }
 
 /// The server in an availability zone, named like it.
-fn server(zone: &str) -> Listed {
+fn server(zone: &str) -> ServerRecord {
     let host = u8::from(zone == "b") + 1;
-    Listed {
+    ServerRecord {
         id: Rc::from(zone),
         service: Rc::from("app"),
         addr: format!("127.42.0.{host}:{PORT}")
@@ -411,7 +411,7 @@
         zone: Rc::from(zone),
         slots: 4,
         leaving: false,
-        born: None,
+        started_ms: None,
     }
 }
 
--- a/crates/forward/tests/tables/crashes.rs
+++ b/crates/forward/tests/tables/crashes.rs
@@ -91,16 +91,16 @@
 }
 
 fn fatal() -> Fingerprint {
-    Fingerprint::of(&[b"fatal"])
+    Fingerprint::from_parts(&[b"fatal"])
 }
 
 /// Has an entry with a store of its own see servers crash.
 async fn see(table: &Table, lives: std::ops::Range<u64>) {
-    let crashes = lives.map(|life| {
+    let crashes = lives.map(|incarnation| {
         (
             Crash {
                 fingerprint: fatal(),
-                life,
+                incarnation,
             },
             Some(SystemClock.wall_ms()),
         )
--- a/crates/forward/tests/tables/follow.rs
+++ b/crates/forward/tests/tables/follow.rs
@@ -10,7 +10,7 @@
 use forward::follow;
 use forward::settings::Settings;
 use forward::state::State;
-use policy::balance::Listed;
+use policy::balance::ServerRecord;
 use policy::routes::{Catalog, Limits};
 use rstest::rstest;
 
@@ -94,12 +94,12 @@
     Answer::Records(vec![("config".to_owned(), Some(catalog))])
 }
 
-fn server(id: &str) -> Answer<Listed> {
+fn server(id: &str) -> Answer<ServerRecord> {
     Answer::Records(vec![(id.to_owned(), Some(listed(id, false)))])
 }
 
-fn listed(id: &str, leaving: bool) -> Listed {
-    Listed {
+fn listed(id: &str, leaving: bool) -> ServerRecord {
+    ServerRecord {
         id: Rc::from(id),
         service: Rc::from("app"),
         // No two servers stand at one address.
@@ -109,7 +109,7 @@
         zone: Rc::from("a"),
         slots: 1,
         leaving,
-        born: None,
+        started_ms: None,
     }
 }
 
--- a/crates/forward/tests/tables/neighbours.rs
+++ b/crates/forward/tests/tables/neighbours.rs
@@ -11,7 +11,7 @@
 use forward::settings::Settings;
 use forward::state::State;
 use forward::{follow, neighbours};
-use policy::balance::Listed;
+use policy::balance::ServerRecord;
 use policy::readers::{Rank, SHARED_FROM};
 use policy::routes::{Catalog, Limits};
 use tokio::net::TcpListener;
@@ -106,15 +106,15 @@
     }
 }
 
-fn server(leaving: bool) -> Listed {
-    Listed {
+fn server(leaving: bool) -> ServerRecord {
+    ServerRecord {
         id: Rc::from("key"),
         service: Rc::from("app"),
         addr: "127.0.0.1:1".parse().expect("an address"),
         zone: Rc::from("a"),
         slots: 1,
         leaving,
-        born: None,
+        started_ms: None,
     }
 }
 
@@ -123,13 +123,13 @@
     state: Rc<State>,
     addr: SocketAddr,
     catalog: Table<Version>,
-    servers: Table<Listed>,
+    servers: Table<ServerRecord>,
 }
 
 impl Entry {
     /// Starts an entry that asks neighbours; `answers` says whether it answers
     /// them, or takes their connections and says nothing.
-    async fn start(catalog: Table<Version>, servers: Table<Listed>, answers: bool) -> Self {
+    async fn start(catalog: Table<Version>, servers: Table<ServerRecord>, answers: bool) -> Self {
         Self::start_by(Rc::new(SystemClock), catalog, servers, answers).await
     }
 
@@ -137,7 +137,7 @@
     async fn start_by(
         clock: Rc<dyn Clock>,
         catalog: Table<Version>,
-        servers: Table<Listed>,
+        servers: Table<ServerRecord>,
         answers: bool,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -202,11 +202,11 @@
     }
 
     fn server_open(&self) -> bool {
-        self.state.balance.borrow().open("key")
+        self.state.balance.borrow().accepts_calls("key")
     }
 }
 
-fn tables() -> (Table<Version>, Table<Listed>) {
+fn tables() -> (Table<Version>, Table<ServerRecord>) {
     (Table::new(Version(1)), Table::new(server(false)))
 }
 
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -7,12 +7,12 @@
 //! exchange, until that engine is clearly busier than the others by what all
 //! entries have told. See docs/DECISIONS/0601-on-the-platform.md.
 
-mod failures;
-mod limit;
-mod names;
-mod past;
-mod said;
-mod window;
+mod cooldown;
+mod feedback;
+mod name_order;
+mod rate_limit;
+mod retained;
+mod slow_start;
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
@@ -23,13 +23,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::others::Calls;
-use crate::rendezvous::{number, weight};
-use names::Names;
-use past::Past;
-use said::Said;
+use crate::rendezvous::{hash_name, score};
+use feedback::Said;
+use name_order::Names;
+use retained::Past;
 
-pub use limit::Turns;
-pub use said::{Counts, News, Word};
+pub use feedback::{FeedbackChange, FeedbackCounts, ServerFeedback};
+pub use rate_limit::TurnSchedule;
 
 /// A home server with so many times the mean of open calls is passed over. At
 /// twice the mean, shared prompt tokens read again were a tenth more.
@@ -44,7 +44,7 @@
 
 /// A backend server as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ServerRecord {
     /// Its name. A restart makes a new one, or keeps it with another `born`.
     pub id: Rc<str>,
     /// What it serves.
@@ -58,55 +58,56 @@
     /// Whether it takes no new calls.
     pub leaving: bool,
     /// Unix millisecond at which this life of the server began, if it says.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_ms: Option<u64>,
 }
 
 /// What the platform's list says that was not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub enum RecordChange {
     /// Nothing.
-    None,
+    Unchanged,
     /// A server that was not known, or another state of one.
-    Changed,
+    Updated,
     /// The server has started again under its name.
     Restarted,
 }
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy)]
-pub struct Want<'a> {
+pub struct ServerQuery<'a> {
     /// The service.
     pub service: &'a str,
     /// Hash of the prompt's shared parts; none when there are none.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// Servers that the call was sent to before.
     pub tried: &'a [Rc<str>],
     /// The part of the servers that it should go to.
-    pub part: Part,
+    pub partition: Partition,
     /// What decides among them.
-    pub by: By,
+    pub strategy: Strategy,
     /// A server with open calls that sent nothing for so long is passed over.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
 }
 
 /// What decides among servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum By {
+pub enum Strategy {
     /// The home of the prompt's shared parts, unless it has clearly more
     /// open calls than the others.
-    Prefix,
+    PrefixAffinity,
     /// Open calls of all entries.
-    Open,
+    TwoChoices,
     /// The entry's own calls, in its own availability zone first: plain calls
     /// are over before others could tell of them.
     #[default]
-    Own,
+    LeastOwnCalls,
 }
 
 /// A part of a service's servers, the same at every entry that cuts at the
 /// same place.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Part {
+pub enum Partition {
     /// All of them.
     #[default]
     All,
@@ -118,7 +119,7 @@
 
 /// The servers that an entry knows, and its own calls at them.
 #[derive(Debug)]
-pub struct Balance {
+pub struct Balancer {
     /// The entry's availability zone.
     zone: Rc<str>,
     servers: HashMap<Rc<str>, Server>,
@@ -128,14 +129,14 @@
     names: Names,
     /// Where the entry stands among those that share the servers' limits; none
     /// while it has not counted them, and no server that names one is called.
-    turns: Option<Turns>,
+    turns: Option<TurnSchedule>,
     /// Makes ties fall differently from call to call.
     turn: u64,
 }
 
 #[derive(Debug)]
 struct Server {
-    listed: Listed,
+    listed: ServerRecord,
     /// Its place in the order in which names were first told.
     first: u64,
     /// Whether a newer one has its address.
@@ -166,7 +167,7 @@
 
 impl Server {
     fn age(&self) -> Age {
-        (self.listed.born, self.first)
+        (self.listed.started_ms, self.first)
     }
 
     /// Whether it leaves, by the list or by its own word, whichever came first.
@@ -186,7 +187,7 @@
     }
 
     /// Whether it takes a call from this entry now, by what it has said.
-    fn takes(&self, now: Instant, turns: Option<&Turns>) -> bool {
+    fn takes(&self, now: Instant, turns: Option<&TurnSchedule>) -> bool {
         self.said.takes(now, self.own.open, turns)
     }
 
@@ -211,7 +212,7 @@
     }
 }
 
-impl Balance {
+impl Balancer {
     /// Makes a balance that knows no servers.
     #[must_use]
     pub fn new(zone: &str) -> Self {
@@ -231,12 +232,12 @@
     /// alone for the failures of its earlier life, it would stand idle for
     /// seconds. What that life wrote may come late, and would have calls kept
     /// from a server that is well.
-    pub fn list(&mut self, now: Instant, listed: Listed) -> Change {
+    pub fn upsert(&mut self, now: Instant, listed: ServerRecord) -> RecordChange {
         let first = self.names.place(now, &listed.id);
         let addr = listed.addr;
         let before = self.addr(&listed.id);
         let change = self.put(listed, first);
-        if change != Change::None {
+        if change != RecordChange::Unchanged {
             self.find_replaced(addr);
             before
                 .filter(|b| *b != addr)
@@ -246,11 +247,11 @@
         change
     }
 
-    fn put(&mut self, listed: Listed, first: u64) -> Change {
+    fn put(&mut self, listed: ServerRecord, first: u64) -> RecordChange {
         match self.servers.get_mut(&listed.id) {
-            Some(server) if listed.born < server.listed.born => Change::None,
+            Some(server) if listed.started_ms < server.listed.started_ms => RecordChange::Unchanged,
             Some(server) => {
-                let restarted = server.listed.born < listed.born;
+                let restarted = server.listed.started_ms < listed.started_ms;
                 let back = server.missing.take().is_some();
                 let same = server.listed == listed;
                 server.listed = listed;
@@ -260,18 +261,18 @@
                     server.rest = None;
                     server.heard = None;
                     server.said = Said::default();
-                    return Change::Restarted;
+                    return RecordChange::Restarted;
                 }
                 match back || !same {
-                    true => Change::Changed,
-                    false => Change::None,
+                    true => RecordChange::Updated,
+                    false => RecordChange::Unchanged,
                 }
             }
             None => {
                 let server = Server {
                     first,
                     replaced: false,
-                    key: number(&listed.id),
+                    key: hash_name(&listed.id),
                     own: Calls::default(),
                     others: Calls::default(),
                     refused: 0,
@@ -283,7 +284,7 @@
                     listed,
                 };
                 self.servers.insert(Rc::clone(&server.listed.id), server);
-                Change::Changed
+                RecordChange::Updated
             }
         }
     }
@@ -320,7 +321,7 @@
     /// Entries lapse while the store is away though their servers live, and a
     /// server that left is missing in the same way. Until `until` it gets
     /// calls, but only while no server of its service is listed.
-    pub fn miss(&mut self, now: Instant, id: &str, until: Instant) -> bool {
+    pub fn mark_missing(&mut self, now: Instant, id: &str, until: Instant) -> bool {
         match self.servers.get_mut(id) {
             Some(server) if server.missing.is_none() => {
                 server.missing = Some((now, until));
@@ -333,7 +334,7 @@
     }
 
     /// Forgets the servers that have been missing for `wait`.
-    pub fn forget(&mut self, now: Instant, wait: Duration) -> Vec<Rc<str>> {
+    pub fn forget_missing(&mut self, now: Instant, wait: Duration) -> Vec<Rc<str>> {
         let gone = |s: &&Server| s.missing.is_some_and(|(since, _)| now >= since + wait);
         let gone = self.servers.values().filter(gone);
         let gone: Vec<Rc<str>> = gone.map(|s| Rc::clone(&s.listed.id)).collect();
@@ -360,9 +361,9 @@
 
     /// Whether this life of a server is known to leave.
     #[must_use]
-    pub fn leaves(&self, listed: &Listed) -> bool {
+    pub fn is_leaving(&self, listed: &ServerRecord) -> bool {
         let server = self.servers.get(&listed.id);
-        server.is_some_and(|s| s.leaves() && s.listed.born == listed.born)
+        server.is_some_and(|s| s.leaves() && s.listed.started_ms == listed.started_ms)
     }
 
     /// Where a known server listens.
@@ -373,14 +374,14 @@
 
     /// Whether a server is known and takes new calls.
     #[must_use]
-    pub fn open(&self, id: &str) -> bool {
+    pub fn accepts_calls(&self, id: &str) -> bool {
         let open = |s: &Server| !s.leaves() && !s.replaced;
         self.servers.get(id).is_some_and(open)
     }
 
     /// How many servers of `service` take new calls, and the slots of each.
     #[must_use]
-    pub fn size(&self, service: &str) -> (usize, u32) {
+    pub fn serving_capacity(&self, service: &str) -> (usize, u32) {
         let open = self.servers.values().filter(|s| s.serves(service));
         open.fold((0, 0), |(n, slots), s| (n + 1, slots.max(s.listed.slots)))
     }
@@ -388,13 +389,13 @@
     /// The servers of `service` that take new calls, each with the calls that
     /// all entries have open there.
     #[must_use]
-    pub fn serving(&self, service: &str) -> Vec<(Listed, u32)> {
+    pub fn serving(&self, service: &str) -> Vec<(ServerRecord, u32)> {
         let serving = self.servers.values().filter(|s| s.serves(service));
         serving.map(|s| (s.listed.clone(), s.open())).collect()
     }
 
     /// The server for a call, or none when no server may take it.
-    pub fn choose(&mut self, now: Instant, want: &Want<'_>) -> Option<Listed> {
+    pub fn choose(&mut self, now: Instant, want: &ServerQuery<'_>) -> Option<ServerRecord> {
         self.ranked(now, want).into_iter().next()
     }
 
@@ -403,22 +404,22 @@
     /// may take the call now. A home that is crowded, or was left to other
     /// calls a moment ago, still holds what it has read.
     #[must_use]
-    pub fn holders(&self, now: Instant, want: &Want<'_>) -> Vec<Listed> {
-        let Some(prefix) = want.prefix else {
+    pub fn prefix_holders(&self, now: Instant, want: &ServerQuery<'_>) -> Vec<ServerRecord> {
+        let Some(prefix) = want.prefix_hash else {
             return Vec::new();
         };
         let fit = |s: &&Server| {
             let here = &*s.listed.service == want.service;
             let here = here && !s.replaced && s.missing.is_none();
-            here && !s.said.rests(now) && s.well(now, want.silence)
+            here && !s.said.rests(now) && s.well(now, want.silence_timeout)
         };
         let mut fit: Vec<&Server> = self.servers.values().filter(fit).collect();
-        fit.sort_by_key(|s| Reverse(weight(prefix, s.key)));
+        fit.sort_by_key(|s| Reverse(score(prefix, s.key)));
         fit.into_iter().map(|s| s.listed.clone()).collect()
     }
 
     /// The servers for a call, the best first.
-    pub fn ranked(&mut self, now: Instant, want: &Want<'_>) -> Vec<Listed> {
+    pub fn ranked(&mut self, now: Instant, want: &ServerQuery<'_>) -> Vec<ServerRecord> {
         self.turn = self.turn.wrapping_add(1);
         let serves = |s: &&Server| &*s.listed.service == want.service && !s.leaves() && !s.replaced;
         let mut fit: Vec<&Server> = self.servers.values().filter(serves).collect();
@@ -428,20 +429,20 @@
         }
         let turns = self.turns.as_ref();
         fit.retain(|s| !want.tried.contains(&s.listed.id) && s.takes(now, turns));
-        let well = |s: &&Server| s.well(now, want.silence);
+        let well = |s: &&Server| s.well(now, want.silence_timeout);
         // With none well, one that is not is better than none at all.
         if fit.iter().any(well) {
             fit.retain(well);
         }
         self.keep_part(&mut fit, want);
-        let spread = want.prefix.unwrap_or(self.turn);
-        let drawn = |s: &Server| weight(spread, s.key);
-        match want.by {
-            By::Prefix => {
+        let spread = want.prefix_hash.unwrap_or(self.turn);
+        let drawn = |s: &Server| score(spread, s.key);
+        match want.strategy {
+            Strategy::PrefixAffinity => {
                 let limit = crowded(&fit);
                 fit.sort_by_key(|s| (s.open() > limit, Reverse(drawn(s))));
             }
-            By::Open => {
+            Strategy::TwoChoices => {
                 fit.sort_by_key(|s| drawn(s));
                 // What others tell is some tenths of a second old. If all
                 // entries took the least loaded, they would all take the same
@@ -452,7 +453,7 @@
                     fit.swap(0, 1);
                 }
             }
-            By::Own => {
+            Strategy::LeastOwnCalls => {
                 let zone = &self.zone;
                 fit.sort_by_key(|s| (s.own.open, s.listed.zone != *zone, drawn(s)));
             }
@@ -461,17 +462,17 @@
     }
 
     /// Leaves the servers of the wanted part, if any of them may be used.
-    fn keep_part(&self, fit: &mut Vec<&Server>, want: &Want<'_>) {
-        let (count, first) = match want.part {
-            Part::All => return,
-            Part::First(count) => (count, true),
-            Part::Rest(count) => (count, false),
+    fn keep_part(&self, fit: &mut Vec<&Server>, want: &ServerQuery<'_>) {
+        let (count, first) = match want.partition {
+            Partition::All => return,
+            Partition::First(count) => (count, true),
+            Partition::Rest(count) => (count, false),
         };
         // The cut is made among all servers that take calls, so that an entry
         // for which one of them rests cuts where the others do.
         let mut order: Vec<&Server> = self.servers.values().collect();
         order.retain(|s| &*s.listed.service == want.service && !s.leaves() && s.missing.is_none());
-        order.sort_by_key(|s| weight(CUT, s.key));
+        order.sort_by_key(|s| score(CUT, s.key));
         let part: HashSet<u64> = order.iter().take(count).map(|s| s.key).collect();
         let inside = |s: &&Server| part.contains(&s.key) == first;
         if fit.iter().any(inside) {
@@ -481,13 +482,13 @@
 
     /// Own calls, by the server's short number.
     #[must_use]
-    pub fn told(&self) -> Vec<(u16, Calls)> {
+    pub fn own_calls(&self) -> Vec<(u16, Calls)> {
         let busy = self.servers.values().filter(|s| s.own.open > 0);
         busy.map(|s| (short(s.key), s.own)).collect()
     }
 
     /// Takes over the calls that all other entries together have.
-    pub fn hear(&mut self, others: impl Fn(u16) -> Calls) {
+    pub fn set_remote_calls(&mut self, others: impl Fn(u16) -> Calls) {
         for server in self.servers.values_mut() {
             server.others = others(short(server.key));
         }
@@ -495,19 +496,19 @@
 
     /// Calls of all entries that wait for their first event at a server.
     #[must_use]
-    pub fn waiting(&self, id: &str) -> u32 {
+    pub fn waiting_calls(&self, id: &str) -> u32 {
         self.servers.get(id).map_or(0, Server::waiting)
     }
 
     /// Notes that a byte came from a server.
-    pub fn heard(&mut self, now: Instant, id: &str) {
+    pub fn bytes_received(&mut self, now: Instant, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.heard = Some(now);
         }
     }
 
     /// Notes that a call goes out to a server.
-    pub fn sent(&mut self, now: Instant, id: &str) {
+    pub fn call_sent(&mut self, now: Instant, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             if server.own.open == 0 {
                 server.heard = Some(now);
@@ -518,14 +519,14 @@
     }
 
     /// Notes that a call at a server has its first event, or will have none.
-    pub fn begun(&mut self, id: &str) {
+    pub fn call_started(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.own.waiting = server.own.waiting.saturating_sub(1);
         }
     }
 
     /// Notes that a call at a server that has begun has ended.
-    pub fn ended(&mut self, id: &str) {
+    pub fn call_ended(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.own.open = server.own.open.saturating_sub(1);
         }
--- a/crates/policy/src/balance/failures.rs
+++ b/crates/policy/src/balance/cooldown.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::Balance;
+use super::Balancer;
 
 /// How long a server that failed once is left alone; it doubles with each
 /// further failure. Long enough for a restart to be seen, short enough that
@@ -17,9 +17,9 @@
 /// belong to the calls.
 const RUN_LIMIT: u32 = 3;
 
-impl Balance {
+impl Balancer {
     /// Notes that a server answered a call as it should.
-    pub fn good(&mut self, id: &str) {
+    pub fn call_succeeded(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.refused = 0;
             server.failed = 0;
@@ -30,7 +30,7 @@
 
     /// Notes that no connection could be made to a server; it is left alone
     /// for a while that grows.
-    pub fn unreachable(&mut self, now: Instant, id: &str) {
+    pub fn connect_failed(&mut self, now: Instant, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.refused = server.refused.saturating_add(1);
             server.rest = Some(now + rest(server.refused));
@@ -40,14 +40,14 @@
     /// Notes that a server has turned a call away. One that does so time and again
     /// is left alone like one that fails; single refusals are those of a full
     /// server, which has room in a moment.
-    pub fn turned_away(&mut self, now: Instant, id: &str) {
-        self.failed(now, id);
+    pub fn call_rejected(&mut self, now: Instant, id: &str) {
+        self.call_failed(now, id);
     }
 
     /// How long it is until some server of `service` is tried again of its own
     /// accord, if all that are there are left alone after failures.
     #[must_use]
-    pub fn next_try(&self, now: Instant, service: &str) -> Option<Duration> {
+    pub fn cooldown_left(&self, now: Instant, service: &str) -> Option<Duration> {
         let serving = self.servers.values().filter(|s| s.serves(service));
         let left = serving.map(|s| {
             s.rest
@@ -57,7 +57,7 @@
     }
 
     /// Notes that a call failed at a server after it was sent.
-    pub fn failed(&mut self, now: Instant, id: &str) {
+    pub fn call_failed(&mut self, now: Instant, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.failed = server.failed.saturating_add(1);
             if server.failed >= RUN_LIMIT {
--- a/crates/policy/src/balance/said.rs
+++ b/crates/policy/src/balance/feedback.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use super::limit::{Limit, Turns};
-use super::window::Window;
-use super::{Balance, Listed};
+use super::rate_limit::{Limit, TurnSchedule};
+use super::slow_start::Window;
+use super::{Balancer, ServerRecord};
 
 /// The longest rest that is believed. What is longer is taken for a mistake,
 /// as a service would lose the server for as long.
@@ -23,23 +23,23 @@
 
 /// What an answer says of the server that made it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Word {
+pub struct ServerFeedback {
     /// Whether the server is about to end and takes no new calls.
     pub leaving: bool,
     /// For how long the server wants no calls from this entry, if it says so.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// The calls a second that the server takes from all entries together, if
     /// it names any.
-    pub limit: Option<f64>,
+    pub rate_limit: Option<f64>,
 }
 
 /// What of a [`Word`] was not known before.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct News {
+pub struct FeedbackChange {
     /// Whether the server has begun to leave.
     pub leaving: bool,
     /// For how long the server has asked for rest, if it was not resting.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Whether the server names a limit, if it has begun or ceased to do so.
     pub limited: Option<bool>,
 }
@@ -59,12 +59,12 @@
 
 impl Said {
     /// Takes over what an answer says, as `heard` describes it.
-    pub(super) fn hear(&mut self, heard: &Heard<'_>) -> News {
+    pub(super) fn hear(&mut self, heard: &Heard<'_>) -> FeedbackChange {
         let Heard { now, word, .. } = *heard;
         let leaving = word.leaving && !self.leaving;
         self.leaving |= word.leaving;
         let rested = self.rests(now);
-        if let Some(rest) = word.rest {
+        if let Some(rest) = word.backoff {
             let span = rest.min(REST_MOST).mul_f64(1.0 + REST_SPREAD * heard.drawn);
             let until = self.rest.max(Some(now + span));
             if !rested {
@@ -73,15 +73,15 @@
             self.rest = until;
         }
         let limited = self.limit.is_some();
-        match (&mut self.limit, word.limit) {
+        match (&mut self.limit, word.rate_limit) {
             (Some(limit), Some(rate)) => limit.name(now, rate),
             (Some(limit), None) if limit.lifted(heard.sent) => self.limit = None,
             (None, Some(rate)) => self.limit = Some(Limit::new(now, rate)),
             _ => {}
         }
-        News {
+        FeedbackChange {
             leaving,
-            rest: word.rest.filter(|_| !rested),
+            backoff: word.backoff.filter(|_| !rested),
             limited: Some(self.limit.is_some()).filter(|named| *named != limited),
         }
     }
@@ -94,7 +94,7 @@
     }
 
     /// Notes that a call goes out to it with `open` calls there.
-    fn sent(&mut self, now: Instant, open: u32, turns: Option<&Turns>) {
+    fn sent(&mut self, now: Instant, open: u32, turns: Option<&TurnSchedule>) {
         if let (Some(limit), Some(turns)) = (&mut self.limit, turns) {
             limit.take(now, turns);
         }
@@ -104,13 +104,13 @@
     }
 
     /// Whether it takes one more call from this entry now, with `open` there.
-    pub(super) fn takes(&self, now: Instant, open: u32, turns: Option<&Turns>) -> bool {
+    pub(super) fn takes(&self, now: Instant, open: u32, turns: Option<&TurnSchedule>) -> bool {
         let turn = |limit: Limit| turns.is_some_and(|turns| limit.open(now, turns));
         !self.rests(now) && self.room(now, open) && self.limit.is_none_or(turn)
     }
 
     /// How long it is until it does at the most; none if that is not known.
-    fn wait(&self, now: Instant, open: u32, turns: Option<&Turns>) -> Option<Duration> {
+    fn wait(&self, now: Instant, open: u32, turns: Option<&TurnSchedule>) -> Option<Duration> {
         let turn = match self.limit {
             Some(limit) if !limit.open(now, turns?) => limit.wait(now, turns?)?,
             _ => Duration::ZERO,
@@ -150,7 +150,7 @@
     pub(super) now: Instant,
     /// When its call was sent.
     pub(super) sent: Instant,
-    pub(super) word: &'a Word,
+    pub(super) word: &'a ServerFeedback,
     /// Calls of this entry at the server.
     pub(super) open: u32,
     /// A number drawn evenly from 0 to 1.
@@ -159,27 +159,27 @@
 
 /// How many of the known servers have said something that still holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct FeedbackCounts {
     /// Those that leave.
     pub leaving: usize,
     /// Those that rest.
-    pub resting: usize,
+    pub backing_off: usize,
     /// Those that name a limit.
     pub limited: usize,
 }
 
-impl Balance {
+impl Balancer {
     /// Notes what an answer of `server` to a call that was sent at `sent` says
     /// of it. An answer of an earlier life says nothing of the present one.
     /// `drawn` is a number drawn evenly from 0 to 1.
-    pub fn answered(
+    pub fn apply_feedback(
         &mut self,
         now: Instant,
-        server: &Listed,
+        server: &ServerRecord,
         sent: Instant,
-        word: &Word,
+        word: &ServerFeedback,
         drawn: f64,
-    ) -> News {
+    ) -> FeedbackChange {
         let known = self.servers.get_mut(&server.id);
         let heard = Heard {
             now,
@@ -189,8 +189,8 @@
             drawn,
         };
         match known {
-            Some(known) if known.listed.born == server.born => known.said.hear(&heard),
-            Some(_) => News::default(),
+            Some(known) if known.listed.started_ms == server.started_ms => known.said.hear(&heard),
+            Some(_) => FeedbackChange::default(),
             None => self.past.hear(server, &heard),
         }
     }
@@ -222,11 +222,11 @@
 
     /// How many of the known servers have said something that still holds.
     #[must_use]
-    pub fn said(&self, now: Instant) -> Counts {
+    pub fn feedback_counts(&self, now: Instant) -> FeedbackCounts {
         let said = self.servers.values().map(|s| &s.said);
-        said.fold(Counts::default(), |counts, said| Counts {
+        said.fold(FeedbackCounts::default(), |counts, said| FeedbackCounts {
             leaving: counts.leaving + usize::from(said.leaving),
-            resting: counts.resting + usize::from(said.rests(now)),
+            backing_off: counts.backing_off + usize::from(said.rests(now)),
             limited: counts.limited + usize::from(said.limit.is_some()),
         })
     }
--- a/crates/policy/src/balance/limit.rs
+++ b/crates/policy/src/balance/rate_limit.rs
@@ -9,7 +9,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::Balance;
+use super::Balancer;
 
 /// How long a turn may be used. Entries whose turns fall together send no more
 /// than the limit allows in one second beside what it allows meanwhile.
@@ -21,29 +21,29 @@
 
 /// Where an entry stands among those that share each limit.
 #[derive(Debug, Clone, Copy)]
-pub struct Turns {
+pub struct TurnSchedule {
     /// All entries.
     pub entries: u32,
     /// How many of them stand before this one.
-    pub place: u32,
+    pub turn_index: u32,
     /// A moment.
-    pub at: Instant,
+    pub instant: Instant,
     /// The time of day then, since the Unix epoch.
-    pub wall: Duration,
+    pub unix_time: Duration,
 }
 
-impl Turns {
+impl TurnSchedule {
     /// Seconds on the axis that all entries share.
     fn time(&self, now: Instant) -> f64 {
-        let since = now.saturating_duration_since(self.at);
-        (self.wall + since).as_secs_f64()
+        let since = now.saturating_duration_since(self.instant);
+        (self.unix_time + since).as_secs_f64()
     }
 
     /// The entry's newest turn for a limit of `rate` calls a second, on the
     /// shared axis, and the time between two of them.
     fn newest(&self, now: Instant, rate: f64) -> (f64, f64) {
         let every = f64::from(self.entries.max(1)) / rate;
-        let first = f64::from(self.place) / rate;
+        let first = f64::from(self.turn_index) / rate;
         let count = ((self.time(now) - first) / every).floor();
         (first + count * every, every)
     }
@@ -86,7 +86,7 @@
     }
 
     /// Whether a call may be sent now.
-    pub(super) fn open(&self, now: Instant, turns: &Turns) -> bool {
+    pub(super) fn open(&self, now: Instant, turns: &TurnSchedule) -> bool {
         if self.rate <= 0.0 {
             return false;
         }
@@ -99,14 +99,14 @@
     }
 
     /// Takes the turn for a call that is sent now.
-    pub(super) fn take(&mut self, now: Instant, turns: &Turns) {
+    pub(super) fn take(&mut self, now: Instant, turns: &TurnSchedule) {
         let (turn, _) = turns.newest(now, self.rate);
         self.used = Some(turn);
         self.sent = Some(now);
     }
 
     /// How long it is until the next turn at the most.
-    pub(super) fn wait(&self, now: Instant, turns: &Turns) -> Option<Duration> {
+    pub(super) fn wait(&self, now: Instant, turns: &TurnSchedule) -> Option<Duration> {
         if self.rate <= 0.0 {
             return None;
         }
@@ -115,10 +115,10 @@
     }
 }
 
-impl Balance {
+impl Balancer {
     /// Notes where the entry stands among those that share the limits which
     /// servers name.
-    pub fn share(&mut self, turns: Turns) {
+    pub fn set_turns(&mut self, turns: TurnSchedule) {
         self.turns = Some(turns);
     }
 }
--- a/crates/policy/src/balance/past.rs
+++ b/crates/policy/src/balance/retained.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use super::Listed;
-use super::said::{Heard, News, Said};
+use super::ServerRecord;
+use super::feedback::{FeedbackChange, Heard, Said};
 
 /// How long it is kept. Servers that leave end within minutes, and outages that
 /// drop servers from the list are shorter.
@@ -31,10 +31,10 @@
 
 impl Past {
     /// Keeps what a server has said that the list has dropped.
-    pub(super) fn keep(&mut self, now: Instant, server: &Listed, said: Said) {
+    pub(super) fn keep(&mut self, now: Instant, server: &ServerRecord, said: Said) {
         if said.holds(now) {
             let life = Life {
-                born: server.born,
+                born: server.started_ms,
                 said,
                 at: now,
             };
@@ -43,10 +43,10 @@
     }
 
     /// Takes over what an answer of such a server says.
-    pub(super) fn hear(&mut self, server: &Listed, heard: &Heard<'_>) -> News {
-        let later = |life: &Life| life.born > server.born;
+    pub(super) fn hear(&mut self, server: &ServerRecord, heard: &Heard<'_>) -> FeedbackChange {
+        let later = |life: &Life| life.born > server.started_ms;
         if self.said.get(&server.id).is_some_and(later) {
-            return News::default();
+            return FeedbackChange::default();
         }
         let mut said = self.take(server);
         let news = said.hear(heard);
@@ -55,9 +55,9 @@
     }
 
     /// What a server that the list shows again has said in this life.
-    pub(super) fn take(&mut self, server: &Listed) -> Said {
+    pub(super) fn take(&mut self, server: &ServerRecord) -> Said {
         let life = self.said.remove(&server.id);
-        let life = life.filter(|life| life.born == server.born);
+        let life = life.filter(|life| life.born == server.started_ms);
         life.map(|life| life.said).unwrap_or_default()
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -23,9 +23,9 @@
 //! - [`others`]: what they have in progress.
 //! - [`replica`]: its copies of the store's tables.
 //! - [`readers`]: whether it reads them itself or asks a neighbour.
-//! - [`budget`]: whether it may be sent to a second one.
-//! - [`suspects`]: under which requests servers end.
-//! - [`rendezvous`]: one order of servers for every process.
+//! - [`repeat_budget`]: how many calls may be repeated at a second server.
+//! - [`suspects`]: which requests crash the servers that run them.
+//! - [`rendezvous`]: rendezvous hashing of servers.
 //!
 //! What one daemon does for all of them:
 //! - [`duty`]: who performs a duty.
@@ -44,7 +44,6 @@
 //! - [`outlier`]: which servers get no requests for a while.
 
 pub mod balance;
-pub mod budget;
 pub mod caches;
 pub mod duty;
 pub mod estimate;
@@ -66,6 +65,7 @@
 pub mod queue;
 pub mod readers;
 pub mod rendezvous;
+pub mod repeat_budget;
 pub mod replica;
 pub mod retry;
 pub mod roster;
--- a/crates/policy/src/link.rs
+++ b/crates/policy/src/link.rs
@@ -21,7 +21,7 @@
 
 /// What a host's link carries in one direction.
 #[derive(Debug, Clone, Copy)]
-pub struct Link {
+pub struct LinkLoad {
     /// Bytes a second that it can carry.
     rate: f64,
     /// Bytes a second that it carries, on average.
@@ -30,7 +30,7 @@
     full: bool,
 }
 
-impl Link {
+impl LinkLoad {
     /// A link of `mbps` million bits a second.
     #[must_use]
     pub fn new(mbps: f64) -> Self {
@@ -43,13 +43,13 @@
     }
 
     /// Notes that `bytes` have passed.
-    pub fn passed(&mut self, now: Instant, bytes: usize) {
+    pub fn record_bytes(&mut self, now: Instant, bytes: usize) {
         self.age(now);
         self.used += bytes as f64 / SMOOTH.as_secs_f64();
     }
 
     /// Whether so much passes that callers should go elsewhere.
-    pub fn full(&mut self, now: Instant) -> bool {
+    pub fn congested(&mut self, now: Instant) -> bool {
         self.age(now);
         let limit = if self.full { FREE } else { FULL };
         self.full = self.used > self.rate * limit;
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -10,15 +10,15 @@
 
 use base::ids::Incarnation;
 
-use crate::subset::{self, Place, Size};
+use crate::subset::{self, HostRef, SubsetSize};
 
 /// How membership is bounded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Limits {
+pub struct MembershipLimits {
     /// How many servers of each service are known.
-    pub size: Size,
+    pub subset_size: SubsetSize,
     /// How long a host stays that is not listed and does not answer.
-    pub forget: Duration,
+    pub forget_after: Duration,
 }
 
 /// A host as the list shows it.
@@ -31,14 +31,14 @@
     /// The availability zone that it stands in.
     pub zone: String,
     /// What runs there.
-    pub kind: Kind,
+    pub kind: HostKind,
     /// Whether the list says that it is about to go away.
     pub leaving: bool,
 }
 
 /// What runs on a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Kind {
+pub enum HostKind {
     /// An entry.
     Entry,
     /// A sidecar.
@@ -50,7 +50,7 @@
 
 /// What became of a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Applied {
+pub enum ListOutcome {
     /// It was taken over.
     Taken,
     /// It shows no sidecar at all, which is taken for a fault of the list.
@@ -64,7 +64,7 @@
     name: String,
     /// The entry's own availability zone.
     zone: String,
-    limits: Limits,
+    limits: MembershipLimits,
     hosts: BTreeMap<String, Record>,
 }
 
@@ -86,7 +86,7 @@
     /// Makes the membership of the entry `name` in `zone`, which knows no
     /// other host yet.
     #[must_use]
-    pub fn new(name: &str, zone: &str, limits: Limits) -> Self {
+    pub fn new(name: &str, zone: &str, limits: MembershipLimits) -> Self {
         Self {
             name: name.to_owned(),
             zone: zone.to_owned(),
@@ -100,10 +100,10 @@
     /// A list without any sidecar would leave no backend server for any
     /// request, and comes from a fault of the platform far more often than
     /// from a fleet that is gone; the hosts' own answers tell these apart.
-    pub fn list(&mut self, now: Instant, hosts: &[Host]) -> Applied {
-        let sidecar = |h: &Host| matches!(h.kind, Kind::Sidecar { .. });
+    pub fn apply_list(&mut self, now: Instant, hosts: &[Host]) -> ListOutcome {
+        let sidecar = |h: &Host| matches!(h.kind, HostKind::Sidecar { .. });
         if !hosts.iter().any(sidecar) {
-            return Applied::Ignored;
+            return ListOutcome::Ignored;
         }
 
         let shown: BTreeMap<&str, &Host> = hosts.iter().map(|h| (h.name.as_str(), h)).collect();
@@ -124,11 +124,11 @@
                 }
             }
         }
-        Applied::Taken
+        ListOutcome::Taken
     }
 
     /// Notes that a host answered at `at`, in its life `life`.
-    pub fn answered(&mut self, at: Instant, name: &str, life: Incarnation) {
+    pub fn note_answer(&mut self, at: Instant, name: &str, life: Incarnation) {
         if let Some(record) = self.hosts.get_mut(name) {
             record.seen = record.seen.max(at);
             record.life = Some(life);
@@ -143,7 +143,7 @@
     /// Forgets hosts that are neither listed nor answer; returns how many.
     pub fn sweep(&mut self, now: Instant) -> usize {
         let before = self.hosts.len();
-        let forget = self.limits.forget;
+        let forget = self.limits.forget_after;
         self.hosts
             .retain(|_, r| r.listed || now.saturating_duration_since(r.seen) < forget);
         before - self.hosts.len()
@@ -151,25 +151,28 @@
 
     /// The sidecars that the entry should keep connections to.
     #[must_use]
-    pub fn chosen(&self) -> Vec<&Host> {
-        let entries = self.hosts.values().filter(|r| r.host.kind == Kind::Entry);
-        let entries: Vec<Place> = entries.map(|r| place(&r.host)).collect();
-        let me = Place {
+    pub fn chosen_sidecars(&self) -> Vec<&Host> {
+        let entries = self
+            .hosts
+            .values()
+            .filter(|r| r.host.kind == HostKind::Entry);
+        let entries: Vec<HostRef> = entries.map(|r| place(&r.host)).collect();
+        let me = HostRef {
             name: &self.name,
             zone: &self.zone,
         };
 
         let mut services: BTreeMap<&str, Vec<&Host>> = BTreeMap::new();
         for record in self.hosts.values() {
-            if let Kind::Sidecar { serves } = &record.host.kind {
+            if let HostKind::Sidecar { serves } = &record.host.kind {
                 services.entry(serves).or_default().push(&record.host);
             }
         }
 
         let mut chosen = Vec::new();
         for hosts in services.values() {
-            let places: Vec<Place> = hosts.iter().map(|h| place(h)).collect();
-            let picked = subset::choose(me, &entries, &places, self.limits.size);
+            let places: Vec<HostRef> = hosts.iter().map(|h| place(h)).collect();
+            let picked = subset::choose(me, &entries, &places, self.limits.subset_size);
             chosen.extend(picked.into_iter().map(|i| hosts[i]));
         }
         chosen
@@ -181,7 +184,7 @@
     /// one, it has come back, and waiting for the list would keep it idle for
     /// as long as the list lags.
     #[must_use]
-    pub fn leaving(&self, name: &str) -> bool {
+    pub fn is_leaving(&self, name: &str) -> bool {
         let Some(record) = self.hosts.get(name) else {
             return true;
         };
@@ -191,7 +194,7 @@
 
     /// Whether the last list showed a host.
     #[must_use]
-    pub fn listed(&self, name: &str) -> bool {
+    pub fn is_listed(&self, name: &str) -> bool {
         self.hosts.get(name).is_some_and(|r| r.listed)
     }
 
@@ -231,8 +234,8 @@
     }
 }
 
-fn place(host: &Host) -> Place<'_> {
-    Place {
+fn place(host: &Host) -> HostRef<'_> {
+    HostRef {
         name: &host.name,
         zone: &host.zone,
     }
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -29,27 +29,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// Its sidecar could not be reached or did not answer.
-    Link,
+    Unreachable,
     /// A run failed at the backend server.
-    Run,
+    RunFailed,
     /// Its pace is far off the pool's median.
     Slow,
 }
 
 /// A sign that a server is well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Good {
+pub enum Success {
     /// Its sidecar answered.
-    Link,
+    Reachable,
     /// A run came to its end.
-    Run,
+    RunCompleted,
     /// Its pace is like the others'.
-    Pace,
+    NormalPace,
 }
 
 /// What is known about the health of one server.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Outlier {
+pub struct ServerHealth {
     /// Faults in a row, by kind.
     faults: [u32; 3],
     /// When the last fault that counted came, by kind.
@@ -76,7 +76,7 @@
     Probing(Instant),
 }
 
-impl Outlier {
+impl ServerHealth {
     /// Whether a request may go to the server. A server whose ejection is over
     /// gets one request at a time until it answered well.
     #[must_use]
@@ -94,7 +94,7 @@
     }
 
     /// Notes that a request goes to the server.
-    pub fn chosen(&mut self, now: Instant) {
+    pub fn request_sent(&mut self, now: Instant) {
         if self.ejected() {
             self.phase = Phase::Probing(now + self.interval());
         }
@@ -102,8 +102,8 @@
 
     /// Notes a fault. Ejects the server when it is one too many and `room`
     /// says that the pool can spare it; returns whether it was ejected.
-    pub fn fault(&mut self, now: Instant, fault: Fault, room: bool) -> bool {
-        let kind = fault as usize;
+    pub fn record_fault(&mut self, now: Instant, record_fault: Fault, room: bool) -> bool {
+        let kind = record_fault as usize;
         // Calls that were in flight when the server was ejected say nothing
         // new.
         if matches!(self.phase, Phase::Ejected(until) if now < until) {
@@ -115,9 +115,9 @@
         self.last[kind] = Some(now);
         self.faults[kind] = self.faults[kind].saturating_add(1);
 
-        let limit = match fault {
-            Fault::Link => LINK_LIMIT,
-            Fault::Run => RUN_LIMIT,
+        let limit = match record_fault {
+            Fault::Unreachable => LINK_LIMIT,
+            Fault::RunFailed => RUN_LIMIT,
             Fault::Slow => SLOW_LIMIT,
         };
         // A failed probe needs no second fault; it already takes its place in
@@ -132,17 +132,17 @@
         }
         self.phase = Phase::Ejected(now + self.interval());
         self.times = self.times.saturating_add(1);
-        self.cause = Some(fault);
+        self.cause = Some(record_fault);
         !probing
     }
 
     /// Notes a good sign. What ended the ejection must be of the kind that
     /// caused it: a sidecar that answers says nothing about its engine.
-    pub fn good(&mut self, now: Instant, good: Good) {
-        let kind = match good {
-            Good::Link => Fault::Link,
-            Good::Run => Fault::Run,
-            Good::Pace => Fault::Slow,
+    pub fn record_success(&mut self, now: Instant, record_success: Success) {
+        let kind = match record_success {
+            Success::Reachable => Fault::Unreachable,
+            Success::RunCompleted => Fault::RunFailed,
+            Success::NormalPace => Fault::Slow,
         };
         self.faults[kind as usize] = 0;
         if matches!(self.phase, Phase::Probing(_)) && self.cause == Some(kind) {
@@ -160,7 +160,7 @@
 /// How many of `servers` may be ejected at once by a bundle's `share`. A pool
 /// of three or more can always spare one, or a small pool would never eject.
 #[must_use]
-pub fn spare(servers: usize, share: f64) -> usize {
+pub fn max_ejected(servers: usize, share: f64) -> usize {
     if share <= 0.0 {
         return 0;
     }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -8,9 +8,9 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::outlier::{self, Fault, Good, Outlier};
+use crate::outlier::{self, Fault, ServerHealth, Success};
 use crate::pace::{Load, Pace, Reports};
-use crate::rendezvous::{number, weight};
+use crate::rendezvous::{hash_name, score};
 
 /// A backend server as an entry knows it, by its place in the entry's list.
 pub type ServerIndex = usize;
@@ -93,7 +93,7 @@
     /// The place of its pool.
     pool: usize,
     reports: Reports,
-    health: Outlier,
+    health: ServerHealth,
     /// Whether the host list leaves it no new requests.
     closed: bool,
 }
@@ -141,10 +141,10 @@
         let near = zone == self.options.zone;
         let pool = self.pool(target);
         self.servers[index] = Some(Server {
-            key: number(name),
+            key: hash_name(name),
             pool,
             reports: Reports::default(),
-            health: Outlier::default(),
+            health: ServerHealth::default(),
             closed: false,
         });
 
@@ -198,7 +198,7 @@
         };
         let pool = server.pool;
         server.reports.note(now, load, lag);
-        server.health.good(now, Good::Link);
+        server.health.record_success(now, Success::Reachable);
         if !load.pace.known() {
             return false;
         }
@@ -207,14 +207,14 @@
         if usual.known() && load.pace.token > usual.token * SLOW_FACTOR {
             return self.fault(now, index, Fault::Slow, ejected);
         }
-        self.good(now, index, Good::Pace);
+        self.good(now, index, Success::NormalPace);
         false
     }
 
     /// Notes a good sign about a server.
-    pub fn good(&mut self, now: Instant, index: ServerIndex, good: Good) {
+    pub fn good(&mut self, now: Instant, index: ServerIndex, good: Success) {
         if let Some(server) = self.server_mut(index) {
-            server.health.good(now, good);
+            server.health.record_success(now, good);
         }
     }
 
@@ -227,10 +227,10 @@
         let pool = &self.pools[server.pool];
         let health = |i| self.server(i).is_some_and(|s| s.health.ejected());
         let ejected = pool.all().filter(|i| health(*i)).count();
-        let room = ejected < outlier::spare(pool.len(), share);
+        let room = ejected < outlier::max_ejected(pool.len(), share);
 
         let server = self.server_mut(index);
-        server.is_some_and(|s| s.health.fault(now, fault, room))
+        server.is_some_and(|s| s.health.record_fault(now, fault, room))
     }
 
     /// The load last heard from a server.
@@ -301,7 +301,7 @@
 
         for index in &chosen {
             if let Some(server) = self.server_mut(*index) {
-                server.health.chosen(now);
+                server.health.request_sent(now);
             }
         }
         chosen
@@ -335,7 +335,7 @@
             let server = self.usable(now, i, want.tried)?;
             let load = server.reports.fresh();
             let crowded = load.slots > 0 && load.waiting >= load.slots;
-            (!crowded).then(|| (weight(want.prefix, server.key), i))
+            (!crowded).then(|| (score(want.prefix, server.key), i))
         });
         ranked.max().map(|(_, i)| i)
     }
--- a/crates/policy/src/readers.rs
+++ b/crates/policy/src/readers.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::rendezvous::{number, weight};
+use crate::rendezvous::{hash_name, score};
 
 /// Entries in a zone from which on they read for each other. Below, it saves
 /// less than a call a second, and costs what is known some freshness.
@@ -94,7 +94,7 @@
     /// The rank of the entry at `addr` whose link carries `link_mbps`.
     #[must_use]
     pub fn new(zone: u32, addr: SocketAddr, link_mbps: u32) -> Self {
-        let draw = weight(u64::from(zone), number(&addr.to_string()));
+        let draw = score(u64::from(zone), hash_name(&addr.to_string()));
         Self {
             link: Reverse(link_mbps),
             draw: Reverse(draw),
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/repeat_budget.rs
@@ -16,7 +16,7 @@
 
 /// What repeats may add to a service's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Share {
+pub struct RepeatLimit {
     /// Repeats for each first send.
     pub ratio: f64,
     /// The span over which both are counted.
@@ -31,8 +31,8 @@
 
 /// Counts sends and repeats by service.
 #[derive(Debug)]
-pub struct Budget {
-    share: Share,
+pub struct RepeatBudget {
+    share: RepeatLimit,
     /// Entries among which the slack is shared; 0 while that is not known.
     entries: usize,
     services: HashMap<Rc<str>, VecDeque<Slice>>,
@@ -46,10 +46,10 @@
     repeats: u32,
 }
 
-impl Budget {
+impl RepeatBudget {
     /// Makes a budget in which nothing was sent yet.
     #[must_use]
-    pub fn new(share: Share) -> Self {
+    pub fn new(share: RepeatLimit) -> Self {
         Self {
             share,
             entries: 0,
@@ -58,17 +58,17 @@
     }
 
     /// Notes among how many entries the slack is shared.
-    pub fn shared(&mut self, entries: usize) {
+    pub fn set_entries(&mut self, entries: usize) {
         self.entries = entries;
     }
 
     /// Notes the first send of a call.
-    pub fn sent(&mut self, now: Instant, service: &Rc<str>) {
+    pub fn record_call(&mut self, now: Instant, service: &Rc<str>) {
         self.slice(now, service).first += 1;
     }
 
     /// Takes one repeat, if the share has one left.
-    pub fn repeat(&mut self, now: Instant, service: &Rc<str>) -> bool {
+    pub fn take_repeat(&mut self, now: Instant, service: &Rc<str>) -> bool {
         let ratio = self.share.ratio;
         let slack = match self.entries {
             0 => 0.0,
@@ -89,7 +89,7 @@
 
     /// The slice that `now` falls into; drops those out of the window.
     fn slice(&mut self, now: Instant, service: &Rc<str>) -> &mut Slice {
-        let Share { window, .. } = self.share;
+        let RepeatLimit { window, .. } = self.share;
         if !self.services.contains_key(service) {
             self.services.insert(Rc::clone(service), VecDeque::new());
         }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -17,14 +17,14 @@
 /// fill. When every server fails nothing is granted, so nothing fills it, and
 /// the retries end after those saved up.
 #[derive(Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Retries left, by class.
     left: HashMap<String, f64>,
     /// Whether retries are unlimited, as a baseline to measure against.
     unlimited: bool,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Makes a budget in which every class has its retries saved up.
     #[must_use]
     pub fn new(unlimited: bool) -> Self {
@@ -35,7 +35,7 @@
     }
 
     /// Notes a grant, which earns `share` of a retry.
-    pub fn granted(&mut self, class: &str, share: f64) {
+    pub fn earn(&mut self, class: &str, share: f64) {
         if let Some(left) = self.left.get_mut(class) {
             *left = (*left + share).min(SAVED);
         }
@@ -60,14 +60,14 @@
 
     /// The retries that are left to a class.
     #[must_use]
-    pub fn left(&self, class: &str) -> f64 {
+    pub fn retries_left(&self, class: &str) -> f64 {
         self.left.get(class).copied().unwrap_or(SAVED)
     }
 }
 
 /// A try that came to nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Failure {
+pub struct FailedAttempt {
     /// Why it would be tried again.
     pub cause: Retry,
     /// Whether the request may have run.
@@ -78,7 +78,7 @@
 
 /// Whether a failed request may be tried again at another server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// It may, if the budget has a retry left.
     Again,
     /// It must not, because it could run twice.
@@ -89,20 +89,20 @@
     TooLate,
 }
 
-impl Failure {
+impl FailedAttempt {
     /// Judges whether to try again. `left` is the time until the answer is
     /// due and `need` what another try takes at least.
     #[must_use]
-    pub fn judge(&self, repeatable: bool, left: Duration, need: Duration) -> Verdict {
+    pub fn decide(&self, repeatable: bool, left: Duration, need: Duration) -> RetryDecision {
         if self.delivered {
-            return Verdict::Delivered;
+            return RetryDecision::Delivered;
         }
         if self.ran != Ran::No && !repeatable {
-            return Verdict::NotRepeatable;
+            return RetryDecision::NotRepeatable;
         }
         if left <= need {
-            return Verdict::TooLate;
+            return RetryDecision::TooLate;
         }
-        Verdict::Again
+        RetryDecision::Again
     }
 }
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -9,16 +9,16 @@
 
 /// How large a subset is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Size {
+pub struct SubsetSize {
     /// Servers of one service that an entry knows, as a mean over the entries.
     pub total: usize,
     /// How many of these stand in other availability zones, at the least.
-    pub far: usize,
+    pub other_zones: usize,
 }
 
 /// A host as the choice sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place<'a> {
+pub struct HostRef<'a> {
     /// The daemon's name.
     pub name: &'a str,
     /// The availability zone that the host stands in.
@@ -28,7 +28,12 @@
 /// Chooses among `servers` of one service for the entry `me`; `entries` are
 /// all entries of the region. Returns places in `servers`.
 #[must_use]
-pub fn choose(me: Place, entries: &[Place], servers: &[Place], size: Size) -> Vec<usize> {
+pub fn choose(
+    me: HostRef,
+    entries: &[HostRef],
+    servers: &[HostRef],
+    size: SubsetSize,
+) -> Vec<usize> {
     if servers.len() <= size.total {
         return (0..servers.len()).collect();
     }
@@ -40,7 +45,7 @@
     let peers: Vec<u64> = peers.collect();
 
     let shares = Shares::new(me, servers, size, peers.len() + 1);
-    let covers = |server: &Place| {
+    let covers = |server: &HostRef| {
         let key = hash(server.name);
         let score = pair(mine, key);
         let ahead = peers.iter().filter(|p| pair(**p, key) > score).count();
@@ -59,9 +64,9 @@
 }
 
 impl Shares {
-    fn new(me: Place, servers: &[Place], size: Size, entries: usize) -> Self {
+    fn new(me: HostRef, servers: &[HostRef], size: SubsetSize, entries: usize) -> Self {
         let near_servers = servers.iter().filter(|s| s.zone == me.zone).count();
-        let near = near_servers.min(size.total.saturating_sub(size.far));
+        let near = near_servers.min(size.total.saturating_sub(size.other_zones));
         let far = size.total - near;
         let share = |wanted: usize, of: usize| match of {
             0 => 0.0,
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -22,15 +22,15 @@
 /// Lives of servers that crash under a request before it is refused. One or two
 /// happen to calls that are only near: a caller that comes back once may meet
 /// a second server that crashes.
-pub const CRASHES: usize = 3;
+pub const CRASH_LIMIT: usize = 3;
 
 /// How long a crash is held against a request: longer than callers go on
 /// repeating what fails, and short enough for a server that was mended.
-pub const HELD: Duration = Duration::from_secs(30 * 60);
+pub const CRASH_TTL: Duration = Duration::from_secs(30 * 60);
 
 /// Crashes that are known at most, some 100 bytes each. Beyond it those of the
 /// requests that were suspected longest ago go.
-pub const MOST: usize = 1 << 14;
+pub const MAX_CRASHES: usize = 1 << 14;
 
 /// Requests that are remembered as served, so that one that is sent all the
 /// time is not suspected when a whole rack of servers crashes under its copies.
@@ -46,7 +46,7 @@
     /// The fingerprint of a request with these parts: its method, host, path,
     /// workspace and body.
     #[must_use]
-    pub fn of(parts: &[&[u8]]) -> Self {
+    pub fn from_parts(parts: &[&[u8]]) -> Self {
         let mut hash = Sha256::new();
         for part in parts {
             hash.update((part.len() as u64).to_le_bytes());
@@ -71,12 +71,13 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// The life of the server, by number.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 impl Display for Crash {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{}-{:016x}", self.fingerprint, self.life)
+        write!(f, "{}-{:016x}", self.fingerprint, self.incarnation)
     }
 }
 
@@ -89,14 +90,14 @@
         let fingerprint = u128::from_str_radix(fingerprint, 16).map_err(|_| bad())?;
         Ok(Self {
             fingerprint: Fingerprint(fingerprint.to_be_bytes()),
-            life: u64::from_str_radix(life, 16).map_err(|_| bad())?,
+            incarnation: u64::from_str_radix(life, 16).map_err(|_| bad())?,
         })
     }
 }
 
 /// What the entries know of requests under which servers have crashed.
 #[derive(Debug, Default)]
-pub struct Suspects {
+pub struct CrashSuspects {
     requests: HashMap<Fingerprint, Vec<Seen>>,
     /// Crashes in all of them.
     count: usize,
@@ -111,24 +112,24 @@
     until: Instant,
 }
 
-impl Suspects {
+impl CrashSuspects {
     /// Holds a crash against its request that was seen `age` ago; returns whether
     /// it was not known.
-    pub fn hold(&mut self, now: Instant, crash: Crash, age: Duration) -> bool {
-        let left = HELD.saturating_sub(age);
+    pub fn add_crash(&mut self, now: Instant, crash: Crash, age: Duration) -> bool {
+        let left = CRASH_TTL.saturating_sub(age);
         let seen = self.requests.entry(crash.fingerprint).or_default();
-        if left.is_zero() || seen.iter().any(|s| s.life == crash.life) {
+        if left.is_zero() || seen.iter().any(|s| s.life == crash.incarnation) {
             if seen.is_empty() {
                 self.requests.remove(&crash.fingerprint);
             }
             return false;
         }
         seen.push(Seen {
-            life: crash.life,
+            life: crash.incarnation,
             until: now + left,
         });
         self.count += 1;
-        if self.count > MOST {
+        if self.count > MAX_CRASHES {
             self.make_room(crash.fingerprint);
         }
         true
@@ -137,38 +138,43 @@
     /// Holds it against each of the requests at a server that its life has
     /// crashed, but those that were served lately. Returns the crashes that were not
     /// known.
-    pub fn crashed(&mut self, now: Instant, life: u64, fingerprints: &[Fingerprint]) -> Vec<Crash> {
+    pub fn server_crashed(
+        &mut self,
+        now: Instant,
+        life: u64,
+        fingerprints: &[Fingerprint],
+    ) -> Vec<Crash> {
         let crashes = fingerprints.iter().map(|fingerprint| Crash {
             fingerprint: *fingerprint,
-            life,
+            incarnation: life,
         });
         let crashes: Vec<Crash> = crashes
             .filter(|e| !self.served.has(e.fingerprint))
             .collect();
-        let hold = |e: &Crash| self.hold(now, *e, Duration::ZERO);
+        let hold = |e: &Crash| self.add_crash(now, *e, Duration::ZERO);
         crashes.into_iter().filter(hold).collect()
     }
 
     /// Notes that a server ran a request whole, and returns the crashes that are
     /// no longer held against it.
-    pub fn served(&mut self, fingerprint: Fingerprint) -> Vec<Crash> {
+    pub fn request_served(&mut self, fingerprint: Fingerprint) -> Vec<Crash> {
         self.served.add(fingerprint);
         let seen = self.requests.remove(&fingerprint).unwrap_or_default();
         self.count -= seen.len();
         let crash = |s: Seen| Crash {
             fingerprint,
-            life: s.life,
+            incarnation: s.life,
         };
         seen.into_iter().map(crash).collect()
     }
 
     /// Stops holding a crash against its request.
-    pub fn clear(&mut self, crash: Crash) {
+    pub fn remove_crash(&mut self, crash: Crash) {
         let Some(seen) = self.requests.get_mut(&crash.fingerprint) else {
             return;
         };
         let before = seen.len();
-        seen.retain(|s| s.life != crash.life);
+        seen.retain(|s| s.life != crash.incarnation);
         self.count -= before - seen.len();
         if seen.is_empty() {
             self.requests.remove(&crash.fingerprint);
@@ -177,19 +183,19 @@
 
     /// How long ago a crash was seen; none when it is not held.
     #[must_use]
-    pub fn age(&self, now: Instant, crash: Crash) -> Option<Duration> {
+    pub fn crash_age(&self, now: Instant, crash: Crash) -> Option<Duration> {
         let seen = self.requests.get(&crash.fingerprint)?;
-        let seen = seen.iter().find(|s| s.life == crash.life)?;
-        Some(HELD.saturating_sub(seen.until.saturating_duration_since(now)))
+        let seen = seen.iter().find(|s| s.life == crash.incarnation)?;
+        Some(CRASH_TTL.saturating_sub(seen.until.saturating_duration_since(now)))
     }
 
     /// For how long a request is to be refused; none if it may be sent.
     #[must_use]
-    pub fn refused(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
+    pub fn refusal_left(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
         let seen = self.requests.get(&fingerprint)?;
         let mut left: Vec<Instant> = seen.iter().map(|s| s.until).collect();
         left.sort_by(|a, b| b.cmp(a));
-        let until = left.get(CRASHES - 1)?;
+        let until = left.get(CRASH_LIMIT - 1)?;
         until.checked_duration_since(now).filter(|l| !l.is_zero())
     }
 
@@ -202,7 +208,7 @@
                 if !keep {
                     expired.push(Crash {
                         fingerprint: *fingerprint,
-                        life: s.life,
+                        incarnation: s.life,
                     });
                 }
                 keep
@@ -215,7 +221,7 @@
 
     /// Crashes that are known.
     #[must_use]
-    pub fn count(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         self.count
     }
 
@@ -233,7 +239,7 @@
             .requests
             .iter()
             .filter(|(fingerprint, _)| **fingerprint != kept);
-        let oldest = others.min_by_key(|(_, seen)| (seen.len() >= CRASHES, newest(seen)));
+        let oldest = others.min_by_key(|(_, seen)| (seen.len() >= CRASH_LIMIT, newest(seen)));
         if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
             let seen = self.requests.remove(&fingerprint).unwrap_or_default();
             self.count -= seen.len();
--- a/crates/policy/tests/rests.rs
+++ b/crates/policy/tests/backoff.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::balance::{Balance, By, Listed, Part, Want, Word};
+use policy::balance::{Balancer, Partition, ServerFeedback, ServerQuery, ServerRecord, Strategy};
 use policy::waits;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -33,33 +33,33 @@
 /// it comes back once.
 const PATIENCE: Duration = Duration::from_secs(12);
 
-fn listed(number: usize) -> Listed {
-    Listed {
+fn listed(number: usize) -> ServerRecord {
+    ServerRecord {
         id: Rc::from(format!("s{number}")),
         service: Rc::from("app"),
         addr: SocketAddr::from(([127, 1, (number >> 8) as u8, number as u8], 1)),
         zone: Rc::from("a"),
         slots: SLOTS as u32,
         leaving: false,
-        born: None,
+        started_ms: None,
     }
 }
 
-fn want<'a>(tried: &'a [Rc<str>]) -> Want<'a> {
-    Want {
+fn want<'a>(tried: &'a [Rc<str>]) -> ServerQuery<'a> {
+    ServerQuery {
         service: "app",
-        prefix: None,
+        prefix_hash: None,
         tried,
-        part: Part::All,
-        by: By::Own,
-        silence: Duration::from_secs(9),
+        partition: Partition::All,
+        strategy: Strategy::LeastOwnCalls,
+        silence_timeout: Duration::from_secs(9),
     }
 }
 
-fn rest(span: Duration) -> Word {
-    Word {
-        rest: Some(span),
-        ..Word::default()
+fn rest(span: Duration) -> ServerFeedback {
+    ServerFeedback {
+        backoff: Some(span),
+        ..ServerFeedback::default()
     }
 }
 
@@ -77,7 +77,7 @@
 struct Fleet {
     now: Instant,
     rng: Pcg64Mcg,
-    entries: Vec<Balance>,
+    entries: Vec<Balancer>,
     /// When each server's calls end, with who sent them.
     busy: Vec<Vec<(Instant, usize)>>,
     /// Callers on their way back.
@@ -88,9 +88,9 @@
     fn new(entries: usize, servers: usize, seed: u64) -> Self {
         let start = Instant::now();
         let entry = |_| {
-            let mut balance = Balance::new("a");
+            let mut balance = Balancer::new("a");
             for number in 0..servers {
-                balance.list(start, listed(number));
+                balance.upsert(start, listed(number));
             }
             balance
         };
@@ -136,9 +136,9 @@
             calls.retain(|(end, entry)| {
                 let ended = *end <= self.now;
                 if ended {
-                    self.entries[*entry].good(&id);
-                    self.entries[*entry].begun(&id);
-                    self.entries[*entry].ended(&id);
+                    self.entries[*entry].call_succeeded(&id);
+                    self.entries[*entry].call_started(&id);
+                    self.entries[*entry].call_ended(&id);
                 }
                 !ended
             });
@@ -164,14 +164,14 @@
                     let ahead = calls.len().saturating_sub(SLOTS - 1) as u32;
                     calls.push((self.now + WORK + WORK * ahead / SLOTS as u32, which));
                     assert!(entry.take_turn(self.now, &server.id));
-                    entry.sent(self.now, &server.id);
+                    entry.call_sent(self.now, &server.id);
                     seen.served += 1;
                     return;
                 }
             };
             seen.turned_away += 1;
             let drawn = self.rng.random();
-            entry.answered(self.now, &server, self.now, &word, drawn);
+            entry.apply_feedback(self.now, &server, self.now, &word, drawn);
             tried.push(server.id);
         }
         self.refuse(which, first, seen);
@@ -219,7 +219,7 @@
     let mut fleet = Fleet::new(ENTRIES, 1, 1);
     for entry in &mut fleet.entries {
         let drawn = fleet.rng.random();
-        entry.answered(fleet.now, &listed(0), fleet.now, &rest(ASKED), drawn);
+        entry.apply_feedback(fleet.now, &listed(0), fleet.now, &rest(ASKED), drawn);
     }
     let back = fleet.entries.iter().map(|e| e.next_turn(fleet.now, "app"));
     let back: Vec<Duration> = back.map(|left| left.expect("it rests")).collect();
@@ -248,11 +248,11 @@
 }
 
 /// Two servers, the first of which has asked for rest.
-fn pair(drawn: f64) -> (Balance, Instant) {
-    let (mut balance, now) = (Balance::new("a"), Instant::now());
-    balance.list(now, listed(0));
-    balance.list(now, listed(1));
-    balance.answered(now, &listed(0), now, &rest(ASKED), drawn);
+fn pair(drawn: f64) -> (Balancer, Instant) {
+    let (mut balance, now) = (Balancer::new("a"), Instant::now());
+    balance.upsert(now, listed(0));
+    balance.upsert(now, listed(1));
+    balance.apply_feedback(now, &listed(0), now, &rest(ASKED), drawn);
     (balance, now)
 }
 
@@ -263,9 +263,9 @@
 #[case::latest(1.0)]
 fn rest_is_kept(#[case] drawn: f64) {
     let (mut balance, now) = pair(drawn);
-    balance.good("s0");
-    balance.answered(now, &listed(0), now, &Word::default(), 0.0);
-    balance.list(now, listed(0));
+    balance.call_succeeded("s0");
+    balance.apply_feedback(now, &listed(0), now, &ServerFeedback::default(), 0.0);
+    balance.upsert(now, listed(0));
     for ms in 0..3000 {
         let now = now + MS * ms;
         let chosen = balance.choose(now, &want(&[])).expect("a server");
@@ -281,7 +281,7 @@
 fn longer_rest_is_kept() {
     let (mut balance, now) = pair(0.0);
     let later = now + MS * 10;
-    balance.answered(later, &listed(0), now, &rest(MS * 100), 0.0);
+    balance.apply_feedback(later, &listed(0), now, &rest(MS * 100), 0.0);
     assert!(!balance.take_turn(now + MS * 2900, "s0"));
 }
 
@@ -291,7 +291,7 @@
 fn first_end_of_all_rests_is_told() {
     let (mut balance, now) = pair(0.0);
     assert_eq!(balance.next_turn(now, "app"), None);
-    balance.answered(now, &listed(1), now, &rest(MS * 500), 0.0);
+    balance.apply_feedback(now, &listed(1), now, &rest(MS * 500), 0.0);
     assert!(balance.choose(now, &want(&[])).is_none());
     assert_eq!(balance.next_turn(now, "app"), Some(MS * 500));
 }
@@ -299,11 +299,11 @@
 #[test]
 fn next_life_does_not_rest() {
     let (mut balance, now) = pair(0.0);
-    let again = Listed {
-        born: Some(2),
+    let again = ServerRecord {
+        started_ms: Some(2),
         ..listed(0)
     };
-    balance.list(now, again);
+    balance.upsert(now, again);
     assert!(balance.take_turn(now, "s0"));
 }
 
@@ -312,7 +312,7 @@
 fn endless_rest_is_bounded() {
     let (mut balance, now) = pair(0.0);
     for number in [0, 1] {
-        balance.answered(now, &listed(number), now, &rest(Duration::MAX), 1.0);
+        balance.apply_feedback(now, &listed(number), now, &rest(Duration::MAX), 1.0);
     }
     let left = balance.next_turn(now, "app").expect("an end");
     assert!(left <= Duration::from_secs(7200));
@@ -324,17 +324,17 @@
 fn calls_after_a_rest_grow_with_answers() {
     let (mut balance, now) = pair(0.0);
     let back = now + ASKED;
-    let send = |balance: &mut Balance| {
+    let send = |balance: &mut Balancer| {
         let taken = balance.take_turn(back, "s0");
         if taken {
-            balance.sent(back, "s0");
+            balance.call_sent(back, "s0");
         }
         taken
     };
     assert!(send(&mut balance) && !send(&mut balance));
-    balance.good("s0");
-    balance.begun("s0");
-    balance.ended("s0");
+    balance.call_succeeded("s0");
+    balance.call_started("s0");
+    balance.call_ended("s0");
     assert!(send(&mut balance) && send(&mut balance) && !send(&mut balance));
 }
 
@@ -343,12 +343,12 @@
 #[test]
 fn resting_server_is_no_source() {
     let (balance, now) = pair(0.0);
-    let want = Want {
-        prefix: Some(7),
+    let want = ServerQuery {
+        prefix_hash: Some(7),
         ..want(&[])
     };
-    let holders = balance.holders(now, &want);
+    let holders = balance.prefix_holders(now, &want);
     assert_eq!(holders.len(), 1);
     assert_eq!(&*holders[0].id, "s1");
-    assert_eq!(balance.holders(now + ASKED, &want).len(), 2);
+    assert_eq!(balance.prefix_holders(now + ASKED, &want).len(), 2);
 }
--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::balance::{Balance, By, Change, Listed, Part, Want, Word};
+use policy::balance::{
+    Balancer, Partition, RecordChange, ServerFeedback, ServerQuery, ServerRecord, Strategy,
+};
 use policy::others::Calls;
 use policy::rendezvous;
 
@@ -16,59 +18,59 @@
 
 /// An address of the server's own.
 fn addr(id: &str) -> SocketAddr {
-    let number = rendezvous::number(id).to_le_bytes();
+    let number = rendezvous::hash_name(id).to_le_bytes();
     SocketAddr::from(([127, number[0], number[1], number[2]], 1))
 }
 
-fn listed(id: &str, zone: &str) -> Listed {
-    Listed {
+fn listed(id: &str, zone: &str) -> ServerRecord {
+    ServerRecord {
         id: Rc::from(id),
         service: Rc::from("llm"),
         addr: addr(id),
         zone: Rc::from(zone),
         slots: 16,
         leaving: false,
-        born: None,
+        started_ms: None,
     }
 }
 
-fn balance(count: usize) -> Balance {
-    let mut balance = Balance::new("a");
+fn balance(count: usize) -> Balancer {
+    let mut balance = Balancer::new("a");
     for i in 0..count {
-        balance.list(Instant::now(), listed(&format!("s{i}"), ["a", "b"][i % 2]));
+        balance.upsert(Instant::now(), listed(&format!("s{i}"), ["a", "b"][i % 2]));
     }
     balance
 }
 
-fn want(prefix: Option<u64>) -> Want<'static> {
-    Want {
+fn query(prefix_hash: Option<u64>) -> ServerQuery<'static> {
+    ServerQuery {
         service: "llm",
-        prefix,
+        prefix_hash,
         tried: &[],
-        part: Part::All,
-        by: if prefix.is_some() {
-            By::Prefix
+        partition: Partition::All,
+        strategy: if prefix_hash.is_some() {
+            Strategy::PrefixAffinity
         } else {
-            By::Own
+            Strategy::LeastOwnCalls
         },
-        silence: SILENCE,
+        silence_timeout: SILENCE,
     }
 }
 
-fn chosen(balance: &mut Balance, now: Instant, want: &Want<'_>) -> Option<String> {
-    balance.choose(now, want).map(|s| s.id.to_string())
+fn chosen(balance: &mut Balancer, now: Instant, query: &ServerQuery<'_>) -> Option<String> {
+    balance.choose(now, query).map(|s| s.id.to_string())
 }
 
 #[test]
 fn prefix_goes_home_from_every_entry() {
     let now = Instant::now();
-    let (mut one, mut two) = (balance(12), Balance::new("b"));
+    let (mut one, mut two) = (balance(12), Balancer::new("b"));
     for i in (0..12).rev() {
-        two.list(Instant::now(), listed(&format!("s{i}"), "c"));
+        two.upsert(Instant::now(), listed(&format!("s{i}"), "c"));
     }
     for prefix in 0..100 {
-        let want = want(Some(prefix));
-        assert_eq!(chosen(&mut one, now, &want), chosen(&mut two, now, &want));
+        let query = query(Some(prefix));
+        assert_eq!(chosen(&mut one, now, &query), chosen(&mut two, now, &query));
     }
 }
 
@@ -77,11 +79,11 @@
 #[test]
 fn hot_prefix_spills() {
     let (now, mut balance) = (Instant::now(), balance(12));
-    let want = want(Some(7));
+    let query = query(Some(7));
     let mut used = HashSet::new();
     for _ in 0..48 {
-        let server = balance.choose(now, &want).expect("a server");
-        balance.sent(now, &server.id);
+        let server = balance.choose(now, &query).expect("a server");
+        balance.call_sent(now, &server.id);
         used.insert(server.id);
     }
     assert!(used.len() > 3, "only {} servers were used", used.len());
@@ -92,16 +94,16 @@
 #[test]
 fn calls_of_others_count() {
     let (now, mut balance) = (Instant::now(), balance(2));
-    let by_open = Want {
-        by: By::Open,
-        ..want(None)
+    let by_open = ServerQuery {
+        strategy: Strategy::TwoChoices,
+        ..query(None)
     };
     let busy = chosen(&mut balance, now, &by_open).expect("a server");
-    balance.sent(now, &busy);
-    let told = balance.told();
-    balance.begun(&busy);
-    balance.ended(&busy);
-    balance.hear(|server| match server == told[0].0 {
+    balance.call_sent(now, &busy);
+    let told = balance.own_calls();
+    balance.call_started(&busy);
+    balance.call_ended(&busy);
+    balance.set_remote_calls(|server| match server == told[0].0 {
         true => Calls {
             open: 9,
             waiting: 4,
@@ -111,7 +113,7 @@
     for _ in 0..8 {
         assert_ne!(chosen(&mut balance, now, &by_open), Some(busy.clone()));
     }
-    assert_eq!(balance.waiting(&busy), 4);
+    assert_eq!(balance.waiting_calls(&busy), 4);
 }
 
 /// Twenty entries hear the same counts, some tenths of a second old. If each
@@ -119,14 +121,14 @@
 #[test]
 fn stale_counts_do_not_gather_calls() {
     let now = Instant::now();
-    let by_open = Want {
-        by: By::Open,
-        ..want(None)
+    let by_open = ServerQuery {
+        strategy: Strategy::TwoChoices,
+        ..query(None)
     };
     let mut used = HashSet::new();
     for entry in 0..20 {
         let mut balance = balance(12);
-        balance.hear(|server| Calls {
+        balance.set_remote_calls(|server| Calls {
             open: u32::from(server % 7),
             waiting: 0,
         });
@@ -144,14 +146,14 @@
 #[test]
 fn unreachable_rests() {
     let (now, mut balance) = (Instant::now(), balance(3));
-    let home = chosen(&mut balance, now, &want(Some(3))).expect("a server");
-    balance.unreachable(now, &home);
+    let home = chosen(&mut balance, now, &query(Some(3))).expect("a server");
+    balance.connect_failed(now, &home);
     assert_ne!(
-        chosen(&mut balance, now, &want(Some(3))),
+        chosen(&mut balance, now, &query(Some(3))),
         Some(home.clone())
     );
     let later = now + Duration::from_secs(4);
-    assert_eq!(chosen(&mut balance, later, &want(Some(3))), Some(home));
+    assert_eq!(chosen(&mut balance, later, &query(Some(3))), Some(home));
 }
 
 /// A host goes dark with its connections open. Calls sent there get no answer
@@ -160,30 +162,30 @@
 #[test]
 fn silent_server_is_passed_over() {
     let (now, mut balance) = (Instant::now(), balance(3));
-    let home = chosen(&mut balance, now, &want(Some(3))).expect("a server");
-    balance.sent(now, &home);
+    let home = chosen(&mut balance, now, &query(Some(3))).expect("a server");
+    balance.call_sent(now, &home);
     let later = now + SILENCE;
     assert_ne!(
-        chosen(&mut balance, later, &want(Some(3))),
+        chosen(&mut balance, later, &query(Some(3))),
         Some(home.clone())
     );
-    balance.heard(later, &home);
-    assert_eq!(chosen(&mut balance, later, &want(Some(3))), Some(home));
+    balance.bytes_received(later, &home);
+    assert_eq!(chosen(&mut balance, later, &query(Some(3))), Some(home));
 }
 
 /// A server that has nothing to do sends nothing, and is well.
 #[test]
 fn idle_server_is_not_silent() {
     let (now, mut balance) = (Instant::now(), balance(1));
-    balance.sent(now, "s0");
-    balance.begun("s0");
-    balance.ended("s0");
+    balance.call_sent(now, "s0");
+    balance.call_started("s0");
+    balance.call_ended("s0");
     let later = now + SILENCE * 10;
-    balance.sent(later, "s0");
-    balance.list(Instant::now(), listed("s1", "b"));
-    assert!(chosen(&mut balance, later, &want(Some(1))).is_some());
+    balance.call_sent(later, "s0");
+    balance.upsert(Instant::now(), listed("s1", "b"));
+    assert!(chosen(&mut balance, later, &query(Some(1))).is_some());
     let used: HashSet<_> = (0..50)
-        .filter_map(|p| chosen(&mut balance, later, &want(Some(p))))
+        .filter_map(|p| chosen(&mut balance, later, &query(Some(p))))
         .collect();
     assert!(used.contains("s0"));
 }
@@ -191,22 +193,22 @@
 #[test]
 fn resting_is_better_than_none() {
     let (now, mut balance) = (Instant::now(), balance(1));
-    balance.unreachable(now, "s0");
-    assert!(balance.choose(now, &want(None)).is_some());
+    balance.connect_failed(now, "s0");
+    assert!(balance.choose(now, &query(None)).is_some());
 }
 
 #[test]
 fn leaving_gets_nothing() {
     let (now, mut balance) = (Instant::now(), balance(1));
-    balance.list(
+    balance.upsert(
         Instant::now(),
-        Listed {
+        ServerRecord {
             leaving: true,
-            born: None,
+            started_ms: None,
             ..listed("s0", "a")
         },
     );
-    assert!(balance.choose(now, &want(None)).is_none());
+    assert!(balance.choose(now, &query(None)).is_none());
 }
 
 /// An entry was cut off while servers left, and its fresh list does not show
@@ -216,14 +218,14 @@
 #[test]
 fn missing_gets_nothing_beside_listed() {
     let (now, mut balance) = (Instant::now(), balance(2));
-    balance.miss(now, "s0", now + AWAY);
+    balance.mark_missing(now, "s0", now + AWAY);
     let tried = [Rc::from("s1")];
-    let again = Want {
+    let again = ServerQuery {
         tried: &tried,
-        ..want(None)
+        ..query(None)
     };
     assert_eq!(
-        chosen(&mut balance, now, &want(None)).as_deref(),
+        chosen(&mut balance, now, &query(None)).as_deref(),
         Some("s1")
     );
     assert!(balance.choose(now, &again).is_none());
@@ -236,16 +238,16 @@
 fn missing_all_serve_for_a_while() {
     let (now, mut balance) = (Instant::now(), balance(2));
     for id in ["s0", "s1"] {
-        balance.miss(now, id, now + AWAY);
+        balance.mark_missing(now, id, now + AWAY);
     }
-    assert!(balance.choose(now, &want(None)).is_some());
-    assert!(balance.choose(now + AWAY, &want(None)).is_none());
-    balance.list(Instant::now(), listed("s1", "b"));
+    assert!(balance.choose(now, &query(None)).is_some());
+    assert!(balance.choose(now + AWAY, &query(None)).is_none());
+    balance.upsert(Instant::now(), listed("s1", "b"));
     assert_eq!(
-        chosen(&mut balance, now + AWAY, &want(None)).as_deref(),
+        chosen(&mut balance, now + AWAY, &query(None)).as_deref(),
         Some("s1")
     );
-    assert_eq!(balance.forget(now + AWAY, AWAY), [Rc::from("s0")]);
+    assert_eq!(balance.forget_missing(now + AWAY, AWAY), [Rc::from("s0")]);
 }
 
 #[test]
@@ -253,12 +255,15 @@
     let (now, mut balance) = (Instant::now(), balance(12));
     let mut seen = [HashSet::new(), HashSet::new()];
     for prefix in 0..200 {
-        for (part, seen) in [Part::First(4), Part::Rest(4)].into_iter().zip(&mut seen) {
-            let want = Want {
-                part,
-                ..want(Some(prefix))
+        for (partition, seen) in [Partition::First(4), Partition::Rest(4)]
+            .into_iter()
+            .zip(&mut seen)
+        {
+            let query = ServerQuery {
+                partition,
+                ..query(Some(prefix))
             };
-            seen.insert(chosen(&mut balance, now, &want).expect("a server"));
+            seen.insert(chosen(&mut balance, now, &query).expect("a server"));
         }
     }
     assert_eq!(seen.each_ref().map(HashSet::len), [4, 8]);
@@ -272,25 +277,28 @@
 fn restart_under_its_name_clears_failures() {
     let now = Instant::now();
     let mut balance = balance(2);
-    let first = Listed {
-        born: Some(1_000),
+    let first = ServerRecord {
+        started_ms: Some(1_000),
         ..listed("s0", "a")
     };
-    balance.list(Instant::now(), first.clone());
+    balance.upsert(Instant::now(), first.clone());
     for _ in 0..5 {
-        balance.unreachable(now, "s0");
+        balance.connect_failed(now, "s0");
     }
-    assert_eq!(chosen(&mut balance, now, &want(None)), Some("s1".into()));
-    let second = Listed {
-        born: Some(2_000),
+    assert_eq!(chosen(&mut balance, now, &query(None)), Some("s1".into()));
+    let second = ServerRecord {
+        started_ms: Some(2_000),
         ..first.clone()
     };
     assert_eq!(
-        balance.list(Instant::now(), second.clone()),
-        Change::Restarted
+        balance.upsert(Instant::now(), second.clone()),
+        RecordChange::Restarted
+    );
+    assert_eq!(chosen(&mut balance, now, &query(None)), Some("s0".into()));
+    assert_eq!(
+        balance.upsert(Instant::now(), second),
+        RecordChange::Unchanged
     );
-    assert_eq!(chosen(&mut balance, now, &want(None)), Some("s0".into()));
-    assert_eq!(balance.list(Instant::now(), second), Change::None);
 }
 
 /// What the earlier life said last, that it leaves, arrives after the entry of
@@ -298,29 +306,29 @@
 #[test]
 fn late_word_of_an_earlier_life_ignored() {
     let mut balance = balance(0);
-    let life = |born, leaving| Listed {
-        born: Some(born),
+    let life = |born, leaving| ServerRecord {
+        started_ms: Some(born),
         leaving,
         ..listed("s0", "a")
     };
-    balance.list(Instant::now(), life(2_000, false));
+    balance.upsert(Instant::now(), life(2_000, false));
     assert_eq!(
-        balance.list(Instant::now(), life(1_000, true)),
-        Change::None
+        balance.upsert(Instant::now(), life(1_000, true)),
+        RecordChange::Unchanged
     );
-    assert!(balance.open("s0"));
+    assert!(balance.accepts_calls("s0"));
 }
 
 /// A server under the name `id` at the address of `s0`.
-fn at_s0(id: &str) -> Listed {
-    Listed {
+fn at_s0(id: &str) -> ServerRecord {
+    ServerRecord {
         addr: addr("s0"),
         ..listed(id, "a")
     }
 }
 
-fn called(balance: &mut Balance, now: Instant) -> HashSet<String> {
-    let ranked = balance.ranked(now, &want(None));
+fn called(balance: &mut Balancer, now: Instant) -> HashSet<String> {
+    let ranked = balance.ranked(now, &query(None));
     ranked.iter().map(|s| s.id.to_string()).collect()
 }
 
@@ -330,12 +338,12 @@
 #[test]
 fn older_name_at_an_address_is_not_called() {
     let now = Instant::now();
-    let mut balance = Balance::new("a");
-    balance.list(now, at_s0("old"));
-    balance.list(now, at_s0("new"));
+    let mut balance = Balancer::new("a");
+    balance.upsert(now, at_s0("old"));
+    balance.upsert(now, at_s0("new"));
     assert_eq!(called(&mut balance, now), HashSet::from(["new".to_owned()]));
-    assert!(!balance.open("old"));
-    assert_eq!(balance.size("llm").0, 1);
+    assert!(!balance.accepts_calls("old"));
+    assert_eq!(balance.serving_capacity("llm").0, 1);
 }
 
 /// The last report of an engine that is gone comes late, after its entry was
@@ -344,12 +352,12 @@
 #[test]
 fn late_word_of_the_older_takes_nothing_back() {
     let now = Instant::now();
-    let mut balance = Balance::new("a");
-    balance.list(now, at_s0("old"));
-    balance.list(now, at_s0("new"));
-    balance.miss(now, "old", now);
-    balance.forget(now + AWAY, AWAY);
-    balance.list(now + AWAY, at_s0("old"));
+    let mut balance = Balancer::new("a");
+    balance.upsert(now, at_s0("old"));
+    balance.upsert(now, at_s0("new"));
+    balance.mark_missing(now, "old", now);
+    balance.forget_missing(now + AWAY, AWAY);
+    balance.upsert(now + AWAY, at_s0("old"));
     assert_eq!(
         called(&mut balance, now + AWAY),
         HashSet::from(["new".to_owned()])
@@ -360,10 +368,10 @@
 #[test]
 fn older_name_is_called_when_the_newer_is_dropped() {
     let now = Instant::now();
-    let mut balance = Balance::new("a");
-    balance.list(now, at_s0("old"));
-    balance.list(now, at_s0("new"));
-    balance.miss(now, "new", now);
+    let mut balance = Balancer::new("a");
+    balance.upsert(now, at_s0("old"));
+    balance.upsert(now, at_s0("new"));
+    balance.mark_missing(now, "new", now);
     assert_eq!(called(&mut balance, now), HashSet::from(["old".to_owned()]));
 }
 
@@ -372,13 +380,13 @@
 #[test]
 fn entry_of_another_service_takes_no_address() {
     let now = Instant::now();
-    let mut balance = Balance::new("a");
-    balance.list(now, at_s0("ours"));
-    let foreign = Listed {
+    let mut balance = Balancer::new("a");
+    balance.upsert(now, at_s0("ours"));
+    let foreign = ServerRecord {
         service: Rc::from("none"),
         ..at_s0("foreign")
     };
-    balance.list(now, foreign);
+    balance.upsert(now, foreign);
     assert_eq!(
         called(&mut balance, now),
         HashSet::from(["ours".to_owned()])
@@ -386,10 +394,10 @@
 }
 
 /// What an answer says of a server that leaves.
-const LEAVING: Word = Word {
+const LEAVING: ServerFeedback = ServerFeedback {
     leaving: true,
-    rest: None,
-    limit: None,
+    backoff: None,
+    rate_limit: None,
 };
 
 /// Guards against a server being called that has said that it leaves, while the
@@ -399,15 +407,15 @@
     let (now, mut balance) = (Instant::now(), balance(2));
     assert!(
         balance
-            .answered(now, &listed("s0", "a"), now, &LEAVING, 0.0)
+            .apply_feedback(now, &listed("s0", "a"), now, &LEAVING, 0.0)
             .leaving
     );
-    balance.list(now, listed("s0", "a"));
-    assert_eq!(balance.size("llm").0, 1);
-    assert!(!balance.open("s0") && !balance.take_turn(now, "s0"));
+    balance.upsert(now, listed("s0", "a"));
+    assert_eq!(balance.serving_capacity("llm").0, 1);
+    assert!(!balance.accepts_calls("s0") && !balance.take_turn(now, "s0"));
     for prefix in 0..100 {
-        let want = want(Some(prefix));
-        assert_eq!(chosen(&mut balance, now, &want).as_deref(), Some("s1"));
+        let query = query(Some(prefix));
+        assert_eq!(chosen(&mut balance, now, &query).as_deref(), Some("s1"));
     }
 }
 
@@ -415,18 +423,18 @@
 /// one's word or by an answer of that one that comes late.
 #[test]
 fn next_life_does_not_leave() {
-    let (now, mut balance) = (Instant::now(), Balance::new("a"));
-    let life = |born| Listed {
-        born: Some(born),
+    let (now, mut balance) = (Instant::now(), Balancer::new("a"));
+    let life = |born| ServerRecord {
+        started_ms: Some(born),
         ..listed("s", "a")
     };
-    balance.list(now, life(1));
-    balance.answered(now, &life(1), now, &LEAVING, 0.0);
-    assert!(!balance.open("s"));
-    balance.list(now, life(2));
-    assert!(balance.open("s"));
-    balance.answered(now, &life(1), now, &LEAVING, 0.0);
-    assert!(balance.open("s"));
+    balance.upsert(now, life(1));
+    balance.apply_feedback(now, &life(1), now, &LEAVING, 0.0);
+    assert!(!balance.accepts_calls("s"));
+    balance.upsert(now, life(2));
+    assert!(balance.accepts_calls("s"));
+    balance.apply_feedback(now, &life(1), now, &LEAVING, 0.0);
+    assert!(balance.accepts_calls("s"));
 }
 
 /// Guards against a server that turns every call away staying the first choice,
@@ -434,14 +442,14 @@
 #[test]
 fn refusing_server_is_passed_over() {
     let (now, mut balance) = (Instant::now(), balance(2));
-    let home = chosen(&mut balance, now, &want(Some(7))).expect("a server");
+    let home = chosen(&mut balance, now, &query(Some(7))).expect("a server");
     for _ in 0..3 {
-        balance.turned_away(now, &home);
+        balance.call_rejected(now, &home);
     }
-    let other = chosen(&mut balance, now, &want(Some(7)));
+    let other = chosen(&mut balance, now, &query(Some(7)));
     assert_ne!(other.as_ref(), Some(&home));
-    balance.good(&home);
-    assert_eq!(chosen(&mut balance, now, &want(Some(7))), Some(home));
+    balance.call_succeeded(&home);
+    assert_eq!(chosen(&mut balance, now, &query(Some(7))), Some(home));
 }
 
 /// Guards against a service being left to nobody since all of its servers turn
@@ -451,10 +459,10 @@
     let (now, mut balance) = (Instant::now(), balance(2));
     for id in ["s0", "s1"] {
         for _ in 0..9 {
-            balance.turned_away(now, id);
+            balance.call_rejected(now, id);
         }
     }
-    assert!(chosen(&mut balance, now, &want(None)).is_some());
+    assert!(chosen(&mut balance, now, &query(None)).is_some());
 }
 
 /// Guards against callers being told to come back before a server is tried
@@ -463,18 +471,18 @@
 fn next_try_of_refusing_servers_is_told() {
     let (now, mut balance) = (Instant::now(), balance(2));
     for _ in 0..5 {
-        balance.turned_away(now, "s0");
+        balance.call_rejected(now, "s0");
     }
-    assert_eq!(balance.next_try(now, "llm"), None);
+    assert_eq!(balance.cooldown_left(now, "llm"), None);
     for _ in 0..3 {
-        balance.turned_away(now, "s1");
+        balance.call_rejected(now, "s1");
     }
     assert_eq!(
-        balance.next_try(now, "llm"),
+        balance.cooldown_left(now, "llm"),
         Some(Duration::from_millis(300))
     );
     assert_eq!(
-        balance.next_try(now + Duration::from_millis(300), "llm"),
+        balance.cooldown_left(now + Duration::from_millis(300), "llm"),
         None
     );
 }
--- a/crates/policy/tests/said.rs
+++ b/crates/policy/tests/feedback.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::balance::{Balance, Listed, Turns, Word};
+use policy::balance::{Balancer, ServerFeedback, ServerRecord, TurnSchedule};
 use rstest::rstest;
 
 const MS: Duration = Duration::from_millis(1);
@@ -11,52 +11,52 @@
 /// How long a server may be missing until it is forgotten.
 const WAIT: Duration = Duration::from_secs(2);
 
-const LEAVING: Word = Word {
+const LEAVING: ServerFeedback = ServerFeedback {
     leaving: true,
-    rest: None,
-    limit: None,
+    backoff: None,
+    rate_limit: None,
 };
 
-const REST: Word = Word {
+const REST: ServerFeedback = ServerFeedback {
     leaving: false,
-    rest: Some(Duration::from_secs(60)),
-    limit: None,
+    backoff: Some(Duration::from_secs(60)),
+    rate_limit: None,
 };
 
-const LIMIT: Word = Word {
+const LIMIT: ServerFeedback = ServerFeedback {
     leaving: false,
-    rest: None,
-    limit: Some(0.0),
+    backoff: None,
+    rate_limit: Some(0.0),
 };
 
-fn listed(born: u64) -> Listed {
-    Listed {
+fn listed(born: u64) -> ServerRecord {
+    ServerRecord {
         id: Rc::from("s"),
         service: Rc::from("app"),
         addr: "127.0.0.1:1".parse().expect("an address"),
         zone: Rc::from("a"),
         slots: 4,
         leaving: false,
-        born: Some(born),
+        started_ms: Some(born),
     }
 }
 
-fn balance(now: Instant) -> Balance {
-    let mut balance = Balance::new("a");
-    balance.list(now, listed(1));
-    balance.share(Turns {
+fn balance(now: Instant) -> Balancer {
+    let mut balance = Balancer::new("a");
+    balance.upsert(now, listed(1));
+    balance.set_turns(TurnSchedule {
         entries: 1,
-        place: 0,
-        at: now,
-        wall: Duration::from_secs(50),
+        turn_index: 0,
+        instant: now,
+        unix_time: Duration::from_secs(50),
     });
     balance
 }
 
 /// Has the list drop the server for long.
-fn lapse(balance: &mut Balance, now: Instant) {
-    balance.miss(now, "s", now);
-    assert_eq!(balance.forget(now + WAIT, WAIT).len(), 1);
+fn lapse(balance: &mut Balancer, now: Instant) {
+    balance.mark_missing(now, "s", now);
+    assert_eq!(balance.forget_missing(now + WAIT, WAIT).len(), 1);
 }
 
 /// Guards against a server being called again since the list had dropped it for
@@ -65,13 +65,13 @@
 #[case::leaving(LEAVING)]
 #[case::rest(REST)]
 #[case::limit(LIMIT)]
-fn word_outlasts_a_lapse(#[case] word: Word) {
+fn word_outlasts_a_lapse(#[case] word: ServerFeedback) {
     let now = Instant::now();
     let mut balance = balance(now);
-    balance.answered(now, &listed(1), now, &word, 0.0);
+    balance.apply_feedback(now, &listed(1), now, &word, 0.0);
     lapse(&mut balance, now);
     let later = now + WAIT + MS;
-    balance.list(later, listed(1));
+    balance.upsert(later, listed(1));
     assert!(!balance.take_turn(later, "s"));
 }
 
@@ -81,13 +81,13 @@
 #[case::leaving(LEAVING)]
 #[case::rest(REST)]
 #[case::limit(LIMIT)]
-fn word_heard_during_a_lapse(#[case] word: Word) {
+fn word_heard_during_a_lapse(#[case] word: ServerFeedback) {
     let now = Instant::now();
     let mut balance = balance(now);
     lapse(&mut balance, now);
     let later = now + WAIT + MS;
-    balance.answered(later, &listed(1), now, &word, 0.0);
-    balance.list(later, listed(1));
+    balance.apply_feedback(later, &listed(1), now, &word, 0.0);
+    balance.upsert(later, listed(1));
     assert!(!balance.take_turn(later, "s"));
 }
 
@@ -97,13 +97,13 @@
 #[case::leaving(LEAVING)]
 #[case::rest(REST)]
 #[case::limit(LIMIT)]
-fn next_life_after_a_lapse_is_free(#[case] word: Word) {
+fn next_life_after_a_lapse_is_free(#[case] word: ServerFeedback) {
     let now = Instant::now();
     let mut balance = balance(now);
-    balance.answered(now, &listed(1), now, &word, 0.0);
+    balance.apply_feedback(now, &listed(1), now, &word, 0.0);
     lapse(&mut balance, now);
     let later = now + WAIT + MS;
-    balance.list(later, listed(2));
+    balance.upsert(later, listed(2));
     assert!(balance.take_turn(later, "s"));
 }
 
@@ -113,13 +113,13 @@
 fn late_answer_of_an_earlier_life_means_nothing() {
     let now = Instant::now();
     let mut balance = balance(now);
-    balance.list(now, listed(2));
-    balance.answered(now, &listed(2), now, &LEAVING, 0.0);
+    balance.upsert(now, listed(2));
+    balance.apply_feedback(now, &listed(2), now, &LEAVING, 0.0);
     lapse(&mut balance, now);
     let later = now + WAIT + MS;
-    balance.answered(later, &listed(1), now, &REST, 0.0);
-    balance.list(later, listed(2));
-    assert!(!balance.open("s"));
+    balance.apply_feedback(later, &listed(1), now, &REST, 0.0);
+    balance.upsert(later, listed(2));
+    assert!(!balance.accepts_calls("s"));
 }
 
 /// Guards against memory that grows with each server that has ever said
@@ -128,10 +128,10 @@
 fn word_of_ended_servers_is_let_go() {
     let now = Instant::now();
     let mut balance = balance(now);
-    balance.answered(now, &listed(1), now, &LEAVING, 0.0);
+    balance.apply_feedback(now, &listed(1), now, &LEAVING, 0.0);
     lapse(&mut balance, now);
     let later = now + Duration::from_secs(3600);
-    balance.forget(later, WAIT);
-    balance.list(later, listed(1));
+    balance.forget_missing(later, WAIT);
+    balance.upsert(later, listed(1));
     assert!(balance.take_turn(later, "s"));
 }
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use base::ids::Incarnation;
-use policy::membership::{Applied, Host, Kind, Limits, Membership};
-use policy::subset::Size;
+use policy::membership::{Host, HostKind, ListOutcome, Membership, MembershipLimits};
+use policy::subset::SubsetSize;
 use rstest::rstest;
 
 const FORGET: Duration = Duration::from_secs(30);
@@ -14,7 +14,7 @@
         name: format!("sidecar-{i}"),
         addr: ([127, 0, 0, 1], 7000 + i).into(),
         zone: "plateau".to_owned(),
-        kind: Kind::Sidecar {
+        kind: HostKind::Sidecar {
             serves: "dossier-8b".to_owned(),
         },
         leaving: false,
@@ -29,16 +29,27 @@
 }
 
 fn membership() -> Membership {
-    let size = Size {
+    let subset_size = SubsetSize {
         total: 128,
-        far: 16,
+        other_zones: 16,
     };
-    let forget = FORGET;
-    Membership::new("entry-0", "plateau", Limits { size, forget })
+    let forget_after = FORGET;
+    Membership::new(
+        "entry-0",
+        "plateau",
+        MembershipLimits {
+            subset_size,
+            forget_after,
+        },
+    )
 }
 
 fn names(known: &Membership) -> Vec<&str> {
-    known.chosen().iter().map(|h| h.name.as_str()).collect()
+    known
+        .chosen_sidecars()
+        .iter()
+        .map(|h| h.name.as_str())
+        .collect()
 }
 
 // The platform's list comes back empty, or shows only entries. Callers see
@@ -46,13 +57,13 @@
 // so every sidecar known before stays.
 #[rstest]
 #[case::empty(vec![])]
-#[case::only_entries(vec![Host { kind: Kind::Entry, ..sidecar(9) }])]
+#[case::only_entries(vec![Host { kind: HostKind::Entry, ..sidecar(9) }])]
 fn list_without_sidecars(#[case] list: Vec<Host>) {
     let (mut known, now) = (membership(), Instant::now());
-    known.list(now, &[sidecar(0), sidecar(1)]);
+    known.apply_list(now, &[sidecar(0), sidecar(1)]);
 
     let late = now + FORGET * 10;
-    assert_eq!(known.list(late, &list), Applied::Ignored);
+    assert_eq!(known.apply_list(late, &list), ListOutcome::Ignored);
     assert_eq!(known.sweep(late), 0);
     assert_eq!(names(&known), ["sidecar-0", "sidecar-1"]);
 }
@@ -63,16 +74,16 @@
 #[test]
 fn list_loses_answering_host() {
     let (mut known, mut now) = (membership(), Instant::now());
-    known.list(now, &[sidecar(0), sidecar(1)]);
+    known.apply_list(now, &[sidecar(0), sidecar(1)]);
 
     for _ in 0..20 {
         now += FORGET / 2;
-        known.list(now, &[sidecar(0)]);
-        known.answered(now, "sidecar-1", Incarnation(1));
+        known.apply_list(now, &[sidecar(0)]);
+        known.note_answer(now, "sidecar-1", Incarnation(1));
         assert_eq!(known.sweep(now), 0);
     }
-    assert!(!known.listed("sidecar-1"));
-    assert!(!known.leaving("sidecar-1"));
+    assert!(!known.is_listed("sidecar-1"));
+    assert!(!known.is_leaving("sidecar-1"));
 
     now += FORGET;
     assert_eq!(known.sweep(now), 1);
@@ -84,10 +95,10 @@
 #[test]
 fn list_loses_idle_host() {
     let (mut known, mut now) = (membership(), Instant::now());
-    known.list(now, &[sidecar(0), sidecar(1)]);
+    known.apply_list(now, &[sidecar(0), sidecar(1)]);
 
     now += Duration::from_secs(3600);
-    known.list(now, &[sidecar(0)]);
+    known.apply_list(now, &[sidecar(0)]);
     assert_eq!(known.sweep(now), 0);
     assert_eq!(known.sweep(now + FORGET), 1);
 }
@@ -95,11 +106,14 @@
 #[test]
 fn list_marks_leaving() {
     let (mut known, now) = (membership(), Instant::now());
-    known.list(now, &[sidecar(0), sidecar(1)]);
-    known.list(now, &[sidecar(0), leaving(1)]);
-    assert!(!known.leaving("sidecar-0"));
-    assert!(known.leaving("sidecar-1"));
-    assert!(known.leaving("sidecar-2"), "an unknown host gets no work");
+    known.apply_list(now, &[sidecar(0), sidecar(1)]);
+    known.apply_list(now, &[sidecar(0), leaving(1)]);
+    assert!(!known.is_leaving("sidecar-0"));
+    assert!(known.is_leaving("sidecar-1"));
+    assert!(
+        known.is_leaving("sidecar-2"),
+        "an unknown host gets no work"
+    );
 }
 
 // A sidecar is replaced during a rolling restart while the list lags by 30 s
@@ -108,21 +122,21 @@
 #[test]
 fn list_lags_behind_restart() {
     let (mut known, mut now) = (membership(), Instant::now());
-    known.list(now, &[sidecar(0)]);
-    known.answered(now, "sidecar-0", Incarnation(1));
-    known.list(now, &[leaving(0)]);
-    known.answered(now, "sidecar-0", Incarnation(1));
-    assert!(known.leaving("sidecar-0"));
+    known.apply_list(now, &[sidecar(0)]);
+    known.note_answer(now, "sidecar-0", Incarnation(1));
+    known.apply_list(now, &[leaving(0)]);
+    known.note_answer(now, "sidecar-0", Incarnation(1));
+    assert!(known.is_leaving("sidecar-0"));
 
     now += Duration::from_secs(3);
-    known.answered(now, "sidecar-0", Incarnation(2));
-    known.list(now, &[leaving(0)]);
-    assert!(!known.leaving("sidecar-0"));
+    known.note_answer(now, "sidecar-0", Incarnation(2));
+    known.apply_list(now, &[leaving(0)]);
+    assert!(!known.is_leaving("sidecar-0"));
 
     // The same host leaves once more: the list must change to say so.
-    known.list(now, &[sidecar(0)]);
-    known.list(now, &[leaving(0)]);
-    assert!(known.leaving("sidecar-0"));
+    known.apply_list(now, &[sidecar(0)]);
+    known.apply_list(now, &[leaving(0)]);
+    assert!(known.is_leaving("sidecar-0"));
 }
 
 // The list calls a sidecar leaving before this entry ever called it. Its first
@@ -130,21 +144,21 @@
 #[test]
 fn list_marks_unheard_host() {
     let (mut known, now) = (membership(), Instant::now());
-    known.list(now, &[leaving(0)]);
-    known.answered(now, "sidecar-0", Incarnation(1));
-    assert!(known.leaving("sidecar-0"));
-    known.answered(now, "sidecar-0", Incarnation(2));
-    assert!(!known.leaving("sidecar-0"));
+    known.apply_list(now, &[leaving(0)]);
+    known.note_answer(now, "sidecar-0", Incarnation(1));
+    assert!(known.is_leaving("sidecar-0"));
+    known.note_answer(now, "sidecar-0", Incarnation(2));
+    assert!(!known.is_leaving("sidecar-0"));
 }
 
 #[test]
 fn list_moves_host() {
     let (mut known, now) = (membership(), Instant::now());
-    known.list(now, &[sidecar(0)]);
+    known.apply_list(now, &[sidecar(0)]);
     let moved = Host {
         addr: ([127, 0, 0, 2], 7000).into(),
         ..sidecar(0)
     };
-    known.list(now, std::slice::from_ref(&moved));
-    assert_eq!(known.chosen(), [&moved]);
+    known.apply_list(now, std::slice::from_ref(&moved));
+    assert_eq!(known.chosen_sidecars(), [&moved]);
 }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -151,7 +151,7 @@
     for _ in 0..10 {
         now += Duration::from_millis(200);
         for i in 0..18 {
-            placement.fault(now, i, Fault::Link, 0.3);
+            placement.fault(now, i, Fault::Unreachable, 0.3);
         }
     }
     let ejected = (0..18).filter(|i| placement.ejected(*i)).count();
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/rate_limits.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::balance::{Balance, By, Listed, Part, Turns, Want, Word};
+use policy::balance::{
+    Balancer, Partition, ServerFeedback, ServerQuery, ServerRecord, Strategy, TurnSchedule,
+};
 use policy::others::EntryCount;
 use rstest::rstest;
 
@@ -16,43 +18,43 @@
 /// The part of a limit that may be exceeded.
 const ALLOWED: f64 = 1.5;
 
-fn listed(id: &str) -> Listed {
-    Listed {
+fn listed(id: &str) -> ServerRecord {
+    ServerRecord {
         id: Rc::from(id),
         service: Rc::from("app"),
         addr: "127.0.0.1:1".parse().expect("an address"),
         zone: Rc::from("a"),
         slots: 4,
         leaving: false,
-        born: Some(1),
+        started_ms: Some(1),
     }
 }
 
-fn want() -> Want<'static> {
-    Want {
+fn want() -> ServerQuery<'static> {
+    ServerQuery {
         service: "app",
-        prefix: None,
+        prefix_hash: None,
         tried: &[],
-        part: Part::All,
-        by: By::Own,
-        silence: Duration::from_secs(9),
+        partition: Partition::All,
+        strategy: Strategy::LeastOwnCalls,
+        silence_timeout: Duration::from_secs(9),
     }
 }
 
 /// What an answer says that names this limit and nothing else.
-fn word(limit: Option<f64>) -> Word {
-    Word {
-        limit,
-        ..Word::default()
+fn feedback(rate_limit: Option<f64>) -> ServerFeedback {
+    ServerFeedback {
+        rate_limit,
+        ..ServerFeedback::default()
     }
 }
 
-fn turns(entries: u32, place: u32, at: Instant, wall: Duration) -> Turns {
-    Turns {
+fn turns(entries: u32, turn_index: u32, instant: Instant, unix_time: Duration) -> TurnSchedule {
+    TurnSchedule {
         entries,
-        place,
-        at,
-        wall,
+        turn_index,
+        instant,
+        unix_time,
     }
 }
 
@@ -62,7 +64,7 @@
 /// Entries before one server.
 struct Fleet {
     start: Instant,
-    entries: Vec<Balance>,
+    entries: Vec<Balancer>,
     sent: Vec<Instant>,
 }
 
@@ -70,9 +72,9 @@
     fn new(entries: u32) -> Self {
         let start = Instant::now();
         let entry = |place| {
-            let mut balance = Balance::new("a");
-            balance.list(start, listed("s"));
-            balance.share(turns(entries, place, start, WALL));
+            let mut balance = Balancer::new("a");
+            balance.upsert(start, listed("s"));
+            balance.set_turns(turns(entries, place, start, WALL));
             balance
         };
         Self {
@@ -88,7 +90,7 @@
         for ms in 0..u64::try_from(span.as_millis()).expect("short") {
             let now = self.start + from + MS * u32::try_from(ms).expect("short");
             for entry in &mut self.entries {
-                entry.answered(now, &listed("s"), now, &word(Some(limit(ms))), 0.0);
+                entry.apply_feedback(now, &listed("s"), now, &feedback(Some(limit(ms))), 0.0);
                 let chosen = entry.choose(now, &want());
                 if chosen.is_some_and(|s| entry.take_turn(now, &s.id)) {
                     self.sent.push(now);
@@ -155,7 +157,7 @@
         for (place, entry) in (0..).zip(&mut fleet.entries) {
             let jump = MS * 2400 * (step % 2) * u32::from(place == 1);
             let entries = 4 + step % 3;
-            entry.share(turns(entries, place, at, WALL + from + jump));
+            entry.set_turns(turns(entries, place, at, WALL + from + jump));
         }
         fleet.play(from, Duration::from_secs(1), |_| 2.0);
     }
@@ -174,18 +176,18 @@
     assert_eq!(count.note(now + Duration::from_secs(900), 3), 3);
 }
 
-fn limited() -> (Balance, Instant) {
-    let (mut balance, now) = (Balance::new("a"), Instant::now());
-    balance.list(now, listed("s"));
-    balance.share(turns(1, 0, now, WALL));
-    balance.list(
+fn limited() -> (Balancer, Instant) {
+    let (mut balance, now) = (Balancer::new("a"), Instant::now());
+    balance.upsert(now, listed("s"));
+    balance.set_turns(turns(1, 0, now, WALL));
+    balance.upsert(
         now,
-        Listed {
+        ServerRecord {
             addr: "127.0.0.2:1".parse().expect("an address"),
             ..listed("other")
         },
     );
-    balance.answered(now, &listed("s"), now, &word(Some(0.0)), 0.0);
+    balance.apply_feedback(now, &listed("s"), now, &feedback(Some(0.0)), 0.0);
     (balance, now)
 }
 
@@ -205,19 +207,19 @@
 #[test]
 fn late_answer_lifts_nothing() {
     let (mut balance, now) = limited();
-    balance.answered(now + MS * 9, &listed("s"), now - MS, &word(None), 0.0);
+    balance.apply_feedback(now + MS * 9, &listed("s"), now - MS, &feedback(None), 0.0);
     assert!(!balance.take_turn(now + MS * 9, "s"));
-    balance.answered(now + MS * 10, &listed("s"), now + MS, &word(None), 0.0);
+    balance.apply_feedback(now + MS * 10, &listed("s"), now + MS, &feedback(None), 0.0);
     assert!(balance.take_turn(now + MS * 10, "s"));
 }
 
 #[test]
 fn next_life_has_no_limit() {
     let (mut balance, now) = limited();
-    let again = Listed {
-        born: Some(2),
+    let again = ServerRecord {
+        started_ms: Some(2),
         ..listed("s")
     };
-    balance.list(now, again);
+    balance.upsert(now, again);
     assert!(balance.take_turn(now, "s"));
 }
--- a/crates/policy/tests/budget.rs
+++ b/crates/policy/tests/repeat_budget.rs
@@ -3,14 +3,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::budget::{Budget, Share};
+use policy::repeat_budget::{RepeatBudget, RepeatLimit};
 use proptest::prelude::*;
 use rstest::rstest;
 
 const WINDOW: Duration = Duration::from_secs(10);
 
-fn budget() -> Budget {
-    Budget::new(Share {
+fn budget() -> RepeatBudget {
+    RepeatBudget::new(RepeatLimit {
         ratio: 0.2,
         window: WINDOW,
         slack: 0.0,
@@ -26,19 +26,19 @@
 #[case::thousands(2000, 1000.0)]
 fn slack_is_shared(#[case] entries: usize, #[case] slack: f64) {
     let (now, service) = (Instant::now(), Rc::from("app"));
-    let share = Share {
+    let share = RepeatLimit {
         ratio: 0.2,
         window: WINDOW,
         slack,
     };
     let mut repeats = 0;
     for _ in 0..entries {
-        let mut budget = Budget::new(share);
-        budget.shared(entries);
+        let mut budget = RepeatBudget::new(share);
+        budget.set_entries(entries);
         for _ in 0..4 {
-            budget.sent(now, &service);
+            budget.record_call(now, &service);
         }
-        while budget.repeat(now, &service) {
+        while budget.take_repeat(now, &service) {
             repeats += 1;
         }
     }
@@ -54,24 +54,24 @@
 #[test]
 fn slack_waits_for_the_count() {
     let (now, service) = (Instant::now(), Rc::from("app"));
-    let mut budget = Budget::new(Share {
+    let mut budget = RepeatBudget::new(RepeatLimit {
         ratio: 0.2,
         window: WINDOW,
         slack: 100.0,
     });
-    budget.sent(now, &service);
-    assert!(!budget.repeat(now, &service));
+    budget.record_call(now, &service);
+    assert!(!budget.take_repeat(now, &service));
 }
 
 #[test]
 fn repeats_stop_at_the_share() {
     let (mut budget, now, service) = (budget(), Instant::now(), Rc::from("app"));
     for _ in 0..10 {
-        budget.sent(now, &service);
+        budget.record_call(now, &service);
     }
-    assert!(budget.repeat(now, &service));
-    assert!(budget.repeat(now, &service));
-    assert!(!budget.repeat(now, &service));
+    assert!(budget.take_repeat(now, &service));
+    assert!(budget.take_repeat(now, &service));
+    assert!(!budget.take_repeat(now, &service));
 }
 
 #[test]
@@ -79,18 +79,18 @@
     let (mut budget, now) = (budget(), Instant::now());
     let (busy, idle) = (Rc::from("busy"), Rc::from("idle"));
     for _ in 0..100 {
-        budget.sent(now, &busy);
+        budget.record_call(now, &busy);
     }
-    assert!(!budget.repeat(now, &idle));
+    assert!(!budget.take_repeat(now, &idle));
 }
 
 #[test]
 fn old_sends_earn_nothing() {
     let (mut budget, now, service) = (budget(), Instant::now(), Rc::from("app"));
     for _ in 0..100 {
-        budget.sent(now, &service);
+        budget.record_call(now, &service);
     }
-    assert!(!budget.repeat(now + WINDOW, &service));
+    assert!(!budget.take_repeat(now + WINDOW, &service));
 }
 
 proptest! {
@@ -106,9 +106,9 @@
         for (ms, repeat) in steps {
             now += Duration::from_millis(ms);
             if !repeat {
-                budget.sent(now, &service);
+                budget.record_call(now, &service);
                 sends.push(now);
-            } else if budget.repeat(now, &service) {
+            } else if budget.take_repeat(now, &service) {
                 repeats.push(now);
                 let within = |times: &[Instant], span: Duration| {
                     times.iter().filter(|at| now < **at + span).count() as f64
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -3,23 +3,23 @@
 use std::time::Duration;
 
 use base::reason::{Ran, Retry};
-use policy::retry::{Budget, Failure, Verdict};
+use policy::retry::{FailedAttempt, RetryBudget, RetryDecision};
 use rstest::rstest;
 
 // Without grants nothing fills the bucket, however many requests fail.
 #[test]
 fn take_without_grants() {
-    let mut budget = Budget::new(false);
+    let mut budget = RetryBudget::new(false);
     let taken = (0..10_000).filter(|_| budget.take("class")).count();
     assert_eq!(taken, 10);
 }
 
 #[test]
 fn take_after_grants() {
-    let mut budget = Budget::new(false);
+    let mut budget = RetryBudget::new(false);
     while budget.take("class") {}
     for _ in 0..21 {
-        budget.granted("class", 0.1);
+        budget.earn("class", 0.1);
     }
     assert_eq!((0..10).filter(|_| budget.take("class")).count(), 2);
     assert!(budget.take("other"));
@@ -27,29 +27,29 @@
 
 #[test]
 fn take_unlimited() {
-    let mut budget = Budget::new(true);
+    let mut budget = RetryBudget::new(true);
     assert!((0..10_000).all(|_| budget.take("class")));
 }
 
 #[rstest]
-#[case::not_run(Ran::No, false, false, 100, Verdict::Again)]
-#[case::unknown_repeatable(Ran::Unknown, false, true, 100, Verdict::Again)]
-#[case::unknown_once(Ran::Unknown, false, false, 100, Verdict::NotRepeatable)]
-#[case::partial_once(Ran::Partial, false, false, 100, Verdict::NotRepeatable)]
-#[case::delivered(Ran::Partial, true, true, 100, Verdict::Delivered)]
-#[case::late(Ran::No, false, true, 20, Verdict::TooLate)]
+#[case::not_run(Ran::No, false, false, 100, RetryDecision::Again)]
+#[case::unknown_repeatable(Ran::Unknown, false, true, 100, RetryDecision::Again)]
+#[case::unknown_once(Ran::Unknown, false, false, 100, RetryDecision::NotRepeatable)]
+#[case::partial_once(Ran::Partial, false, false, 100, RetryDecision::NotRepeatable)]
+#[case::delivered(Ran::Partial, true, true, 100, RetryDecision::Delivered)]
+#[case::late(Ran::No, false, true, 20, RetryDecision::TooLate)]
 fn judge_cases(
     #[case] ran: Ran,
     #[case] delivered: bool,
     #[case] repeatable: bool,
     #[case] left_ms: u64,
-    #[case] expected: Verdict,
+    #[case] expected: RetryDecision,
 ) {
-    let failure = Failure {
+    let failure = FailedAttempt {
         cause: Retry::Unknown,
         ran,
         delivered,
     };
     let (left, need) = (Duration::from_millis(left_ms), Duration::from_millis(30));
-    assert_eq!(failure.judge(repeatable, left, need), expected);
+    assert_eq!(failure.decide(repeatable, left, need), expected);
 }
--- a/crates/policy/tests/subset.rs
+++ b/crates/policy/tests/subset.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use policy::subset::{Place, Size, choose};
+use policy::subset::{HostRef, SubsetSize, choose};
 use rstest::rstest;
 
 const ZONES: [&str; 3] = ["plateau", "almadies", "rufisque"];
@@ -13,18 +13,18 @@
     (0..count).map(host).collect()
 }
 
-fn places<'a>(hosts: &'a [(String, &'static str)]) -> Vec<Place<'a>> {
-    let place = |(name, zone): &'a (String, &'static str)| Place { name, zone };
+fn places<'a>(hosts: &'a [(String, &'static str)]) -> Vec<HostRef<'a>> {
+    let place = |(name, zone): &'a (String, &'static str)| HostRef { name, zone };
     hosts.iter().map(place).collect()
 }
 
 /// Which servers each entry knows.
 fn cover<'a>(
-    entries: &[Place<'a>],
-    servers: &[Place<'a>],
-    size: Size,
+    entries: &[HostRef<'a>],
+    servers: &[HostRef<'a>],
+    size: SubsetSize,
 ) -> BTreeMap<&'a str, BTreeSet<&'a str>> {
-    let known = |me: &Place<'a>| {
+    let known = |me: &HostRef<'a>| {
         let chosen = choose(*me, entries, servers, size);
         (me.name, chosen.iter().map(|i| servers[*i].name).collect())
     };
@@ -32,8 +32,8 @@
 }
 
 /// How many entries know each server.
-fn counts(cover: &BTreeMap<&str, BTreeSet<&str>>, servers: &[Place]) -> Vec<usize> {
-    let count = |s: &Place| cover.values().filter(|k| k.contains(s.name)).count();
+fn counts(cover: &BTreeMap<&str, BTreeSet<&str>>, servers: &[HostRef]) -> Vec<usize> {
+    let count = |s: &HostRef| cover.values().filter(|k| k.contains(s.name)).count();
     servers.iter().map(count).collect()
 }
 
@@ -42,9 +42,9 @@
 #[case::exactly_the_size(60, 128)]
 fn choose_few_servers(#[case] entries: usize, #[case] servers: usize) {
     let (entries, servers) = (hosts("entry", entries), hosts("sidecar", servers));
-    let size = Size {
+    let size = SubsetSize {
         total: 128,
-        far: 16,
+        other_zones: 16,
     };
     for known in cover(&places(&entries), &places(&servers), size).values() {
         assert_eq!(known.len(), servers.len());
@@ -62,11 +62,11 @@
     #[case] entries: usize,
     #[case] servers: usize,
     #[case] total: usize,
-    #[case] far: usize,
+    #[case] other_zones: usize,
 ) {
     let (entries, servers) = (hosts("entry", entries), hosts("sidecar", servers));
     let (entries, servers) = (places(&entries), places(&servers));
-    let cover = cover(&entries, &servers, Size { total, far });
+    let cover = cover(&entries, &servers, SubsetSize { total, other_zones });
 
     // A fraction is rounded up or down once for each of the three zones.
     let counts = counts(&cover, &servers);
@@ -85,9 +85,9 @@
 fn choose_own_zone_first() {
     let (entries, servers) = (hosts("entry", 60), hosts("sidecar", 1200));
     let (entries, servers) = (places(&entries), places(&servers));
-    let size = Size {
+    let size = SubsetSize {
         total: 128,
-        far: 16,
+        other_zones: 16,
     };
 
     let chosen = choose(entries[0], &entries, &servers, size);
@@ -106,13 +106,13 @@
 fn choose_server_leaves() {
     let (entries, servers) = (hosts("entry", 180), hosts("sidecar", 1250));
     let (entries, servers) = (places(&entries), places(&servers));
-    let size = Size {
+    let size = SubsetSize {
         total: 128,
-        far: 16,
+        other_zones: 16,
     };
 
     let before = cover(&entries, &servers, size);
-    let fewer: Vec<Place> = servers
+    let fewer: Vec<HostRef> = servers
         .iter()
         .copied()
         .filter(|s| s.name != "sidecar-7")
@@ -138,9 +138,9 @@
 fn choose_entry_leaves() {
     let (entries, servers) = (hosts("entry", 180), hosts("sidecar", 1250));
     let (entries, servers) = (places(&entries), places(&servers));
-    let size = Size {
+    let size = SubsetSize {
         total: 128,
-        far: 16,
+        other_zones: 16,
     };
 
     let before = cover(&entries, &servers, size);
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -2,71 +2,83 @@
 
 use std::time::{Duration, Instant};
 
-use policy::suspects::{CRASHES, Crash, Fingerprint, HELD, MOST, Suspects};
+use policy::suspects::{CRASH_LIMIT, CRASH_TTL, Crash, CrashSuspects, Fingerprint, MAX_CRASHES};
 use rstest::rstest;
 
 const MS: Duration = Duration::from_millis(1);
 
 fn fingerprint(name: &str) -> Fingerprint {
-    Fingerprint::of(&[name.as_bytes()])
+    Fingerprint::from_parts(&[name.as_bytes()])
 }
 
 /// Sees servers crash under a request; returns how many of the crashes were new.
-fn see(suspects: &mut Suspects, now: Instant, name: &str, lives: std::ops::Range<u64>) -> usize {
-    let new = lives.map(|life| suspects.crashed(now, life, &[fingerprint(name)]).len());
+fn see(
+    suspects: &mut CrashSuspects,
+    now: Instant,
+    name: &str,
+    lives: std::ops::Range<u64>,
+) -> usize {
+    let new = lives.map(|life| {
+        suspects
+            .server_crashed(now, life, &[fingerprint(name)])
+            .len()
+    });
     new.sum()
 }
 
 #[test]
 fn refused_from_the_third_life_on() {
-    let (mut suspects, now) = (Suspects::default(), Instant::now());
+    let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
     see(&mut suspects, now, "fatal", 0..2);
-    assert_eq!(suspects.refused(now, fingerprint("fatal")), None);
+    assert_eq!(suspects.refusal_left(now, fingerprint("fatal")), None);
     see(&mut suspects, now, "fatal", 2..3);
-    assert_eq!(suspects.refused(now, fingerprint("fatal")), Some(HELD));
-    assert_eq!(suspects.refused(now, fingerprint("other")), None);
+    assert_eq!(
+        suspects.refusal_left(now, fingerprint("fatal")),
+        Some(CRASH_TTL)
+    );
+    assert_eq!(suspects.refusal_left(now, fingerprint("other")), None);
 }
 
 /// Guards against an innocent request being refused because several entries
 /// tell of one server that crashed, or one of them several times.
 #[test]
 fn one_life_counts_once() {
-    let (mut suspects, now) = (Suspects::default(), Instant::now());
+    let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
     let crash = Crash {
         fingerprint: fingerprint("near"),
-        life: 1,
+        incarnation: 1,
     };
-    assert!(suspects.hold(now, crash, Duration::ZERO));
-    for _ in 0..CRASHES {
-        assert!(!suspects.hold(now, crash, Duration::ZERO));
+    assert!(suspects.add_crash(now, crash, Duration::ZERO));
+    for _ in 0..CRASH_LIMIT {
+        assert!(!suspects.add_crash(now, crash, Duration::ZERO));
         assert!(
             suspects
-                .crashed(now, 1, &[crash.fingerprint, crash.fingerprint])
+                .server_crashed(now, 1, &[crash.fingerprint, crash.fingerprint])
                 .is_empty()
         );
     }
-    assert_eq!(suspects.refused(now, crash.fingerprint), None);
-    assert_eq!(suspects.count(), 1);
+    assert_eq!(suspects.refusal_left(now, crash.fingerprint), None);
+    assert_eq!(suspects.crash_count(), 1);
 }
 
 /// Guards against a request that is sent all the time being refused because a
 /// whole rack of servers crashed under its copies.
 #[test]
 fn served_lately_is_not_suspected() {
-    let (mut suspects, now) = (Suspects::default(), Instant::now());
-    suspects.served(fingerprint("poll"));
+    let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
+    suspects.request_served(fingerprint("poll"));
     assert_eq!(see(&mut suspects, now, "poll", 0..20), 0);
-    assert_eq!(suspects.refused(now, fingerprint("poll")), None);
+    assert_eq!(suspects.refusal_left(now, fingerprint("poll")), None);
 }
 
 #[test]
 fn served_is_cleared() {
-    let (mut suspects, now) = (Suspects::default(), Instant::now());
+    let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
     see(&mut suspects, now, "near", 0..2);
     let mut cleared: Vec<u64> = suspects
-        .served(fingerprint("near"))
+        .request_served(fingerprint("near"))
         .iter()
-        .map(|e| e.life)
+        .map(|e| e.incarnation)
         .collect();
     cleared.sort_unstable();
     assert_eq!(cleared, [0, 1]);
@@ -77,28 +89,31 @@
 /// mended.
 #[test]
 fn let_go_of_after_a_while() {
-    let (mut suspects, now) = (Suspects::default(), Instant::now());
+    let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
     see(&mut suspects, now, "fatal", 0..3);
-    let last = now + HELD;
-    assert_eq!(suspects.refused(last - MS, fingerprint("fatal")), Some(MS));
-    assert_eq!(suspects.refused(last, fingerprint("fatal")), None);
+    let last = now + CRASH_TTL;
+    assert_eq!(
+        suspects.refusal_left(last - MS, fingerprint("fatal")),
+        Some(MS)
+    );
+    assert_eq!(suspects.refusal_left(last, fingerprint("fatal")), None);
     assert_eq!(suspects.expire(last).len(), 3);
     assert!(suspects.is_empty());
 }
 
 #[rstest]
 #[case::fresh(Duration::ZERO, true)]
-#[case::nearly_over(HELD - MS, true)]
-#[case::over(HELD, false)]
-#[case::long_over(HELD * 9, false)]
+#[case::nearly_over(CRASH_TTL - MS, true)]
+#[case::over(CRASH_TTL, false)]
+#[case::long_over(CRASH_TTL * 9, false)]
 fn told_late(#[case] age: Duration, #[case] held: bool) {
-    let (mut suspects, now) = (Suspects::default(), Instant::now());
+    let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
     let crash = Crash {
         fingerprint: fingerprint("fatal"),
-        life: 7,
+        incarnation: 7,
     };
-    assert_eq!(suspects.hold(now, crash, age), held);
-    assert_eq!(suspects.age(now, crash), held.then_some(age));
+    assert_eq!(suspects.add_crash(now, crash, age), held);
+    assert_eq!(suspects.crash_age(now, crash), held.then_some(age));
     assert_eq!(suspects.is_empty(), !held);
 }
 
@@ -106,22 +121,22 @@
 /// that are refused stay known, however many others were near.
 #[test]
 fn memory_is_bounded() {
-    let (mut suspects, now) = (Suspects::default(), Instant::now());
+    let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
     see(&mut suspects, now, "fatal", 0..3);
-    for n in 0..MOST as u64 + 1000 {
+    for n in 0..MAX_CRASHES as u64 + 1000 {
         let name = format!("near-{n}");
         see(&mut suspects, now + MS, &name, n..n + 1);
-        assert!(suspects.count() <= MOST);
+        assert!(suspects.crash_count() <= MAX_CRASHES);
     }
-    assert!(suspects.refused(now, fingerprint("fatal")).is_some());
-    assert_eq!(suspects.refused(now, fingerprint("near-0")), None);
+    assert!(suspects.refusal_left(now, fingerprint("fatal")).is_some());
+    assert_eq!(suspects.refusal_left(now, fingerprint("near-0")), None);
 }
 
 #[test]
 fn parts_are_kept_apart() {
-    let one = Fingerprint::of(&[b"POST", b"/a", b"b"]);
-    assert_ne!(one, Fingerprint::of(&[b"POST", b"/ab", b""]));
-    assert_eq!(one, Fingerprint::of(&[b"POST", b"/a", b"b"]));
+    let one = Fingerprint::from_parts(&[b"POST", b"/a", b"b"]);
+    assert_ne!(one, Fingerprint::from_parts(&[b"POST", b"/ab", b""]));
+    assert_eq!(one, Fingerprint::from_parts(&[b"POST", b"/a", b"b"]));
 }
 
 #[rstest]
@@ -137,7 +152,7 @@
 fn key_names_the_end() {
     let crash = Crash {
         fingerprint: fingerprint("fatal"),
-        life: 12,
+        incarnation: 12,
     };
     assert_eq!(crash.to_string().parse(), Ok(crash));
 }
@@ -147,8 +162,11 @@
 /// three servers after the third has crashed.
 #[test]
 fn replay_tries_at_many_entries() {
-    let (mut fleet, mut told) = (vec![Suspects::default(), Suspects::default()], Vec::new());
-    fleet.resize_with(188, Suspects::default);
+    let (mut fleet, mut told) = (
+        vec![CrashSuspects::default(), CrashSuspects::default()],
+        Vec::new(),
+    );
+    fleet.resize_with(188, CrashSuspects::default);
     let (start, fatal) = (Instant::now(), fingerprint("fatal"));
     let mut crashed = 0u64;
     for try_no in 0..100u32 {
@@ -157,14 +175,14 @@
             let due = *at <= now;
             if due {
                 for entry in &mut fleet {
-                    entry.hold(now, *crash, Duration::ZERO);
+                    entry.add_crash(now, *crash, Duration::ZERO);
                 }
             }
             !due
         });
         let entry = &mut fleet[try_no as usize * 37 % 188];
-        if entry.refused(now, fatal).is_none() {
-            let crashes = entry.crashed(now, crashed, &[fatal]);
+        if entry.refusal_left(now, fatal).is_none() {
+            let crashes = entry.server_crashed(now, crashed, &[fatal]);
             told.extend(crashes.into_iter().map(|crash| (now + MS * 300, crash)));
             crashed += 1;
         }
--- a/crates/scenario/tests/run/hosts.rs
+++ b/crates/scenario/tests/run/hosts.rs
@@ -8,8 +8,8 @@
 use base::ids::{Incarnation, Offset};
 use base::settings::Span;
 use policy::lease::{Claim, Lease, in_force};
-use policy::membership::{Host, Kind, Limits, Membership};
-use policy::subset::Size;
+use policy::membership::{Host, HostKind, Membership, MembershipLimits};
+use policy::subset::SubsetSize;
 
 use crate::Said;
 use crate::words::Words;
@@ -40,13 +40,13 @@
 
     /// Makes an entry's membership: `member zone=z total=8 far=2 forget=60s`.
     fn member(&mut self, words: &Words) -> Said {
-        let size = Size {
+        let subset_size = SubsetSize {
             total: words.get("total", 8)?,
-            far: words.get("far", 2)?,
+            other_zones: words.get("far", 2)?,
         };
-        let limits = Limits {
-            size,
-            forget: words.get("forget", Span::secs(60))?.0,
+        let limits = MembershipLimits {
+            subset_size,
+            forget_after: words.get("forget", Span::secs(60))?.0,
         };
         let zone = words.key("zone").unwrap_or("z");
         self.member = Some(Membership::new("entry", zone, limits));
@@ -61,14 +61,14 @@
             name: word.trim_start_matches('!').to_owned(),
             addr: ([127, 0, 0, 1], 1).into(),
             zone: zone.to_owned(),
-            kind: Kind::Sidecar {
+            kind: HostKind::Sidecar {
                 serves: "m".to_owned(),
             },
             leaving: word.starts_with('!'),
         };
         let hosts: Vec<Host> = words.plain().map(host).collect();
         let member = self.member.as_mut().ok_or("make a member first")?;
-        Ok(format!("{:?}\n", member.list(clock.now(), &hosts)))
+        Ok(format!("{:?}\n", member.apply_list(clock.now(), &hosts)))
     }
 
     /// Sidecars answer: `answered a b life=1`.
@@ -76,7 +76,7 @@
         let life = Incarnation(words.get("life", 1)?);
         let member = self.member.as_mut().ok_or("make a member first")?;
         for name in words.plain() {
-            member.answered(clock.now(), name, life);
+            member.note_answer(clock.now(), name, life);
         }
         Ok(String::new())
     }
@@ -86,8 +86,8 @@
         let member = self.member.as_mut().ok_or("make a member first")?;
         let forgotten = member.sweep(clock.now());
         let mut out = String::new();
-        for host in member.chosen() {
-            let stands = if member.leaving(&host.name) {
+        for host in member.chosen_sidecars() {
+            let stands = if member.is_leaving(&host.name) {
                 "leaving"
             } else {
                 "open"
--- a/crates/scenario/tests/run/route.rs
+++ b/crates/scenario/tests/run/route.rs
@@ -8,10 +8,10 @@
 use base::clock::{Clock, ManualClock};
 use base::reason::{Ran, Retry};
 use base::settings::Span;
-use policy::outlier::{Fault, Good};
+use policy::outlier::{Fault, Success};
 use policy::pace::{Load, Pace};
 use policy::placement::{Mode, Options, Placement, ServerIndex, Want};
-use policy::retry::{Budget, Failure};
+use policy::retry::{FailedAttempt, RetryBudget};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
@@ -24,7 +24,7 @@
     placement: Option<Placement>,
     fan: usize,
     names: Vec<String>,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 impl Route {
@@ -98,8 +98,8 @@
     /// Finds faults: `fault a link times=2 every=200ms share=0.3`.
     fn fault(&mut self, clock: &ManualClock, words: &Words) -> Said {
         let fault = match words.at(1)? {
-            "link" => Fault::Link,
-            "run" => Fault::Run,
+            "link" => Fault::Unreachable,
+            "run" => Fault::RunFailed,
             _ => Fault::Slow,
         };
         let index = self.index(words.at(0)?)?;
@@ -117,9 +117,9 @@
     /// Hears a good sign: `good a link`.
     fn good(&mut self, clock: &ManualClock, words: &Words) -> Said {
         let good = match words.at(1)? {
-            "link" => Good::Link,
-            "run" => Good::Run,
-            _ => Good::Pace,
+            "link" => Success::Reachable,
+            "run" => Success::RunCompleted,
+            _ => Success::NormalPace,
         };
         let index = self.index(words.at(0)?)?;
         self.placement()?.good(clock.now(), index, good);
@@ -158,9 +158,12 @@
     /// Earns retries: `budget class grants=100 share=0.1`.
     fn budget(&mut self, words: &Words) -> Said {
         for _ in 0..words.get("grants", 0)? {
-            self.budget.granted(words.at(0)?, words.get("share", 0.1)?);
+            self.budget.earn(words.at(0)?, words.get("share", 0.1)?);
         }
-        Ok(format!("left={:.1}\n", self.budget.left(words.at(0)?)))
+        Ok(format!(
+            "left={:.1}\n",
+            self.budget.retries_left(words.at(0)?)
+        ))
     }
 
     /// Takes retries: `retry class times=50`.
@@ -187,7 +190,7 @@
 /// Judges a failed try: `judge cause=unknown ran=unknown delivered=false
 /// repeatable=true left=1s need=100ms`.
 fn judge(words: &Words) -> Said {
-    let failure = Failure {
+    let failure = FailedAttempt {
         cause: word::<Retry>(words.key("cause").unwrap_or("unknown"))?,
         ran: word::<Ran>(words.key("ran").unwrap_or("no"))?,
         delivered: words.get("delivered", false)?,
@@ -196,7 +199,7 @@
     let need: Duration = words.get("need", Span::ms(100))?.0;
     Ok(format!(
         "{:?}\n",
-        failure.judge(words.get("repeatable", true)?, left, need)
+        failure.decide(words.get("repeatable", true)?, left, need)
     ))
 }
 
