--- a/crates/admission/src/desk.rs
+++ b/crates/admission/src/desk.rs
@@ -8,8 +8,8 @@
 
 use base::clock::Clock;
 use base::stop::Stop;
-use policy::grants::lives::{Lives, Meant};
-use policy::grants::{Ask, CallId, Grants, Report, Verdict};
+use policy::grants::incarnations::{IncarnationStatus, Incarnations};
+use policy::grants::{CallId, EngineReport, GrantController, GrantDecision, GrantRequest};
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
 use wire::grants::{self, What};
@@ -34,9 +34,9 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    grants: Grants,
+    grants: GrantController,
     /// The life of the engine that the grants are for.
-    lives: Lives,
+    lives: Incarnations,
     /// Who asked for each waiting call.
     askers: HashMap<CallId, Asker>,
     /// Whether the engine does not answer; nothing can be fetched from it.
@@ -101,10 +101,10 @@
     }
 
     /// Takes over what the engine says.
-    pub fn report(&self, report: Report) {
+    pub fn report(&self, report: EngineReport) {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
-        inner.grants.report(now, report);
+        inner.grants.update_report(now, report);
         inner.dark = false;
         drop(inner);
         self.let_in();
@@ -137,20 +137,20 @@
         };
         let now = self.clock.now();
         let id = CallId {
-            life: ask.life,
+            incarnation: ask.life,
             number: ask.number,
         };
         match ask.what {
             What::Want(want) => self.want(id, want, from),
             What::Look(look) => self.look(id, &look, from),
             What::Busy => self.busy(id, from),
-            What::Fetches(source) => self.inner.borrow_mut().grants.fetches(id, source),
+            What::Fetches(source) => self.inner.borrow_mut().grants.record_fetch(id, source),
             What::Gone { server, born } => self.gone(&server, born),
-            What::Begun => self.inner.borrow_mut().grants.begun(now, id),
+            What::Begun => self.inner.borrow_mut().grants.record_first_event(now, id),
             What::Ended { pause_ms } => {
                 let mut inner = self.inner.borrow_mut();
                 let pause = Duration::from_millis(u64::from(pause_ms));
-                inner.grants.ended(now, id, pause);
+                inner.grants.call_ended(now, id, pause);
                 inner.askers.remove(&id);
             }
         }
@@ -160,11 +160,11 @@
     fn want(&self, id: CallId, want: grants::Want, from: SocketAddr) {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
-        let meant = inner.lives.asked(&want.server, want.born);
+        let meant = inner.lives.resolve(&want.server, want.born);
         let over = match meant {
-            Meant::Gone => Some(("gone", grants::Verdict::Gone)),
-            Meant::Leaving => Some(("leaving", grants::Verdict::Leaving)),
-            Meant::Known | Meant::New => None,
+            IncarnationStatus::Gone => Some(("gone", grants::Verdict::Gone)),
+            IncarnationStatus::Leaving => Some(("leaving", grants::Verdict::Leaving)),
+            IncarnationStatus::Current | IncarnationStatus::New => None,
         };
         if let Some((word, verdict)) = over {
             drop(inner);
@@ -172,7 +172,7 @@
             self.send(from, id, verdict, 0, false);
             return;
         }
-        if !inner.grants.life(want.born) {
+        if !inner.grants.observe_incarnation(want.born) {
             // An entry whose list is old means the engine that this one
             // replaces. Taken for the newest, it would have the books cleared
             // with each of its calls.
@@ -181,35 +181,35 @@
             self.send(from, id, verdict, 0, false);
             return;
         }
-        if meant == Meant::New {
+        if meant == IncarnationStatus::New {
             info!("engine known", kv: { server = want.server.as_str() });
             // Another life of the engine has read nothing yet.
-            inner.grants.forget();
+            inner.grants.reset_engine();
         }
         let ms = |ms: u32| Duration::from_millis(u64::from(ms));
-        let ask = Ask {
+        let ask = GrantRequest {
             id,
             parts: want.parts,
-            allowed: ms(want.allowed_ms),
-            left: ms(want.left_ms),
-            gap: want.gap_ms.map(ms),
+            ttft_limit: ms(want.allowed_ms),
+            time_left: ms(want.left_ms),
+            max_gap: want.gap_ms.map(ms),
             slots: want.slots,
             rank: want.rank,
-            home: want.home,
-            must: want.must,
-            source: want.source,
-            copy: want.copy_ns.map(|ns| Duration::from_nanos(u64::from(ns))),
+            is_home: want.home,
+            forced: want.must,
+            fetchable: want.source,
+            copy_time: want.copy_ns.map(|ns| Duration::from_nanos(u64::from(ns))),
         };
-        let tokens = inner.grants.missing(&ask.parts);
+        let tokens = inner.grants.missing_tokens(&ask.parts);
         let held = inner.held(&ask.parts);
         let fetch = inner.grants.fetch_pays();
-        let verdict = inner.grants.ask(now, ask);
+        let verdict = inner.grants.request(now, ask);
         let (waiting, flying, running) = inner.grants.counts();
-        let beliefs = inner.grants.beliefs();
+        let beliefs = inner.grants.estimates();
         let (word, expected) = match verdict {
-            Verdict::Granted => ("granted", Duration::ZERO),
-            Verdict::Queued(expected) => ("queued", expected),
-            Verdict::Refused(expected) => ("refused", expected),
+            GrantDecision::Granted => ("granted", Duration::ZERO),
+            GrantDecision::Queued(expected) => ("queued", expected),
+            GrantDecision::Refused(expected) => ("refused", expected),
         };
         metrics::counter!("pimentocart_grants_total", "verdict" => word).increment(1);
         // A call in the queue asks again and again.
@@ -234,9 +234,9 @@
         }
         drop(inner);
         let verdict = match verdict {
-            Verdict::Granted => grants::Verdict::Granted,
-            Verdict::Queued(expected) => grants::Verdict::Queued(millis(expected)),
-            Verdict::Refused(expected) => grants::Verdict::Refused(millis(expected)),
+            GrantDecision::Granted => grants::Verdict::Granted,
+            GrantDecision::Queued(expected) => grants::Verdict::Queued(millis(expected)),
+            GrantDecision::Refused(expected) => grants::Verdict::Refused(millis(expected)),
         };
         self.send(from, id, verdict, held, fetch);
     }
@@ -244,9 +244,9 @@
     /// Notes that a life of the engine has ended.
     fn gone(&self, server: &str, born: Option<u64>) {
         let mut inner = self.inner.borrow_mut();
-        if inner.lives.refused(server, born) {
+        if inner.lives.mark_refused(server, born) {
             info!("engine gone", kv: { server });
-            inner.grants.ended_all();
+            inner.grants.engine_stopped();
         }
         // Let in one after the other, each would be refused by the engine.
         self.send_away(&mut inner, server, grants::Verdict::Gone);
@@ -255,13 +255,13 @@
     /// The life of the engine that is known.
     #[must_use]
     pub fn life(&self) -> Option<String> {
-        self.inner.borrow().lives.known().map(str::to_owned)
+        self.inner.borrow().lives.current().map(str::to_owned)
     }
 
     /// Notes that life `server` of the engine says that it leaves.
     pub fn leaves(&self, server: &str) {
         let mut inner = self.inner.borrow_mut();
-        if inner.lives.leaves(server) {
+        if inner.lives.mark_leaving(server) {
             info!("engine leaves", kv: { server });
             self.send_away(&mut inner, server, grants::Verdict::Leaving);
         }
@@ -276,7 +276,7 @@
             meant.map(|(id, _)| *id).collect()
         };
         for id in meant {
-            inner.grants.ended(now, id, Duration::ZERO);
+            inner.grants.call_ended(now, id, Duration::ZERO);
             if let Some(asker) = inner.askers.remove(&id) {
                 self.send(asker.addr, id, verdict, 0, false);
             }
@@ -286,7 +286,7 @@
     /// Says how much of a prompt the engine holds.
     fn look(&self, id: CallId, look: &grants::Look, from: SocketAddr) {
         let inner = self.inner.borrow();
-        let held = match inner.lives.is(&look.server) {
+        let held = match inner.lives.is_current(&look.server) {
             true => inner.held(&look.parts),
             false => 0,
         };
@@ -295,7 +295,7 @@
 
     /// Says how busy the engine is.
     fn busy(&self, id: CallId, from: SocketAddr) {
-        let busy = self.inner.borrow().grants.busy(self.clock.now());
+        let busy = self.inner.borrow().grants.utilization(self.clock.now());
         let verdict = grants::Verdict::Busy((busy * 1e3) as u32);
         self.send(from, id, verdict, 0, false);
     }
@@ -305,7 +305,7 @@
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
         let fetch = inner.grants.fetch_pays();
-        for (id, held) in inner.grants.granted(now) {
+        for (id, held) in inner.grants.grant_waiting(now) {
             let Some(asker) = inner.askers.remove(&id) else {
                 continue;
             };
@@ -332,7 +332,7 @@
         if self.dark {
             0
         } else {
-            self.grants.held(parts)
+            self.grants.held_tokens(parts)
         }
     }
 }
--- a/crates/admission/src/edge.rs
+++ b/crates/admission/src/edge.rs
@@ -1,6 +1,6 @@
 //! What a platform has to translate for this package.
 
-use policy::grants::Report;
+use policy::grants::EngineReport;
 use snafu::Snafu;
 
 /// The engine beside the sidecar.
@@ -15,7 +15,7 @@
     /// Whether it is about to end, which it says also where it fails.
     pub leaving: bool,
     /// What it runs and holds.
-    pub report: Result<Report, EngineError>,
+    pub report: Result<EngineReport, EngineError>,
 }
 
 /// Why an engine said nothing.
--- a/crates/admission/src/watch.rs
+++ b/crates/admission/src/watch.rs
@@ -26,7 +26,7 @@
         match told.report {
             Ok(report) => {
                 if lost {
-                    info!("engine regained", kv: { running = report.running });
+                    info!("engine regained", kv: { running = report.running_calls });
                 }
                 lost = false;
                 desk.report(report);
--- a/crates/demo/src/arm.rs
+++ b/crates/demo/src/arm.rs
@@ -3,7 +3,7 @@
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
 
-use policy::placement::Mode;
+use policy::placement::PlacementMode;
 use policy::queue::QueuePolicy;
 use serde::{Deserialize, Serialize};
 
@@ -66,12 +66,12 @@
         let routing = &mut settings.routing;
         match self {
             Self::Late | Self::Fifo | Self::NoAdmission => {}
-            Self::Random => routing.mode = Mode::Random,
-            Self::LeastLoaded => routing.mode = Mode::LeastLoaded,
-            Self::TwoChoices => routing.mode = Mode::TwoChoices,
+            Self::Random => routing.mode = PlacementMode::Random,
+            Self::LeastLoaded => routing.mode = PlacementMode::LeastLoaded,
+            Self::TwoChoices => routing.mode = PlacementMode::TwoChoices,
             Self::NoRetryBudget => routing.budget = false,
             Self::Plain => {
-                routing.mode = Mode::TwoChoices;
+                routing.mode = PlacementMode::TwoChoices;
                 routing.budget = false;
             }
         }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -6,7 +6,7 @@
 
 use base::ids::Ticket;
 use base::reason::{Ran, Refusal, Retry};
-use policy::placement::{ServerIndex, Want};
+use policy::placement::{PlacementRequest, ServerIndex};
 use policy::retry::{Failure, Verdict};
 
 use crate::refuse::Refused;
@@ -160,11 +160,11 @@
 }
 
 fn choose(state: &State, request: &Request, tries: &Tries) -> Vec<ServerIndex> {
-    let want = Want {
+    let want = PlacementRequest {
         target: &request.target,
-        prefix: request.prefix,
-        tried: &tries.tried,
-        fan: state.settings.fan << tries.rounds.min(ROUNDS_WIDER),
+        prefix_hash: request.prefix,
+        excluded: &tries.tried,
+        fan_out: state.settings.fan << tries.rounds.min(ROUNDS_WIDER),
     };
     let now = state.clock.now();
     state.placement.borrow_mut().choose(now, &want)
@@ -216,7 +216,10 @@
 /// What another try takes at least, until the piece that is due.
 fn time_needed(state: &State, request: &Request, tries: &Tries) -> Duration {
     let now = state.clock.now();
-    let usual = state.placement.borrow_mut().usual(now, &request.target);
+    let usual = state
+        .placement
+        .borrow_mut()
+        .median_pace(now, &request.target);
     if tries.begun && !request.stream {
         let lengths = state.lengths.borrow();
         return usual.finish(lengths.expect(&request.class, request.max_tokens));
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -89,7 +89,10 @@
                 prompt: request.prompt,
                 answer: lengths.expect(&request.class, request.max_tokens),
             },
-            usual: state.placement.borrow_mut().usual(now, &request.target),
+            usual: state
+                .placement
+                .borrow_mut()
+                .median_pace(now, &request.target),
             bids: servers
                 .map(|server| Bid {
                     state: Rc::clone(state),
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -144,7 +144,7 @@
             return;
         }
         for server in self.state.servers() {
-            let open = self.state.placement.borrow().open(server.index);
+            let open = self.state.placement.borrow().is_open(server.index);
             if !open || !self.known.listed(&server.known.name) {
                 self.ask(server);
             }
@@ -182,7 +182,7 @@
         let servers = self.state.servers();
         let mut placement = self.state.placement.borrow_mut();
         for server in servers {
-            placement.close(server.index, self.known.leaving(&server.known.name));
+            placement.set_closed(server.index, self.known.leaving(&server.known.name));
         }
     }
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -4,7 +4,7 @@
 
 use base::logging::Level;
 use base::settings::{Error, Span, check};
-use policy::placement::Mode;
+use policy::placement::PlacementMode;
 use serde::{Deserialize, Serialize};
 
 /// Largest body limit: a start must fit into one frame of the inner protocol.
@@ -65,7 +65,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Routing {
     /// How servers are chosen; all but late binding are baselines.
-    pub mode: Mode,
+    pub mode: PlacementMode,
     /// Age of the load reports that the baselines go by.
     pub lag: Span,
     /// Whether a class's retries are limited by its budget.
@@ -109,7 +109,7 @@
 impl Default for Routing {
     fn default() -> Self {
         Self {
-            mode: Mode::default(),
+            mode: PlacementMode::default(),
             lag: Span::ms(500),
             budget: true,
             grace: Span::ms(100),
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -14,7 +14,7 @@
 use policy::lengths::Lengths;
 use policy::outlier::{Fault, Good};
 use policy::pace::{Load, Pace};
-use policy::placement::{Options, ServerIndex};
+use policy::placement::{PlacementOptions, ServerIndex};
 use policy::retry::Budget;
 use wire::peer::{Error, Timing};
 use wire::{Peer, Reply, Stamp};
@@ -73,9 +73,9 @@
     /// Makes the state of an entry that just started.
     #[must_use]
     pub fn new(settings: Settings, spread: Spread, clock: Rc<dyn Clock>) -> Rc<Self> {
-        let options = Options {
+        let options = PlacementOptions {
             mode: settings.routing.mode,
-            lag: settings.routing.lag.0,
+            report_lag: settings.routing.lag.0,
             zone: settings.zone.clone(),
             seed: settings.seed.unwrap_or_else(rand::random),
         };
@@ -133,13 +133,13 @@
             heard: Cell::new(None),
         })));
         let mut placement = self.placement.borrow_mut();
-        placement.join(index, &known.name, &known.zone, &known.serves);
+        placement.add_server(index, &known.name, &known.zone, &known.serves);
     }
 
     /// Sends nothing new to a sidecar from now on. Answers in progress there
     /// go on.
     pub fn leave(&self, index: ServerIndex) {
-        self.placement.borrow_mut().leave(index);
+        self.placement.borrow_mut().remove_server(index);
         if let Some(place) = self.servers.borrow_mut().get_mut(index) {
             place.take();
         }
@@ -187,8 +187,8 @@
             server.heard.set(Some((now, reply.incarnation)));
         }
         let ejected = match &answer {
-            Ok(reply) => placement.heard(now, server.index, load(&reply.load), share),
-            Err(_) => placement.fault(now, server.index, Fault::Link, share),
+            Ok(reply) => placement.record_load(now, server.index, load(&reply.load), share),
+            Err(_) => placement.record_fault(now, server.index, Fault::Link, share),
         };
         drop(placement);
         if ejected {
@@ -206,9 +206,9 @@
         let share = self.shares().ejected;
         let mut placement = self.placement.borrow_mut();
         if whole {
-            return placement.good(now, server.index, Good::Run);
+            return placement.record_good(now, server.index, Good::Run);
         }
-        if placement.fault(now, server.index, Fault::Run, share) {
+        if placement.record_fault(now, server.index, Fault::Run, share) {
             counters::ejection(server);
         }
     }
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -77,7 +77,7 @@
     fn sidecar(&self, server: &Server) -> SidecarStatus {
         let placement = self.placement.borrow();
         let load = placement.load(server.index);
-        let age = placement.age(self.clock.now(), server.index);
+        let age = placement.load_age(self.clock.now(), server.index);
         SidecarStatus {
             name: server.known.name.clone(),
             addr: server.known.addr,
@@ -86,7 +86,7 @@
             running: load.running,
             waiting: load.waiting,
             heard_ms: age.map(|a| u64::try_from(a.as_millis()).unwrap_or(u64::MAX)),
-            ejected: placement.ejected(server.index),
+            ejected: placement.is_ejected(server.index),
             draining: load.draining,
         }
     }
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -17,7 +17,7 @@
 use entry::settings::{Known, Routing, Settings};
 use entry::spread::Spread;
 use entry::state::State;
-use policy::placement::Mode;
+use policy::placement::PlacementMode;
 use tarpc::context::Context;
 use wire::{
     Cancelled, End, Load, Piece, Pull, Pulled, Reply, Reserve, Reserved, Sidecar, Stamp, Start,
@@ -281,12 +281,12 @@
 /// An entry in zone `a` that knows the given fakes, the first in its zone, and
 /// asks `fan` of them at once. Asked one by one, the first comes first.
 pub(crate) async fn entry(fakes: &[Rc<Fake>], fan: usize) -> Rc<State> {
-    entry_by(fakes, fan, quick(Mode::LateBinding)).await
+    entry_by(fakes, fan, quick(PlacementMode::LateBinding)).await
 }
 
 /// An entry that gives sidecars more time than a busy machine may take from
 /// them, and places by the given mode. For tests in which none falls silent.
-pub(crate) async fn unhurried(fakes: &[Rc<Fake>], fan: usize, mode: Mode) -> Rc<State> {
+pub(crate) async fn unhurried(fakes: &[Rc<Fake>], fan: usize, mode: PlacementMode) -> Rc<State> {
     let routing = Routing {
         margin: Span::secs(10),
         dial: Span::secs(10),
@@ -313,7 +313,7 @@
 }
 
 /// An entry that knows the given sidecars.
-pub(crate) fn state(sidecars: Vec<Known>, fan: usize, mode: Mode) -> Rc<State> {
+pub(crate) fn state(sidecars: Vec<Known>, fan: usize, mode: PlacementMode) -> Rc<State> {
     state_by(sidecars, fan, quick(mode))
 }
 
@@ -333,7 +333,7 @@
 }
 
 /// Timing under which a silent connection shows soon.
-fn quick(mode: Mode) -> Routing {
+fn quick(mode: PlacementMode) -> Routing {
     Routing {
         poll: Span::ms(100),
         margin: Span::ms(300),
--- a/crates/entry/tests/routing/offers.rs
+++ b/crates/entry/tests/routing/offers.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use policy::placement::Mode;
+use policy::placement::PlacementMode;
 
 use crate::fake::{Fake, Got, Reserving, Script, call, request, unhurried};
 
@@ -24,7 +24,7 @@
     slow.after.replace(Some((Rc::clone(&fast), 2)));
     fast.busy.replace(Some((Rc::clone(&slow), 1)));
 
-    let state = unhurried(&[Rc::clone(&slow), fast], 2, Mode::LateBinding).await;
+    let state = unhurried(&[Rc::clone(&slow), fast], 2, PlacementMode::LateBinding).await;
     let got = call(&state, request(true, true)).await;
     assert_eq!(got, Got::whole("fast0 fast1 "));
     assert_eq!(slow.starts.get(), 0);
@@ -41,7 +41,7 @@
     let fast = Fake::new("fast", offering(Reserving::Busy { wait_us: 5_000_000 }));
     slow.after.replace(Some((Rc::clone(&fast), 2)));
 
-    let state = unhurried(&[slow, Rc::clone(&fast)], 2, Mode::LateBinding).await;
+    let state = unhurried(&[slow, Rc::clone(&fast)], 2, PlacementMode::LateBinding).await;
     let got = call(&state, request(true, true)).await;
     assert_eq!(got, Got::whole("slow0 slow1 "));
     assert_eq!(fast.starts.get(), 0);
@@ -50,11 +50,11 @@
 // A baseline that places by reports sends the request to one server only and
 // lets it wait there.
 #[rstest::rstest]
-#[case::random(Mode::Random)]
-#[case::least_loaded(Mode::LeastLoaded)]
-#[case::two_choices(Mode::TwoChoices)]
+#[case::random(PlacementMode::Random)]
+#[case::least_loaded(PlacementMode::LeastLoaded)]
+#[case::two_choices(PlacementMode::TwoChoices)]
 #[actix_rt::test]
-async fn grant_baseline(#[case] mode: Mode) {
+async fn grant_baseline(#[case] mode: PlacementMode) {
     let fakes = ["f0", "f1", "f2"].map(|name| Fake::new(name, Script::default()));
     let state = unhurried(&fakes, 2, mode).await;
     let got = call(&state, request(true, true)).await;
--- a/crates/entry/tests/routing/retries.rs
+++ b/crates/entry/tests/routing/retries.rs
@@ -8,7 +8,7 @@
 };
 use base::reason::{Ran, Refusal};
 use entry::settings::Known;
-use policy::placement::Mode;
+use policy::placement::PlacementMode;
 use rstest::rstest;
 
 fn reserving(reserving: Reserving) -> Script {
@@ -50,7 +50,7 @@
     let fakes = [bad, Rc::clone(&good)];
     let state = match silent(script) {
         true => entry(&fakes, 1).await,
-        false => unhurried(&fakes, 1, Mode::LateBinding).await,
+        false => unhurried(&fakes, 1, PlacementMode::LateBinding).await,
     };
     let got = call(&state, request(stream, repeatable)).await;
     (got, good.starts.get())
@@ -194,7 +194,7 @@
 async fn grant_all_refuse() {
     let script = reserving(Reserving::Refuse(Refusal::Shed));
     let fakes = ["f0", "f1", "f2", "f3", "f4"].map(|name| Fake::new(name, script));
-    let state = unhurried(&fakes, 1, Mode::LateBinding).await;
+    let state = unhurried(&fakes, 1, PlacementMode::LateBinding).await;
 
     for _ in 0..1000 {
         let got = call(&state, request(true, true)).await;
@@ -215,7 +215,7 @@
 async fn grant_all_fail() {
     let script = running(Running::Broken(0, Ran::No));
     let fakes = ["f0", "f1", "f2", "f3", "f4"].map(|name| Fake::new(name, script));
-    let state = unhurried(&fakes, 1, Mode::LateBinding).await;
+    let state = unhurried(&fakes, 1, PlacementMode::LateBinding).await;
 
     for _ in 0..100 {
         let got = call(&state, request(true, true)).await;
@@ -245,7 +245,7 @@
     let state = state(
         known.then_some(sidecar).into_iter().collect(),
         2,
-        Mode::LateBinding,
+        PlacementMode::LateBinding,
     );
     let got = call(&state, request(true, true)).await;
     assert_eq!(got, Got::refused("", Refusal::NoServer, Ran::No));
--- a/crates/forward/src/call.rs
+++ b/crates/forward/src/call.rs
@@ -17,8 +17,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
 use policy::balance::Listed;
-use policy::pools::{Coming, Work};
-use policy::routes::{Access, Catalog, Kind, Route, Workspace};
+use policy::pools::{IncomingCall, Phase};
+use policy::routes::{Access, CallKind, Catalog, Route, Workspace};
 use policy::suspects::Fingerprint;
 use policy::terms;
 use policy::waits;
@@ -62,7 +62,7 @@
     /// When the caller or the route gives it up.
     pub until: Instant,
     /// What its time goes into, if an engine serves it.
-    work: Option<Work>,
+    work: Option<Phase>,
     /// Whether a backend server has begun with it.
     begin: Cell<Begun>,
     /// Its fingerprint, once it is needed.
@@ -75,9 +75,9 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        if self.work == Some(Work::Writing) {
+        if self.work == Some(Phase::Decode) {
             let now = self.state.clock.now();
-            self.state.pools.borrow_mut().ended(now, &self.service);
+            self.state.pools.borrow_mut().call_ended(now, &self.service);
         }
         if self.begin.get() == Begun::Perhaps {
             self.count();
@@ -140,24 +140,24 @@
             Access::Workspace(workspace) => Some(workspace),
             Access::Denied => return Err(Own::denied(401, Refusal::BadToken)),
         };
-        let Some(service) = route.service(rand::rng().random()).cloned() else {
+        let Some(service) = route.pick_service(rand::rng().random()).cloned() else {
             return Err(Own::refused(Refusal::NoServer, AFTER_NO_SERVER));
         };
         let engine = catalog.service(&service).and_then(|s| s.engine);
         let work = engine.map(|_| {
             let mut pools = state.pools.borrow_mut();
-            let coming = Coming {
+            let coming = IncomingCall {
                 route: &route.name,
-                prompt: fresh(&ask),
-                answer: ask.output,
-                gap: route.gap,
+                prompt_tokens: fresh(&ask),
+                max_answer: ask.output,
+                max_gap: route.max_gap,
             };
-            pools.came(incoming.came, &service, coming)
+            pools.classify(incoming.came, &service, coming)
         });
-        let patience = ask.patience.unwrap_or(route.timeout);
+        let patience = ask.patience.unwrap_or(route.call_timeout);
         Ok(Self {
             state: Rc::clone(state),
-            until: incoming.came + route.timeout.min(patience),
+            until: incoming.came + route.call_timeout.min(patience),
             work,
             begin: Cell::new(Begun::No),
             fingerprint: OnceCell::new(),
@@ -250,7 +250,7 @@
         // A failure that a server vouches for, for the case that no other
         // server does better.
         let mut answered = None;
-        for attempt in 1..=self.route.attempts.max(1) {
+        for attempt in 1..=self.route.max_attempts.max(1) {
             if attempt > 1 && !self.repeat() {
                 break;
             }
@@ -298,8 +298,8 @@
     /// Whether another server may well serve what this one failed.
     fn better(&self, reply: &Reply, tried: &[Rc<str>]) -> bool {
         let failed = matches!(reply, Reply::Whole { status, .. } if *status >= 500);
-        let spare = tried.len() < self.route.attempts as usize;
-        failed && spare && self.route.kind == Kind::Idempotent
+        let spare = tried.len() < self.route.max_attempts as usize;
+        failed && spare && self.route.kind == CallKind::Idempotent
     }
 
     /// Goes on with a stream after event `last` at another server.
@@ -308,7 +308,7 @@
         last: Option<u64>,
         tried: &mut Vec<Rc<str>>,
     ) -> Option<Body> {
-        while tried.len() < self.route.attempts as usize {
+        while tried.len() < self.route.max_attempts as usize {
             if !self.repeat() {
                 return None;
             }
@@ -324,10 +324,10 @@
 
     /// Notes the longest pause of its stream, which has ended.
     pub fn paused(&self, pause: Duration) {
-        if self.work == Some(Work::Reading) {
+        if self.work == Some(Phase::Prefill) {
             let now = self.state.clock.now();
             let mut pools = self.state.pools.borrow_mut();
-            pools.paused(now, &self.service, pause);
+            pools.record_pause(now, &self.service, pause);
         }
     }
 
--- a/crates/forward/src/call/answer.rs
+++ b/crates/forward/src/call/answer.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use policy::pools::Work;
+use policy::pools::Phase;
 
 use super::{Call, fresh};
 use crate::exchange::{Answer, Body, Failure};
@@ -63,11 +63,11 @@
 
     /// Notes how long the first event took.
     fn note_first(&self, answer: &Answer) {
-        if self.work == Some(Work::Reading) {
+        if self.work == Some(Phase::Prefill) {
             let now = self.state.clock.now();
             let took = now.saturating_duration_since(answer.sent);
             let mut pools = self.state.pools.borrow_mut();
-            pools.first(now, &self.service, fresh(&self.ask), took);
+            pools.record_first_event(now, &self.service, fresh(&self.ask), took);
             let mut waits = self.state.waits.borrow_mut();
             waits.saw(&self.service, self.rank(), answer.ahead, took);
         }
@@ -76,7 +76,7 @@
     /// Notes that no first event came in all the time that the call had. Left
     /// out, only those that were served would say how long calls wait.
     pub(super) fn note_late(&self, sent: Instant, ahead: u32) {
-        if self.work == Some(Work::Reading) {
+        if self.work == Some(Phase::Prefill) {
             let took = self.state.clock.now().saturating_duration_since(sent);
             let mut waits = self.state.waits.borrow_mut();
             waits.saw(&self.service, self.rank(), ahead, took);
--- a/crates/forward/src/call/attempt.rs
+++ b/crates/forward/src/call/attempt.rs
@@ -131,7 +131,7 @@
     /// twice, so a short wait serves more of them than a refusal.
     fn waits(&self, now: Instant, wait: Duration) -> bool {
         let age = now.saturating_duration_since(self.came);
-        age + wait <= self.route.target.mul_f64(TURN_SHARE)
+        age + wait <= self.route.latency_target.mul_f64(TURN_SHARE)
     }
 
     /// Notes that another server has the address of `server` by now. The list
--- a/crates/forward/src/call/place.rs
+++ b/crates/forward/src/call/place.rs
@@ -6,7 +6,7 @@
 
 use policy::balance::{By, Listed, Part, Want};
 use policy::grants::fetch;
-use policy::pools::Work;
+use policy::pools::Phase;
 use policy::rendezvous;
 use policy::terms::Caller;
 use policy::waits::{self, Claim, Verdict};
@@ -126,7 +126,7 @@
         &self,
         now: Instant,
         sidecars: &Rc<Sidecars>,
-        work: Work,
+        work: Phase,
         avoid: &[Rc<str>],
         begin: Begin,
     ) -> Result<Option<Place>, Failure> {
@@ -157,7 +157,7 @@
             return Ok(None);
         };
         let left = self.until.saturating_duration_since(self.state.clock.now());
-        let must = work == Work::Writing || self.caller(begin).must(expected, left);
+        let must = work == Phase::Decode || self.caller(begin).must(expected, left);
         if !must {
             return Err(self.too_late(&server, expected));
         }
@@ -192,7 +192,7 @@
         holder: Holder,
         asked: &[Listed],
     ) -> Option<SocketAddr> {
-        let wanted = held.tokens.saturating_add(fetch::LEAST);
+        let wanted = held.tokens.saturating_add(fetch::MIN_FETCH_TOKENS);
         let shared = self.ask.parts.split_last().map_or(&[][..], |(_, s)| s);
         let shared = shared
             .iter()
@@ -244,7 +244,7 @@
     }
 
     /// The engines to ask, the best first.
-    fn candidates(&self, now: Instant, work: Work, avoid: &[Rc<str>]) -> Vec<Listed> {
+    fn candidates(&self, now: Instant, work: Phase, avoid: &[Rc<str>]) -> Vec<Listed> {
         let part = self.part(now);
         let other = match part {
             Part::First(count) => Part::Rest(count),
@@ -254,7 +254,7 @@
         let mut balance = self.state.balance.borrow_mut();
         let mut ranked = balance.ranked(now, &self.want(part, avoid));
         ranked.truncate(HOMES);
-        if work != Work::Reading {
+        if work != Phase::Prefill {
             return ranked;
         }
         // One that is late anyway is not to stretch the pauses of streams.
@@ -294,8 +294,8 @@
             left_ms: ms(left),
             gap_ms: self
                 .route
-                .gap
-                .filter(|_| self.work == Some(Work::Writing))
+                .max_gap
+                .filter(|_| self.work == Some(Phase::Decode))
                 .map(ms),
             slots: server.slots,
             rank: self.rank(),
@@ -320,7 +320,7 @@
     fn copy_ns(&self) -> Option<u32> {
         let catalog = self.state.catalog.borrow();
         let service = catalog.as_ref()?.service(&self.service)?;
-        let copy = service.engine.as_ref()?.copy?;
+        let copy = service.engine.as_ref()?.copy_time?;
         u32::try_from(copy.as_nanos()).ok()
     }
 
@@ -337,7 +337,7 @@
     }
 
     fn too_late(&self, server: &Listed, expected: Duration) -> Failure {
-        let target = self.route.target;
+        let target = self.route.latency_target;
         let after = waits::comeback(expected, target, rand::rng().random());
         info!("call refused", kv: {
             id = self.name(),
@@ -347,7 +347,7 @@
             expected_ms = millis(expected),
             target_ms = millis(target),
             patience_ms = self.ask.patience.map_or(0, millis),
-            timeout_ms = millis(self.route.timeout),
+            timeout_ms = millis(self.route.call_timeout),
             returned = self.returned(),
             after_ms = millis(after)
         });
@@ -363,14 +363,14 @@
                 None => By::Own,
                 // What little these calls share is read faster than a crowded
                 // server writes.
-                Some(Work::Writing) => By::Open,
-                Some(Work::Reading) if prefix.is_none() => By::Open,
-                Some(Work::Reading) => By::Prefix,
+                Some(Phase::Decode) => By::Open,
+                Some(Phase::Prefill) if prefix.is_none() => By::Open,
+                Some(Phase::Prefill) => By::Prefix,
             },
             prefix,
             tried,
             part,
-            silence: (self.route.target * SILENCE).clamp(SILENCE_LEAST, SILENCE_MOST),
+            silence: (self.route.latency_target * SILENCE).clamp(SILENCE_LEAST, SILENCE_MOST),
         }
     }
 
@@ -378,8 +378,8 @@
     fn caller(&self, begin: Begin) -> Caller {
         Caller {
             tier: self.route.tier.0,
-            target: self.route.target,
-            timeout: self.route.timeout,
+            target: self.route.latency_target,
+            timeout: self.route.call_timeout,
             patience: self.ask.patience,
             fresh: begin == Begin::Fresh,
         }
@@ -394,11 +394,11 @@
     fn admit(&self, server: &Listed, begin: Begin) -> Result<u32, Failure> {
         let ahead = self.state.balance.borrow().waiting(&server.id);
         // A caller that has a part of its stream is not turned away.
-        if self.work != Some(Work::Reading) || begin != Begin::Fresh {
+        if self.work != Some(Phase::Prefill) || begin != Begin::Fresh {
             return Ok(ahead);
         }
         let waits = self.state.waits.borrow();
-        let target = self.route.target;
+        let target = self.route.latency_target;
         let now = self.state.clock.now();
         let claim = Claim {
             tier: self.route.tier.0,
@@ -431,11 +431,11 @@
         };
         let (engines, slots) = self.state.balance.borrow().size(&self.service);
         let mut pools = self.state.pools.borrow_mut();
-        let writers = pools.writers(now, &self.service, engines, slots);
+        let writers = pools.decode_engines(now, &self.service, engines, slots);
         match (writers, work) {
             (0, _) => Part::All,
-            (count, Work::Writing) => Part::First(count),
-            (count, Work::Reading) => Part::Rest(count),
+            (count, Phase::Decode) => Part::First(count),
+            (count, Phase::Prefill) => Part::Rest(count),
         }
     }
 }
--- a/crates/forward/src/duties/scale.rs
+++ b/crates/forward/src/duties/scale.rs
@@ -8,7 +8,7 @@
 use futures_util::future::join_all;
 use policy::balance::Listed;
 use policy::routes::Service;
-use policy::scaling::{Order, Scaler, Zone};
+use policy::scaling::{Scaler, ServerOrder, ZoneLoad};
 use spdlog::{info, warn};
 
 use super::Duties;
@@ -59,15 +59,15 @@
     }
 
     /// How busy the servers of a service are, by availability zone.
-    async fn busy(&self, service: &str) -> BTreeMap<Rc<str>, Zone> {
+    async fn busy(&self, service: &str) -> BTreeMap<Rc<str>, ZoneLoad> {
         let serving = self.balance.borrow().serving(service);
         let busy = serving.iter().map(|(s, open)| self.busy_at(s, *open));
         let busy = join_all(busy).await;
-        let mut zones: BTreeMap<Rc<str>, Zone> = BTreeMap::new();
+        let mut zones: BTreeMap<Rc<str>, ZoneLoad> = BTreeMap::new();
         for ((server, _), busy) in serving.iter().zip(busy) {
             let zone = zones.entry(Rc::clone(&server.zone)).or_default();
             zone.serving += 1;
-            zone.busy += busy;
+            zone.busy_servers += busy;
         }
         zones
     }
@@ -98,8 +98,8 @@
             return true;
         };
         let zones = state.busy(&service.name).await;
-        scaler.look(state.clock.now(), limits, &zones);
-        for order in scaler.due(state.clock.now()) {
+        scaler.observe(state.clock.now(), limits, &zones);
+        for order in scaler.due_orders(state.clock.now()) {
             let token = || self.token();
             let outcome = duty_api
                 .order(&self.name, &service.name, &order, token)
@@ -108,20 +108,26 @@
             if outcome != Outcome::Accepted {
                 return outcome.heard();
             }
-            scaler.accepted(state.clock.now(), &order);
+            scaler.mark_accepted(state.clock.now(), &order);
             tokio::time::sleep(self.spacing()).await;
         }
         true
     }
 
     /// Notes what became of an order.
-    fn note_order(&self, service: &str, order: &Order, seen: Option<&Zone>, outcome: &Outcome) {
+    fn note_order(
+        &self,
+        service: &str,
+        order: &ServerOrder,
+        seen: Option<&ZoneLoad>,
+        outcome: &Outcome,
+    ) {
         let word = outcome.word();
         metrics::counter!("pimentocart_server_orders_total", "outcome" => word).increment(1);
         let seen = seen.copied().unwrap_or_default();
         info!("servers ordered", kv: {
             service, zone = &*order.zone, count = order.count, outcome = word,
-            serving = seen.serving, busy = format!("{:.2}", seen.busy).as_str()
+            serving = seen.serving, busy = format!("{:.2}", seen.busy_servers).as_str()
         });
         match outcome {
             Outcome::Accepted => {
--- a/crates/forward/src/edge.rs
+++ b/crates/forward/src/edge.rs
@@ -209,7 +209,7 @@
         &self,
         holder: &str,
         service: &str,
-        order: &scaling::Order,
+        order: &scaling::ServerOrder,
         token: impl FnOnce() -> Option<u64>,
     ) -> impl Future<Output = Outcome>;
 }
--- a/crates/forward/src/finding.rs
+++ b/crates/forward/src/finding.rs
@@ -1,10 +1,10 @@
-//! Finding the other entries, as `policy::finding` says.
+//! Finding the other entries, as `policy::discovery` says.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use base::stop::Stop;
-use policy::finding::Step;
+use policy::discovery::DiscoveryStep;
 use spdlog::warn;
 
 use crate::edge::Directory;
@@ -24,29 +24,32 @@
         // A store that came back from an old copy may lack the address.
         let seen = state.tables.rewinds.get();
         if std::mem::replace(&mut rewinds, seen) != seen {
-            state.finder.borrow_mut().forgotten();
+            state.finder.borrow_mut().announcement_lost();
         }
         let (first, relayed) = {
             let roster = state.roster.borrow();
             (roster.relays(), roster.relayed())
         };
-        let step = state.finder.borrow_mut().next(now, first, relayed);
+        let step = state.finder.borrow_mut().next_step(now, first, relayed);
         let failed = match step {
-            Step::Ask(addr) => {
+            DiscoveryStep::Ask(addr) => {
                 voice.ask(addr, WITHIN);
                 continue;
             }
-            Step::Wait(pause) => {
+            DiscoveryStep::Wait(pause) => {
                 tokio::time::sleep(pause).await;
                 continue;
             }
-            Step::Announce => {
+            DiscoveryStep::Announce => {
                 let announced = directory.announce(&state.settings.name, addr).await;
                 let now = state.clock.now();
-                state.finder.borrow_mut().announced(now, announced.is_ok());
+                state
+                    .finder
+                    .borrow_mut()
+                    .announce_finished(now, announced.is_ok());
                 announced.err()
             }
-            Step::Look => {
+            DiscoveryStep::ReadDirectory => {
                 let found = directory.entries().await;
                 let (found, error) = match found {
                     Ok(found) => (Some(found), None),
@@ -54,7 +57,7 @@
                 };
                 let others = found.map(|f| f.into_iter().filter(|a| *a != addr).collect());
                 let now = state.clock.now();
-                state.finder.borrow_mut().looked(now, others);
+                state.finder.borrow_mut().directory_read(now, others);
                 error
             }
         };
--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/follow.rs
@@ -142,7 +142,7 @@
         // other tables.
         let now = state.clock.now();
         let told = state.readers.borrow_mut().ask(now).is_some();
-        if told || !state.finder.borrow().settled(now) {
+        if told || !state.finder.borrow().is_settled(now) {
             tokio::time::sleep(LOOK).await;
             continue;
         }
@@ -193,10 +193,10 @@
     let finder = state.finder.borrow();
     let mut readers = state.readers.borrow_mut();
     let spare = match (readers.ask(now), age) {
-        (None, None) if !finder.settled(now) => LOOK_FIRST,
+        (None, None) if !finder.is_settled(now) => LOOK_FIRST,
         // Some neighbour tells it what there is sooner than the store would.
         (asked, None) if asked.is_some() || readers.copied(now, true) => {
-            let spare = readers.patience_first().checked_sub(finder.since(now))?;
+            let spare = readers.patience_first().checked_sub(finder.elapsed(now))?;
             spare.min(LOOK_FIRST)
         }
         (None, Some(age)) if readers.copied(now, false) => readers.patience().checked_sub(age)?,
--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -15,7 +15,7 @@
 use base::stop::Stop;
 use policy::balance::Turns;
 use policy::others::{BELIEVED, Intervals};
-use policy::pools::Told;
+use policy::pools::ServiceDemand;
 use policy::roster::{Count, Named, Seat, Targets};
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
@@ -167,10 +167,10 @@
     fn saying(&self, now: Instant) -> Saying {
         let state = &self.state;
         self.seq.set(self.seq.get() + 1);
-        let services = state.pools.borrow_mut().told(now);
+        let services = state.pools.borrow_mut().local_demand(now);
         let mut calls = state.balance.borrow().told();
         calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
-        let service = |(name, told): &(Rc<str>, Told)| service(number(name), told);
+        let service = |(name, told): &(Rc<str>, ServiceDemand)| service(number(name), told);
         Saying {
             life: self.life,
             seq: self.seq.get(),
@@ -302,7 +302,7 @@
             near: large(answer.near),
             place: large(answer.place),
         };
-        state.finder.borrow_mut().answered(now);
+        state.finder.borrow_mut().peer_answered(now);
         state.roster.borrow_mut().counted(now, count);
         for seat in &answer.seats {
             let left = Duration::from_millis(u64::from(seat.left_ms));
@@ -333,7 +333,7 @@
         state.roster.borrow_mut().aged(now, addr, age);
         if let Some(age) = age {
             state.readers.borrow_mut().aged(now, addr, age);
-            state.finder.borrow_mut().running();
+            state.finder.borrow_mut().found_running();
         }
     }
 
@@ -373,7 +373,10 @@
         for service in catalog.services().filter(|s| s.engine.is_some()) {
             let told = sum.services.get(&number(&service.name));
             let told = told.copied().unwrap_or_default();
-            state.pools.borrow_mut().hear(now, &service.name, told);
+            state
+                .pools
+                .borrow_mut()
+                .set_remote(now, &service.name, told);
         }
     }
 
--- a/crates/forward/src/gossip/words.rs
+++ b/crates/forward/src/gossip/words.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use policy::others::{self, Calls};
-use policy::pools::Told;
+use policy::pools::ServiceDemand;
 use policy::rendezvous;
 use policy::suspects::{Crash, Fingerprint};
 use wire::gossip::{self, Asks, Saying, Scope};
@@ -17,14 +17,14 @@
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
-pub(super) fn service(number: u32, told: &Told) -> gossip::Service {
+pub(super) fn service(number: u32, told: &ServiceDemand) -> gossip::Service {
     gossip::Service {
         number,
-        reading: told.reading as f32,
-        writing: told.writing as f32,
-        pace: told.pace as f32,
-        paced: told.paced,
-        pause: told.pause as f32,
+        reading: told.prefill_rate as f32,
+        writing: told.decode_calls as f32,
+        pace: told.prefill_pace as f32,
+        paced: told.pace_samples,
+        pause: told.stream_pause as f32,
     }
 }
 
@@ -36,12 +36,12 @@
 /// What `said` says, in the types of those who decide.
 pub(super) fn read(said: &Saying) -> others::Saying {
     let told = |s: &gossip::Service| {
-        let told = Told {
-            reading: f64::from(s.reading),
-            writing: f64::from(s.writing),
-            pace: f64::from(s.pace),
-            paced: s.paced,
-            pause: f64::from(s.pause),
+        let told = ServiceDemand {
+            prefill_rate: f64::from(s.reading),
+            decode_calls: f64::from(s.writing),
+            prefill_pace: f64::from(s.pace),
+            pace_samples: s.paced,
+            stream_pause: f64::from(s.pause),
         };
         (s.number, told)
     };
--- a/crates/forward/src/http.rs
+++ b/crates/forward/src/http.rs
@@ -41,7 +41,7 @@
 async fn handle(state: Data<Rc<State>>, request: HttpRequest, payload: Payload) -> HttpResponse {
     let state = Rc::clone(&state);
     let came = state.clock.now();
-    let limit = state.catalog.borrow().as_ref().map(|c| c.limits.body);
+    let limit = state.catalog.borrow().as_ref().map(|c| c.limits.max_body);
     let reply = match body(payload, limit.unwrap_or_default().max(1 << 20)).await {
         Ok(body) => match incoming(&request, note(&state, body), came) {
             Some(incoming) => answer(&state, incoming).await,
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -208,7 +208,7 @@
             .balance
             .borrow_mut()
             .failed(self.call.state.clock.now(), &from);
-        let resumable = self.call.route.kind == policy::routes::Kind::Resumable;
+        let resumable = self.call.route.kind == policy::routes::CallKind::Resumable;
         if !resumable || self.last.is_none() && self.count > 0 {
             return Err(broken(from, cause));
         }
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -8,10 +8,10 @@
 use base::stop::Stop;
 use policy::balance::Balance;
 use policy::budget::Budget;
-use policy::finding::Finder;
+use policy::discovery::PeerDiscovery;
 use policy::link::Link;
 use policy::others::{EntryCount, Others};
-use policy::pools::Pools;
+use policy::pools::PhasePools;
 use policy::readers::{Rank, Readers};
 use policy::rendezvous;
 use policy::roster::{Roster, Seat};
@@ -48,7 +48,7 @@
     /// The known servers.
     pub balance: RefCell<Balance>,
     /// What calls load the engines with.
-    pub pools: RefCell<Pools>,
+    pub pools: RefCell<PhasePools>,
     /// How long calls wait at engines.
     pub waits: RefCell<Waits>,
     /// Copies of the store's tables.
@@ -60,7 +60,7 @@
     /// Other entries.
     pub roster: RefCell<Roster>,
     /// How they are found.
-    pub finder: RefCell<Finder>,
+    pub finder: RefCell<PeerDiscovery>,
     /// How many entries there are.
     pub entry_count: RefCell<EntryCount>,
     /// Repeats that are left.
@@ -110,7 +110,7 @@
             readers: RefCell::new(Readers::new(own_rank(&settings))),
             others: RefCell::default(),
             roster: RefCell::new(Roster::new(own_seat(&settings), settings.duties.is_some())),
-            finder: RefCell::new(Finder::new(
+            finder: RefCell::new(PeerDiscovery::new(
                 clock.now(),
                 settings.seed_addrs(),
                 settings.first_start,
--- a/crates/forward/src/tables.rs
+++ b/crates/forward/src/tables.rs
@@ -102,7 +102,7 @@
     info!("catalog in force", kv: {
         version = catalog.version,
         before = held.unwrap_or(0),
-        routes = catalog.routes()
+        routes = catalog.route_count()
     });
     metrics::gauge!("pimentocart_catalog_version").set(catalog.version as f64);
     *state.catalog.borrow_mut() = Some(catalog);
--- a/crates/forward/tests/calls/callers.rs
+++ b/crates/forward/tests/calls/callers.rs
@@ -1,6 +1,6 @@
 //! Callers that are refused, forge, or come while the entry stops.
 
-use policy::routes::Kind;
+use policy::routes::CallKind;
 use rstest::rstest;
 
 use crate::common::{Act, Entry, OK, Plan, field, request, status};
@@ -14,7 +14,7 @@
 #[case::unknown("key: x\r\n", "401")]
 #[actix_rt::test]
 async fn key_checked(#[case] key: &str, #[case] wanted: &str) {
-    let mut plan = Plan::new(Kind::Once, 1, &[Act::Send(OK)]);
+    let mut plan = Plan::new(CallKind::Once, 1, &[Act::Send(OK)]);
     plan.keys = true;
     let entry = Entry::start(plan).await;
     let answer = entry.call(&format!("{ID}{key}")).await;
@@ -29,7 +29,7 @@
 /// route exists, so it refuses for now instead of answering 404.
 #[actix_rt::test]
 async fn no_catalog_is_no_404() {
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &[])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     entry.state.catalog.borrow_mut().take();
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "503");
@@ -41,7 +41,7 @@
 /// about to be told of the catalog.
 #[actix_rt::test]
 async fn first_tables_are_waited_for() {
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &[])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     let catalog = entry.state.catalog.borrow_mut().take();
     let call = entry.call(ID);
     let told = async {
@@ -58,7 +58,7 @@
 
 #[actix_rt::test]
 async fn passed_on_unchanged() {
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &[])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     entry
         .call("call-id: 1\r\nOther: kept\r\npatience-ms: 900\r\n")
         .await;
@@ -75,7 +75,7 @@
 /// A request hides in the body of another. It must reach the server as body.
 #[actix_rt::test]
 async fn smuggled_request_stays_a_body() {
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &[])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     let inner = "POST /r/evil HTTP/1.1\r\nHost: h.example\r\n\r\n";
     let length = inner.len();
     let outer = format!(
@@ -96,7 +96,7 @@
 /// not ready meanwhile.
 #[actix_rt::test]
 async fn stopping_ends_calls_whole() {
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &[])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     entry.state.listed.set(true);
     assert!(entry.state.ready());
     entry.state.stopping.ask();
--- a/crates/forward/tests/calls/common.rs
+++ b/crates/forward/tests/calls/common.rs
@@ -14,7 +14,7 @@
 use forward::state::State;
 use http::{HeaderMap, HeaderValue};
 use policy::balance::{Listed, Word};
-use policy::routes::{Catalog, Engine, Kind, Limits, Route, Service, Workspace};
+use policy::routes::{CallKind, CallerLimits, Catalog, Engine, Route, Service, Workspace};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -287,7 +287,7 @@
 
 /// What a test sets.
 pub(crate) struct Plan {
-    pub(crate) kind: Kind,
+    pub(crate) kind: CallKind,
     pub(crate) attempts: u32,
     pub(crate) timeout: Duration,
     pub(crate) target: Duration,
@@ -300,7 +300,7 @@
 }
 
 impl Plan {
-    pub(crate) fn new(kind: Kind, attempts: u32, acts: &[Act]) -> Self {
+    pub(crate) fn new(kind: CallKind, attempts: u32, acts: &[Act]) -> Self {
         Self {
             kind,
             attempts,
@@ -373,7 +373,7 @@
 
     /// Puts the route into the lowest tier.
     pub(crate) fn lower_tier(&self) {
-        let mut plan = Plan::new(Kind::Once, 1, &[]);
+        let mut plan = Plan::new(CallKind::Once, 1, &[]);
         plan.engine = true;
         plan.tier = 2;
         *self.state.catalog.borrow_mut() = Some(Rc::new(catalog(&plan)));
@@ -437,24 +437,24 @@
     let route = Route {
         name: "r".to_owned(),
         host: "h.example".to_owned(),
-        prefix: "/r/".to_owned(),
+        path_prefix: "/r/".to_owned(),
         kind: plan.kind,
-        timeout: plan.timeout,
-        target: plan.target,
-        gap: None,
+        call_timeout: plan.timeout,
+        latency_target: plan.target,
+        max_gap: None,
         tier: Tier(plan.tier),
         split: vec![(Rc::from("app"), 1)],
-        attempts: plan.attempts,
-        open: false,
+        max_attempts: plan.attempts,
+        anonymous: false,
     };
     let service = Service {
         name: Rc::from("app"),
-        connections: 10,
+        max_connections: 10,
         engine: plan.engine.then_some(Engine {
             slots: 4,
-            memory: 100_000,
-            stride: 8,
-            copy: None,
+            memory_tokens: 100_000,
+            event_tokens: 8,
+            copy_time: None,
         }),
         scaling: None,
     };
@@ -464,7 +464,7 @@
     };
     let keys = HashMap::from([("k".to_owned(), Rc::new(workspace))]);
     let keys = plan.keys.then_some(keys);
-    Catalog::new(1, vec![route], vec![service], keys, Limits::default())
+    Catalog::new(1, vec![route], vec![service], keys, CallerLimits::default())
 }
 
 /// The status of an answer.
--- a/crates/forward/tests/calls/grants.rs
+++ b/crates/forward/tests/calls/grants.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use forward::grants::Sidecars;
-use policy::routes::Kind;
+use policy::routes::CallKind;
 use tokio::io::AsyncWriteExt;
 use tokio::net::UdpSocket;
 use wire::grants::{Answer, Ask, LARGEST, Verdict, What, decode, encode};
@@ -38,7 +38,7 @@
 
     /// The same where the engines do as they are told first.
     async fn start_with(acts: &[Act]) -> (Self, Entry) {
-        Self::start_by(Plan::new(Kind::Once, 1, acts)).await
+        Self::start_by(Plan::new(CallKind::Once, 1, acts)).await
     }
 
     /// The same by any plan.
@@ -354,7 +354,7 @@
 #[case::came_back(2_000, false)]
 #[actix_rt::test]
 async fn own_patience_is_no_return(#[case] patience_ms: u64, #[case] fresh: bool) {
-    let mut plan = Plan::new(Kind::Once, 1, &[]);
+    let mut plan = Plan::new(CallKind::Once, 1, &[]);
     // So long that no stall of the machine takes a part of it that matters.
     plan.target = TARGET;
     let (sidecar, entry) = Sidecar::start_by(plan).await;
--- a/crates/forward/tests/calls/repeats.rs
+++ b/crates/forward/tests/calls/repeats.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use policy::balance::Turns;
-use policy::routes::Kind;
+use policy::routes::CallKind;
 use rstest::rstest;
 
 use crate::common::{Act, ELSEWHERE, Entry, FAILED, NOT_RUN, OK, Plan, field, request, status};
@@ -17,7 +17,7 @@
 #[actix_rt::test]
 async fn once_not_repeated_after_reset() {
     let acts = [Act::SendReset("")];
-    let entry = Entry::start(Plan::new(Kind::Once, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 2, &acts)).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "502");
     assert_eq!(entry.servers.requests().len(), 1);
@@ -42,7 +42,7 @@
 #[case::failed(Act::Send(FAILED))]
 #[actix_rt::test]
 async fn idempotent_repeated(#[case] first: Act) {
-    let entry = Entry::start(Plan::new(Kind::Idempotent, 2, &[first])).await;
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &[first])).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "200");
     assert!(answer.ends_with("hello"));
@@ -67,7 +67,7 @@
 ))]
 #[actix_rt::test]
 async fn spoilt_answer_is_no_success(#[case] first: Act) {
-    let entry = Entry::start(Plan::new(Kind::Once, 2, &[first])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 2, &[first])).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "502");
     assert!(field(&answer, "seal").is_none());
@@ -78,7 +78,7 @@
 /// once goes to the next server.
 #[actix_rt::test]
 async fn not_run_goes_elsewhere() {
-    let entry = Entry::start(Plan::new(Kind::Once, 2, &[Act::Send(NOT_RUN)])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 2, &[Act::Send(NOT_RUN)])).await;
     assert_eq!(status(&entry.call(ID).await), "200");
     assert_eq!(entry.servers.requests().len(), 2);
 }
@@ -88,7 +88,7 @@
 /// and no further call is sent to the old name.
 #[actix_rt::test]
 async fn replaced_server_is_left_alone() {
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &[Act::Send(ELSEWHERE)])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[Act::Send(ELSEWHERE)])).await;
     for _ in 0..6 {
         assert_eq!(status(&entry.call(ID).await), "200");
     }
@@ -110,7 +110,7 @@
 #[actix_rt::test]
 async fn replaced_server_costs_a_repeat() {
     let acts = [Act::Send(ELSEWHERE), Act::Send(ELSEWHERE)];
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &acts)).await;
     entry.repeats_left();
     assert_eq!(status(&entry.call(ID).await), "503");
     assert_eq!(entry.servers.requests().len(), 1);
@@ -120,7 +120,7 @@
 #[actix_rt::test]
 async fn refused_with_time_to_return() {
     let acts = [Act::Send(NOT_RUN), Act::Send(NOT_RUN)];
-    let entry = Entry::start(Plan::new(Kind::Once, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 2, &acts)).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "503");
     let after: f64 = field(&answer, "retry-after")
@@ -134,7 +134,7 @@
 #[actix_rt::test]
 async fn may_have_run_is_no_refusal() {
     let acts = [Act::SendReset(""), Act::Send(NOT_RUN)];
-    let entry = Entry::start(Plan::new(Kind::Idempotent, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &acts)).await;
     assert_eq!(status(&entry.call(ID).await), "502");
 }
 
@@ -142,7 +142,7 @@
 #[actix_rt::test]
 async fn attempts_bounded() {
     let acts = [Act::SendReset(""), Act::SendReset(""), Act::Send(OK)];
-    let entry = Entry::start(Plan::new(Kind::Idempotent, 1, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 1, &acts)).await;
     assert_eq!(status(&entry.call(ID).await), "502");
     assert_eq!(entry.servers.requests().len(), 1);
 }
@@ -152,7 +152,7 @@
 #[actix_rt::test]
 async fn failure_passed_on_unchanged() {
     let acts = [Act::Send(FAILED), Act::Send(FAILED)];
-    let entry = Entry::start(Plan::new(Kind::Idempotent, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &acts)).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "500");
     assert_eq!(field(&answer, "seal").as_deref(), Some("s"));
@@ -164,7 +164,7 @@
 #[actix_rt::test]
 async fn failure_kept_without_repeats() {
     let acts = [Act::Send(FAILED)];
-    let entry = Entry::start(Plan::new(Kind::Idempotent, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &acts)).await;
     let service = std::rc::Rc::from("app");
     let now = entry.state.clock.now();
     while entry.state.budget.borrow_mut().repeat(now, &service) {}
@@ -179,7 +179,7 @@
 async fn extra_answer_reaches_nobody() {
     let doubled = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 5\r\n\r\nhello\
          HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 5\r\n\r\nextra";
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &[Act::Send(doubled)])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[Act::Send(doubled)])).await;
     for id in ["1", "2", "3", "4"] {
         let answer = entry.call(&format!("call-id: {id}\r\n")).await;
         assert_eq!(status(&answer), "200");
@@ -193,7 +193,7 @@
 #[actix_rt::test]
 async fn closed_while_idle_costs_nothing() {
     let acts = vec![Act::SendClose(OK); 6];
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &acts)).await;
     for _ in 0..6 {
         assert_eq!(status(&entry.call(ID).await), "200");
     }
@@ -202,7 +202,7 @@
 
 #[actix_rt::test]
 async fn connections_kept() {
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &[])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     for _ in 0..10 {
         assert_eq!(status(&entry.call(ID).await), "200");
     }
@@ -217,7 +217,7 @@
 /// time; and since nobody waits any more, the server's connection is closed.
 #[actix_rt::test]
 async fn timeout_answered_and_cancelled() {
-    let mut plan = Plan::new(Kind::Idempotent, 2, &[Act::Silent]);
+    let mut plan = Plan::new(CallKind::Idempotent, 2, &[Act::Silent]);
     plan.timeout = Duration::from_millis(80);
     let entry = Entry::start(plan).await;
     assert_eq!(status(&entry.call(ID).await), "504");
@@ -229,7 +229,7 @@
 /// so that it stops working for nobody.
 #[actix_rt::test]
 async fn caller_gone_cancels() {
-    let entry = Entry::start(Plan::new(Kind::Idempotent, 2, &[Act::Silent])).await;
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &[Act::Silent])).await;
     let mut stream = entry.connect().await;
     stream
         .write_all(request(ID, "").as_bytes())
@@ -248,7 +248,7 @@
 /// body, and run as something that no caller has sent.
 #[actix_rt::test]
 async fn early_answer_spoils_nothing() {
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &[Act::Early(OK)])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[Act::Early(OK)])).await;
     let body = "x".repeat(1 << 20);
     let length = body.len();
     let head = format!(
@@ -283,7 +283,7 @@
     let limited = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nlimit: 0.01\r\n\
                    Content-Length: 5\r\n\r\nhello";
     let acts = [Act::Send(limited), Act::Send(limited), Act::Send(limited)];
-    let entry = Entry::start(Plan::new(Kind::Idempotent, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &acts)).await;
     share(&entry);
     assert_eq!(status(&entry.call(ID).await), "200");
     assert_eq!(status(&entry.call(ID).await), "200");
@@ -301,7 +301,7 @@
 async fn next_turn_is_waited_for() {
     let limited = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nlimit: 20\r\n\
                    Content-Length: 5\r\n\r\nhello";
-    let mut plan = Plan::new(Kind::Idempotent, 2, &vec![Act::Send(limited); 10]);
+    let mut plan = Plan::new(CallKind::Idempotent, 2, &vec![Act::Send(limited); 10]);
     plan.target = Duration::from_secs(4);
     let entry = Entry::start(plan).await;
     share(&entry);
--- a/crates/forward/tests/calls/streams.rs
+++ b/crates/forward/tests/calls/streams.rs
@@ -1,7 +1,7 @@
 //! Streams of events: passed on whole, gone on with elsewhere, or cut so that
 //! it shows.
 
-use policy::routes::Kind;
+use policy::routes::CallKind;
 use rstest::rstest;
 
 use crate::common::{Act, Entry, OK, Plan, field, status};
@@ -34,10 +34,10 @@
 }
 
 #[rstest]
-#[case::once(Kind::Stream)]
-#[case::resumable(Kind::Resumable)]
+#[case::once(CallKind::Stream)]
+#[case::resumable(CallKind::Resumable)]
 #[actix_rt::test]
-async fn whole_passed_on(#[case] kind: Kind) {
+async fn whole_passed_on(#[case] kind: CallKind) {
     let entry = Entry::start(Plan::new(kind, 2, &[Act::Send(WHOLE)])).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "200");
@@ -50,7 +50,7 @@
 #[actix_rt::test]
 async fn resumed_after_last_whole_event() {
     let acts = [Act::SendReset(HALF), Act::Send(REST)];
-    let entry = Entry::start(Plan::new(Kind::Resumable, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &acts)).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a", "b"], true));
     assert_eq!(field(&answer, "seal").as_deref(), Some("one"));
@@ -65,7 +65,7 @@
 #[actix_rt::test]
 async fn resume_that_cannot_be_sent_costs_one_repeat() {
     let acts = [Act::SendReset(HALF)];
-    let entry = Entry::start(Plan::new(Kind::Resumable, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &acts)).await;
     entry.lose_a_server();
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a"], false));
@@ -77,7 +77,7 @@
 #[actix_rt::test]
 async fn rest_that_is_no_event_is_not_joined() {
     let acts = [Act::SendReset(HALF), Act::Send(OK)];
-    let entry = Entry::start(Plan::new(Kind::Resumable, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &acts)).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a"], false));
     assert!(!answer.contains("hello"));
@@ -88,7 +88,7 @@
 #[actix_rt::test]
 async fn wrong_event_is_not_joined() {
     let acts = [Act::SendReset(HALF), Act::Send(WRONG)];
-    let entry = Entry::start(Plan::new(Kind::Resumable, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &acts)).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a"], false));
 }
@@ -99,7 +99,7 @@
 async fn numbers_with_gaps_pass() {
     let gaps =
         "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nid: 1\ndata: a\n\nid: 8\ndata: b\n\n";
-    let entry = Entry::start(Plan::new(Kind::Stream, 1, &[Act::SendClose(gaps)])).await;
+    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[Act::SendClose(gaps)])).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a", "b"], true));
 }
@@ -117,7 +117,7 @@
 )]
 #[actix_rt::test]
 async fn other_line_ends_pass(#[case] bytes: &'static str) {
-    let entry = Entry::start(Plan::new(Kind::Stream, 1, &[Act::Send(bytes)])).await;
+    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[Act::Send(bytes)])).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "200");
     let body = answer.replace('\r', "");
@@ -131,7 +131,7 @@
 async fn doubled_event_is_cut() {
     let doubled =
         "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nid: 1\ndata: a\n\nid: 1\ndata: a\n\n";
-    let entry = Entry::start(Plan::new(Kind::Stream, 1, &[Act::SendClose(doubled)])).await;
+    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[Act::SendClose(doubled)])).await;
     let answer = entry.call(ID).await;
     assert!(!events(&answer).1);
 }
@@ -143,7 +143,7 @@
 #[case::closed(Act::SendClose(HALF))]
 #[actix_rt::test]
 async fn broken_stream_shows(#[case] act: Act) {
-    let entry = Entry::start(Plan::new(Kind::Stream, 2, &[act])).await;
+    let entry = Entry::start(Plan::new(CallKind::Stream, 2, &[act])).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a"], false));
     assert_eq!(entry.servers.requests().len(), 1);
@@ -168,7 +168,7 @@
 )]
 #[actix_rt::test]
 async fn unframed_stream(#[case] act: Act, #[case] whole: bool) {
-    let entry = Entry::start(Plan::new(Kind::Stream, 1, &[act])).await;
+    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[act])).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a"], whole));
 }
--- a/crates/forward/tests/calls/usage.rs
+++ b/crates/forward/tests/calls/usage.rs
@@ -5,7 +5,7 @@
 
 use forward::duties::Duties;
 use forward::settings::Settings;
-use policy::routes::Kind;
+use policy::routes::CallKind;
 use rstest::rstest;
 
 use crate::common::{Act, Entry, NOT_RUN, OK, Plan};
@@ -44,7 +44,7 @@
     #[case] wanted: u64,
     #[values(false, true)] engine: bool,
 ) {
-    let mut plan = Plan::new(Kind::Idempotent, acts.len() as u32, acts);
+    let mut plan = Plan::new(CallKind::Idempotent, acts.len() as u32, acts);
     plan.keys = true;
     plan.engine = engine;
     let entry = Entry::start(plan).await;
--- a/crates/forward/tests/calls/words.rs
+++ b/crates/forward/tests/calls/words.rs
@@ -1,6 +1,6 @@
 //! What answers say of the servers that make them.
 
-use policy::routes::Kind;
+use policy::routes::CallKind;
 use rstest::rstest;
 
 use crate::common::{Act, Entry, Plan, field, status};
@@ -13,7 +13,7 @@
 /// Makes a call to which one of two servers gives `answer`, and some more;
 /// returns how many of those have reached that server.
 async fn reached(answer: Act) -> usize {
-    let entry = Entry::start(Plan::new(Kind::Idempotent, 1, &[answer])).await;
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 1, &[answer])).await;
     entry.call(ID).await;
     for _ in 0..CALLS {
         entry.call(ID).await;
@@ -62,7 +62,7 @@
         "HTTP/1.1 421 Other\r\ncall-id: {id}\r\nnot-run: 1\r\nelsewhere: 1\r\nleaving: 1\r\n\
          Content-Length: 0\r\n\r\n",
     );
-    let entry = Entry::start(Plan::new(Kind::Idempotent, 1, &[answer])).await;
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 1, &[answer])).await;
     entry.call(ID).await;
     let now = entry.state.clock.now();
     assert_eq!(entry.state.balance.borrow().said(now).leaving, 0);
@@ -102,7 +102,7 @@
     let refusal = "HTTP/1.1 503 Full\r\ncall-id: {id}\r\nnot-run: 1\r\nrest-ms: 9000\r\n\
                    Content-Length: 0\r\n\r\n";
     let acts = [Act::Send(refusal), Act::Send(refusal)];
-    let entry = Entry::start(Plan::new(Kind::Once, 2, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 2, &acts)).await;
     for reached in [2, 2] {
         let answer = entry.call(ID).await;
         assert_eq!(status(&answer), "503");
@@ -125,7 +125,7 @@
 #[actix_rt::test]
 async fn connection_time_read_from_any_answer(#[case] answer: &'static str) {
     let acts = [Act::Send(answer)];
-    let entry = Entry::start(Plan::new(Kind::Once, 1, &acts)).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &acts)).await;
     entry.lose_a_server();
     entry.call(ID).await;
     assert_eq!(status(&entry.call(ID).await), "200");
--- a/crates/forward/tests/duties/common.rs
+++ b/crates/forward/tests/duties/common.rs
@@ -17,8 +17,8 @@
 use policy::balance::Listed;
 use policy::duty::Written;
 use policy::readers::Rank;
-use policy::routes::{Catalog, Limits, Service};
-use policy::scaling::{self, Order};
+use policy::routes::{CallerLimits, Catalog, Service};
+use policy::scaling::{self, ServerOrder};
 use policy::usage::Counts;
 
 /// Long enough for any step here, so that a test that hangs fails instead.
@@ -183,7 +183,7 @@
         &self,
         _holder: &str,
         _service: &str,
-        order: &Order,
+        order: &ServerOrder,
         token: impl FnOnce() -> Option<u64>,
     ) -> Outcome {
         let (token, outcome) = match self.0.call(token) {
@@ -388,15 +388,15 @@
 fn catalog() -> Catalog {
     let service = Service {
         name: Rc::from("app"),
-        connections: 10,
+        max_connections: 10,
         engine: None,
-        scaling: Some(scaling::Limits {
-            least: 1,
-            most: 8,
-            boot: Duration::from_secs(2),
+        scaling: Some(scaling::ScalingLimits {
+            min_servers: 1,
+            max_servers: 8,
+            boot_time: Duration::from_secs(2),
         }),
     };
-    Catalog::new(1, Vec::new(), vec![service], None, Limits::default())
+    Catalog::new(1, Vec::new(), vec![service], None, CallerLimits::default())
 }
 
 /// The server in an availability zone, named like it.
--- a/crates/forward/tests/tables/follow.rs
+++ b/crates/forward/tests/tables/follow.rs
@@ -11,7 +11,7 @@
 use forward::settings::Settings;
 use forward::state::State;
 use policy::balance::Listed;
-use policy::routes::{Catalog, Limits};
+use policy::routes::{CallerLimits, Catalog};
 use rstest::rstest;
 
 use crate::common::{Mute, until};
@@ -90,7 +90,13 @@
 }
 
 fn catalog(version: u64) -> Answer<Catalog> {
-    let catalog = Catalog::new(version, Vec::new(), Vec::new(), None, Limits::default());
+    let catalog = Catalog::new(
+        version,
+        Vec::new(),
+        Vec::new(),
+        None,
+        CallerLimits::default(),
+    );
     Answer::Records(vec![("config".to_owned(), Some(catalog))])
 }
 
--- a/crates/forward/tests/tables/neighbours.rs
+++ b/crates/forward/tests/tables/neighbours.rs
@@ -13,7 +13,7 @@
 use forward::{follow, neighbours};
 use policy::balance::Listed;
 use policy::readers::{Rank, SHARED_FROM};
-use policy::routes::{Catalog, Limits};
+use policy::routes::{CallerLimits, Catalog};
 use tokio::net::TcpListener;
 
 use crate::common::{Mute, PATIENCE, until};
@@ -98,7 +98,8 @@
 }
 
 fn catalogs(changes: Changes<Version>) -> Changes<Catalog> {
-    let catalog = |Version(v)| Catalog::new(v, Vec::new(), Vec::new(), None, Limits::default());
+    let catalog =
+        |Version(v)| Catalog::new(v, Vec::new(), Vec::new(), None, CallerLimits::default());
     let record = |(key, version): (String, Option<Version>)| (key, version.map(catalog));
     Changes {
         records: changes.records.into_iter().map(record).collect(),
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -6,7 +6,7 @@
 
 use policy::Placement;
 use policy::pace::{Load, Pace};
-use policy::placement::{Mode, Options, Want};
+use policy::placement::{PlacementMode, PlacementOptions, PlacementRequest};
 
 /// Decisions timed at once.
 const ROUNDS: u32 = 20_000;
@@ -17,10 +17,10 @@
 fn main() {
     println!("mode          servers  us/choose  us/heard");
     let modes = [
-        Mode::LateBinding,
-        Mode::Random,
-        Mode::LeastLoaded,
-        Mode::TwoChoices,
+        PlacementMode::LateBinding,
+        PlacementMode::Random,
+        PlacementMode::LeastLoaded,
+        PlacementMode::TwoChoices,
     ];
     for mode in modes {
         for servers in [8, 32, 128, 512] {
@@ -35,16 +35,16 @@
     }
 }
 
-fn placement(mode: Mode, servers: usize) -> Placement {
-    let mut placement = Placement::new(Options {
+fn placement(mode: PlacementMode, servers: usize) -> Placement {
+    let mut placement = Placement::new(PlacementOptions {
         mode,
-        lag: Duration::from_millis(500),
+        report_lag: Duration::from_millis(500),
         zone: "a".to_owned(),
         seed: 1,
     });
     for i in 0..servers {
         let zone = ["a", "b", "c"][i % 3];
-        placement.join(i, &format!("server-{i}"), zone, "model");
+        placement.add_server(i, &format!("server-{i}"), zone, "model");
     }
     heard(&mut placement, servers);
     placement
@@ -53,11 +53,11 @@
 fn choose(placement: &mut Placement) {
     let now = Instant::now();
     for i in 0..ROUNDS {
-        let want = Want {
+        let want = PlacementRequest {
             target: "model",
-            prefix: u64::from(i) + 1,
-            tried: &[],
-            fan: 2,
+            prefix_hash: u64::from(i) + 1,
+            excluded: &[],
+            fan_out: 2,
         };
         black_box(placement.choose(now, &want));
     }
@@ -75,7 +75,7 @@
             },
             ..Load::default()
         };
-        black_box(placement.heard(now, i as usize % servers, load, 0.3));
+        black_box(placement.record_load(now, i as usize % servers, load, 0.3));
     }
 }
 
--- a/crates/policy/src/caches.rs
+++ b/crates/policy/src/caches.rs
@@ -11,7 +11,7 @@
 
 /// What happened to a block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub enum BlockChange {
     /// It is kept from now on.
     Stored,
     /// It was dropped.
@@ -31,7 +31,7 @@
 impl CacheMap {
     /// The number of the next event to ask for.
     #[must_use]
-    pub fn next(&self) -> u64 {
+    pub fn next_event(&self) -> u64 {
         self.next
     }
 
@@ -41,7 +41,7 @@
     /// requests after prefixes that are long gone. Which one it was cannot be
     /// told, so a gap drops everything; a block that is used again is stored
     /// again soon. An event seen before changes nothing.
-    pub fn take(&mut self, number: u64, change: Change, block: u64) {
+    pub fn apply(&mut self, number: u64, change: BlockChange, block: u64) {
         if number < self.next {
             return;
         }
@@ -51,8 +51,8 @@
         self.next = number + 1;
 
         match change {
-            Change::Stored => self.store(block),
-            Change::Removed => {
+            BlockChange::Stored => self.store(block),
+            BlockChange::Removed => {
                 self.blocks.remove(&block);
             }
         }
@@ -60,7 +60,7 @@
 
     /// Notes that all events before `next` were given out; one that is missing
     /// at the end is a gap too.
-    pub fn until(&mut self, next: u64) {
+    pub fn advance_to(&mut self, next: u64) {
         if next > self.next {
             self.forget();
             self.next = next;
@@ -76,7 +76,7 @@
 
     /// Tokens that a prompt with this first block would find cached at least.
     #[must_use]
-    pub fn cached(&self, block: u64) -> u32 {
+    pub fn cached_tokens(&self, block: u64) -> u32 {
         match self.blocks.contains(&block) {
             true => BLOCK_TOKENS,
             false => 0,
--- a/crates/policy/src/finding.rs
+++ b/crates/policy/src/discovery.rs
@@ -59,53 +59,53 @@
 
 /// What an entry does next to find others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum DiscoveryStep {
     /// Asks the entry there whom it knows.
     Ask(SocketAddr),
     /// Writes its own address into the directory.
     Announce,
     /// Reads the directory.
-    Look,
+    ReadDirectory,
     /// Waits.
     Wait(Duration),
 }
 
 /// Finds the other entries.
 #[derive(Debug)]
-pub struct Finder {
+pub struct PeerDiscovery {
     /// Hosts that the settings name.
     seeds: Vec<SocketAddr>,
     /// How long the entry waits to be told of others.
-    start: Duration,
+    wait_limit: Duration,
     /// Entries that the directory names.
     listed: Vec<SocketAddr>,
     started: Instant,
     /// When another entry last answered.
-    answered: Option<Instant>,
+    last_answer: Option<Instant>,
     /// When another entry was last asked, how often one was, and how often since
     /// the first answer.
-    asked: Option<Instant>,
-    turn: usize,
-    again: u32,
+    last_asked: Option<Instant>,
+    asked_count: usize,
+    repeat_count: u32,
     announced: bool,
     /// Whether one that has answered, or that was named, has been up for longer.
     running: bool,
     /// When the directory is to be read again.
-    look: Instant,
+    next_read: Instant,
     /// When it may be written to again.
-    retry: Instant,
+    retry_at: Instant,
     failures: u32,
 }
 
-impl Finder {
+impl PeerDiscovery {
     /// Makes the finder of an entry that starts now; `first` says whether all
     /// entries start for the first time.
     #[must_use]
     pub fn new(now: Instant, seeds: Vec<SocketAddr>, first: bool) -> Self {
         Self {
-            look: now,
+            next_read: now,
             // Without anybody to ask there is nothing to wait for.
-            start: match (seeds.is_empty(), first) {
+            wait_limit: match (seeds.is_empty(), first) {
                 (true, _) => Duration::ZERO,
                 (false, true) => START_FIRST,
                 (false, false) => START,
@@ -113,13 +113,13 @@
             seeds,
             listed: Vec::new(),
             started: now,
-            answered: None,
-            asked: None,
-            turn: 0,
-            again: 0,
+            last_answer: None,
+            last_asked: None,
+            asked_count: 0,
+            repeat_count: 0,
             announced: false,
             running: false,
-            retry: now,
+            retry_at: now,
             failures: 0,
         }
     }
@@ -127,74 +127,74 @@
     /// Whether the entry may go by what it knows: it has waited long enough to
     /// be told of others, or there is nobody to ask.
     #[must_use]
-    pub fn settled(&self, now: Instant) -> bool {
-        self.running || now >= self.started + self.start
+    pub fn is_settled(&self, now: Instant) -> bool {
+        self.running || now >= self.started + self.wait_limit
     }
 
     /// Notes that others have been up for longer, and know who there is.
-    pub fn running(&mut self) {
+    pub fn found_running(&mut self) {
         self.running = true;
     }
 
     /// How long ago the entry has started.
     #[must_use]
-    pub fn since(&self, now: Instant) -> Duration {
+    pub fn elapsed(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started)
     }
 
     /// What to do next; `first` says whether the entry is one of the first of
     /// its zone, `relayed` whether these tell the others who there is.
-    pub fn next(&mut self, now: Instant, first: bool, relayed: bool) -> Step {
-        if let Some(addr) = self.ask(now, relayed && !first) {
-            return Step::Ask(addr);
+    pub fn next_step(&mut self, now: Instant, first: bool, relayed: bool) -> DiscoveryStep {
+        if let Some(addr) = self.next_peer(now, relayed && !first) {
+            return DiscoveryStep::Ask(addr);
         }
-        let alone = self.alone(now);
-        let waited = self.seeds.is_empty() || self.since(now) >= SETTLE;
+        let alone = self.is_isolated(now);
+        let waited = self.seeds.is_empty() || self.elapsed(now) >= SETTLE;
         let uses = waited && (alone || first);
-        if uses && !self.announced && now >= self.retry {
-            return Step::Announce;
+        if uses && !self.announced && now >= self.retry_at {
+            return DiscoveryStep::Announce;
         }
-        if uses && now >= self.look {
-            return Step::Look;
+        if uses && now >= self.next_read {
+            return DiscoveryStep::ReadDirectory;
         }
-        Step::Wait(LOOK)
+        DiscoveryStep::Wait(LOOK)
     }
 
     /// Notes that another entry has answered.
-    pub fn answered(&mut self, now: Instant) {
-        self.answered = Some(now);
+    pub fn peer_answered(&mut self, now: Instant) {
+        self.last_answer = Some(now);
     }
 
     /// Notes whether the directory has taken the address.
-    pub fn announced(&mut self, now: Instant, done: bool) {
+    pub fn announce_finished(&mut self, now: Instant, done: bool) {
         self.announced = done;
-        self.tried(now, done);
+        self.directory_result(now, done);
     }
 
     /// Notes that the directory may have lost the address.
-    pub fn forgotten(&mut self) {
+    pub fn announcement_lost(&mut self) {
         self.announced = false;
     }
 
     /// Notes what the directory names; none when it did not answer.
-    pub fn looked(&mut self, now: Instant, found: Option<Vec<SocketAddr>>) {
-        self.tried(now, found.is_some());
+    pub fn directory_read(&mut self, now: Instant, found: Option<Vec<SocketAddr>>) {
+        self.directory_result(now, found.is_some());
         let Some(found) = found else {
-            self.look = self.retry;
+            self.next_read = self.retry_at;
             return;
         };
         self.listed = found;
-        self.look = match self.alone(now) {
+        self.next_read = match self.is_isolated(now) {
             true => now + LOOK_ALONE,
             false => now + LOOK_FIRST,
         };
     }
 
-    fn tried(&mut self, now: Instant, done: bool) {
+    fn directory_result(&mut self, now: Instant, done: bool) {
         self.failures = if done { 0 } else { self.failures + 1 };
         let doubled = 2u32.pow(self.failures.saturating_sub(1).min(8));
         let pause = RETRY.saturating_mul(doubled);
-        self.retry = if done {
+        self.retry_at = if done {
             now
         } else {
             now + pause.min(RETRY_MOST)
@@ -202,29 +202,29 @@
     }
 
     /// Whether nobody has answered for long.
-    fn alone(&self, now: Instant) -> bool {
-        self.answered.is_none_or(|at| now >= at + ALONE)
+    fn is_isolated(&self, now: Instant) -> bool {
+        self.last_answer.is_none_or(|at| now >= at + ALONE)
     }
 
     /// Whom to ask now, if anybody; `told` says whether relays tell this entry
     /// who there is.
-    fn ask(&mut self, now: Instant, told: bool) -> Option<SocketAddr> {
+    fn next_peer(&mut self, now: Instant, told: bool) -> Option<SocketAddr> {
         let count = self.seeds.len() + self.listed.len();
-        let quiet = self.answered.is_none_or(|at| now >= at + QUIET);
-        let every = match self.alone(now) {
-            true if self.since(now) < SETTLE => ASK_FIRST,
+        let quiet = self.last_answer.is_none_or(|at| now >= at + QUIET);
+        let every = match self.is_isolated(now) {
+            true if self.elapsed(now) < SETTLE => ASK_FIRST,
             true => ASK_ALONE,
             false if told && quiet => ASK_ALONE,
             false if told => return None,
-            false => (ASK_MORE * 2u32.pow(self.again.min(8))).min(ASK_AGAIN),
+            false => (ASK_MORE * 2u32.pow(self.repeat_count.min(8))).min(ASK_AGAIN),
         };
-        if count == 0 || self.asked.is_some_and(|at| now < at + every) {
+        if count == 0 || self.last_asked.is_some_and(|at| now < at + every) {
             return None;
         }
-        self.again += u32::from(self.answered.is_some());
-        self.asked = Some(now);
-        let number = self.turn % count;
-        self.turn += 1;
+        self.repeat_count += u32::from(self.last_answer.is_some());
+        self.last_asked = Some(now);
+        let number = self.asked_count % count;
+        self.asked_count += 1;
         let seed = self.seeds.get(number).copied();
         seed.or_else(|| self.listed.get(number - self.seeds.len()).copied())
     }
--- a/crates/policy/src/grants.rs
+++ b/crates/policy/src/grants.rs
@@ -22,7 +22,7 @@
 
 pub mod call;
 pub mod fetch;
-pub mod lives;
+pub mod incarnations;
 mod mix;
 pub mod parts;
 mod queue;
@@ -34,13 +34,13 @@
 use std::time::{Duration, Instant};
 
 use crate::estimate::fit::Mean;
-pub use call::{Ask, Beliefs, CallId, Report, Verdict};
-use fetch::Fetch;
-use mix::Mix;
-use parts::Parts;
-use queue::{Queue, Turn, Waiting};
-use reserve::Reserve;
-use timing::Timing;
+pub use call::{CallId, EngineEstimates, EngineReport, GrantDecision, GrantRequest};
+use fetch::FetchEstimate;
+use mix::RankMix;
+use parts::PartCache;
+use queue::{QueueKey, QueuedCall, WaitQueue};
+use reserve::StreamReserve;
+use timing::TtftModel;
 
 /// Tokens of calls without a first event up to which more are let in: at
 /// first, at the least and at the most. A first event comes some 40 ms after
@@ -105,42 +105,42 @@
 
 /// The calls for one engine.
 #[derive(Debug)]
-pub struct Grants {
+pub struct GrantController {
     /// Calls that wait to be let in.
-    waiting: Queue,
+    queue: WaitQueue,
     /// Calls that were let in and have no first event.
-    flights: HashMap<CallId, Flight>,
+    pending: HashMap<CallId, PendingCall>,
     /// Calls that have their first event, with when they must have ended.
-    running: HashMap<CallId, Run>,
+    running: HashMap<CallId, RunningCall>,
     /// What first events take.
-    timing: Timing,
+    timing: TtftModel,
     /// What fetching a token from another engine takes.
-    fetch: Fetch,
+    fetch: FetchEstimate,
     /// How long calls hold a slot after their first event, in seconds.
-    hold: Mean,
+    hold_time: Mean,
     /// Tokens of calls without a first event up to which more are let in.
     window: f64,
     /// Prompt parts that the engine should hold.
-    parts: Parts,
+    parts: PartCache,
     /// The engine's last report.
-    report: Option<(Instant, Report)>,
+    report: Option<(Instant, EngineReport)>,
     /// When the engine's life began, as far as it says.
-    born: Option<u64>,
+    started_at: Option<u64>,
     /// Calls that the engine runs at once.
     slots: u32,
     /// What was let in lately, by rank.
-    mix: Mix,
+    mix: RankMix,
     /// Streams that come here.
-    reserve: Reserve,
+    reserve: StreamReserve,
     /// Part of a stream's longest pause that reading may take.
     gap_share: f64,
     /// Reading that was let in lately, in seconds.
-    lately: VecDeque<(Instant, f64)>,
+    recent_reads: VecDeque<(Instant, f64)>,
 }
 
 /// What a prompt costs its engine before its first event.
 #[derive(Debug, Clone, Copy)]
-struct Load {
+struct PromptCost {
     /// Tokens that it reads, and the time of those that it fetches in tokens
     /// read.
     tokens: u32,
@@ -151,143 +151,144 @@
 }
 
 #[derive(Debug)]
-struct Flight {
+struct PendingCall {
     since: Instant,
-    load: Load,
+    cost: PromptCost,
     /// The tokens of its load with those that were to be read before it.
     ahead: u32,
-    ask: Ask,
+    request: GrantRequest,
 }
 
-impl Flight {
+impl PendingCall {
     /// The call once it has its first event.
-    fn run(&self, now: Instant) -> Run {
-        Run {
+    fn run(&self, now: Instant) -> RunningCall {
+        RunningCall {
             since: now,
-            until: self.since + self.ask.left,
-            gap: self.ask.gap,
+            deadline: self.since + self.request.time_left,
+            gap: self.request.max_gap,
         }
     }
 }
 
 #[derive(Debug)]
-struct Run {
+struct RunningCall {
     since: Instant,
-    until: Instant,
+    deadline: Instant,
     gap: Option<Duration>,
 }
 
-impl Default for Grants {
+impl Default for GrantController {
     fn default() -> Self {
         Self {
-            waiting: Queue::default(),
-            flights: HashMap::new(),
+            queue: WaitQueue::default(),
+            pending: HashMap::new(),
             running: HashMap::new(),
-            timing: Timing::default(),
-            fetch: Fetch::default(),
-            hold: Mean::default(),
+            timing: TtftModel::default(),
+            fetch: FetchEstimate::default(),
+            hold_time: Mean::default(),
             window: WINDOW,
-            parts: Parts::default(),
+            parts: PartCache::default(),
             report: None,
-            born: None,
+            started_at: None,
             slots: 0,
-            mix: Mix::default(),
-            reserve: Reserve::default(),
+            mix: RankMix::default(),
+            reserve: StreamReserve::default(),
             gap_share: GAP_SHARE,
-            lately: VecDeque::new(),
+            recent_reads: VecDeque::new(),
         }
     }
 }
 
-impl Grants {
+impl GrantController {
     /// Decides about a call. The same call asked again is answered the same
     /// way, so that a lost answer costs only time.
-    pub fn ask(&mut self, now: Instant, ask: Ask) -> Verdict {
+    pub fn request(&mut self, now: Instant, request: GrantRequest) -> GrantDecision {
         self.expire(now);
-        self.slots = ask.slots.max(1);
-        if self.flights.contains_key(&ask.id) || self.running.contains_key(&ask.id) {
-            return Verdict::Granted;
+        self.slots = request.slots.max(1);
+        if self.pending.contains_key(&request.id) || self.running.contains_key(&request.id) {
+            return GrantDecision::Granted;
         }
-        if let Some(turn) = self.waiting.turn(ask.id) {
-            return Verdict::Queued(turn.at.saturating_duration_since(now));
+        if let Some(turn) = self.queue.key(request.id) {
+            return GrantDecision::Queued(turn.at.saturating_duration_since(now));
         }
 
-        self.fetch.declare(ask.copy);
-        let load = self.load(&ask);
-        let turn = Turn {
-            rank: ask.rank,
-            at: now + self.stretch(&ask, load),
+        self.fetch.declare(request.copy_time);
+        let cost = self.prompt_cost(&request);
+        let turn = QueueKey {
+            rank: request.rank,
+            at: now + self.overtake_limit(&request, cost),
         };
-        let expected = self.expected(now, turn, load.tokens, &ask);
-        if ask.gap.is_some() {
-            self.reserve.came(now);
-            return match ask.must || self.room(now, load) {
+        let expected = self.expected(now, turn, cost.tokens, &request);
+        if request.max_gap.is_some() {
+            self.reserve.record_stream(now);
+            return match request.forced || self.has_room(now, cost) {
                 true => {
-                    self.let_in(now, load, ask);
-                    Verdict::Granted
+                    self.admit(now, cost, request);
+                    GrantDecision::Granted
                 }
-                false => Verdict::Refused(expected),
+                false => GrantDecision::Refused(expected),
             };
         }
-        let fits = self.memory(now, load) && (ask.home || !self.too_long(load.tokens));
+        let fits =
+            self.fits_memory(now, cost) && (request.is_home || !self.exceeds_gap(cost.tokens));
         // Before an engine that has nothing to read, no other one is better.
-        let idle = self.waiting.is_empty() && self.unread() == 0;
-        let late = expected > ask.allowed && !(idle && self.open(now, load));
-        if !ask.must && (late || !fits) {
-            return Verdict::Refused(expected.max(ask.allowed));
+        let idle = self.queue.is_empty() && self.unread_tokens() == 0;
+        let late = expected > request.ttft_limit && !(idle && self.may_start(now, cost));
+        if !request.forced && (late || !fits) {
+            return GrantDecision::Refused(expected.max(request.ttft_limit));
         }
-        let free = self.waiting.is_empty() && self.open(now, load);
-        if free || self.never_fits(load) {
-            self.let_in(now, load, ask);
-            return Verdict::Granted;
+        let free = self.queue.is_empty() && self.may_start(now, cost);
+        if free || self.never_fits(cost) {
+            self.admit(now, cost, request);
+            return GrantDecision::Granted;
         }
-        let waiting = Waiting {
+        let waiting = QueuedCall {
             since: now,
-            tokens: load.tokens,
-            ask,
+            tokens: cost.tokens,
+            request,
         };
-        self.waiting.push(turn, waiting);
-        Verdict::Queued(expected)
+        self.queue.push(turn, waiting);
+        GrantDecision::Queued(expected)
     }
 
     /// The waiting calls that are let in by now, each with the tokens from its
     /// prompt's start that the engine holds.
-    pub fn granted(&mut self, now: Instant) -> Vec<(CallId, u32)> {
+    pub fn grant_waiting(&mut self, now: Instant) -> Vec<(CallId, u32)> {
         self.expire(now);
         let mut granted = Vec::new();
-        while let Some(first) = self.waiting.first() {
+        while let Some(first) = self.queue.first() {
             // What it shares may have been read since it came.
-            let load = self.load(first);
-            if !self.open(now, load) {
+            let cost = self.prompt_cost(first);
+            if !self.may_start(now, cost) {
                 break;
             }
-            let Some(waiting) = self.waiting.pop() else {
+            let Some(waiting) = self.queue.pop() else {
                 break;
             };
-            let ask = waiting.ask;
-            granted.push((ask.id, ask.tokens().saturating_sub(load.missing)));
-            self.let_in(now, load, ask);
+            let request = waiting.request;
+            granted.push((request.id, request.tokens().saturating_sub(cost.missing)));
+            self.admit(now, cost, request);
         }
         granted
     }
 
     /// Notes that a call which was let in fetches what another engine holds of
     /// the first `source` tokens of its prompt.
-    pub fn fetches(&mut self, id: CallId, source: u32) {
-        let Some(flight) = self.flights.get(&id) else {
+    pub fn record_fetch(&mut self, id: CallId, source: u32) {
+        let Some(flight) = self.pending.get(&id) else {
             return;
         };
         // By now the prompt counts as held; what was missing is known.
-        let held = flight.ask.tokens() - flight.load.missing.min(flight.ask.tokens());
-        let load = self.load_of(flight.load.missing, held, source);
-        if load.fetched == 0 {
+        let held = flight.request.tokens() - flight.cost.missing.min(flight.request.tokens());
+        let cost = self.cost_after(flight.cost.missing, held, source);
+        if cost.fetched == 0 {
             return;
         }
         self.fetch.passed(true);
-        if let Some(flight) = self.flights.get_mut(&id) {
-            let others = flight.ahead.saturating_sub(flight.load.tokens);
-            flight.ahead = others.saturating_add(load.tokens);
-            flight.load = load;
+        if let Some(flight) = self.pending.get_mut(&id) {
+            let others = flight.ahead.saturating_sub(flight.cost.tokens);
+            flight.ahead = others.saturating_add(cost.tokens);
+            flight.cost = cost;
         }
     }
 
@@ -298,22 +299,23 @@
     }
 
     /// Notes that a call has its first event.
-    pub fn begun(&mut self, now: Instant, id: CallId) {
-        let Some(flight) = self.flights.remove(&id) else {
+    pub fn record_first_event(&mut self, now: Instant, id: CallId) {
+        let Some(flight) = self.pending.remove(&id) else {
             return;
         };
-        let Load {
+        let PromptCost {
             tokens, fetched, ..
-        } = flight.load;
+        } = flight.cost;
         if fetched > 0 {
             self.fetched(now, &flight, fetched);
         }
-        self.timing.begun(now, flight.since, tokens, fetched > 0);
+        self.timing
+            .record_first_event(now, flight.since, tokens, fetched > 0);
         self.running.insert(id, flight.run(now));
     }
 
     /// Learns from a first event what fetching a part of its prompt took.
-    fn fetched(&mut self, now: Instant, flight: &Flight, fetched: u32) {
+    fn fetched(&mut self, now: Instant, flight: &PendingCall, fetched: u32) {
         let took = now.saturating_duration_since(flight.since).as_secs_f64();
         let (base, pace) = (self.timing.base(), self.timing.pace());
         let more = took - f64::from(flight.ahead) * pace - base;
@@ -323,20 +325,20 @@
 
     /// Notes that a call has ended or will not come; `pause` is the longest
     /// between two of its events.
-    pub fn ended(&mut self, now: Instant, id: CallId, pause: Duration) {
-        self.waiting.remove(id);
-        self.flights.remove(&id);
+    pub fn call_ended(&mut self, now: Instant, id: CallId, pause: Duration) {
+        self.queue.remove(id);
+        self.pending.remove(&id);
         if let Some(run) = self.running.remove(&id) {
             let held = now.saturating_duration_since(run.since);
-            self.hold.add(held.as_secs_f64());
+            self.hold_time.add(held.as_secs_f64());
             if let Some(gap) = run.gap {
-                self.learn_gap(gap, pause);
+                self.adapt_gap_share(gap, pause);
             }
         }
     }
 
     /// Adapts the reading beside streams to the pauses that it made.
-    fn learn_gap(&mut self, gap: Duration, pause: Duration) {
+    fn adapt_gap_share(&mut self, gap: Duration, pause: Duration) {
         let step = match pause.as_secs_f64() / gap.as_secs_f64() {
             p if p > 1.0 => GAP_SHRINKS,
             p if p < PAUSE_ROOM => GAP_GROWS,
@@ -349,126 +351,138 @@
     /// whether it is the newest one known. A newer one has read nothing and
     /// runs nothing: by the books of the one before it would look full, and
     /// its prompts read. Calls that wait have not been sent, and stay.
-    pub fn life(&mut self, born: Option<u64>) -> bool {
-        if born < self.born {
+    pub fn observe_incarnation(&mut self, born: Option<u64>) -> bool {
+        if born < self.started_at {
             return born.is_none();
         }
-        if born > self.born && self.born.is_some() {
-            self.ended_all();
+        if born > self.started_at && self.started_at.is_some() {
+            self.engine_stopped();
         }
-        self.born = born;
+        self.started_at = born;
         true
     }
 
     /// Takes over what the engine says.
-    pub fn report(&mut self, now: Instant, report: Report) {
-        if !self.life(report.born) {
+    pub fn update_report(&mut self, now: Instant, update_report: EngineReport) {
+        if !self.observe_incarnation(update_report.started_at) {
             return;
         }
-        self.parts.limit(report.total.saturating_sub(report.used));
-        if !self.waiting.is_empty() {
-            let step = match report.unread {
+        self.parts.set_capacity(
+            update_report
+                .total_tokens
+                .saturating_sub(update_report.used_tokens),
+        );
+        if !self.queue.is_empty() {
+            let step = match update_report.unread_calls {
                 ..=UNREAD_FEW => WINDOW_GROWS,
                 UNREAD_MANY.. => WINDOW_SHRINKS,
                 _ => 1.0,
             };
             self.window = (self.window * step).clamp(WINDOW_LEAST, WINDOW_MOST);
         }
-        self.report = Some((now, report));
+        self.report = Some((now, update_report));
     }
 
     /// Forgets what is known of the engine, as after its restart.
-    pub fn forget(&mut self) {
-        self.parts = Parts::default();
+    pub fn reset_engine(&mut self) {
+        self.parts = PartCache::default();
         self.report = None;
     }
 
     /// Forgets the engine's calls as well: it has ended, and they with it.
-    pub fn ended_all(&mut self) {
-        self.forget();
-        self.flights.clear();
+    pub fn engine_stopped(&mut self) {
+        self.reset_engine();
+        self.pending.clear();
         self.running.clear();
     }
 
     /// What the engine is believed to be like, for logs.
     #[must_use]
-    pub fn beliefs(&self) -> Beliefs {
-        Beliefs {
+    pub fn estimates(&self) -> EngineEstimates {
+        EngineEstimates {
             pace_ns: (self.timing.pace() * 1e9) as u64,
             fetch_ns: (self.fetch.get() * 1e9) as u64,
             base_us: (self.timing.base() * 1e6) as u64,
             window: self.window as u64,
-            gap_percent: self.gap().map_or(0, |_| (self.gap_share * 100.0) as u64),
+            gap_percent: self
+                .min_gap()
+                .map_or(0, |_| (self.gap_share * 100.0) as u64),
         }
     }
 
     /// Tokens that a prompt would have to read.
     #[must_use]
-    pub fn missing(&self, parts: &[(u64, u32)]) -> u32 {
-        self.parts.missing(parts)
+    pub fn missing_tokens(&self, parts: &[(u64, u32)]) -> u32 {
+        self.parts.missing_tokens(parts)
     }
 
     /// Tokens from a prompt's start that the engine holds.
     #[must_use]
-    pub fn held(&self, parts: &[(u64, u32)]) -> u32 {
-        self.parts.held(parts)
+    pub fn held_tokens(&self, parts: &[(u64, u32)]) -> u32 {
+        self.parts.held_tokens(parts)
     }
 
     /// Calls that wait, that were let in, and that run.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
-        (self.waiting.len(), self.flights.len(), self.running.len())
+        (self.queue.len(), self.pending.len(), self.running.len())
     }
 
     /// How long a call may be overtaken by others of its rank.
-    fn stretch(&self, ask: &Ask, load: Load) -> Duration {
-        let own = f64::from(load.tokens) * self.timing.pace();
-        Duration::from_secs_f64(own * STRETCH).min(ask.allowed)
+    fn overtake_limit(&self, request: &GrantRequest, cost: PromptCost) -> Duration {
+        let own = f64::from(cost.tokens) * self.timing.pace();
+        Duration::from_secs_f64(own * STRETCH).min(request.ttft_limit)
     }
 
     /// How long the first event of a call would take whose turn comes at
     /// `turn` and which has to read `tokens`.
-    fn expected(&self, now: Instant, turn: Turn, tokens: u32, ask: &Ask) -> Duration {
-        let (calls, waiting) = match ask.gap {
-            None => self.waiting.ahead(turn),
+    fn expected(
+        &self,
+        now: Instant,
+        turn: QueueKey,
+        tokens: u32,
+        request: &GrantRequest,
+    ) -> Duration {
+        let (calls, waiting) = match request.max_gap {
+            None => self.queue.ahead(turn),
             Some(_) => (0, 0),
         };
         let ahead = waiting + u64::from(tokens.min(OWN_MOST));
         let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
         let base = self.timing.base();
-        let reading = (self.unread_before(ask.rank) + f64::from(ahead)) * self.timing.pace();
+        let reading = (self.unread_ahead(request.rank) + f64::from(ahead)) * self.timing.pace();
         let slots = self.slot_wait(now, calls);
         // More urgent calls that have yet to come go first as well.
-        let left = 1.0 - self.mix.before(ask.rank);
+        let left = 1.0 - self.mix.share_before(request.rank);
         Duration::from_secs_f64(base + reading.max(slots) / left)
     }
 
     /// How long it takes until a slot is free behind `calls` others.
     fn slot_wait(&self, now: Instant, calls: u32) -> f64 {
-        let taken = self.taken(now) + calls + 1;
-        let over = taken.saturating_sub(self.reading_slots(now));
-        let hold = self.hold.get().unwrap_or(HOLD_GUESS);
+        let taken = self.used_slots(now) + calls + 1;
+        let over = taken.saturating_sub(self.prefill_slots(now));
+        let hold = self.hold_time.get().unwrap_or(HOLD_GUESS);
         f64::from(over) * hold / f64::from(self.slots.max(1))
     }
 
     /// What a call costs the engine.
-    fn load(&self, ask: &Ask) -> Load {
-        let missing = self.parts.missing(&ask.parts);
-        let held = ask.tokens().saturating_sub(missing);
-        self.load_of(missing, held, ask.source)
+    fn prompt_cost(&self, request: &GrantRequest) -> PromptCost {
+        let missing = self.parts.missing_tokens(&request.parts);
+        let held = request.tokens().saturating_sub(missing);
+        self.cost_after(missing, held, request.fetchable)
     }
 
     /// The same for a prompt of which the engine misses `missing` tokens after
     /// the `held` first, and another holds the first `source`.
-    fn load_of(&self, missing: u32, held: u32, source: u32) -> Load {
+    fn cost_after(&self, missing: u32, held: u32, source: u32) -> PromptCost {
         let most = source.saturating_sub(held).min(missing);
-        let fetched = match most >= fetch::LEAST && self.fetch_pays() {
+        let fetched = match most >= fetch::MIN_FETCH_TOKENS && self.fetch_pays() {
             true => most,
             false => 0,
         };
         let ratio = (self.fetch.get() / self.timing.pace()).min(1.0);
         let tokens = missing - fetched + (f64::from(fetched) * ratio) as u32;
-        Load {
+        PromptCost {
             tokens,
             fetched,
             missing,
@@ -476,58 +490,58 @@
     }
 
     /// Tokens of calls that were let in and have no first event.
-    fn unread(&self) -> u32 {
-        sum(self.flights.values().map(|f| f.load.tokens))
+    fn unread_tokens(&self) -> u32 {
+        sum(self.pending.values().map(|f| f.cost.tokens))
     }
 
     /// The same as far as the engine reads it before a call of `rank`. It takes
     /// the most urgent first, but what it has begun to read it goes on with.
-    fn unread_before(&self, rank: u8) -> f64 {
-        let share = |f: &Flight| match f.ask.rank <= rank {
-            true => f64::from(f.load.tokens),
-            false => f64::from(f.load.tokens) * BEGUN_SHARE,
+    fn unread_ahead(&self, rank: u8) -> f64 {
+        let share = |f: &PendingCall| match f.request.rank <= rank {
+            true => f64::from(f.cost.tokens),
+            false => f64::from(f.cost.tokens) * BEGUN_SHARE,
         };
-        self.flights.values().map(share).sum()
+        self.pending.values().map(share).sum()
     }
 
-    fn let_in(&mut self, now: Instant, load: Load, ask: Ask) {
-        if ask.source >= fetch::LEAST {
-            self.fetch.passed(load.fetched > 0);
+    fn admit(&mut self, now: Instant, cost: PromptCost, request: GrantRequest) {
+        if request.fetchable >= fetch::MIN_FETCH_TOKENS {
+            self.fetch.passed(cost.fetched > 0);
         }
-        self.parts.read(&ask.parts);
+        self.parts.insert(&request.parts);
         self.mix
-            .add(now, ask.rank, f64::from(load.tokens) + SLOT_TOKENS);
-        let ahead = self.unread().saturating_add(load.tokens);
-        self.lately
-            .push_back((now, f64::from(load.tokens) * self.timing.pace()));
-        let flight = Flight {
+            .add(now, request.rank, f64::from(cost.tokens) + SLOT_TOKENS);
+        let ahead = self.unread_tokens().saturating_add(cost.tokens);
+        self.recent_reads
+            .push_back((now, f64::from(cost.tokens) * self.timing.pace()));
+        let flight = PendingCall {
             since: now,
-            load,
+            cost,
             ahead,
-            ask,
+            request,
         };
-        self.flights.insert(flight.ask.id, flight);
+        self.pending.insert(flight.request.id, flight);
     }
 
     /// Forgets what must be over by now.
     fn expire(&mut self, now: Instant) {
         while self
-            .lately
+            .recent_reads
             .front()
             .is_some_and(|(at, _)| now >= *at + LATELY)
         {
-            self.lately.pop_front();
+            self.recent_reads.pop_front();
         }
-        let stale = |f: &&Flight| now >= f.since + FLIGHT_LIMIT;
-        let stale = self.flights.values().filter(stale).map(|f| f.ask.id);
+        let stale = |f: &&PendingCall| now >= f.since + FLIGHT_LIMIT;
+        let stale = self.pending.values().filter(stale).map(|f| f.request.id);
         let stale: Vec<CallId> = stale.collect();
         for id in stale {
-            if let Some(flight) = self.flights.remove(&id) {
+            if let Some(flight) = self.pending.remove(&id) {
                 self.running.insert(id, flight.run(now));
             }
         }
-        self.running.retain(|_, run| now < run.until);
-        self.waiting.expire(now);
+        self.running.retain(|_, run| now < run.deadline);
+        self.queue.expire(now);
     }
 }
 
--- a/crates/policy/src/grants/call.rs
+++ b/crates/policy/src/grants/call.rs
@@ -6,41 +6,41 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId {
     /// The life of the entry.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its number in that life.
     pub number: u32,
 }
 
 /// What an entry asks for.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct GrantRequest {
     /// The call.
     pub id: CallId,
     /// The parts of its prompt in order, with their tokens.
     pub parts: Vec<(u64, u32)>,
     /// How long its first event may take; beyond, it is refused.
-    pub allowed: Duration,
+    pub ttft_limit: Duration,
     /// How long its caller waits.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The longest pause that its own stream bears, if it is one whose time
     /// goes into writing.
-    pub gap: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Calls that the engine runs at once.
     pub slots: u32,
     /// Its rank inside the engine; 0 is the most urgent.
     pub rank: u8,
     /// Whether the engine is the home of the prompt's shared parts.
-    pub home: bool,
+    pub is_home: bool,
     /// Whether it must be let in: its entry has found no better engine.
-    pub must: bool,
+    pub forced: bool,
     /// Tokens from the start of its prompt that another engine holds, from
     /// which they can be fetched.
-    pub source: u32,
+    pub fetchable: u32,
     /// Time to fetch a token, as the operators declare it.
-    pub copy: Option<Duration>,
+    pub copy_time: Option<Duration>,
 }
 
-impl Ask {
+impl GrantRequest {
     /// Tokens of its prompt.
     #[must_use]
     pub fn tokens(&self) -> u32 {
@@ -51,7 +51,7 @@
 
 /// What is decided about a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum GrantDecision {
     /// It may be sent now.
     Granted,
     /// It will be let in; its first event is expected after this time.
@@ -62,22 +62,22 @@
 
 /// What the engine says of itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct EngineReport {
     /// Calls inside the engine.
-    pub running: u32,
+    pub running_calls: u32,
     /// Calls inside the engine that are not read to their end.
-    pub unread: u32,
+    pub unread_calls: u32,
     /// Tokens of memory that running calls hold.
-    pub used: u64,
+    pub used_tokens: u64,
     /// Tokens of memory in all.
-    pub total: u64,
+    pub total_tokens: u64,
     /// Unix millisecond at which this life of the engine began, if it says.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
 /// What an engine is believed to be like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Beliefs {
+pub struct EngineEstimates {
     /// Nanoseconds for reading a token.
     pub pace_ns: u64,
     /// The fixed part of a first event, in microseconds.
--- a/crates/policy/src/grants/fetch.rs
+++ b/crates/policy/src/grants/fetch.rs
@@ -9,7 +9,7 @@
 
 /// Fewer tokens are read rather than fetched: setting a copy up takes about as
 /// long as reading a few hundred tokens.
-pub const LEAST: u32 = 500;
+pub const MIN_FETCH_TOKENS: u32 = 500;
 
 /// Seconds for a token where nothing is declared, so that it is tried.
 const GUESS: f64 = 2.5e-6;
@@ -33,7 +33,7 @@
 
 /// What fetching takes at one engine.
 #[derive(Debug, Default)]
-pub(super) struct Fetch {
+pub(super) struct FetchEstimate {
     /// Seconds for a token, by what the operators declare.
     declared: Option<f64>,
     /// The same by first events.
@@ -42,7 +42,7 @@
     passed: u32,
 }
 
-impl Fetch {
+impl FetchEstimate {
     /// Takes over the time of a token that the operators declare.
     pub(super) fn declare(&mut self, token: Option<Duration>) {
         self.declared = token.map(|t| t.as_secs_f64());
--- a/crates/policy/src/grants/lives.rs
+++ b/crates/policy/src/grants/incarnations.rs
@@ -14,9 +14,9 @@
 
 /// What a name that is asked for stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Meant {
+pub enum IncarnationStatus {
     /// The life that is known.
-    Known,
+    Current,
     /// One that was not known: it has read nothing, and runs nothing.
     New,
     /// The life that is known, which takes no new calls.
@@ -27,11 +27,11 @@
 
 /// The lives of one engine.
 #[derive(Debug, Default)]
-pub struct Lives {
+pub struct Incarnations {
     /// The name of the life that is known; none before any was asked for.
-    known: Option<String>,
+    current: Option<String>,
     /// When that life began, as far as those say who ask.
-    born: Option<u64>,
+    started_at: Option<u64>,
     /// Whether that life has said that it leaves.
     leaving: bool,
     /// Names that the engine has refused, with when those lives had begun, if
@@ -39,58 +39,58 @@
     gone: VecDeque<(String, Option<u64>)>,
 }
 
-impl Lives {
+impl Incarnations {
     /// Notes that an entry means the life `name`, which began at `born`.
-    pub fn asked(&mut self, name: &str, born: Option<u64>) -> Meant {
+    pub fn resolve(&mut self, name: &str, born: Option<u64>) -> IncarnationStatus {
         // A life that began later under the same name is another one.
         let gone = |(n, b): &(String, Option<u64>)| n == name && born <= *b;
         if self.gone.iter().any(gone) {
-            return Meant::Gone;
+            return IncarnationStatus::Gone;
         }
-        let known = self.known.as_deref() == Some(name);
-        if !known || born > self.born {
-            self.born = born;
+        let known = self.current.as_deref() == Some(name);
+        if !known || born > self.started_at {
+            self.started_at = born;
             self.leaving = false;
         }
         if known {
             return match self.leaving {
-                true => Meant::Leaving,
-                false => Meant::Known,
+                true => IncarnationStatus::Leaving,
+                false => IncarnationStatus::Current,
             };
         }
-        self.known = Some(name.to_owned());
-        Meant::New
+        self.current = Some(name.to_owned());
+        IncarnationStatus::New
     }
 
     /// The name of the life that is known.
     #[must_use]
-    pub fn known(&self) -> Option<&str> {
-        self.known.as_deref()
+    pub fn current(&self) -> Option<&str> {
+        self.current.as_deref()
     }
 
     /// Notes that life `name` says that it leaves; returns whether that is news of
     /// the life that is known.
-    pub fn leaves(&mut self, name: &str) -> bool {
-        self.is(name) && !std::mem::replace(&mut self.leaving, true)
+    pub fn mark_leaving(&mut self, name: &str) -> bool {
+        self.is_current(name) && !std::mem::replace(&mut self.leaving, true)
     }
 
     /// Notes that the engine has refused a call as meant for another life;
     /// returns whether that life was the one known.
-    pub fn refused(&mut self, name: &str, born: Option<u64>) -> bool {
+    pub fn mark_refused(&mut self, name: &str, born: Option<u64>) -> bool {
         if self.gone.len() == GONE_KEPT {
             self.gone.pop_front();
         }
         self.gone.push_back((name.to_owned(), born));
-        let known = self.known.as_deref() == Some(name);
+        let known = self.current.as_deref() == Some(name);
         if known {
-            self.known = None;
+            self.current = None;
         }
         known
     }
 
     /// Whether `name` is the life that is known.
     #[must_use]
-    pub fn is(&self, name: &str) -> bool {
-        self.known.as_deref() == Some(name)
+    pub fn is_current(&self, name: &str) -> bool {
+        self.current.as_deref() == Some(name)
     }
 }
--- a/crates/policy/src/grants/mix.rs
+++ b/crates/policy/src/grants/mix.rs
@@ -19,12 +19,12 @@
 
 /// Work that was let in lately, by rank.
 #[derive(Debug, Default)]
-pub(super) struct Mix {
+pub(super) struct RankMix {
     work: [f64; RANKS],
     last: Option<Instant>,
 }
 
-impl Mix {
+impl RankMix {
     /// Notes that a call of `rank` was let in; `work` is its cost, in any unit.
     pub(super) fn add(&mut self, now: Instant, rank: u8, work: f64) {
         if let Some(last) = self.last {
@@ -37,7 +37,7 @@
     }
 
     /// The part that was more urgent than `rank`.
-    pub(super) fn before(&self, rank: u8) -> f64 {
+    pub(super) fn share_before(&self, rank: u8) -> f64 {
         let all: f64 = self.work.iter().sum();
         let before = &self.work[..usize::from(rank).min(RANKS)];
         let before: f64 = before.iter().sum();
--- a/crates/policy/src/grants/parts.rs
+++ b/crates/policy/src/grants/parts.rs
@@ -11,7 +11,7 @@
 
 /// Prompt parts by when they were last used.
 #[derive(Debug, Default)]
-pub struct Parts {
+pub struct PartCache {
     /// Parts with their tokens and their place in the order of use.
     held: HashMap<u64, (u32, u64)>,
     /// Parts in the order of their last use.
@@ -23,17 +23,17 @@
     next: u64,
 }
 
-impl Parts {
+impl PartCache {
     /// Tokens of a prompt that the engine has to read: a part is only of use
     /// when all parts before it are held too.
     #[must_use]
-    pub fn missing(&self, parts: &[(u64, u32)]) -> u32 {
+    pub fn missing_tokens(&self, parts: &[(u64, u32)]) -> u32 {
         sum(&parts[self.count(parts)..])
     }
 
     /// The other tokens of the prompt.
     #[must_use]
-    pub fn held(&self, parts: &[(u64, u32)]) -> u32 {
+    pub fn held_tokens(&self, parts: &[(u64, u32)]) -> u32 {
         sum(&parts[..self.count(parts)])
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Notes that the engine reads a prompt.
-    pub fn read(&mut self, parts: &[(u64, u32)]) {
+    pub fn insert(&mut self, parts: &[(u64, u32)]) {
         for (id, tokens) in parts {
             self.drop_part(*id);
             self.held.insert(*id, (*tokens, self.next));
@@ -56,7 +56,7 @@
     }
 
     /// Takes over how many tokens the engine has room for.
-    pub fn limit(&mut self, room: u64) {
+    pub fn set_capacity(&mut self, room: u64) {
         self.room = Some(room);
         self.fit();
     }
--- a/crates/policy/src/grants/queue.rs
+++ b/crates/policy/src/grants/queue.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
-use super::call::{Ask, CallId};
+use super::call::{CallId, GrantRequest};
 
 /// When it is a call's turn: the most urgent rank goes first, and of equal
 /// ones whose time comes first.
@@ -13,7 +13,7 @@
 /// are a third as long, waited behind them and came late one in six; in this
 /// order one in twenty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Turn {
+pub(super) struct QueueKey {
     /// The call's rank; 0 is the most urgent.
     pub(super) rank: u8,
     /// Among calls of that rank.
@@ -22,49 +22,49 @@
 
 /// A call that waits.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedCall {
     /// Since when.
     pub(super) since: Instant,
     /// What it has to read, in tokens.
     pub(super) tokens: u32,
     /// The call.
-    pub(super) ask: Ask,
+    pub(super) request: GrantRequest,
 }
 
 /// The last of all calls whose turns come at one time.
 const LAST: CallId = CallId {
-    life: u64::MAX,
+    incarnation: u64::MAX,
     number: u32::MAX,
 };
 
 /// The waiting calls.
 #[derive(Debug, Default)]
-pub(super) struct Queue {
-    calls: BTreeMap<(Turn, CallId), Waiting>,
+pub(super) struct WaitQueue {
+    calls: BTreeMap<(QueueKey, CallId), QueuedCall>,
     /// When it is each one's turn.
-    turns: HashMap<CallId, Turn>,
+    turns: HashMap<CallId, QueueKey>,
 }
 
-impl Queue {
+impl WaitQueue {
     /// When it is a call's turn; none when it does not wait.
-    pub(super) fn turn(&self, id: CallId) -> Option<Turn> {
+    pub(super) fn key(&self, id: CallId) -> Option<QueueKey> {
         self.turns.get(&id).copied()
     }
 
     /// Has a call wait for its turn.
-    pub(super) fn push(&mut self, turn: Turn, waiting: Waiting) {
-        let id = waiting.ask.id;
+    pub(super) fn push(&mut self, turn: QueueKey, waiting: QueuedCall) {
+        let id = waiting.request.id;
         self.turns.insert(id, turn);
         self.calls.insert((turn, id), waiting);
     }
 
     /// The call whose turn comes first.
-    pub(super) fn first(&self) -> Option<&Ask> {
-        self.calls.first_key_value().map(|(_, w)| &w.ask)
+    pub(super) fn first(&self) -> Option<&GrantRequest> {
+        self.calls.first_key_value().map(|(_, w)| &w.request)
     }
 
     /// Takes that call out.
-    pub(super) fn pop(&mut self) -> Option<Waiting> {
+    pub(super) fn pop(&mut self) -> Option<QueuedCall> {
         let ((_, id), waiting) = self.calls.pop_first()?;
         self.turns.remove(&id);
         Some(waiting)
@@ -79,7 +79,7 @@
 
     /// How many calls go before one whose turn is `turn`, and the tokens that
     /// they have to read.
-    pub(super) fn ahead(&self, turn: Turn) -> (u32, u64) {
+    pub(super) fn ahead(&self, turn: QueueKey) -> (u32, u64) {
         let before = self.calls.range(..=(turn, LAST));
         before.fold((0, 0), |(calls, tokens), (_, w)| {
             (calls + 1, tokens + u64::from(w.tokens))
@@ -93,8 +93,8 @@
 
     /// Forgets the calls whose callers have gone.
     pub(super) fn expire(&mut self, now: Instant) {
-        let gone = |w: &&Waiting| now >= w.since + w.ask.left;
-        let gone = self.calls.values().filter(gone).map(|w| w.ask.id);
+        let gone = |w: &&QueuedCall| now >= w.since + w.request.time_left;
+        let gone = self.calls.values().filter(gone).map(|w| w.request.id);
         let gone: Vec<CallId> = gone.collect();
         gone.into_iter().for_each(|id| self.remove(id));
     }
--- a/crates/policy/src/grants/reserve.rs
+++ b/crates/policy/src/grants/reserve.rs
@@ -11,15 +11,15 @@
 
 /// Streams that come to an engine.
 #[derive(Debug, Default)]
-pub(super) struct Reserve {
+pub(super) struct StreamReserve {
     /// Streams, older ones with less weight.
     seen: f64,
     last: Option<Instant>,
 }
 
-impl Reserve {
+impl StreamReserve {
     /// Notes that a stream asks for a slot.
-    pub(super) fn came(&mut self, now: Instant) {
+    pub(super) fn record_stream(&mut self, now: Instant) {
         self.seen = self.weight(now) + 1.0;
         self.last = Some(now);
     }
--- a/crates/policy/src/grants/timing.rs
+++ b/crates/policy/src/grants/timing.rs
@@ -55,8 +55,8 @@
 
 /// What first events take at one engine.
 #[derive(Debug)]
-pub(super) struct Timing {
-    seen: VecDeque<Seen>,
+pub(super) struct TtftModel {
+    seen: VecDeque<TtftSample>,
     /// When the last first event came.
     last: Option<Instant>,
     /// Seconds of the fixed part.
@@ -67,7 +67,7 @@
 
 /// One first event.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct TtftSample {
     at: Instant,
     tokens: f64,
     /// Seconds since its call was let in.
@@ -88,7 +88,7 @@
     products: f64,
 }
 
-impl Default for Timing {
+impl Default for TtftModel {
     fn default() -> Self {
         Self {
             seen: VecDeque::new(),
@@ -99,17 +99,23 @@
     }
 }
 
-impl Timing {
+impl TtftModel {
     /// Notes that a call which was let in at `since` to read `tokens` has its
     /// first event; `fetched` says whether a part of them stands for what it
     /// fetched.
-    pub(super) fn begun(&mut self, now: Instant, since: Instant, tokens: u32, fetched: bool) {
+    pub(super) fn record_first_event(
+        &mut self,
+        now: Instant,
+        since: Instant,
+        tokens: u32,
+        fetched: bool,
+    ) {
         let seconds = |then: Instant| now.saturating_duration_since(then).as_secs_f64();
         let last = self.last.replace(now);
         if self.seen.len() == RECENT {
             self.seen.pop_front();
         }
-        self.seen.push_back(Seen {
+        self.seen.push_back(TtftSample {
             at: now,
             tokens: f64::from(tokens),
             took: seconds(since),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -18,7 +18,7 @@
 //! - [`terms`]: on what terms a call asks for a place at an engine.
 //! - [`waits`]: whether it would come too late.
 //! - [`link`]: whether it should get new connections.
-//! - [`finding`]: how it finds the other entries.
+//! - [`discovery`]: how it finds the other entries.
 //! - [`roster`]: which there are, and whom it speaks with.
 //! - [`others`]: what they have in progress.
 //! - [`replica`]: its copies of the store's tables.
@@ -46,9 +46,9 @@
 pub mod balance;
 pub mod budget;
 pub mod caches;
+pub mod discovery;
 pub mod duty;
 pub mod estimate;
-pub mod finding;
 pub mod fleet_time;
 pub mod grants;
 pub mod lease;
--- a/crates/policy/src/others.rs
+++ b/crates/policy/src/others.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::pools::Told;
+use crate::pools::ServiceDemand;
 use crate::suspects::Crash;
 
 /// What an entry said is believed for so many of its own intervals.
@@ -116,7 +116,7 @@
     /// How often the entry speaks.
     pub every: Duration,
     /// What there is for each service, by the service's number.
-    pub services: Vec<(u32, Told)>,
+    pub services: Vec<(u32, ServiceDemand)>,
     /// Calls at each server, by the server's short number.
     pub calls: Vec<(u16, Calls)>,
     /// Crashes of servers under calls, with how long ago they were seen, that
@@ -277,7 +277,7 @@
     /// How many they are.
     pub entries: u32,
     /// What they have for each service, by the service's number.
-    pub services: BTreeMap<u32, Told>,
+    pub services: BTreeMap<u32, ServiceDemand>,
     /// Calls at each server, by the server's short number.
     pub calls: BTreeMap<u16, Calls>,
     /// Crashes of servers, with how long ago they were seen.
@@ -290,7 +290,7 @@
         self.entries += said.entries;
         for (service, told) in &said.services {
             let held = self.services.entry(*service).or_default();
-            *held = held.plus(told);
+            *held = held.combined(told);
         }
         for (server, calls) in &said.calls {
             let sum = self.calls.entry(*server).or_default();
@@ -314,7 +314,7 @@
         self.entries = self.entries.saturating_sub(own.entries);
         for (service, told) in &own.services {
             if let Some(held) = self.services.get_mut(service) {
-                *held = held.less(told);
+                *held = held.without(told);
             }
         }
         for (server, calls) in &own.calls {
--- a/crates/policy/src/pauses.rs
+++ b/crates/policy/src/pauses.rs
@@ -25,29 +25,29 @@
 
 /// The longest pauses of streams beside reading.
 #[derive(Debug, Default)]
-pub struct Pauses {
+pub struct PauseEstimate {
     recent: VecDeque<Duration>,
     /// What was expected last, in seconds, and when.
-    held: Option<(Instant, f64)>,
+    estimate: Option<(Instant, f64)>,
 }
 
-impl Pauses {
+impl PauseEstimate {
     /// Notes the longest pause of a stream that ended at an engine which reads.
-    pub fn add(&mut self, now: Instant, pause: Duration) {
+    pub fn record(&mut self, now: Instant, pause: Duration) {
         if self.recent.len() == RECENT {
             self.recent.pop_front();
         }
         self.recent.push_back(pause);
         let seen = self.quantile();
         let expected = seen.map(|s| s.max(self.expected(now).unwrap_or(0.0)));
-        self.held = expected.map(|e| (now, e)).or(self.held);
+        self.estimate = expected.map(|e| (now, e)).or(self.estimate);
     }
 
     /// The pause that a stream beside reading meets, in seconds; none before
     /// enough streams were seen.
     #[must_use]
     pub fn expected(&self, now: Instant) -> Option<f64> {
-        let (at, held) = self.held?;
+        let (at, held) = self.estimate?;
         let passed = now.saturating_duration_since(at).as_secs_f64();
         Some(held * 0.5_f64.powf(passed / HALF.as_secs_f64()))
     }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -35,7 +35,7 @@
 /// against: one server is chosen, and the request waits there.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Mode {
+pub enum PlacementMode {
     /// Ask several for a slot; the earliest expected finish wins.
     #[default]
     LateBinding,
@@ -49,11 +49,11 @@
 
 /// What placement goes by.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub struct PlacementOptions {
     /// How servers are chosen.
-    pub mode: Mode,
+    pub mode: PlacementMode,
     /// Age of the reports that the baselines go by.
-    pub lag: Duration,
+    pub report_lag: Duration,
     /// The entry's availability zone.
     pub zone: String,
     /// Seed of the random numbers, so that a run can be repeated.
@@ -62,21 +62,21 @@
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy)]
-pub struct Want<'a> {
+pub struct PlacementRequest<'a> {
     /// The model or plain service.
     pub target: &'a str,
     /// Hash of the prompt's prefix; 0 for none.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// Servers that must not be asked (again).
-    pub tried: &'a [ServerIndex],
+    pub excluded: &'a [ServerIndex],
     /// Servers to ask at once in late binding; the baselines ask one.
-    pub fan: usize,
+    pub fan_out: usize,
 }
 
 /// Chooses sidecars to ask for a slot.
 #[derive(Debug)]
 pub struct Placement {
-    options: Options,
+    options: PlacementOptions,
     rng: Pcg64Mcg,
     /// What is known about each server; empty places were left.
     servers: Vec<Option<Server>>,
@@ -122,7 +122,7 @@
 impl Placement {
     /// Makes a placement that knows no servers.
     #[must_use]
-    pub fn new(options: Options) -> Self {
+    pub fn new(options: PlacementOptions) -> Self {
         Self {
             rng: Pcg64Mcg::new(u128::from(options.seed) | 1),
             options,
@@ -133,8 +133,8 @@
     }
 
     /// Adds the server at `index`, or takes it as a new one.
-    pub fn join(&mut self, index: ServerIndex, name: &str, zone: &str, target: &str) {
-        self.leave(index);
+    pub fn add_server(&mut self, index: ServerIndex, name: &str, zone: &str, target: &str) {
+        self.remove_server(index);
         if self.servers.len() <= index {
             self.servers.resize_with(index + 1, || None);
         }
@@ -165,7 +165,7 @@
     }
 
     /// Forgets the server at `index`.
-    pub fn leave(&mut self, index: ServerIndex) {
+    pub fn remove_server(&mut self, index: ServerIndex) {
         let Some(server) = self.servers.get_mut(index).and_then(Option::take) else {
             return;
         };
@@ -175,7 +175,7 @@
     }
 
     /// Closes or opens a server for new requests, by the host list's word.
-    pub fn close(&mut self, index: ServerIndex, closed: bool) {
+    pub fn set_closed(&mut self, index: ServerIndex, closed: bool) {
         if let Some(server) = self.server_mut(index) {
             server.closed = closed;
         }
@@ -183,7 +183,7 @@
 
     /// Whether a server takes new requests, by its own word and the list's.
     #[must_use]
-    pub fn open(&self, index: ServerIndex) -> bool {
+    pub fn is_open(&self, index: ServerIndex) -> bool {
         self.server(index)
             .is_some_and(|s| !s.closed && !s.reports.fresh().draining)
     }
@@ -191,8 +191,14 @@
     /// Notes the load that an answer carried. The answer itself is a good
     /// sign, and a pace far off the others' is a fault; returns whether that
     /// ejected the server.
-    pub fn heard(&mut self, now: Instant, index: ServerIndex, load: Load, ejected: f64) -> bool {
-        let lag = self.options.lag;
+    pub fn record_load(
+        &mut self,
+        now: Instant,
+        index: ServerIndex,
+        load: Load,
+        ejected: f64,
+    ) -> bool {
+        let lag = self.options.report_lag;
         let Some(server) = self.server_mut(index) else {
             return false;
         };
@@ -205,22 +211,28 @@
 
         let usual = self.usual_in(now, pool);
         if usual.known() && load.pace.token > usual.token * SLOW_FACTOR {
-            return self.fault(now, index, Fault::Slow, ejected);
+            return self.record_fault(now, index, Fault::Slow, ejected);
         }
-        self.good(now, index, Good::Pace);
+        self.record_good(now, index, Good::Pace);
         false
     }
 
     /// Notes a good sign about a server.
-    pub fn good(&mut self, now: Instant, index: ServerIndex, good: Good) {
+    pub fn record_good(&mut self, now: Instant, index: ServerIndex, record_good: Good) {
         if let Some(server) = self.server_mut(index) {
-            server.health.good(now, good);
+            server.health.good(now, record_good);
         }
     }
 
     /// Notes a fault of a server. `share` of its pool may be ejected at once;
     /// returns whether the server was ejected.
-    pub fn fault(&mut self, now: Instant, index: ServerIndex, fault: Fault, share: f64) -> bool {
+    pub fn record_fault(
+        &mut self,
+        now: Instant,
+        index: ServerIndex,
+        record_fault: Fault,
+        share: f64,
+    ) -> bool {
         let Some(server) = self.server(index) else {
             return false;
         };
@@ -230,7 +242,7 @@
         let room = ejected < outlier::spare(pool.len(), share);
 
         let server = self.server_mut(index);
-        server.is_some_and(|s| s.health.fault(now, fault, room))
+        server.is_some_and(|s| s.health.fault(now, record_fault, room))
     }
 
     /// The load last heard from a server.
@@ -242,19 +254,19 @@
 
     /// How long ago a server was last heard.
     #[must_use]
-    pub fn age(&self, now: Instant, index: ServerIndex) -> Option<Duration> {
+    pub fn load_age(&self, now: Instant, index: ServerIndex) -> Option<Duration> {
         self.server(index)?.reports.age(now)
     }
 
     /// Whether a server is ejected or probed.
     #[must_use]
-    pub fn ejected(&self, index: ServerIndex) -> bool {
+    pub fn is_ejected(&self, index: ServerIndex) -> bool {
         self.server(index).is_some_and(|s| s.health.ejected())
     }
 
     /// The median pace of the servers of `target`; unknown until some told
     /// theirs.
-    pub fn usual(&mut self, now: Instant, target: &str) -> Pace {
+    pub fn median_pace(&mut self, now: Instant, target: &str) -> Pace {
         match self.targets.get(target) {
             Some(pool) => self.usual_in(now, *pool),
             None => Pace::default(),
@@ -284,18 +296,18 @@
 
     /// Chooses the servers to ask, the most wanted first. Empty when none may
     /// be asked.
-    pub fn choose(&mut self, now: Instant, want: &Want<'_>) -> Vec<ServerIndex> {
+    pub fn choose(&mut self, now: Instant, want: &PlacementRequest<'_>) -> Vec<ServerIndex> {
         let Some(place) = self.targets.get(want.target).copied() else {
             return Vec::new();
         };
         // Taken out, so that choosing may draw random numbers meanwhile.
         let pool = std::mem::take(&mut self.pools[place]);
-        let mut chosen = Vec::with_capacity(want.fan);
+        let mut chosen = Vec::with_capacity(want.fan_out);
         match self.options.mode {
-            Mode::LateBinding => self.bind_late(now, &pool, want, &mut chosen),
-            Mode::Random => chosen.extend(self.draw(now, &pool, want, &[])),
-            Mode::LeastLoaded => chosen.extend(self.least_loaded(now, &pool, want)),
-            Mode::TwoChoices => chosen.extend(self.less_loaded(now, &pool, want)),
+            PlacementMode::LateBinding => self.bind_late(now, &pool, want, &mut chosen),
+            PlacementMode::Random => chosen.extend(self.draw(now, &pool, want, &[])),
+            PlacementMode::LeastLoaded => chosen.extend(self.least_loaded(now, &pool, want)),
+            PlacementMode::TwoChoices => chosen.extend(self.less_loaded(now, &pool, want)),
         }
         self.pools[place] = pool;
 
@@ -311,11 +323,11 @@
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         chosen: &mut Vec<ServerIndex>,
     ) {
         chosen.extend(self.home(now, pool, want));
-        while chosen.len() < want.fan.max(1) {
+        while chosen.len() < want.fan_out.max(1) {
             let Some(next) = self.sample(now, pool, want, chosen) else {
                 return;
             };
@@ -327,15 +339,15 @@
     /// the same at every entry, by rendezvous hashing, without any exchange.
     /// One whose queue is as long as its slots is passed over for the next,
     /// or a popular prefix would waste a reservation on each request.
-    fn home(&self, now: Instant, pool: &Pool, want: &Want<'_>) -> Option<ServerIndex> {
-        if want.prefix == 0 {
+    fn home(&self, now: Instant, pool: &Pool, want: &PlacementRequest<'_>) -> Option<ServerIndex> {
+        if want.prefix_hash == 0 {
             return None;
         }
         let ranked = pool.all().filter_map(|i| {
-            let server = self.usable(now, i, want.tried)?;
+            let server = self.usable(now, i, want.excluded)?;
             let load = server.reports.fresh();
             let crowded = load.slots > 0 && load.waiting >= load.slots;
-            (!crowded).then(|| (weight(want.prefix, server.key), i))
+            (!crowded).then(|| (weight(want.prefix_hash, server.key), i))
         });
         ranked.max().map(|(_, i)| i)
     }
@@ -346,7 +358,7 @@
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
         let near = self.better(now, &pool.near, want, chosen);
@@ -364,7 +376,7 @@
         &mut self,
         now: Instant,
         part: &[ServerIndex],
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
         let one = self.pick(now, part, want, chosen)?;
@@ -384,10 +396,15 @@
         load.depth() * token.as_secs_f64()
     }
 
-    fn least_loaded(&mut self, now: Instant, pool: &Pool, want: &Want<'_>) -> Option<ServerIndex> {
+    fn least_loaded(
+        &mut self,
+        now: Instant,
+        pool: &Pool,
+        want: &PlacementRequest<'_>,
+    ) -> Option<ServerIndex> {
         let mut least = None;
         for index in pool.all() {
-            if self.usable(now, index, want.tried).is_none() {
+            if self.usable(now, index, want.excluded).is_none() {
                 continue;
             }
             // Equal ones are told apart at random, or the first would get all.
@@ -399,7 +416,12 @@
         least.map(|(_, index)| index)
     }
 
-    fn less_loaded(&mut self, now: Instant, pool: &Pool, want: &Want<'_>) -> Option<ServerIndex> {
+    fn less_loaded(
+        &mut self,
+        now: Instant,
+        pool: &Pool,
+        want: &PlacementRequest<'_>,
+    ) -> Option<ServerIndex> {
         let one = self.draw(now, pool, want, &[])?;
         let two = self.draw(now, pool, want, &[one]).unwrap_or(one);
         let less = self.reported(now, two) < self.reported(now, one);
@@ -407,7 +429,7 @@
     }
 
     fn reported(&self, now: Instant, index: ServerIndex) -> f64 {
-        let lag = self.options.lag;
+        let lag = self.options.report_lag;
         self.server(index)
             .map_or(0.0, |s| s.reports.lagged(now, lag).depth())
     }
@@ -417,7 +439,7 @@
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
         let near = self.rng.random_range(0..pool.len().max(1)) < pool.near.len();
@@ -434,14 +456,14 @@
         &mut self,
         now: Instant,
         part: &[ServerIndex],
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
         if part.is_empty() {
             return None;
         }
         let fits = |placement: &Self, i: ServerIndex| {
-            !chosen.contains(&i) && placement.usable(now, i, want.tried).is_some()
+            !chosen.contains(&i) && placement.usable(now, i, want.excluded).is_some()
         };
         for _ in 0..DRAWS {
             let index = part[self.rng.random_range(0..part.len())];
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -18,7 +18,7 @@
 
 use crate::estimate::READ_GUESS;
 use crate::estimate::fit::Fit;
-use crate::pauses::Pauses;
+use crate::pauses::PauseEstimate;
 
 /// Answer tokens for each prompt token from which a route's calls spend their
 /// time on writing. Reading a prompt token takes about a hundredth of the
@@ -73,38 +73,38 @@
 
 /// What a call's time goes into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Work {
+pub enum Phase {
     /// Reading a long prompt.
-    Reading,
+    Prefill,
     /// Writing a long answer.
-    Writing,
+    Decode,
 }
 
 /// What is known of a call when it comes.
 #[derive(Debug, Clone, Copy)]
-pub struct Coming<'a> {
+pub struct IncomingCall<'a> {
     /// Its route.
     pub route: &'a str,
     /// Tokens that the engine has to read, without the parts that its cache
     /// should hold.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Most tokens of its answer.
-    pub answer: u32,
+    pub max_answer: u32,
     /// The longest pause between two events that its route bears; none if it
     /// bears any.
-    pub gap: Option<Duration>,
+    pub max_gap: Option<Duration>,
 }
 
 /// How the calls of a service load its engines, as one entry sees it.
 #[derive(Debug, Default)]
-pub struct Pools {
-    routes: HashMap<String, Shape>,
-    services: HashMap<Rc<str>, Demand>,
+pub struct PhasePools {
+    routes: HashMap<String, RouteProfile>,
+    services: HashMap<Rc<str>, LoadAverages>,
 }
 
 /// What the calls of a route are like on average.
 #[derive(Debug, Clone, Copy)]
-struct Shape {
+struct RouteProfile {
     /// Tokens of the prompt.
     prompt: f64,
     /// Tokens of the answer.
@@ -115,7 +115,7 @@
 
 /// What comes for a service.
 #[derive(Debug)]
-struct Demand {
+struct LoadAverages {
     /// When the averages were brought up to date.
     at: Instant,
     /// Prompt tokens a second of calls that read.
@@ -126,81 +126,84 @@
     /// Time to the first event by what had to be read.
     first: Fit,
     /// Pauses of streams at engines that read.
-    pauses: Pauses,
+    pauses: PauseEstimate,
     /// The longest pause that any of its routes bears.
     patience: Duration,
     /// What other entries say of their own calls.
-    others: Told,
+    others: ServiceDemand,
     /// Engines that were left to calls that write.
     cut: usize,
 }
 
 /// What one entry, or several together, have for a service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Told {
+pub struct ServiceDemand {
     /// Prompt tokens a second of calls that read.
-    pub reading: f64,
+    pub prefill_rate: f64,
     /// Calls in progress that write.
-    pub writing: f64,
+    pub decode_calls: f64,
     /// Seconds that an engine takes to read a token, on the mean of those who
     /// know; 0 when nobody does.
-    pub pace: f64,
+    pub prefill_pace: f64,
     /// How many entries know the pace.
-    pub paced: u32,
+    pub pace_samples: u32,
     /// The pause that streams meet beside reading, in seconds, the longest
     /// that is told; 0 when nobody knows.
-    pub pause: f64,
+    pub stream_pause: f64,
 }
 
-impl Told {
+impl ServiceDemand {
     /// What two have together.
     #[must_use]
-    pub fn plus(&self, other: &Self) -> Self {
-        let paced = self.paced + other.paced;
-        let known = |told: &Self| told.pace * f64::from(told.paced);
+    pub fn combined(&self, other: &Self) -> Self {
+        let pace_samples = self.pace_samples + other.pace_samples;
+        let known = |told: &Self| told.prefill_pace * f64::from(told.pace_samples);
         Self {
-            reading: self.reading + other.reading,
-            writing: self.writing + other.writing,
-            pace: (known(self) + known(other)) / f64::from(paced.max(1)),
-            paced,
-            pause: self.pause.max(other.pause),
+            prefill_rate: self.prefill_rate + other.prefill_rate,
+            decode_calls: self.decode_calls + other.decode_calls,
+            prefill_pace: (known(self) + known(other)) / f64::from(pace_samples.max(1)),
+            pace_samples,
+            stream_pause: self.stream_pause.max(other.stream_pause),
         }
     }
 
     /// What is left of several without one of them.
     #[must_use]
-    pub fn less(&self, one: &Self) -> Self {
+    pub fn without(&self, one: &Self) -> Self {
         Self {
-            reading: (self.reading - one.reading).max(0.0),
-            writing: (self.writing - one.writing).max(0.0),
-            pace: self.pace,
-            paced: self.paced.saturating_sub(one.paced),
-            pause: self.pause,
+            prefill_rate: (self.prefill_rate - one.prefill_rate).max(0.0),
+            decode_calls: (self.decode_calls - one.decode_calls).max(0.0),
+            prefill_pace: self.prefill_pace,
+            pace_samples: self.pace_samples.saturating_sub(one.pace_samples),
+            stream_pause: self.stream_pause,
         }
     }
 }
 
-impl Demand {
+impl LoadAverages {
     /// This entry's own calls.
-    fn told(&self, now: Instant) -> Told {
+    fn local_demand(&self, now: Instant) -> ServiceDemand {
         let slope = self.first.slope() * 1e-6;
-        Told {
-            reading: self.reading,
-            writing: self.writing.max(f64::from(self.open)),
+        ServiceDemand {
+            prefill_rate: self.reading,
+            decode_calls: self.writing.max(f64::from(self.open)),
             // More load makes it longer, and more engines are left to read.
-            pace: match slope > 0.0 {
+            prefill_pace: match slope > 0.0 {
                 true => slope.max(READ_LEAST),
                 false => 0.0,
             },
-            paced: u32::from(slope > 0.0),
-            pause: self.pauses.expected(now).unwrap_or(0.0),
+            pace_samples: u32::from(slope > 0.0),
+            stream_pause: self.pauses.expected(now).unwrap_or(0.0),
         }
     }
 
     /// Whether streams that bear pauses of `gap` need engines that read
     /// nothing beside them; `apart` says whether they have them.
     fn needs(&self, now: Instant, gap: Duration, apart: bool) -> bool {
-        let pause = self.told(now).pause.max(self.others.pause);
+        let pause = self
+            .local_demand(now)
+            .stream_pause
+            .max(self.others.stream_pause);
         let share = if apart { PAUSE_SHARE_BACK } else { PAUSE_SHARE };
         match pause > 0.0 {
             true => pause > gap.as_secs_f64() * share,
@@ -209,23 +212,23 @@
     }
 }
 
-impl Pools {
+impl PhasePools {
     /// Notes a call and says what its time goes into.
-    pub fn came(&mut self, now: Instant, service: &Rc<str>, coming: Coming<'_>) -> Work {
+    pub fn classify(&mut self, now: Instant, service: &Rc<str>, coming: IncomingCall<'_>) -> Phase {
         let shape = self.shape(&coming);
         let writes = shape.answer >= shape.prompt * WRITING_RATIO;
         let demand = self.demand(now, service);
-        let gap = coming.gap.unwrap_or(Duration::MAX);
-        demand.patience = demand.patience.max(coming.gap.unwrap_or_default());
+        let gap = coming.max_gap.unwrap_or(Duration::MAX);
+        demand.patience = demand.patience.max(coming.max_gap.unwrap_or_default());
         let apart = writes && demand.needs(now, gap, shape.apart);
         let work = match apart {
             true => {
                 demand.open += 1;
-                Work::Writing
+                Phase::Decode
             }
             false => {
-                demand.reading += f64::from(coming.prompt) / SMOOTH.as_secs_f64();
-                Work::Reading
+                demand.reading += f64::from(coming.prompt_tokens) / SMOOTH.as_secs_f64();
+                Phase::Prefill
             }
         };
         if let Some(shape) = self.routes.get_mut(coming.route) {
@@ -236,41 +239,47 @@
 
     /// Notes the longest pause of a stream that ended at an engine which
     /// reads.
-    pub fn paused(&mut self, now: Instant, service: &Rc<str>, pause: Duration) {
-        self.demand(now, service).pauses.add(now, pause);
+    pub fn record_pause(&mut self, now: Instant, service: &Rc<str>, pause: Duration) {
+        self.demand(now, service).pauses.record(now, pause);
     }
 
     /// Notes that the first event of a call came `took` after it was sent, for
     /// which the engine had to read `prompt` tokens.
-    pub fn first(&mut self, now: Instant, service: &Rc<str>, prompt: u32, took: Duration) {
+    pub fn record_first_event(
+        &mut self,
+        now: Instant,
+        service: &Rc<str>,
+        prompt: u32,
+        took: Duration,
+    ) {
         let us = took.as_secs_f64() * 1e6;
         self.demand(now, service).first.add(prompt, us);
     }
 
     /// Notes that a call which writes has ended.
-    pub fn ended(&mut self, now: Instant, service: &Rc<str>) {
+    pub fn call_ended(&mut self, now: Instant, service: &Rc<str>) {
         let demand = self.demand(now, service);
         demand.open = demand.open.saturating_sub(1);
     }
 
     /// What this entry has for each service.
-    pub fn told(&mut self, now: Instant) -> Vec<(Rc<str>, Told)> {
+    pub fn local_demand(&mut self, now: Instant) -> Vec<(Rc<str>, ServiceDemand)> {
         let services: Vec<Rc<str>> = self.services.keys().cloned().collect();
         let told = |s: Rc<str>| {
-            let told = self.demand(now, &s).told(now);
+            let told = self.demand(now, &s).local_demand(now);
             (s, told)
         };
         services.into_iter().map(told).collect()
     }
 
     /// Takes over what all other entries together have for a service.
-    pub fn hear(&mut self, now: Instant, service: &Rc<str>, told: Told) {
+    pub fn set_remote(&mut self, now: Instant, service: &Rc<str>, told: ServiceDemand) {
         self.demand(now, service).others = told;
     }
 
     /// How many of `engines` with so many `slots` each should be left to
     /// calls that write; none when there is nothing to keep apart.
-    pub fn writers(
+    pub fn decode_engines(
         &mut self,
         now: Instant,
         service: &Rc<str>,
@@ -278,18 +287,19 @@
         slots: u32,
     ) -> usize {
         let demand = self.demand(now, service);
-        let (own, others) = (demand.told(now), demand.others);
-        let writing = own.writing + others.writing;
+        let (own, others) = (demand.local_demand(now), demand.others);
+        let writing = own.decode_calls + others.decode_calls;
         let writing = writing / (f64::from(slots.max(1)) * SLOT_SHARE).min(STREAMS);
         // All entries weigh alike, or each would cut by its own few samples
         // and streams of one would meet prompts of another.
-        let paced = own.paced + others.paced;
-        let sum = own.pace * f64::from(own.paced) + others.pace * f64::from(others.paced);
-        let pace = match paced {
+        let pace_samples = own.pace_samples + others.pace_samples;
+        let sum = own.prefill_pace * f64::from(own.pace_samples)
+            + others.prefill_pace * f64::from(others.pace_samples);
+        let pace = match pace_samples {
             0 => READ_GUESS,
-            _ => sum / f64::from(paced),
+            _ => sum / f64::from(pace_samples),
         };
-        let reading = (own.reading + others.reading) * pace / READ_SHARE;
+        let reading = (own.prefill_rate + others.prefill_rate) * pace / READ_SHARE;
         if engines < 2 || writing <= 0.0 || reading <= 0.0 {
             self.demand(now, service).cut = 0;
             return 0;
@@ -313,14 +323,17 @@
     }
 
     /// What the calls of a route are like, with one more.
-    fn shape(&mut self, coming: &Coming<'_>) -> Shape {
-        let (prompt, answer) = (f64::from(coming.prompt), f64::from(coming.answer));
+    fn shape(&mut self, coming: &IncomingCall<'_>) -> RouteProfile {
+        let (prompt, answer) = (
+            f64::from(coming.prompt_tokens),
+            f64::from(coming.max_answer),
+        );
         if let Some(shape) = self.routes.get_mut(coming.route) {
             shape.prompt += (prompt - shape.prompt) * SHAPE_STEP;
             shape.answer += (answer - shape.answer) * SHAPE_STEP;
             return *shape;
         }
-        let shape = Shape {
+        let shape = RouteProfile {
             prompt,
             answer,
             apart: false,
@@ -330,17 +343,17 @@
     }
 
     /// The demand for a service, with its averages brought up to `now`.
-    fn demand(&mut self, now: Instant, service: &Rc<str>) -> &mut Demand {
+    fn demand(&mut self, now: Instant, service: &Rc<str>) -> &mut LoadAverages {
         if !self.services.contains_key(service) {
-            let none = Demand {
+            let none = LoadAverages {
                 at: now,
                 reading: 0.0,
                 open: 0,
                 writing: 0.0,
                 first: Fit::default(),
-                pauses: Pauses::default(),
+                pauses: PauseEstimate::default(),
                 patience: Duration::ZERO,
-                others: Told::default(),
+                others: ServiceDemand::default(),
                 cut: 0,
             };
             self.services.insert(Rc::clone(service), none);
--- a/crates/policy/src/routes.rs
+++ b/crates/policy/src/routes.rs
@@ -22,7 +22,7 @@
     /// Who owns each key; without any workspace no key is asked for.
     keys: Option<HashMap<String, Rc<Workspace>>>,
     /// What a caller may send.
-    pub limits: Limits,
+    pub limits: CallerLimits,
 }
 
 /// A route and all that decides how its calls are served.
@@ -33,29 +33,35 @@
     /// The host that callers name.
     pub host: String,
     /// The start of the path; begins and ends with a slash.
-    pub prefix: String,
+    #[serde(rename = "prefix")]
+    pub path_prefix: String,
     /// How often a call may run.
-    pub kind: Kind,
+    pub kind: CallKind,
     /// How long a caller is kept waiting at most.
-    pub timeout: Duration,
+    #[serde(rename = "timeout")]
+    pub call_timeout: Duration,
     /// Time to the whole answer, or to the first event of a stream, that
     /// callers want.
-    pub target: Duration,
+    #[serde(rename = "target")]
+    pub latency_target: Duration,
     /// Longest pause between two events of a stream that callers want.
-    pub gap: Option<Duration>,
+    #[serde(rename = "gap")]
+    pub max_gap: Option<Duration>,
     /// Rank among the routes; a workspace's own rank goes before it.
     pub tier: Tier,
     /// Services with their weights; one at least.
     pub split: Vec<(Rc<str>, u32)>,
     /// Backend servers to which one call may be sent.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// Whether callers need no key.
-    pub open: bool,
+    #[serde(rename = "open")]
+    pub anonymous: bool,
 }
 
 /// How often a call may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum CallKind {
     /// As often as need be.
     Idempotent,
     /// Once at most.
@@ -66,7 +72,7 @@
     Resumable,
 }
 
-impl Kind {
+impl CallKind {
     /// Whether a call that may have run may be sent to another server.
     #[must_use]
     pub fn repeatable(self) -> bool {
@@ -86,11 +92,12 @@
     /// Its name.
     pub name: Rc<str>,
     /// Connections that one server takes from all callers together.
-    pub connections: u32,
+    #[serde(rename = "connections")]
+    pub max_connections: u32,
     /// Set for model engines.
     pub engine: Option<Engine>,
     /// Set where the number of its servers may be ordered.
-    pub scaling: Option<scaling::Limits>,
+    pub scaling: Option<scaling::ScalingLimits>,
 }
 
 /// What is declared about the model engines of a service.
@@ -99,12 +106,15 @@
     /// Requests that one engine runs at once.
     pub slots: u32,
     /// Tokens that one engine's memory holds.
-    pub memory: u64,
+    #[serde(rename = "memory")]
+    pub memory_tokens: u64,
     /// Tokens in one event of a stream.
-    pub stride: u32,
+    #[serde(rename = "stride")]
+    pub event_tokens: u32,
     /// Time to copy a token of memory from one engine to another; none where
     /// nothing is declared.
-    pub copy: Option<Duration>,
+    #[serde(rename = "copy")]
+    pub copy_time: Option<Duration>,
 }
 
 /// A workspace, as far as it decides how its calls are served.
@@ -118,18 +128,20 @@
 
 /// What a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct CallerLimits {
     /// Largest body, in bytes.
-    pub body: usize,
+    #[serde(rename = "body")]
+    pub max_body: usize,
     /// How long an idle connection is kept.
-    pub idle: Duration,
+    #[serde(rename = "idle")]
+    pub idle_timeout: Duration,
 }
 
-impl Default for Limits {
+impl Default for CallerLimits {
     fn default() -> Self {
         Self {
-            body: 4 << 20,
-            idle: Duration::from_secs(15),
+            max_body: 4 << 20,
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -154,7 +166,7 @@
         routes: Vec<Route>,
         services: Vec<Service>,
         keys: Option<HashMap<String, Rc<Workspace>>>,
-        limits: Limits,
+        limits: CallerLimits,
     ) -> Self {
         let mut hosts: HashMap<String, Vec<Rc<Route>>> = HashMap::new();
         for route in routes {
@@ -162,7 +174,7 @@
             hosts.entry(host).or_default().push(Rc::new(route));
         }
         for routes in hosts.values_mut() {
-            routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
+            routes.sort_by_key(|r| std::cmp::Reverse(r.path_prefix.len()));
         }
         let named = |s: Service| (Rc::clone(&s.name), Rc::new(s));
         Self {
@@ -185,7 +197,7 @@
             }
         });
         let routes = self.hosts.get(&name.to_ascii_lowercase())?;
-        routes.iter().find(|r| path.starts_with(&r.prefix))
+        routes.iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
     /// Whether a caller with `key` may use `route`.
@@ -196,7 +208,7 @@
         };
         match key.and_then(|k| keys.get(k)) {
             Some(workspace) => Access::Workspace(Rc::clone(workspace)),
-            None if route.open => Access::Open,
+            None if route.anonymous => Access::Open,
             None => Access::Denied,
         }
     }
@@ -214,7 +226,7 @@
 
     /// How many routes are declared.
     #[must_use]
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 }
@@ -222,7 +234,7 @@
 impl Route {
     /// The service of one call, by a number drawn evenly from 0 to 1.
     #[must_use]
-    pub fn service(&self, drawn: f64) -> Option<&Rc<str>> {
+    pub fn pick_service(&self, drawn: f64) -> Option<&Rc<str>> {
         let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
         let mut left = (drawn * total as f64) as u64;
         for (service, weight) in &self.split {
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -44,28 +44,31 @@
 
 /// What operators allow for a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct ScalingLimits {
     /// The fewest servers in a zone.
-    pub least: u32,
+    #[serde(rename = "least")]
+    pub min_servers: u32,
     /// The most servers in a zone.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_servers: u32,
     /// How long a new server takes until it serves.
-    pub boot: Duration,
+    #[serde(rename = "boot")]
+    pub boot_time: Duration,
 }
 
 /// What is seen of a service in one availability zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Zone {
+pub struct ZoneLoad {
     /// Servers that take new calls.
     pub serving: u32,
     /// The parts of their time that calls take, summed; calls that wait count
     /// as well, so that one server may have more than 1.
-    pub busy: f64,
+    pub busy_servers: f64,
 }
 
 /// How many servers a zone should have.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Order {
+pub struct ServerOrder {
     /// The availability zone.
     pub zone: Rc<str>,
     /// Servers there.
@@ -107,8 +110,13 @@
     /// was away or before this daemon was told; ordered by it, healthy ones
     /// would be taken away in the middle of their calls. So a zone counts with
     /// the most servers that it had during the calm time.
-    pub fn look(&mut self, now: Instant, limits: &Limits, zones: &BTreeMap<Rc<str>, Zone>) {
-        let calm = CALM_LEAST.max(limits.boot * CALM_BOOTS);
+    pub fn observe(
+        &mut self,
+        now: Instant,
+        limits: &ScalingLimits,
+        zones: &BTreeMap<Rc<str>, ZoneLoad>,
+    ) {
+        let calm = CALM_LEAST.max(limits.boot_time * CALM_BOOTS);
         self.note(now, calm, zones);
         let since = *self.since.get_or_insert(now);
         let first = self.seen.front().map_or(now, |seen| seen.at);
@@ -122,7 +130,10 @@
         let had: u32 = most.values().sum();
         let each = |servers: f64| {
             let each = (servers / most.len().max(1) as f64).ceil() as u32;
-            each.clamp(limits.least, limits.most.max(limits.least))
+            each.clamp(
+                limits.min_servers,
+                limits.max_servers.max(limits.min_servers),
+            )
         };
         let kept = each(need.max(f64::from(had) * KEPT));
         if need > f64::from(serving) || lacks_reserve(busy, &most) {
@@ -139,8 +150,8 @@
     }
 
     /// Remembers what is seen for as long as it counts.
-    fn note(&mut self, now: Instant, calm: Duration, zones: &BTreeMap<Rc<str>, Zone>) {
-        let busy: f64 = zones.values().map(|z| z.busy).sum();
+    fn note(&mut self, now: Instant, calm: Duration, zones: &BTreeMap<Rc<str>, ZoneLoad>) {
+        let busy: f64 = zones.values().map(|z| z.busy_servers).sum();
         self.used |= busy > 0.0;
         let serving = zones.iter().map(|(z, seen)| (Rc::clone(z), seen.serving));
         self.seen.push_back(Seen {
@@ -164,11 +175,11 @@
     }
 
     /// Wants what the limits ask for where a zone is below them.
-    fn keep_within(&mut self, limits: &Limits, most: BTreeMap<Rc<str>, u32>) {
+    fn keep_within(&mut self, limits: &ScalingLimits, most: BTreeMap<Rc<str>, u32>) {
         for (zone, had) in most {
-            if had < limits.least {
+            if had < limits.min_servers {
                 let wanted = self.wanted.entry(zone).or_default();
-                *wanted = (*wanted).max(limits.least);
+                *wanted = (*wanted).max(limits.min_servers);
             }
         }
     }
@@ -176,13 +187,13 @@
     /// What is to be ordered at `now`: what was not accepted yet, and now and
     /// then what was.
     #[must_use]
-    pub fn due(&self, now: Instant) -> Vec<Order> {
+    pub fn due_orders(&self, now: Instant) -> Vec<ServerOrder> {
         let stands = |zone: &Rc<str>, count: u32| {
             let accepted = self.accepted.get(zone);
             accepted.is_some_and(|(was, at)| *was == count && now < *at + REPEAT)
         };
         let due = self.wanted.iter().filter(|(z, c)| !stands(z, **c));
-        let order = |(zone, count): (&Rc<str>, &u32)| Order {
+        let order = |(zone, count): (&Rc<str>, &u32)| ServerOrder {
             zone: Rc::clone(zone),
             count: *count,
         };
@@ -190,7 +201,7 @@
     }
 
     /// Notes that the platform has accepted an order.
-    pub fn accepted(&mut self, now: Instant, order: &Order) {
+    pub fn mark_accepted(&mut self, now: Instant, order: &ServerOrder) {
         let zone = Rc::clone(&order.zone);
         self.accepted.insert(zone, (order.count, now));
     }
--- a/crates/policy/tests/caches.rs
+++ b/crates/policy/tests/caches.rs
@@ -1,62 +1,68 @@
 //! What is believed of an engine's cache.
 
-use policy::caches::{BLOCK_TOKENS, CacheMap, Change};
+use policy::caches::{BLOCK_TOKENS, BlockChange, CacheMap};
 
 const BLOCK: u64 = 7;
 
 fn stored() -> CacheMap {
     let mut map = CacheMap::default();
-    map.take(0, Change::Stored, BLOCK);
+    map.apply(0, BlockChange::Stored, BLOCK);
     map
 }
 
 #[test]
 fn take_stored() {
     let map = stored();
-    assert_eq!((map.cached(BLOCK), map.cached(8)), (BLOCK_TOKENS, 0));
-    assert_eq!(map.next(), 1);
+    assert_eq!(
+        (map.cached_tokens(BLOCK), map.cached_tokens(8)),
+        (BLOCK_TOKENS, 0)
+    );
+    assert_eq!(map.next_event(), 1);
 }
 
 #[test]
 fn take_removed() {
     let mut map = stored();
-    map.take(1, Change::Removed, BLOCK);
-    assert_eq!(map.cached(BLOCK), 0);
+    map.apply(1, BlockChange::Removed, BLOCK);
+    assert_eq!(map.cached_tokens(BLOCK), 0);
 }
 
 // The event that was lost may have been the block's removal.
 #[test]
 fn take_after_gap() {
     let mut map = stored();
-    map.take(2, Change::Stored, 8);
-    assert_eq!((map.cached(BLOCK), map.cached(8)), (0, BLOCK_TOKENS));
+    map.apply(2, BlockChange::Stored, 8);
+    assert_eq!(
+        (map.cached_tokens(BLOCK), map.cached_tokens(8)),
+        (0, BLOCK_TOKENS)
+    );
 }
 
 #[test]
 fn until_later() {
     let mut map = stored();
-    map.until(1);
-    assert_eq!(map.cached(BLOCK), BLOCK_TOKENS);
-    map.until(2);
-    assert_eq!((map.cached(BLOCK), map.next()), (0, 2));
+    map.advance_to(1);
+    assert_eq!(map.cached_tokens(BLOCK), BLOCK_TOKENS);
+    map.advance_to(2);
+    assert_eq!((map.cached_tokens(BLOCK), map.next_event()), (0, 2));
 }
 
 // An event given out twice must not bring back what was removed since.
 #[test]
 fn take_again() {
     let mut map = stored();
-    map.take(1, Change::Removed, BLOCK);
-    map.take(0, Change::Stored, BLOCK);
-    assert_eq!((map.cached(BLOCK), map.next()), (0, 2));
+    map.apply(1, BlockChange::Removed, BLOCK);
+    map.apply(0, BlockChange::Stored, BLOCK);
+    assert_eq!((map.cached_tokens(BLOCK), map.next_event()), (0, 2));
 }
 
 #[test]
 fn take_many() {
     let mut map = CacheMap::default();
     for block in 0..100_000 {
-        map.take(block, Change::Stored, block);
+        map.apply(block, BlockChange::Stored, block);
     }
-    let held = (0..100_000).filter(|b| map.cached(*b) > 0).count();
+    let held = (0..100_000).filter(|b| map.cached_tokens(*b) > 0).count();
     assert_eq!(held, 16_384);
 }
 
@@ -64,5 +70,5 @@
 fn reset_stored() {
     let mut map = stored();
     map.reset();
-    assert_eq!((map.cached(BLOCK), map.next()), (0, 0));
+    assert_eq!((map.cached_tokens(BLOCK), map.next_event()), (0, 0));
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use policy::finding::{Finder, Step};
+use policy::discovery::{DiscoveryStep, PeerDiscovery};
 use policy::others::{BELIEVED, Intervals, Others, Saying, Scope};
 use policy::readers::Readers;
 use policy::roster::{ALL_MOST, Named, RELAYS, Roster, Seat, Targets};
@@ -49,7 +49,7 @@
 struct Entry {
     seat: Seat,
     starts: Instant,
-    finder: Finder,
+    finder: PeerDiscovery,
     roster: Roster,
     readers: Readers,
     others: Others,
@@ -72,7 +72,7 @@
         Self {
             seat,
             starts,
-            finder: Finder::new(starts, seeds, first),
+            finder: PeerDiscovery::new(starts, seeds, first),
             roster: Roster::new(seat, false),
             readers: Readers::new(seat.rank()),
             others: Others::default(),
@@ -219,7 +219,7 @@
                 }
             }
             Message::Answer(named, count, sums) => {
-                entry.finder.answered(now);
+                entry.finder.peer_answered(now);
                 entry.roster.counted(now, count);
                 for named in named {
                     entry.note(now, named.seat, named.left);
@@ -236,28 +236,28 @@
         let now = self.now;
         let entry = &mut self.entries[n];
         let (first, relayed) = (entry.roster.relays(), entry.roster.relayed());
-        match entry.finder.next(now, first, relayed) {
-            Step::Ask(addr) => {
+        match entry.finder.next_step(now, first, relayed) {
+            DiscoveryStep::Ask(addr) => {
                 let seat = entry.seat;
                 let said = entry.saying(Duration::from_secs(1));
                 self.send(n, addr, Message::Said(seat, said, true));
             }
-            Step::Announce => {
+            DiscoveryStep::Announce => {
                 entry.calls += 1;
-                entry.finder.announced(now, true);
+                entry.finder.announce_finished(now, true);
                 self.directory.insert(self.entries[n].seat.addr);
             }
-            Step::Look => {
+            DiscoveryStep::ReadDirectory => {
                 entry.calls += 1;
                 let own = entry.seat.addr;
                 let found = self.directory.iter().copied().filter(|a| *a != own);
                 let found = found.collect();
-                self.entries[n].finder.looked(now, Some(found));
+                self.entries[n].finder.directory_read(now, Some(found));
             }
-            Step::Wait(_) => {}
+            DiscoveryStep::Wait(_) => {}
         }
         let entry = &mut self.entries[n];
-        entry.read |= entry.finder.settled(now) && entry.readers.ask(now).is_none();
+        entry.read |= entry.finder.is_settled(now) && entry.readers.ask(now).is_none();
         if now >= entry.next {
             self.speak(n);
         }
--- a/crates/policy/tests/grants/bursts.rs
+++ b/crates/policy/tests/grants/bursts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use policy::grants::Grants;
+use policy::grants::GrantController;
 use rstest::rstest;
 
 use crate::common::{TARGET, burst, ms};
@@ -15,7 +15,7 @@
 #[case::fast(150.0, 13)]
 #[case::slow(40.0, 50)]
 fn burst_in_time(#[case] rate: f64, #[case] every: u64) {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let outcome = burst(Instant::now(), &mut grants, rate, every, TARGET / 2);
     let served = outcome.in_time + outcome.late;
     assert!(outcome.in_time * 100 >= served * 95, "{outcome:?}");
@@ -28,7 +28,7 @@
 /// ever, and nearly all come late.
 #[test]
 fn burst_without_bound() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let outcome = burst(Instant::now(), &mut grants, 100.0, 20, ms(60_000));
     assert!(outcome.late > outcome.in_time, "{outcome:?}");
 }
@@ -39,7 +39,7 @@
 /// idle engine goes on refusing.
 #[test]
 fn pace_follows_after_slow_spell() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let start = Instant::now();
     burst(start, &mut grants, 5.0, 20, TARGET / 2);
     burst(start + ms(20_000), &mut grants, 100.0, 40, TARGET / 2);
--- a/crates/policy/tests/grants/common.rs
+++ b/crates/policy/tests/grants/common.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use policy::grants::{Ask, CallId, Grants, Verdict};
+use policy::grants::{CallId, GrantController, GrantDecision, GrantRequest};
 
 pub(crate) const TARGET: Duration = Duration::from_millis(800);
 
@@ -14,46 +14,53 @@
 }
 
 pub(crate) fn id(number: u32) -> CallId {
-    CallId { life: 1, number }
+    CallId {
+        incarnation: 1,
+        number,
+    }
 }
 
 /// A prompt of `tokens` that shares nothing.
-pub(crate) fn prompt(number: u32, tokens: u32) -> Ask {
-    Ask {
+pub(crate) fn prompt(number: u32, tokens: u32) -> GrantRequest {
+    GrantRequest {
         id: id(number),
         parts: vec![(u64::from(number) + 1000, tokens)],
-        allowed: TARGET / 2,
-        left: LEFT,
-        gap: None,
+        ttft_limit: TARGET / 2,
+        time_left: LEFT,
+        max_gap: None,
         slots: 32,
         rank: 5,
-        home: true,
-        must: false,
-        source: 0,
-        copy: None,
+        is_home: true,
+        forced: false,
+        fetchable: 0,
+        copy_time: None,
     }
 }
 
 /// A stream whose reader bears pauses of `gap`.
-pub(crate) fn stream(number: u32, gap: u64) -> Ask {
-    Ask {
-        gap: Some(ms(gap)),
+pub(crate) fn stream(number: u32, gap: u64) -> GrantRequest {
+    GrantRequest {
+        max_gap: Some(ms(gap)),
         rank: 3,
         ..prompt(number, 500)
     }
 }
 
 /// The waiting calls that are let in by now.
-pub(crate) fn let_in(grants: &mut Grants, now: Instant) -> Vec<CallId> {
-    grants.granted(now).into_iter().map(|(id, _)| id).collect()
+pub(crate) fn let_in(grants: &mut GrantController, now: Instant) -> Vec<CallId> {
+    grants
+        .grant_waiting(now)
+        .into_iter()
+        .map(|(id, _)| id)
+        .collect()
 }
 
-pub(crate) fn granted(verdict: Verdict) -> bool {
-    verdict == Verdict::Granted
+pub(crate) fn granted(verdict: GrantDecision) -> bool {
+    verdict == GrantDecision::Granted
 }
 
-pub(crate) fn refused(verdict: Verdict) -> bool {
-    matches!(verdict, Verdict::Refused(_))
+pub(crate) fn refused(verdict: GrantDecision) -> bool {
+    matches!(verdict, GrantDecision::Refused(_))
 }
 
 /// What a burst came to.
@@ -73,7 +80,12 @@
 }
 
 impl Engine {
-    pub(crate) fn step(&mut self, now: Instant, grants: &mut Grants, outcome: &mut Outcome) {
+    pub(crate) fn step(
+        &mut self,
+        now: Instant,
+        grants: &mut GrantController,
+        outcome: &mut Outcome,
+    ) {
         let mut room = self.rate;
         while let Some((id, left, asked)) = self.prompts.front_mut() {
             *left -= room;
@@ -85,8 +97,8 @@
                 true => outcome.in_time += 1,
                 false => outcome.late += 1,
             }
-            grants.begun(now, *id);
-            grants.ended(now, *id, Duration::ZERO);
+            grants.record_first_event(now, *id);
+            grants.call_ended(now, *id, Duration::ZERO);
             self.prompts.pop_front();
         }
     }
@@ -95,7 +107,7 @@
 /// Lets prompts of 3,000 tokens come every `every` ms for ten seconds.
 pub(crate) fn burst(
     start: Instant,
-    grants: &mut Grants,
+    grants: &mut GrantController,
     rate: f64,
     every: u64,
     allowed: Duration,
@@ -110,15 +122,15 @@
         let now = start + ms(t);
         if t % every == 0 {
             let number = u32::try_from(t).expect("small");
-            let ask = Ask {
-                allowed,
+            let ask = GrantRequest {
+                ttft_limit: allowed,
                 ..prompt(number, 3_000)
             };
             asked.insert(ask.id, now);
-            match grants.ask(now, ask) {
-                Verdict::Granted => engine.prompts.push_back((id(number), 3_000.0, now)),
-                Verdict::Queued(_) => {}
-                Verdict::Refused(_) => outcome.refused += 1,
+            match grants.request(now, ask) {
+                GrantDecision::Granted => engine.prompts.push_back((id(number), 3_000.0, now)),
+                GrantDecision::Queued(_) => {}
+                GrantDecision::Refused(_) => outcome.refused += 1,
             }
         }
         engine.step(now, grants, &mut outcome);
--- a/crates/policy/tests/grants/fetch.rs
+++ b/crates/policy/tests/grants/fetch.rs
@@ -2,17 +2,17 @@
 
 use std::time::{Duration, Instant};
 
-use policy::grants::{Ask, Grants, Verdict};
+use policy::grants::{GrantController, GrantDecision, GrantRequest};
 
 use crate::common::{granted, id, let_in, ms, prompt, refused};
 
 /// A prompt of 17,000 tokens, of which another engine holds 13,300.
-fn dossier(number: u32, source: u32) -> Ask {
-    Ask {
+fn dossier(number: u32, source: u32) -> GrantRequest {
+    GrantRequest {
         parts: vec![(7, 13_300), (u64::from(number) + 1000, 3_700)],
-        source,
-        copy: Some(Duration::from_nanos(2_500)),
-        home: false,
+        fetchable: source,
+        copy_time: Some(Duration::from_nanos(2_500)),
+        is_home: false,
         ..prompt(number, 0)
     }
 }
@@ -24,16 +24,16 @@
 fn fetched_prompts_fit_in() {
     let now = Instant::now();
     let allowed = ms(110);
-    let ask = |number, source| Ask {
-        allowed,
+    let ask = |number, source| GrantRequest {
+        ttft_limit: allowed,
         ..dossier(number, source)
     };
-    let mut grants = Grants::default();
-    assert!(granted(grants.ask(now, prompt(1, 2_000))));
-    assert!(refused(grants.ask(now, ask(2, 0))));
-    assert!(granted(grants.ask(now, ask(3, 13_300))));
+    let mut grants = GrantController::default();
+    assert!(granted(grants.request(now, prompt(1, 2_000))));
+    assert!(refused(grants.request(now, ask(2, 0))));
+    assert!(granted(grants.request(now, ask(3, 13_300))));
     // Once it is here, the next call misses its own part only.
-    assert_eq!(grants.held(&ask(4, 0).parts), 13_300);
+    assert_eq!(grants.held_tokens(&ask(4, 0).parts), 13_300);
 }
 
 /// A call was let in before its entry found who holds its prompt. Told of the
@@ -41,11 +41,14 @@
 #[test]
 fn fetch_told_later_makes_room() {
     let now = Instant::now();
-    let mut grants = Grants::default();
-    assert!(granted(grants.ask(now, dossier(1, 0))));
+    let mut grants = GrantController::default();
+    assert!(granted(grants.request(now, dossier(1, 0))));
     let next = |number| prompt(number, 3_000);
-    assert!(matches!(grants.ask(now, next(2)), Verdict::Queued(_)));
-    grants.fetches(id(1), 13_300);
+    assert!(matches!(
+        grants.request(now, next(2)),
+        GrantDecision::Queued(_)
+    ));
+    grants.record_fetch(id(1), 13_300);
     assert_eq!(let_in(&mut grants, now), vec![id(2)]);
 }
 
@@ -55,11 +58,11 @@
 #[test]
 fn slow_fetches_stop() {
     let mut now = Instant::now();
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let mut tried = 0;
     for number in 0..60 {
-        let ask = Ask {
-            allowed: ms(2_000),
+        let ask = GrantRequest {
+            ttft_limit: ms(2_000),
             parts: vec![
                 (u64::from(number) + 5000, 13_300),
                 (u64::from(number) + 1000, 700),
@@ -68,11 +71,11 @@
         };
         let fetch = grants.fetch_pays();
         tried += u32::from(fetch);
-        assert!(granted(grants.ask(now, ask)));
+        assert!(granted(grants.request(now, ask)));
         let each = if fetch { 20 } else { 10 };
         now += Duration::from_micros(13_300 * each + 7_000);
-        grants.begun(now, id(number));
-        grants.ended(now, id(number), Duration::ZERO);
+        grants.record_first_event(now, id(number));
+        grants.call_ended(now, id(number), Duration::ZERO);
         now += ms(50);
     }
     assert!((9..=16).contains(&tried), "{tried} of 60 fetched");
--- a/crates/policy/tests/grants/order.rs
+++ b/crates/policy/tests/grants/order.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use policy::grants::{Ask, Grants, Verdict};
+use policy::grants::{GrantController, GrantDecision, GrantRequest};
 
 use crate::common::{Engine, Outcome, granted, id, let_in, ms, prompt};
 
@@ -11,18 +11,21 @@
 /// due sooner can still go first.
 #[test]
 fn due_sooner_goes_first() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    assert!(granted(grants.ask(now, prompt(1, 10_000))));
-    let later = grants.ask(now, prompt(2, 3_000));
-    assert!(matches!(later, Verdict::Queued(_)), "{later:?}");
-    let sooner = Ask {
-        allowed: ms(250),
+    assert!(granted(grants.request(now, prompt(1, 10_000))));
+    let later = grants.request(now, prompt(2, 3_000));
+    assert!(matches!(later, GrantDecision::Queued(_)), "{later:?}");
+    let sooner = GrantRequest {
+        ttft_limit: ms(250),
         ..prompt(3, 1_000)
     };
-    assert!(matches!(grants.ask(now, sooner), Verdict::Queued(_)));
-    assert!(grants.granted(now).is_empty());
-    grants.begun(now + ms(90), id(1));
+    assert!(matches!(
+        grants.request(now, sooner),
+        GrantDecision::Queued(_)
+    ));
+    assert!(grants.grant_waiting(now).is_empty());
+    grants.record_first_event(now + ms(90), id(1));
     assert_eq!(let_in(&mut grants, now + ms(90)), vec![id(3), id(2)]);
 }
 
@@ -30,13 +33,13 @@
 /// answered as before.
 #[test]
 fn asked_again_answered_alike() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    assert!(granted(grants.ask(now, prompt(1, 10_000))));
-    assert!(granted(grants.ask(now, prompt(1, 10_000))));
+    assert!(granted(grants.request(now, prompt(1, 10_000))));
+    assert!(granted(grants.request(now, prompt(1, 10_000))));
     for _ in 0..3 {
-        let verdict = grants.ask(now, prompt(2, 3_000));
-        assert!(matches!(verdict, Verdict::Queued(_)), "{verdict:?}");
+        let verdict = grants.request(now, prompt(2, 3_000));
+        assert!(matches!(verdict, GrantDecision::Queued(_)), "{verdict:?}");
     }
     assert_eq!(grants.counts(), (1, 1, 0));
 }
@@ -45,10 +48,10 @@
 /// The room that it took is free again after a while.
 #[test]
 fn lost_begun_frees_room() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    assert!(granted(grants.ask(now, prompt(1, 10_000))));
-    assert!(!granted(grants.ask(now, prompt(2, 3_000))));
+    assert!(granted(grants.request(now, prompt(1, 10_000))));
+    assert!(!granted(grants.request(now, prompt(2, 3_000))));
     assert_eq!(let_in(&mut grants, now + ms(1_600)), vec![id(2)]);
 }
 
@@ -56,29 +59,29 @@
 /// must have given up.
 #[test]
 fn lost_ended_frees_slot() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    let one = |number| Ask {
+    let one = |number| GrantRequest {
         slots: 1,
         ..prompt(number, 100)
     };
-    assert!(granted(grants.ask(now, one(1))));
-    grants.begun(now + ms(30), id(1));
-    assert!(!granted(grants.ask(now + ms(40), one(2))));
-    assert!(grants.granted(now + ms(3_000)).is_empty());
-    assert!(granted(grants.ask(now + ms(4_100), one(3))));
+    assert!(granted(grants.request(now, one(1))));
+    grants.record_first_event(now + ms(30), id(1));
+    assert!(!granted(grants.request(now + ms(40), one(2))));
+    assert!(grants.grant_waiting(now + ms(3_000)).is_empty());
+    assert!(granted(grants.request(now + ms(4_100), one(3))));
 }
 
 /// A caller leaves while its call waits: the call takes no room.
 #[test]
 fn left_while_waiting() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    grants.ask(now, prompt(1, 10_000));
-    grants.ask(now, prompt(2, 3_000));
-    grants.ended(now, id(2), Duration::ZERO);
-    grants.begun(now + ms(90), id(1));
-    assert!(grants.granted(now + ms(90)).is_empty());
+    grants.request(now, prompt(1, 10_000));
+    grants.request(now, prompt(2, 3_000));
+    grants.call_ended(now, id(2), Duration::ZERO);
+    grants.record_first_event(now + ms(90), id(1));
+    assert!(grants.grant_waiting(now + ms(90)).is_empty());
 }
 
 /// A burst of dossiers, a third more than the engine reads. Every second one
@@ -88,7 +91,7 @@
 #[test]
 fn short_reads_overtake_long_ones() {
     let start = Instant::now();
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let mut engine = Engine {
         rate: 60.0,
         prompts: VecDeque::new(),
@@ -101,17 +104,17 @@
         if t % 100 == 0 {
             let held = t % 200 == 0 && t > 1_000;
             let shared = if held { 7 } else { u64::from(t) + 50_000 };
-            let ask = Ask {
+            let ask = GrantRequest {
                 parts: vec![(shared, 13_300), (u64::from(t) + 1000, 1_200)],
-                allowed: ms(1_000),
+                ttft_limit: ms(1_000),
                 ..prompt(t, 0)
             };
-            let tokens = f64::from(grants.missing(&ask.parts));
+            let tokens = f64::from(grants.missing_tokens(&ask.parts));
             asked.insert(ask.id, (now, tokens));
-            match grants.ask(now, ask) {
-                Verdict::Granted => engine.prompts.push_back((id(t), tokens, now)),
-                Verdict::Queued(_) => {}
-                Verdict::Refused(_) => refused[usize::from(held)] += 1,
+            match grants.request(now, ask) {
+                GrantDecision::Granted => engine.prompts.push_back((id(t), tokens, now)),
+                GrantDecision::Queued(_) => {}
+                GrantDecision::Refused(_) => refused[usize::from(held)] += 1,
             }
         }
         engine.step(now, &mut grants, &mut outcome);
--- a/crates/policy/tests/grants/room.rs
+++ b/crates/policy/tests/grants/room.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use policy::grants::{Ask, Grants, Report};
+use policy::grants::{EngineReport, GrantController, GrantRequest};
 
 use crate::common::{granted, id, ms, prompt, refused, stream};
 
@@ -10,66 +10,66 @@
 /// another one, so only what fits is let in.
 #[test]
 fn full_memory_refuses() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    grants.report(
+    grants.update_report(
         now,
-        Report {
-            running: 4,
-            unread: 0,
-            used: 440_000,
-            total: 500_000,
-            born: None,
+        EngineReport {
+            running_calls: 4,
+            unread_calls: 0,
+            used_tokens: 440_000,
+            total_tokens: 500_000,
+            started_at: None,
         },
     );
-    assert!(refused(grants.ask(now, prompt(1, 20_000))));
-    assert!(granted(grants.ask(now, stream(2, 150))));
-    let large = Ask {
+    assert!(refused(grants.request(now, prompt(1, 20_000))));
+    assert!(granted(grants.request(now, stream(2, 150))));
+    let large = GrantRequest {
         parts: vec![(1, 20_000)],
         ..stream(3, 150)
     };
-    assert!(refused(grants.ask(now, large)));
+    assert!(refused(grants.request(now, large)));
 }
 
 /// Calls of entries that could not ask are in the engine's report only; they
 /// take slots all the same.
 #[test]
 fn reported_calls_take_slots() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    let report = Report {
-        running: 32,
-        unread: 0,
-        used: 0,
-        total: 500_000,
-        born: None,
+    let report = EngineReport {
+        running_calls: 32,
+        unread_calls: 0,
+        used_tokens: 0,
+        total_tokens: 500_000,
+        started_at: None,
     };
-    grants.report(now, report);
-    assert!(refused(grants.ask(now, stream(1, 150))));
-    assert!(granted(grants.ask(now + ms(600), stream(2, 150))));
+    grants.update_report(now, report);
+    assert!(refused(grants.request(now, stream(1, 150))));
+    assert!(granted(grants.request(now + ms(600), stream(2, 150))));
 }
 
 /// A prompt that the engine's memory can never hold goes in at once, where the
 /// engine refuses it; waiting, it would hold up what is due after it.
 #[test]
 fn too_large_holds_nobody_up() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    let report = Report {
-        running: 0,
-        unread: 0,
-        used: 0,
-        total: 50_000,
-        born: None,
+    let report = EngineReport {
+        running_calls: 0,
+        unread_calls: 0,
+        used_tokens: 0,
+        total_tokens: 50_000,
+        started_at: None,
     };
-    grants.report(now, report);
-    let huge = Ask {
-        must: true,
+    grants.update_report(now, report);
+    let huge = GrantRequest {
+        forced: true,
         ..prompt(1, 60_000)
     };
-    assert!(granted(grants.ask(now, huge)));
-    grants.ended(now, id(1), Duration::ZERO);
-    assert!(granted(grants.ask(now, prompt(2, 3_000))));
+    assert!(granted(grants.request(now, huge)));
+    grants.call_ended(now, id(1), Duration::ZERO);
+    assert!(granted(grants.request(now, prompt(2, 3_000))));
 }
 
 /// An engine full of streams crashes and starts again under its name. Its
@@ -79,26 +79,26 @@
 #[test]
 fn restart_empties_the_books() {
     let now = Instant::now();
-    let mut grants = Grants::default();
-    let report = |born| Report {
-        running: 0,
-        unread: 0,
-        used: 0,
-        total: 500_000,
-        born: Some(born),
+    let mut grants = GrantController::default();
+    let report = |born| EngineReport {
+        running_calls: 0,
+        unread_calls: 0,
+        used_tokens: 0,
+        total_tokens: 500_000,
+        started_at: Some(born),
     };
-    grants.report(now, report(1_000));
+    grants.update_report(now, report(1_000));
     for number in 0..32 {
-        assert!(granted(grants.ask(now, stream(number, 150))));
+        assert!(granted(grants.request(now, stream(number, 150))));
     }
-    assert!(refused(grants.ask(now, stream(32, 150))));
-    assert_eq!(grants.missing(&stream(1, 150).parts), 0);
-    grants.report(now, report(2_000));
+    assert!(refused(grants.request(now, stream(32, 150))));
+    assert_eq!(grants.missing_tokens(&stream(1, 150).parts), 0);
+    grants.update_report(now, report(2_000));
     assert_eq!(grants.counts(), (0, 0, 0));
-    assert_eq!(grants.missing(&stream(1, 150).parts), 500);
+    assert_eq!(grants.missing_tokens(&stream(1, 150).parts), 500);
     // A late report of the earlier life changes nothing.
-    assert!(granted(grants.ask(now, stream(33, 150))));
-    grants.report(now, report(1_000));
+    assert!(granted(grants.request(now, stream(33, 150))));
+    grants.update_report(now, report(1_000));
     assert_eq!(grants.counts(), (0, 1, 0));
 }
 
@@ -109,14 +109,14 @@
 #[test]
 fn claimed_tokens_do_not_wrap() {
     let now = Instant::now();
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     for n in 1..4 {
-        let claimed = Ask {
-            must: true,
+        let claimed = GrantRequest {
+            forced: true,
             parts: vec![(u64::from(n), u32::MAX - 7), (u64::from(n) + 10, 8)],
             ..stream(n, 500)
         };
-        assert!(granted(grants.ask(now, claimed)));
+        assert!(granted(grants.request(now, claimed)));
     }
-    assert!(refused(grants.ask(now, prompt(9, 3_000))));
+    assert!(refused(grants.request(now, prompt(9, 3_000))));
 }
