--- a/crates/policy/tests/grants/streams.rs
+++ b/crates/policy/tests/grants/streams.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use policy::grants::{Ask, Grants, Verdict};
+use policy::grants::{GrantController, GrantDecision, GrantRequest};
 use rstest::rstest;
 
 use crate::common::{TARGET, burst, granted, id, let_in, ms, prompt, refused, stream};
@@ -11,19 +11,19 @@
 /// another engine may have a slot, and never when there is none.
 #[test]
 fn stream_never_waits() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    grants.ask(now, prompt(1, 10_000));
-    grants.ask(now, prompt(2, 3_000));
-    assert!(granted(grants.ask(now, stream(3, 150))));
+    grants.request(now, prompt(1, 10_000));
+    grants.request(now, prompt(2, 3_000));
+    assert!(granted(grants.request(now, stream(3, 150))));
 
-    let last = |number, must| Ask {
+    let last = |number, must| GrantRequest {
         slots: 2,
-        must,
+        forced: must,
         ..stream(number, 150)
     };
-    assert!(refused(grants.ask(now, last(4, false))));
-    assert!(granted(grants.ask(now, last(5, true))));
+    assert!(refused(grants.request(now, last(4, false))));
+    assert!(granted(grants.request(now, last(5, true))));
 }
 
 /// A stream runs whose reader bears pauses of 150 ms. Prompts beside it are
@@ -31,20 +31,20 @@
 /// home, and by itself.
 #[test]
 fn reading_beside_stream_bounded() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let now = Instant::now();
-    assert!(granted(grants.ask(now, stream(1, 150))));
-    grants.begun(now + ms(30), id(1));
+    assert!(granted(grants.request(now, stream(1, 150))));
+    grants.record_first_event(now + ms(30), id(1));
     let now = now + ms(200);
-    let away = Ask {
-        home: false,
+    let away = GrantRequest {
+        is_home: false,
         ..prompt(2, 30_000)
     };
-    assert!(refused(grants.ask(now, away)));
-    assert!(granted(grants.ask(now, prompt(3, 4_500))));
-    grants.begun(now + ms(70), id(3));
-    let more = grants.ask(now + ms(71), prompt(4, 4_500));
-    assert!(matches!(more, Verdict::Queued(_)), "{more:?}");
+    assert!(refused(grants.request(now, away)));
+    assert!(granted(grants.request(now, prompt(3, 4_500))));
+    grants.record_first_event(now + ms(70), id(3));
+    let more = grants.request(now + ms(71), prompt(4, 4_500));
+    assert!(matches!(more, GrantDecision::Queued(_)), "{more:?}");
     assert_eq!(let_in(&mut grants, now + ms(151)), vec![id(4)]);
 }
 
@@ -53,20 +53,20 @@
 #[test]
 fn reading_follows_pauses() {
     let beside = |pause: u64| {
-        let mut grants = Grants::default();
+        let mut grants = GrantController::default();
         let mut now = Instant::now();
         for number in 0..60 {
-            grants.ask(now, stream(number, 150));
-            grants.begun(now + ms(10), id(number));
-            grants.ended(now + ms(20), id(number), ms(pause));
+            grants.request(now, stream(number, 150));
+            grants.record_first_event(now + ms(10), id(number));
+            grants.call_ended(now + ms(20), id(number), ms(pause));
             now += ms(30);
         }
-        grants.ask(now, stream(100, 150));
-        grants.begun(now + ms(10), id(100));
+        grants.request(now, stream(100, 150));
+        grants.record_first_event(now + ms(10), id(100));
         now += ms(300);
-        grants.ask(now, prompt(101, 4_500));
-        grants.begun(now + ms(50), id(101));
-        granted(grants.ask(now + ms(51), prompt(102, 4_500)))
+        grants.request(now, prompt(101, 4_500));
+        grants.record_first_event(now + ms(50), id(101));
+        granted(grants.request(now + ms(51), prompt(102, 4_500)))
     };
     assert!(beside(60));
     assert!(!beside(130));
@@ -81,14 +81,14 @@
 #[case::slow(33.0, 60, false)]
 fn reading_beside_streams_by_pace(#[case] rate: f64, #[case] every: u64, #[case] fits: bool) {
     let start = Instant::now();
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     burst(start, &mut grants, rate, every, TARGET / 2);
     let now = start + ms(20_000);
-    assert!(granted(grants.ask(now, stream(20_001, 250))));
-    let spilled = Ask {
-        home: false,
-        allowed: ms(2_000),
+    assert!(granted(grants.request(now, stream(20_001, 250))));
+    let spilled = GrantRequest {
+        is_home: false,
+        ttft_limit: ms(2_000),
         ..prompt(20_002, 6_000)
     };
-    assert_eq!(!refused(grants.ask(now, spilled)), fits);
+    assert_eq!(!refused(grants.request(now, spilled)), fits);
 }
--- a/crates/policy/tests/grants/tiers.rs
+++ b/crates/policy/tests/grants/tiers.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use policy::grants::{Ask, CallId, Grants, Verdict};
+use policy::grants::{CallId, GrantController, GrantDecision, GrantRequest};
 
 use crate::common::{Outcome, TARGET, granted, id, let_in, ms, prompt, stream};
 
@@ -36,10 +36,10 @@
     }
 
     /// Runs for a millisecond; returns the calls that have their first event.
-    fn step(&mut self, now: Instant, grants: &mut Grants) -> Vec<CallId> {
+    fn step(&mut self, now: Instant, grants: &mut GrantController) -> Vec<CallId> {
         let ended = |(_, until): &mut (CallId, Instant)| *until <= now;
         for (id, _) in self.writing.extract_if(.., ended) {
-            grants.ended(now, id, Duration::ZERO);
+            grants.call_ended(now, id, Duration::ZERO);
         }
         let mut room = self.rate;
         let mut begun = Vec::new();
@@ -50,7 +50,7 @@
             }
             room = -*left;
             begun.push(*id);
-            grants.begun(now, *id);
+            grants.record_first_event(now, *id);
             self.writing.push((*id, now + self.hold));
             self.reading.pop_front();
         }
@@ -70,7 +70,7 @@
 
 /// Lets calls of several kinds come for ten seconds at an engine of eight
 /// slots; returns what became of each kind, and most calls at once.
-fn bursts(kinds: &[Kind], grants: &mut Grants, hold: Duration) -> (Vec<Outcome>, usize) {
+fn bursts(kinds: &[Kind], grants: &mut GrantController, hold: Duration) -> (Vec<Outcome>, usize) {
     let start = Instant::now();
     let mut engine = Small::new(150.0, hold);
     let mut outcomes: Vec<Outcome> = kinds.iter().map(|_| Outcome::default()).collect();
@@ -80,17 +80,17 @@
         let now = start + ms(t);
         for (k, kind) in kinds.iter().enumerate().filter(|(_, k)| t % k.every == 0) {
             number += 1;
-            let ask = Ask {
-                allowed: kind.allowed,
+            let ask = GrantRequest {
+                ttft_limit: kind.allowed,
                 rank: kind.rank,
                 slots: 8,
                 ..prompt(number, kind.tokens)
             };
             asked.insert(ask.id, (k, now));
-            match grants.ask(now, ask) {
-                Verdict::Granted => engine.take(id(number), f64::from(kind.tokens)),
-                Verdict::Queued(_) => {}
-                Verdict::Refused(_) => outcomes[k].refused += 1,
+            match grants.request(now, ask) {
+                GrantDecision::Granted => engine.take(id(number), f64::from(kind.tokens)),
+                GrantDecision::Queued(_) => {}
+                GrantDecision::Refused(_) => outcomes[k].refused += 1,
             }
         }
         for id in engine.step(now, grants) {
@@ -130,7 +130,7 @@
 /// slot that is kept for one stands idle, an eighth of what the engine can do.
 #[test]
 fn no_slot_is_kept_where_no_stream_comes() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let (outcomes, most) = bursts(&[DOSSIERS], &mut grants, ms(250));
     assert!(outcomes[0].refused > 0, "{outcomes:?}");
     assert_eq!(most, 8);
@@ -141,34 +141,34 @@
 #[test]
 fn slots_are_kept_where_streams_come() {
     let now = Instant::now();
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     // Six a second, each for two seconds: twelve at once, of sixteen slots.
     let every = ms(166);
     for n in 0..60 {
         let at = now + every * n;
-        let ask = Ask {
+        let ask = GrantRequest {
             slots: 16,
             ..stream(n, 150)
         };
-        assert!(granted(grants.ask(at, ask)), "stream {n}");
-        grants.begun(at, id(n));
+        assert!(granted(grants.request(at, ask)), "stream {n}");
+        grants.record_first_event(at, id(n));
         if n >= 12 {
-            grants.ended(at, id(n - 12), Duration::ZERO);
+            grants.call_ended(at, id(n - 12), Duration::ZERO);
         }
     }
     let at = now + every * 60;
     for n in 48..60 {
-        grants.ended(at, id(n), Duration::ZERO);
+        grants.call_ended(at, id(n), Duration::ZERO);
     }
     let mut taken = 0;
     for n in 100..116 {
-        let ask = Ask {
+        let ask = GrantRequest {
             slots: 16,
             ..prompt(n, 1)
         };
-        if granted(grants.ask(at, ask)) {
+        if granted(grants.request(at, ask)) {
             taken += 1;
-            grants.begun(at, id(n));
+            grants.record_first_event(at, id(n));
         }
     }
     assert!((1..16).contains(&taken), "{taken}");
@@ -179,7 +179,7 @@
 /// dossiers and come late; they have to be served as if there were none.
 #[test]
 fn higher_tier_keeps_its_service() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let (outcomes, _) = bursts(&[DOSSIERS, QUESTIONS], &mut grants, ms(250));
     let questions = &outcomes[1];
     let all = questions.in_time + questions.late + questions.refused;
@@ -191,7 +191,7 @@
 /// time. What goes before them later is not in the queue yet when they come.
 #[test]
 fn lower_tier_waits_no_longer_than_its_target() {
-    let mut grants = Grants::default();
+    let mut grants = GrantController::default();
     let (outcomes, _) = bursts(&[DOSSIERS, QUESTIONS], &mut grants, ms(250));
     let dossiers = &outcomes[0];
     let served = dossiers.in_time + dossiers.late;
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -7,32 +7,32 @@
 use policy::offer::{Offer, Size, grace};
 use policy::outlier::Fault;
 use policy::pace::{Load, Pace};
-use policy::placement::{Mode, Options, ServerIndex, Want};
+use policy::placement::{PlacementMode, PlacementOptions, PlacementRequest, ServerIndex};
 use rstest::rstest;
 
 const SLOTS: u32 = 8;
 
 /// Servers `0..count`, a third in each availability zone; the entry is in `a`.
-fn placement(mode: Mode, count: usize) -> Placement {
-    let mut placement = Placement::new(Options {
+fn placement(mode: PlacementMode, count: usize) -> Placement {
+    let mut placement = Placement::new(PlacementOptions {
         mode,
-        lag: Duration::from_millis(500),
+        report_lag: Duration::from_millis(500),
         zone: "a".to_owned(),
         seed: 7,
     });
     for i in 0..count {
         let zone = ["a", "b", "c"][i % 3];
-        placement.join(i, &format!("server-{i}"), zone, "model");
+        placement.add_server(i, &format!("server-{i}"), zone, "model");
     }
     placement
 }
 
-fn want(prefix: u64, tried: &[ServerIndex]) -> Want<'_> {
-    Want {
+fn want(prefix: u64, tried: &[ServerIndex]) -> PlacementRequest<'_> {
+    PlacementRequest {
         target: "model",
-        prefix,
-        tried,
-        fan: 2,
+        prefix_hash: prefix,
+        excluded: tried,
+        fan_out: 2,
     }
 }
 
@@ -53,9 +53,9 @@
 #[test]
 fn choose_home() {
     let now = Instant::now();
-    let mut all = placement(Mode::LateBinding, 18);
-    let mut fewer = placement(Mode::LateBinding, 18);
-    fewer.leave(5);
+    let mut all = placement(PlacementMode::LateBinding, 18);
+    let mut fewer = placement(PlacementMode::LateBinding, 18);
+    fewer.remove_server(5);
 
     let mut homes = BTreeSet::new();
     for prefix in 1..200 {
@@ -70,7 +70,7 @@
 #[test]
 fn choose_near_first() {
     let now = Instant::now();
-    let mut placement = placement(Mode::LateBinding, 18);
+    let mut placement = placement(PlacementMode::LateBinding, 18);
     for _ in 0..100 {
         let chosen = placement.choose(now, &want(0, &[]));
         assert!(chosen.len() == 2 && chosen.iter().all(|i| i % 3 == 0));
@@ -82,23 +82,23 @@
 #[test]
 fn choose_spills_over() {
     let now = Instant::now();
-    let mut placement = placement(Mode::LateBinding, 18);
+    let mut placement = placement(PlacementMode::LateBinding, 18);
     for i in (0..18).step_by(3) {
-        placement.heard(now, i, load(SLOTS, 3), 0.3);
+        placement.record_load(now, i, load(SLOTS, 3), 0.3);
     }
     for i in (0..18).filter(|i| i % 3 != 0) {
-        placement.heard(now, i, load(1, 3), 0.3);
+        placement.record_load(now, i, load(1, 3), 0.3);
     }
     let chosen = placement.choose(now, &want(0, &[]));
     assert!(chosen.iter().all(|i| i % 3 != 0));
 }
 
 #[rstest]
-#[case(Mode::LateBinding)]
-#[case(Mode::Random)]
-#[case(Mode::LeastLoaded)]
-#[case(Mode::TwoChoices)]
-fn choose_never_tried(#[case] mode: Mode) {
+#[case(PlacementMode::LateBinding)]
+#[case(PlacementMode::Random)]
+#[case(PlacementMode::LeastLoaded)]
+#[case(PlacementMode::TwoChoices)]
+fn choose_never_tried(#[case] mode: PlacementMode) {
     let now = Instant::now();
     let mut placement = placement(mode, 6);
     let mut tried = Vec::new();
@@ -112,12 +112,12 @@
 #[test]
 fn choose_not_draining() {
     let mut now = Instant::now();
-    let mut placement = placement(Mode::LateBinding, 1);
+    let mut placement = placement(PlacementMode::LateBinding, 1);
     let draining = Load {
         draining: true,
         ..load(0, 3)
     };
-    placement.heard(now, 0, draining, 0.3);
+    placement.record_load(now, 0, draining, 0.3);
     assert!(placement.choose(now, &want(0, &[])).is_empty());
     // Its next life at the same address is found.
     now += Duration::from_secs(5);
@@ -127,14 +127,14 @@
 // The least loaded by reports gets everything until the reports arrive; late
 // binding and the better of two spread.
 #[rstest]
-#[case(Mode::LeastLoaded, 1, 1)]
-#[case(Mode::TwoChoices, 2, 12)]
-#[case(Mode::Random, 12, 12)]
-fn choose_by_reports(#[case] mode: Mode, #[case] least: usize, #[case] most: usize) {
+#[case(PlacementMode::LeastLoaded, 1, 1)]
+#[case(PlacementMode::TwoChoices, 2, 12)]
+#[case(PlacementMode::Random, 12, 12)]
+fn choose_by_reports(#[case] mode: PlacementMode, #[case] least: usize, #[case] most: usize) {
     let now = Instant::now();
     let mut placement = placement(mode, 12);
     for i in 0..12 {
-        placement.heard(now, i, load(if i == 4 { 0 } else { 4 }, 3), 0.3);
+        placement.record_load(now, i, load(if i == 4 { 0 } else { 4 }, 3), 0.3);
     }
     let later = now + Duration::from_millis(600);
     let chosen = (0..200).flat_map(|_| placement.choose(later, &want(0, &[])));
@@ -147,14 +147,14 @@
 #[test]
 fn fault_everywhere() {
     let mut now = Instant::now();
-    let mut placement = placement(Mode::LateBinding, 18);
+    let mut placement = placement(PlacementMode::LateBinding, 18);
     for _ in 0..10 {
         now += Duration::from_millis(200);
         for i in 0..18 {
-            placement.fault(now, i, Fault::Link, 0.3);
+            placement.record_fault(now, i, Fault::Link, 0.3);
         }
     }
-    let ejected = (0..18).filter(|i| placement.ejected(*i)).count();
+    let ejected = (0..18).filter(|i| placement.is_ejected(*i)).count();
     assert_eq!(ejected, 5);
     assert_eq!(placement.choose(now, &want(0, &[])).len(), 2);
 }
@@ -164,17 +164,17 @@
 #[case::ten_times(30, true)]
 fn heard_slow(#[case] token_ms: u64, #[case] expected: bool) {
     let mut now = Instant::now();
-    let mut placement = placement(Mode::LateBinding, 18);
+    let mut placement = placement(PlacementMode::LateBinding, 18);
     for _ in 0..50 {
         now += Duration::from_millis(200);
         for i in 0..18 {
-            placement.heard(now, i, load(1, if i == 3 { token_ms } else { 3 }), 0.3);
+            placement.record_load(now, i, load(1, if i == 3 { token_ms } else { 3 }), 0.3);
         }
-        if placement.ejected(3) {
+        if placement.is_ejected(3) {
             break;
         }
     }
-    assert_eq!(placement.ejected(3), expected);
+    assert_eq!(placement.is_ejected(3), expected);
 }
 
 const SIZE: Size = Size {
--- a/crates/policy/tests/pools.rs
+++ b/crates/policy/tests/pools.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use policy::others::{Calls, Others, Saying};
-use policy::pools::{Coming, Pools, Told, Work};
+use policy::pools::{IncomingCall, Phase, PhasePools, ServiceDemand};
 
 const ENGINES: usize = 18;
 const SLOTS: u32 = 16;
@@ -18,28 +18,28 @@
 const PAUSE: Duration = Duration::from_millis(200);
 
 /// A long prompt with a short answer.
-fn bulk(prompt: u32) -> Coming<'static> {
-    Coming {
+fn bulk(prompt: u32) -> IncomingCall<'static> {
+    IncomingCall {
         route: "bulk",
-        prompt,
-        answer: 50,
-        gap: Some(Duration::from_millis(500)),
+        prompt_tokens: prompt,
+        max_answer: 50,
+        max_gap: Some(Duration::from_millis(500)),
     }
 }
 
 /// A long answer whose reader notices pauses.
-fn chat() -> Coming<'static> {
-    Coming {
+fn chat() -> IncomingCall<'static> {
+    IncomingCall {
         route: "chat",
-        prompt: 500,
-        answer: 280,
-        gap: Some(Duration::from_millis(120)),
+        prompt_tokens: 500,
+        max_answer: 280,
+        max_gap: Some(Duration::from_millis(120)),
     }
 }
 
 struct Load {
     now: Instant,
-    pools: Pools,
+    pools: PhasePools,
     service: Rc<str>,
     /// Streams in progress, by the tenth of a second in which they came.
     open: VecDeque<u32>,
@@ -49,7 +49,7 @@
     fn new() -> Self {
         let mut load = Self {
             now: Instant::now(),
-            pools: Pools::default(),
+            pools: PhasePools::default(),
             service: Rc::from("llm"),
             open: VecDeque::new(),
         };
@@ -60,12 +60,12 @@
     /// Streams at engines that read end, each with a pause of `pause`.
     fn pause(&mut self, pause: Duration) {
         for _ in 0..200 {
-            self.pools.paused(self.now, &self.service, pause);
+            self.pools.record_pause(self.now, &self.service, pause);
         }
     }
 
-    fn came(&mut self, coming: Coming<'_>) -> Work {
-        self.pools.came(self.now, &self.service, coming)
+    fn came(&mut self, coming: IncomingCall<'_>) -> Phase {
+        self.pools.classify(self.now, &self.service, coming)
     }
 
     /// Lets `prompts` long prompts and `streams` long answers a second come
@@ -75,26 +75,28 @@
         for _ in 0..seconds * 10 {
             for i in 0..prompts / 10 {
                 let tokens = 2000 + 400 * (i % 5);
-                assert_eq!(self.came(bulk(tokens)), Work::Reading);
+                assert_eq!(self.came(bulk(tokens)), Phase::Prefill);
                 let took = Duration::from_secs_f64(0.03 + f64::from(tokens) * PACE);
-                self.pools.first(self.now, &self.service, tokens, took);
+                self.pools
+                    .record_first_event(self.now, &self.service, tokens, took);
             }
             for _ in 0..streams / 10 {
-                assert_eq!(self.came(chat()), Work::Writing);
+                assert_eq!(self.came(chat()), Phase::Decode);
             }
             self.open.push_back(streams / 10);
             self.now += step;
             // Those that came a second ago end now.
             if self.open.len() > 10 {
                 for _ in 0..self.open.pop_front().unwrap_or(0) {
-                    self.pools.ended(self.now, &self.service);
+                    self.pools.call_ended(self.now, &self.service);
                 }
             }
         }
     }
 
     fn writers(&mut self) -> usize {
-        self.pools.writers(self.now, &self.service, ENGINES, SLOTS)
+        self.pools
+            .decode_engines(self.now, &self.service, ENGINES, SLOTS)
     }
 }
 
@@ -168,15 +170,17 @@
     whole.run(5, 200, 40);
     let mut quarter = Load::new();
     quarter.run(5, 50, 10);
-    let (_, told) = quarter.pools.told(quarter.now).remove(0);
-    let others = Told {
-        reading: told.reading * 3.0,
-        writing: told.writing * 3.0,
-        pace: told.pace,
-        paced: 3,
-        pause: told.pause,
+    let (_, told) = quarter.pools.local_demand(quarter.now).remove(0);
+    let others = ServiceDemand {
+        prefill_rate: told.prefill_rate * 3.0,
+        decode_calls: told.decode_calls * 3.0,
+        prefill_pace: told.prefill_pace,
+        pace_samples: 3,
+        stream_pause: told.stream_pause,
     };
-    quarter.pools.hear(quarter.now, &quarter.service, others);
+    quarter
+        .pools
+        .set_remote(quarter.now, &quarter.service, others);
     let (a, b) = (whole.writers(), quarter.writers());
     assert!(a.abs_diff(b) <= 1, "{a} and {b}");
 }
@@ -187,21 +191,22 @@
 fn odd_samples_do_not_move_one_entry() {
     let mut usual = Load::new();
     usual.run(5, 50, 10);
-    let (_, told) = usual.pools.told(usual.now).remove(0);
-    let others = Told {
-        reading: told.reading * 2.0,
-        writing: told.writing * 2.0,
-        pace: told.pace,
-        paced: 25,
-        pause: told.pause,
+    let (_, told) = usual.pools.local_demand(usual.now).remove(0);
+    let others = ServiceDemand {
+        prefill_rate: told.prefill_rate * 2.0,
+        decode_calls: told.decode_calls * 2.0,
+        prefill_pace: told.prefill_pace,
+        pace_samples: 25,
+        stream_pause: told.stream_pause,
     };
     let cut = |samples: u32| {
         let mut load = Load::new();
-        load.pools.hear(load.now, &load.service, others);
+        load.pools.set_remote(load.now, &load.service, others);
         for i in 0..samples {
             let tokens = 2000 + 2000 * (i % 2);
             let took = Duration::from_secs_f64(0.03 + f64::from(tokens) * PACE * 10.0);
-            load.pools.first(load.now, &load.service, tokens, took);
+            load.pools
+                .record_first_event(load.now, &load.service, tokens, took);
         }
         load.writers()
     };
@@ -210,22 +215,22 @@
 }
 
 /// A dossier of 3,700 tokens with a long answer whose reader bears a second.
-fn dossier() -> Coming<'static> {
-    Coming {
+fn dossier() -> IncomingCall<'static> {
+    IncomingCall {
         route: "dossier",
-        prompt: 3_700,
-        answer: 480,
-        gap: Some(Duration::from_secs(1)),
+        prompt_tokens: 3_700,
+        max_answer: 480,
+        max_gap: Some(Duration::from_secs(1)),
     }
 }
 
 /// A short question whose reader bears a quarter of a second.
-fn question() -> Coming<'static> {
-    Coming {
+fn question() -> IncomingCall<'static> {
+    IncomingCall {
         route: "question",
-        prompt: 1_100,
-        answer: 600,
-        gap: Some(Duration::from_millis(250)),
+        prompt_tokens: 1_100,
+        max_answer: 600,
+        max_gap: Some(Duration::from_millis(250)),
     }
 }
 
@@ -238,8 +243,8 @@
     let mut load = Load::new();
     load.pause(Duration::from_millis(370));
     for _ in 0..50 {
-        assert_eq!(load.came(dossier()), Work::Reading);
-        assert_eq!(load.came(question()), Work::Writing);
+        assert_eq!(load.came(dossier()), Phase::Prefill);
+        assert_eq!(load.came(question()), Phase::Decode);
     }
 }
 
@@ -248,16 +253,16 @@
 #[test]
 fn prior_by_what_routes_bear() {
     let mut load = Load::new();
-    load.pools = Pools::default();
+    load.pools = PhasePools::default();
     load.came(dossier());
-    assert_eq!(load.came(question()), Work::Writing);
-    let alike = Coming {
-        gap: Some(Duration::from_millis(800)),
+    assert_eq!(load.came(question()), Phase::Decode);
+    let alike = IncomingCall {
+        max_gap: Some(Duration::from_millis(800)),
         ..question()
     };
-    load.pools = Pools::default();
+    load.pools = PhasePools::default();
     load.came(dossier());
-    assert_eq!(load.came(alike), Work::Reading);
+    assert_eq!(load.came(alike), Phase::Prefill);
 }
 
 /// The engines here read in small steps, and no stream pauses for long. What
@@ -265,16 +270,16 @@
 #[test]
 fn prior_gives_way_to_pauses_seen() {
     let mut load = Load::new();
-    load.pools = Pools::default();
+    load.pools = PhasePools::default();
     load.came(dossier());
     load.pause(Duration::from_millis(90));
-    assert_eq!(load.came(question()), Work::Reading);
-    let others = Told {
-        pause: 0.37,
-        ..Told::default()
+    assert_eq!(load.came(question()), Phase::Prefill);
+    let others = ServiceDemand {
+        stream_pause: 0.37,
+        ..ServiceDemand::default()
     };
-    load.pools.hear(load.now, &load.service, others);
-    assert_eq!(load.came(question()), Work::Writing);
+    load.pools.set_remote(load.now, &load.service, others);
+    assert_eq!(load.came(question()), Phase::Decode);
 }
 
 /// Little is read for ten seconds, and streams beside reading pause for less.
@@ -288,7 +293,7 @@
     for _ in 0..10 {
         load.now += Duration::from_secs(1);
         load.pause(Duration::from_millis(60));
-        assert_eq!(load.came(question()), Work::Writing);
+        assert_eq!(load.came(question()), Phase::Decode);
     }
 }
 
--- a/crates/policy/tests/routes.rs
+++ b/crates/policy/tests/routes.rs
@@ -5,22 +5,22 @@
 use std::time::Duration;
 
 use base::ids::Tier;
-use policy::routes::{Access, Catalog, Kind, Limits, Route, Workspace};
+use policy::routes::{Access, CallKind, CallerLimits, Catalog, Route, Workspace};
 use rstest::rstest;
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
         name: name.to_owned(),
         host: host.to_owned(),
-        prefix: prefix.to_owned(),
-        kind: Kind::Idempotent,
-        timeout: Duration::from_secs(1),
-        target: Duration::from_millis(100),
-        gap: None,
+        path_prefix: prefix.to_owned(),
+        kind: CallKind::Idempotent,
+        call_timeout: Duration::from_secs(1),
+        latency_target: Duration::from_millis(100),
+        max_gap: None,
         tier: Tier(1),
         split: vec![(Rc::from("app"), 1)],
-        attempts: 2,
-        open: false,
+        max_attempts: 2,
+        anonymous: false,
     }
 }
 
@@ -30,7 +30,7 @@
         route("long", "A.example", "/x/y/"),
         route("other", "b.example", "/"),
     ];
-    Catalog::new(1, routes, Vec::new(), keys, Limits::default())
+    Catalog::new(1, routes, Vec::new(), keys, CallerLimits::default())
 }
 
 #[rstest]
@@ -57,7 +57,7 @@
     let catalog = catalog(Some(keys));
     let closed = route("closed", "a.example", "/x/");
     let open = Route {
-        open: true,
+        anonymous: true,
         ..closed.clone()
     };
 
@@ -90,5 +90,5 @@
         ],
         ..route("split", "a.example", "/")
     };
-    assert_eq!(route.service(drawn).map(|s| &**s), Some(wanted));
+    assert_eq!(route.pick_service(drawn).map(|s| &**s), Some(wanted));
 }
--- a/crates/policy/tests/scaling.rs
+++ b/crates/policy/tests/scaling.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::scaling::{Limits, Order, Scaler, Zone};
+use policy::scaling::{Scaler, ScalingLimits, ServerOrder, ZoneLoad};
 use proptest::prelude::*;
 
-const LIMITS: Limits = Limits {
-    least: 2,
-    most: 12,
-    boot: Duration::from_secs(2),
+const LIMITS: ScalingLimits = ScalingLimits {
+    min_servers: 2,
+    max_servers: 12,
+    boot_time: Duration::from_secs(2),
 };
 
 /// How long the load must have been lower with these limits.
@@ -20,7 +20,7 @@
 struct Service {
     now: Instant,
     scaler: Scaler,
-    zones: BTreeMap<Rc<str>, Zone>,
+    zones: BTreeMap<Rc<str>, ZoneLoad>,
     /// Servers of each zone that run and are not listed.
     hidden: u32,
 }
@@ -28,9 +28,9 @@
 impl Service {
     fn new(serving: &[u32]) -> Self {
         let names = ["a", "b", "c", "d"].into_iter().map(Rc::from);
-        let zone = |serving: &u32| Zone {
+        let zone = |serving: &u32| ZoneLoad {
             serving: *serving,
-            busy: 0.0,
+            busy_servers: 0.0,
         };
         Self {
             now: Instant::now(),
@@ -61,15 +61,15 @@
 
     /// Lets a second pass with so many servers' worth of calls in each zone;
     /// returns what was ordered.
-    fn second(&mut self, busy: f64) -> Vec<Order> {
+    fn second(&mut self, busy: f64) -> Vec<ServerOrder> {
         self.now += Duration::from_secs(1);
         for zone in self.zones.values_mut() {
-            zone.busy = busy;
+            zone.busy_servers = busy;
         }
-        self.scaler.look(self.now, &LIMITS, &self.zones);
-        let orders = self.scaler.due(self.now);
+        self.scaler.observe(self.now, &LIMITS, &self.zones);
+        let orders = self.scaler.due_orders(self.now);
         for order in &orders {
-            self.scaler.accepted(self.now, order);
+            self.scaler.mark_accepted(self.now, order);
             let zone = self.zones.get_mut(&order.zone).expect("a zone");
             zone.serving = order.count - self.hidden.min(order.count);
         }
@@ -174,7 +174,7 @@
         let mut service = Service::new(&[12, 12, 12]);
         service.seconds(CALM / 2, before);
         service.hide(11);
-        let orders: Vec<Order> = (0..40).flat_map(|_| service.second(busy)).collect();
+        let orders: Vec<ServerOrder> = (0..40).flat_map(|_| service.second(busy)).collect();
         let least = 12.0 * 0.75;
         assert!(
             orders.iter().all(|o| f64::from(o.count) >= least),
@@ -189,10 +189,10 @@
     // two of twelve servers on its list. It waits until the rest is back.
     let mut service = Service::new(&[12, 12, 12]);
     service.hide(10);
-    let first: Vec<Order> = (0..3).flat_map(|_| service.second(2.0)).collect();
+    let first: Vec<ServerOrder> = (0..3).flat_map(|_| service.second(2.0)).collect();
     assert_eq!(first, []);
     service.show();
-    let then: Vec<Order> = (0..5).flat_map(|_| service.second(7.0)).collect();
+    let then: Vec<ServerOrder> = (0..5).flat_map(|_| service.second(7.0)).collect();
     assert!(then.iter().all(|o| o.count >= 12), "{then:?}");
 }
 
@@ -213,20 +213,20 @@
     // An order is not answered. It is due again at the next look.
     let mut service = Service::watched(&[4, 4, 4]);
     for zone in service.zones.values_mut() {
-        zone.busy = 4.0;
+        zone.busy_servers = 4.0;
     }
     let now = service.now + Duration::from_secs(1);
-    service.scaler.look(now, &LIMITS, &service.zones);
-    assert_eq!(service.scaler.due(now).len(), 3);
+    service.scaler.observe(now, &LIMITS, &service.zones);
+    assert_eq!(service.scaler.due_orders(now).len(), 3);
     let now = now + Duration::from_secs(1);
-    service.scaler.look(now, &LIMITS, &service.zones);
-    assert_eq!(service.scaler.due(now).len(), 3);
+    service.scaler.observe(now, &LIMITS, &service.zones);
+    assert_eq!(service.scaler.due_orders(now).len(), 3);
 }
 
 proptest! {
     #[test]
     fn any_load(
-        serving in proptest::collection::vec(LIMITS.least..=LIMITS.most, 2..4),
+        serving in proptest::collection::vec(LIMITS.min_servers..=LIMITS.max_servers, 2..4),
         loads in proptest::collection::vec(0.01_f64..6.0, 1..150),
     ) {
         // Whatever comes: orders keep to the limits and no step down takes
@@ -236,7 +236,7 @@
         for load in &loads {
             let before = f64::from(service.total());
             for order in service.second(*load) {
-                prop_assert!((LIMITS.least..=LIMITS.most).contains(&order.count));
+                prop_assert!((LIMITS.min_servers..=LIMITS.max_servers).contains(&order.count));
             }
             prop_assert!(f64::from(service.total()) >= before * 0.75);
         }
@@ -244,7 +244,7 @@
         service.seconds(8 * CALM, last);
         let left = |zone: &u32| service.total() - zone;
         let left = service.serving().iter().map(left).min().unwrap_or(0);
-        let full = service.serving().iter().all(|s| *s == LIMITS.most);
+        let full = service.serving().iter().all(|s| *s == LIMITS.max_servers);
         prop_assert!(full || f64::from(left) >= last * serving.len() as f64);
     }
 }
--- a/crates/policy/tests/timing.rs
+++ b/crates/policy/tests/timing.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use policy::grants::{Ask, CallId, Grants, Verdict};
+use policy::grants::{CallId, GrantController, GrantDecision, GrantRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use rstest::rstest;
@@ -59,7 +59,7 @@
 
 /// Sends calls to an engine for some time.
 struct Play {
-    grants: Grants,
+    grants: GrantController,
     engine: Engine,
     start: Instant,
     random: Pcg32,
@@ -70,7 +70,7 @@
 impl Play {
     fn new(rate: f64, fixed: f64) -> Self {
         Self {
-            grants: Grants::default(),
+            grants: GrantController::default(),
             engine: Engine::new(rate, fixed),
             start: Instant::now(),
             random: Pcg32::seed_from_u64(7),
@@ -86,14 +86,14 @@
             self.now += 1;
             let at = self.start + Duration::from_millis(self.now);
             for id in self.engine.begun(self.now) {
-                self.grants.begun(at, id);
-                self.grants.ended(at, id, Duration::ZERO);
+                self.grants.record_first_event(at, id);
+                self.grants.call_ended(at, id, Duration::ZERO);
             }
             if self.random.random_bool(each.min(1.0)) {
                 let tokens = self.random.random_range(mean / 4..mean * 7 / 4);
                 self.call(at, tokens);
             }
-            for (id, _) in self.grants.granted(at) {
+            for (id, _) in self.grants.grant_waiting(at) {
                 self.engine.take(self.now, id, self.asked_tokens(id));
             }
         }
@@ -103,33 +103,33 @@
         self.asked += 1;
         // The number tells the tokens, so that none have to be kept here.
         let id = CallId {
-            life: u64::from(tokens),
+            incarnation: u64::from(tokens),
             number: self.asked,
         };
-        let ask = Ask {
+        let ask = GrantRequest {
             id,
             parts: vec![(u64::from(self.asked) + 1_000_000, tokens)],
-            allowed: Duration::from_secs(1),
-            left: Duration::from_secs(4),
-            gap: None,
+            ttft_limit: Duration::from_secs(1),
+            time_left: Duration::from_secs(4),
+            max_gap: None,
             slots: 128,
             rank: 5,
-            home: true,
-            must: false,
-            source: 0,
-            copy: None,
+            is_home: true,
+            forced: false,
+            fetchable: 0,
+            copy_time: None,
         };
-        if self.grants.ask(at, ask) == Verdict::Granted {
+        if self.grants.request(at, ask) == GrantDecision::Granted {
             self.engine.take(self.now, id, tokens);
         }
     }
 
     fn asked_tokens(&self, id: CallId) -> u32 {
-        u32::try_from(id.life).expect("tokens")
+        u32::try_from(id.incarnation).expect("tokens")
     }
 
     fn off(&self) -> f64 {
-        let believed = self.grants.beliefs().pace_ns as f64 / 1e6;
+        let believed = self.grants.estimates().pace_ns as f64 / 1e6;
         (believed * self.engine.rate - 1.0).abs()
     }
 }
--- a/crates/scenario/tests/run/route.rs
+++ b/crates/scenario/tests/run/route.rs
@@ -10,7 +10,9 @@
 use base::settings::Span;
 use policy::outlier::{Fault, Good};
 use policy::pace::{Load, Pace};
-use policy::placement::{Mode, Options, Placement, ServerIndex, Want};
+use policy::placement::{
+    Placement, PlacementMode, PlacementOptions, PlacementRequest, ServerIndex,
+};
 use policy::retry::{Budget, Failure};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -46,9 +48,9 @@
     fn entry(&mut self, words: &Words) -> Said {
         self.fan = words.get("fan", 2)?;
         let mode = words.key("mode").unwrap_or("late_binding");
-        self.placement = Some(Placement::new(Options {
-            mode: word::<Mode>(mode)?,
-            lag: words.get("lag", Span::ms(500))?.0,
+        self.placement = Some(Placement::new(PlacementOptions {
+            mode: word::<PlacementMode>(mode)?,
+            report_lag: words.get("lag", Span::ms(500))?.0,
             zone: words.key("zone").unwrap_or("z").to_owned(),
             seed: words.get("seed", 1)?,
         }));
@@ -62,7 +64,7 @@
         for name in words.plain() {
             let index = self.names.len();
             self.names.push(name.to_owned());
-            self.placement()?.join(index, name, &zone, &serves);
+            self.placement()?.add_server(index, name, &zone, &serves);
         }
         Ok(String::new())
     }
@@ -86,7 +88,7 @@
         for _ in 0..words.get("times", 1)? {
             for name in words.plain() {
                 let index = self.index(name)?;
-                if self.placement()?.heard(clock.now(), index, load, 0.3) {
+                if self.placement()?.record_load(clock.now(), index, load, 0.3) {
                     writeln!(out, "{name} ejected")?;
                 }
             }
@@ -107,7 +109,10 @@
         let every = words.get("every", Span::ms(200))?.0;
         for _ in 0..words.get("times", 1)? {
             clock.advance(every);
-            if self.placement()?.fault(clock.now(), index, fault, share) {
+            if self
+                .placement()?
+                .record_fault(clock.now(), index, fault, share)
+            {
                 return Ok(format!("{} ejected\n", words.at(0)?));
             }
         }
@@ -122,7 +127,7 @@
             _ => Good::Pace,
         };
         let index = self.index(words.at(0)?)?;
-        self.placement()?.good(clock.now(), index, good);
+        self.placement()?.record_good(clock.now(), index, good);
         Ok(String::new())
     }
 
@@ -137,11 +142,11 @@
         let target = words.at(0)?.to_owned();
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for _ in 0..words.get("times", 100)? {
-            let want = Want {
+            let want = PlacementRequest {
                 target: &target,
-                prefix,
-                tried: &tried,
-                fan: self.fan,
+                prefix_hash: prefix,
+                excluded: &tried,
+                fan_out: self.fan,
             };
             let chosen = self.placement()?.choose(clock.now(), &want);
             for index in chosen {
--- a/crates/sidecar/src/caches.rs
+++ b/crates/sidecar/src/caches.rs
@@ -6,7 +6,7 @@
 
 use base::stop::Stop;
 use clients::engine::{CacheChange, CacheEvents, Engine};
-use policy::caches::{CacheMap, Change};
+use policy::caches::{BlockChange, CacheMap};
 use spdlog::debug;
 
 use crate::state::{Client, State};
@@ -29,7 +29,7 @@
 }
 
 async fn fetch(state: &State, engine: &Engine) {
-    let from = state.caches.borrow().next();
+    let from = state.caches.borrow().next_event();
     match engine.cache_events(from).await {
         Ok(events) => take(&mut state.caches.borrow_mut(), &events),
         // What is known may be wrong by the time the engine is back.
@@ -42,15 +42,15 @@
 
 fn take(map: &mut CacheMap, events: &CacheEvents) {
     // The numbers began anew: the engine restarted with an empty cache.
-    if events.next < map.next() {
+    if events.next < map.next_event() {
         map.reset();
     }
     for event in &events.events {
         let change = match event.change {
-            CacheChange::Stored => Change::Stored,
-            CacheChange::Removed => Change::Removed,
+            CacheChange::Stored => BlockChange::Stored,
+            CacheChange::Removed => BlockChange::Removed,
         };
-        map.take(event.seq, change, event.block);
+        map.apply(event.seq, change, event.block);
     }
-    map.until(events.next);
+    map.advance_to(events.next);
 }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -52,7 +52,7 @@
                 .state
                 .caches
                 .borrow()
-                .cached(ask.prefix)
+                .cached_tokens(ask.prefix)
                 .min(ask.prompt);
         }
         self.state.reply(stands)
