--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -298,7 +298,7 @@
 
 /// Whether this entry reads the store for itself or for others.
 fn reads(state: &State, now: Instant) -> bool {
-    state.readers.borrow_mut().ask(now).is_none()
+    state.readers.borrow_mut().preferred_peer(now).is_none()
 }
 
 /// Tells the store until `end`.
@@ -311,7 +311,8 @@
             let _ = tokio::time::timeout(LOOK, state.crashes.wake.notified()).await;
             continue;
         }
-        let mut pause = WRITE_EACH * u32::try_from(state.roster.borrow().count().all).unwrap_or(1);
+        let mut pause =
+            WRITE_EACH * u32::try_from(state.roster.borrow().count().total).unwrap_or(1);
         match table.write(&batch).await {
             Ok(()) => {
                 state.crashes.written(&batch);
--- a/crates/forward/src/duties.rs
+++ b/crates/forward/src/duties.rs
@@ -23,7 +23,7 @@
 use policy::duty::Candidate;
 use policy::fleet_time::FleetTime;
 use policy::readers::Rank;
-use policy::usage::{Account, Books, Counts, Life, Windows};
+use policy::usage::{IncarnationId, UsageCounter, UsageState, UsageWindows, WorkspaceCounts};
 use tokio::net::UdpSocket;
 
 use crate::settings::{self, Settings};
@@ -43,12 +43,12 @@
     addr: SocketAddr,
     socket: UdpSocket,
     candidate: RefCell<Candidate>,
-    books: RefCell<Books>,
+    books: RefCell<UsageCounter>,
     time: RefCell<FleetTime>,
     /// What is reported, while this entry holds the duties.
-    account: RefCell<Account>,
+    account: RefCell<UsageState>,
     /// Windows that the store keeps as they are reported.
-    recorded: RefCell<BTreeMap<u64, Counts>>,
+    recorded: RefCell<BTreeMap<u64, WorkspaceCounts>>,
     /// Since when this entry has held the duties.
     since: Cell<Option<Instant>>,
     /// Whether the platform's interface does not answer here.
@@ -100,16 +100,16 @@
         let life = Incarnation::random();
         let host = addr.ip().to_string();
         let away = Duration::from_millis(settings.lease_ms);
-        let windows = Windows {
-            span: Duration::from_secs_f64(settings.window_s),
-            due: Duration::from_secs_f64(settings.due_s),
+        let windows = UsageWindows {
+            length: Duration::from_secs_f64(settings.window_s),
+            deadline: Duration::from_secs_f64(settings.due_s),
         };
         Ok(Some(Rc::new(Self {
             name: own.name.clone(),
             addr,
             socket,
             candidate: RefCell::new(Candidate::new(now, &life.to_string(), &host, away)),
-            books: RefCell::new(Books::new(life.0, windows)),
+            books: RefCell::new(UsageCounter::new(life.0, windows)),
             time: RefCell::new(FleetTime::new(now)),
             account: RefCell::default(),
             recorded: RefCell::default(),
@@ -139,7 +139,7 @@
         }
         let time = self.time();
         let now = self.clock.lasting();
-        self.books.borrow_mut().began(now, time, workspace);
+        self.books.borrow_mut().count_request(now, time, workspace);
     }
 
     /// Notes another entry, which speaks again `within` that time, and what its
@@ -154,7 +154,7 @@
         drop(peers);
         let wall = Duration::from_millis(wall_ms);
         let peer = policy::rendezvous::number(&addr.to_string());
-        self.time.borrow_mut().hear(now, peer, wall);
+        self.time.borrow_mut().observe(now, peer, wall);
     }
 
     /// The fencing token while this entry holds the duties.
@@ -165,15 +165,15 @@
 
     /// This life's number among the counts.
     #[must_use]
-    pub fn life(&self) -> Life {
-        self.books.borrow().own()
+    pub fn life(&self) -> IncarnationId {
+        self.books.borrow().own_incarnation()
     }
 
     /// Requests that a life has told this entry of, of windows that are not
     /// settled.
     #[must_use]
-    pub fn heard(&self, life: Life) -> u64 {
-        self.books.borrow().heard(life)
+    pub fn heard(&self, life: IncarnationId) -> u64 {
+        self.books.borrow().requests_of(life)
     }
 
     /// What the duties look like from here.
@@ -187,7 +187,7 @@
                 None => self.holder.get(),
             },
             next: self.next.get(),
-            unreported: account.fixed.keys().copied().collect(),
+            unreported: account.finalized.keys().copied().collect(),
             ordered: self.ordered.borrow().clone(),
         }
     }
--- a/crates/forward/src/duties/hold.rs
+++ b/crates/forward/src/duties/hold.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use base::stop::Stop;
-use policy::duty::{Step, Term, Written};
-use policy::usage::Account;
+use policy::duty::{Step, Term, WriteOutcome};
+use policy::usage::UsageState;
 use spdlog::{info, warn};
 
 use super::{Duties, TICK};
@@ -46,13 +46,13 @@
     /// One look at what is due.
     async fn round<R: Records>(&self, records: &R) {
         let now = self.clock.lasting();
-        let step = self.candidate.borrow().next(now, self.place());
+        let step = self.candidate.borrow().next_step(now, self.place());
         let step = match step {
             Step::Read => self.read(records).await,
             step => step,
         };
         match step {
-            Step::Write(term) | Step::Claim(term) => self.write(records, term).await,
+            Step::Renew(term) | Step::Claim(term) => self.write(records, term).await,
             _ if self.fix() => {
                 let term = self.candidate.borrow().term().cloned();
                 if let Some(term) = term {
@@ -63,7 +63,7 @@
         }
         self.note_lost();
         let next = self.next.get();
-        self.books.borrow_mut().forget(now, next);
+        self.books.borrow_mut().expire(now, next);
     }
 
     /// Reads the record and takes over what it keeps if the duties are to be
@@ -75,21 +75,21 @@
         let (kept, end) = match read {
             Ok(read) => read,
             Err(e) => {
-                candidate.unread(now);
+                candidate.record_read_failure(now);
                 // The first of a row is logged.
-                if candidate.has_failed() {
+                if candidate.failed_first() {
                     warn!("duties not read", kv: { cause = e.to_string().as_str() });
                 }
-                return Step::Rest;
+                return Step::Wait;
             }
         };
-        let step = candidate.read(now, kept.as_ref().map(|k| &k.term), end);
+        let step = candidate.record_read(now, kept.as_ref().map(|k| &k.term), end);
         if let Some(kept) = &kept {
-            self.next.set(self.next.get().max(kept.usage.next));
+            self.next.set(self.next.get().max(kept.usage.next_window));
         }
         if matches!(step, Step::Claim(_)) {
-            let window = self.books.borrow().windows().at(self.time());
-            let mut usage = kept.map_or_else(|| Account::begin(window), |k| k.usage);
+            let window = self.books.borrow().windows().containing(self.time());
+            let mut usage = kept.map_or_else(|| UsageState::starting_at(window), |k| k.usage);
             for window in usage.catch_up(self.next.get(), &self.account.borrow()) {
                 warn!("usage window not in the store", kv: { window = window });
             }
@@ -104,19 +104,21 @@
         let time = self.time();
         let usage = {
             let account = self.account.borrow();
-            self.books.borrow().kept(time, &account)
+            self.books.borrow().snapshot(time, &account)
         };
-        let (fixed, next) = (usage.fixed.clone(), usage.next);
+        let (fixed, next) = (usage.finalized.clone(), usage.next_window);
         let kept = Kept {
             term: term.clone(),
             usage,
         };
-        let (at, sent) = (self.candidate.borrow().end(), self.clock.lasting());
+        let (at, sent) = (self.candidate.borrow().log_end(), self.clock.lasting());
         let written = records.write(at, &kept).await;
         let now = self.clock.lasting();
         let (token, released) = (term.token, term.released);
-        self.candidate.borrow_mut().wrote(now, sent, term, written);
-        if !matches!(written, Written::At(_)) || released {
+        self.candidate
+            .borrow_mut()
+            .record_write(now, sent, term, written);
+        if !matches!(written, WriteOutcome::Stored(_)) || released {
             return;
         }
         if self.since.get().is_none() {
@@ -126,7 +128,7 @@
         }
         metrics::gauge!("pimentocart_duties_held").set(1.0);
         let account = self.account.borrow();
-        let open = |(window, _): &(u64, _)| account.fixed.contains_key(window);
+        let open = |(window, _): &(u64, _)| account.finalized.contains_key(window);
         *self.recorded.borrow_mut() = fixed.into_iter().filter(open).collect();
         drop(account);
         self.next.set(self.next.get().max(next));
@@ -147,14 +149,14 @@
         let held = now.saturating_duration_since(since);
         let books = self.books.borrow();
         let mut account = self.account.borrow_mut();
-        let before = account.fixed.len();
-        let missed = books.fix(time, held, gathered, &mut account);
+        let before = account.finalized.len();
+        let missed = books.finalize(time, held, gathered, &mut account);
         for window in missed {
             warn!("usage window missed", kv: { window = window, token = token });
             metrics::counter!("pimentocart_usage_reports_total", "outcome" => "missed")
                 .increment(1);
         }
-        account.fixed.len() > before
+        account.finalized.len() > before
     }
 
     /// Gives the duties up, so that another entry takes them at once.
@@ -172,7 +174,7 @@
     fn note_lost(&self) {
         let held = self.candidate.borrow().term().is_some();
         if !held && self.since.take().is_some() {
-            info!("duties lost", kv: { end = self.candidate.borrow().end() });
+            info!("duties lost", kv: { end = self.candidate.borrow().log_end() });
             metrics::gauge!("pimentocart_duties_held").set(0.0);
             self.recorded.borrow_mut().clear();
         }
--- a/crates/forward/src/duties/report.rs
+++ b/crates/forward/src/duties/report.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use base::stop::Stop;
-use policy::usage::Counts;
+use policy::usage::WorkspaceCounts;
 use spdlog::{info, warn};
 
 use super::{Duties, TICK};
@@ -68,7 +68,7 @@
     }
 
     /// The first window to report, while the duties are held.
-    fn due(&self) -> Option<(u64, Counts)> {
+    fn due(&self) -> Option<(u64, WorkspaceCounts)> {
         self.token()?;
         let recorded = self.recorded.borrow();
         let (window, counts) = recorded.first_key_value()?;
@@ -76,7 +76,7 @@
     }
 
     /// Notes what became of a report; whether the interface has answered.
-    fn note(&self, window: u64, counts: &Counts, outcome: &Outcome) -> bool {
+    fn note(&self, window: u64, counts: &WorkspaceCounts, outcome: &Outcome) -> bool {
         let time = self.time();
         let end = self.books.borrow().windows().end(window);
         let late_ms = time.saturating_sub(end).as_millis() as u64;
@@ -93,15 +93,15 @@
             Outcome::Accepted => {
                 info!("usage reported", kv: {
                     window = window, requests = requests, workspaces = counts.len(),
-                    missing = self.books.borrow().missing(self.clock.lasting(), window),
+                    missing = self.books.borrow().pending_incarnations(self.clock.lasting(), window),
                     after_ms = late_ms
                 });
                 self.recorded.borrow_mut().remove(&window);
-                self.account.borrow_mut().fixed.remove(&window);
+                self.account.borrow_mut().finalized.remove(&window);
             }
             Outcome::Fenced(token) => {
                 let now = self.clock.lasting();
-                self.candidate.borrow_mut().refused(now, *token);
+                self.candidate.borrow_mut().reject_token(now, *token);
             }
             Outcome::Refused(_) | Outcome::Lost(_) | Outcome::NotHeld => {}
         }
--- a/crates/forward/src/duties/scale.rs
+++ b/crates/forward/src/duties/scale.rs
@@ -130,7 +130,7 @@
             }
             Outcome::Fenced(token) => {
                 let now = self.clock.lasting();
-                self.candidate.borrow_mut().refused(now, *token);
+                self.candidate.borrow_mut().reject_token(now, *token);
             }
             Outcome::Refused(_) | Outcome::Lost(_) | Outcome::NotHeld => {
                 warn!("servers not ordered", kv: { service, detail = format!("{outcome:?}").as_str() });
--- a/crates/forward/src/duties/tell.rs
+++ b/crates/forward/src/duties/tell.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use base::stop::Stop;
-use policy::usage::Told;
+use policy::usage::WindowCounts;
 use spdlog::{info, warn};
 use wire::duties::{self, Counts, Held, Message};
 
@@ -65,7 +65,10 @@
     /// Tells what this entry has counted.
     fn tell_counts(&self) {
         let (now, time) = (self.clock.lasting(), self.time());
-        let told = self.books.borrow_mut().told(now, time, self.next.get());
+        let told = self
+            .books
+            .borrow_mut()
+            .own_counts(now, time, self.next.get());
         let mut targets: Vec<SocketAddr> = self.peers().iter().take(TOLD).map(|p| p.1).collect();
         targets.extend(self.holder.get().filter(|holder| !targets.contains(holder)));
         for told in told {
@@ -77,7 +80,7 @@
     pub(super) fn tell_held(&self, token: u64, released: bool) {
         let held = Held {
             token,
-            end: self.candidate.borrow().end(),
+            end: self.candidate.borrow().log_end(),
             // What the store does not keep yet may be fixed anew by a
             // successor, who needs the counts of all for it.
             next: self.next.get(),
@@ -101,23 +104,23 @@
         if let Some(peer) = self.peers.borrow_mut().get_mut(&from) {
             peer.told = Some(now);
         }
-        let told = Told {
-            life: counts.life,
-            closed: counts.closed,
+        let told = WindowCounts {
+            incarnation: counts.life,
+            closed_before: counts.closed,
             window: counts.window,
             total: counts.total,
             counts: counts.counts.into_iter().collect(),
         };
-        self.books.borrow_mut().hear(now, told);
+        self.books.borrow_mut().observe(now, told);
     }
 
     fn take_held(&self, from: SocketAddr, held: Held) {
         let now = self.clock.lasting();
         let mut candidate = self.candidate.borrow_mut();
-        if held.end < candidate.end() {
+        if held.end < candidate.log_end() {
             return;
         }
-        candidate.heard(now, held.end, held.released);
+        candidate.observe_record(now, held.end, held.released);
         let holder = (!held.released).then_some(from);
         if self.holder.replace(holder) != holder {
             info!("duties held elsewhere", kv: {
@@ -128,10 +131,10 @@
     }
 }
 
-fn counts_message(told: Told) -> Counts {
+fn counts_message(told: WindowCounts) -> Counts {
     Counts {
-        life: told.life,
-        closed: told.closed,
+        life: told.incarnation,
+        closed: told.closed_before,
         window: told.window,
         total: told.total,
         counts: told.counts.into_iter().collect(),
--- a/crates/forward/src/edge.rs
+++ b/crates/forward/src/edge.rs
@@ -6,11 +6,11 @@
 
 use http::HeaderMap;
 use policy::balance::{Listed, Word};
-use policy::duty::{Term, Written};
+use policy::duty::{Term, WriteOutcome};
 use policy::routes::Catalog;
 use policy::scaling;
 use policy::suspects::Crash;
-use policy::usage::{Account, Counts};
+use policy::usage::{UsageState, WorkspaceCounts};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
@@ -179,7 +179,7 @@
     /// Who holds them.
     pub term: Term,
     /// What was used, and is to be reported.
-    pub usage: Account,
+    pub usage: UsageState,
 }
 
 /// Where the duties' record is kept.
@@ -188,7 +188,7 @@
     fn read(&self) -> impl Future<Output = Result<(Option<Kept>, u64), SourceError>>;
 
     /// Writes the record if its log still ends at `at`.
-    fn write(&self, at: u64, kept: &Kept) -> impl Future<Output = Written>;
+    fn write(&self, at: u64, kept: &Kept) -> impl Future<Output = WriteOutcome>;
 }
 
 /// The platform's interface that duties go to.
@@ -199,7 +199,7 @@
         &self,
         holder: &str,
         window: u64,
-        counts: &Counts,
+        counts: &WorkspaceCounts,
         token: impl FnOnce() -> Option<u64>,
     ) -> impl Future<Output = Outcome>;
 
--- a/crates/forward/src/finding.rs
+++ b/crates/forward/src/finding.rs
@@ -28,7 +28,7 @@
         }
         let (first, relayed) = {
             let roster = state.roster.borrow();
-            (roster.relays(), roster.relayed())
+            (roster.is_relay(), roster.uses_relays())
         };
         let step = state.finder.borrow_mut().next(now, first, relayed);
         let failed = match step {
--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/follow.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use policy::balance::Listed;
-use policy::replica::{Records, Scope, Update};
+use policy::replica::{Records, Update, UpdateKind};
 use policy::routes::Catalog;
 use spdlog::{info, warn};
 
@@ -85,7 +85,7 @@
         wait_for_store(&state).await;
         let (asked, age) = {
             let replica = state.tables.catalog.borrow();
-            (replica.next(), replica.age(state.clock.now()))
+            (replica.position(), replica.age(state.clock.now()))
         };
         if let Some(spare) = spare(&state, age) {
             tokio::time::sleep(spare).await;
@@ -101,7 +101,11 @@
             continue;
         };
         let update = update.map(Rc::new);
-        let news = state.tables.catalog.borrow_mut().read(update, asked);
+        let news = state
+            .tables
+            .catalog
+            .borrow_mut()
+            .apply_store_update(update, asked);
         use_catalogs(&state, news);
     }
 }
@@ -112,7 +116,7 @@
     loop {
         let (asked, age) = {
             let replica = state.tables.servers.borrow();
-            (replica.next(), replica.age(state.clock.now()))
+            (replica.position(), replica.age(state.clock.now()))
         };
         if let Some(spare) = spare(&state, age) {
             tokio::time::sleep(spare).await;
@@ -122,11 +126,15 @@
             tokio::time::sleep(reader.pause(&state)).await;
             continue;
         };
-        if update.scope == Scope::Copy {
+        if update.kind == UpdateKind::RestoredSnapshot {
             keep_leaving(&state, &mut update.records);
         }
         let now = state.clock.now();
-        let news = state.tables.servers.borrow_mut().read(update, asked);
+        let news = state
+            .tables
+            .servers
+            .borrow_mut()
+            .apply_store_update(update, asked);
         use_servers(&state, now, news);
         let away = !state.tables.settling(now).is_zero();
         tokio::time::sleep(pause(away, state.rivals())).await;
@@ -141,18 +149,22 @@
         // A neighbour tells at once, and how old its copy is shows in the
         // other tables.
         let now = state.clock.now();
-        let told = state.readers.borrow_mut().ask(now).is_some();
+        let told = state.readers.borrow_mut().preferred_peer(now).is_some();
         if told || !state.finder.borrow().settled(now) {
             tokio::time::sleep(LOOK).await;
             continue;
         }
-        let asked = state.tables.crashes.borrow().next();
+        let asked = state.tables.crashes.borrow().position();
         let Some(update) = reader.next(&state, asked, CRASHES_WAIT).await else {
             tokio::time::sleep(reader.pause(&state)).await;
             continue;
         };
-        let whole = update.scope != Scope::Changes;
-        let news = state.tables.crashes.borrow_mut().read(update, asked);
+        let whole = update.kind != UpdateKind::Delta;
+        let news = state
+            .tables
+            .crashes
+            .borrow_mut()
+            .apply_store_update(update, asked);
         let pause = if news.is_empty() {
             Duration::ZERO
         } else {
@@ -181,7 +193,7 @@
         let _ = tokio::time::timeout(LOST, state.regained.notified()).await;
     }
     let now = state.clock.now();
-    if lost && state.readers.borrow_mut().aside(now).is_some() {
+    if lost && state.readers.borrow_mut().store_retry_delay(now).is_some() {
         tokio::time::sleep(TOLD).await;
     }
 }
@@ -192,16 +204,18 @@
     let now = state.clock.now();
     let finder = state.finder.borrow();
     let mut readers = state.readers.borrow_mut();
-    let spare = match (readers.ask(now), age) {
+    let spare = match (readers.preferred_peer(now), age) {
         (None, None) if !finder.settled(now) => LOOK_FIRST,
         // Some neighbour tells it what there is sooner than the store would.
-        (asked, None) if asked.is_some() || readers.copied(now, true) => {
-            let spare = readers.patience_first().checked_sub(finder.since(now))?;
+        (asked, None) if asked.is_some() || readers.has_fresh_peer(now, true) => {
+            let spare = readers.initial_copy_wait().checked_sub(finder.since(now))?;
             spare.min(LOOK_FIRST)
         }
-        (None, Some(age)) if readers.copied(now, false) => readers.patience().checked_sub(age)?,
+        (None, Some(age)) if readers.has_fresh_peer(now, false) => {
+            readers.copy_age_limit().checked_sub(age)?
+        }
         (None, _) | (Some(_), None) => return None,
-        (Some(_), Some(age)) => readers.patience().checked_sub(age)?,
+        (Some(_), Some(age)) => readers.copy_age_limit().checked_sub(age)?,
     };
     Some(spare.clamp(Duration::from_millis(1), LOOK))
 }
@@ -257,7 +271,10 @@
         if self.outdated {
             return RETRY;
         }
-        let aside = state.readers.borrow_mut().aside(state.clock.now());
+        let aside = state
+            .readers
+            .borrow_mut()
+            .store_retry_delay(state.clock.now());
         retry(self.failures).max(aside.unwrap_or_default())
     }
 
@@ -281,9 +298,9 @@
         match read {
             Ok(changes) => {
                 let scope = match from {
-                    Some(_) => Scope::Changes,
-                    None if std::mem::take(&mut self.rewound) => Scope::Copy,
-                    None => Scope::Whole,
+                    Some(_) => UpdateKind::Delta,
+                    None if std::mem::take(&mut self.rewound) => UpdateKind::RestoredSnapshot,
+                    None => UpdateKind::Snapshot,
                 };
                 self.answered(state, from.is_none());
                 Some(update(
@@ -311,7 +328,12 @@
     }
 
     fn answered(&mut self, state: &State, whole: bool) {
-        if state.readers.borrow_mut().ask(state.clock.now()).is_some() {
+        if state
+            .readers
+            .borrow_mut()
+            .preferred_peer(state.clock.now())
+            .is_some()
+        {
             // Those before this entry have lost the store and may ask it.
             state.speak.notify_one();
         }
@@ -353,13 +375,13 @@
     }
 }
 
-fn update<T>(changes: Changes<T>, scope: Scope, at: Instant) -> Update<T> {
+fn update<T>(changes: Changes<T>, kind: UpdateKind, as_of: Instant) -> Update<T> {
     let record = |(key, value): (String, Option<T>)| (Rc::from(key), value);
     Update {
         records: changes.records.into_iter().map(record).collect(),
-        scope,
-        next: changes.next,
-        at,
+        kind,
+        position: changes.next,
+        as_of,
     }
 }
 
--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -14,9 +14,9 @@
 use base::ids::Incarnation;
 use base::stop::Stop;
 use policy::balance::Turns;
-use policy::others::{BELIEVED, Intervals};
+use policy::peer_load::{EXPIRY_INTERVALS, Intervals};
 use policy::pools::Told;
-use policy::roster::{Count, Named, Seat, Targets};
+use policy::roster::{EntryCounts, EntryInfo, RosterEntry, Targets};
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
 use wire::gossip::{self, Answer, Asks, Message, Saying, Scope};
@@ -81,13 +81,18 @@
         let mut far_due = self.state.clock.now();
         while !end.asked() {
             let now = self.state.clock.now();
-            self.state.roster.borrow_mut().forget(now);
+            self.state.roster.borrow_mut().expire(now);
             let targets = self.state.roster.borrow_mut().targets();
             let every = match targets {
-                Targets::All { near, far } => self.tell_all(now, &near, &far, &mut far_due),
-                Targets::Relays { near, far, members } => {
-                    self.tell_relays(now, &near, &far, members)
-                }
+                Targets::FullMesh {
+                    same_zone,
+                    other_zones,
+                } => self.tell_all(now, &same_zone, &other_zones, &mut far_due),
+                Targets::Relays {
+                    same_zone,
+                    other_zones,
+                    members,
+                } => self.tell_relays(now, &same_zone, &other_zones, members),
             };
             // Either way it is time to speak.
             let _ = tokio::time::timeout(every, self.state.speak.notified()).await;
@@ -122,13 +127,13 @@
             let said = said.clone();
             self.send(targets, Message::Saying(Saying { every_ms, ..said }));
         };
-        tell(near, every.near);
+        tell(near, every.same_zone);
         if now >= *far_due {
-            tell(far, every.far);
+            tell(far, every.other_zones);
             // Rounds come each `near`; the one closest to the time is taken.
-            *far_due = now + every.far.saturating_sub(every.near / 2);
+            *far_due = now + every.other_zones.saturating_sub(every.same_zone / 2);
         }
-        every.near
+        every.same_zone
     }
 
     /// Tells the relays, and as one of them those of the other zones; returns
@@ -140,7 +145,7 @@
         far: &[SocketAddr],
         members: usize,
     ) -> Duration {
-        let every = Intervals::relayed(members).near;
+        let every = Intervals::to_relays(members).same_zone;
         let said = Saying {
             every_ms: millis(every),
             asks: Asks::Sums,
@@ -216,24 +221,24 @@
     fn take_saying(&self, from: SocketAddr, said: &Saying) {
         let state = &self.state;
         let now = state.clock.now();
-        let seat = Seat {
+        let seat = EntryInfo {
             addr: from,
             zone: said.zone,
             link_mbps: said.link_mbps,
         };
-        let within = Duration::from_millis(u64::from(said.every_ms)) * BELIEVED;
-        let silent = match state.roster.borrow().relayed() {
+        let within = Duration::from_millis(u64::from(said.every_ms)) * EXPIRY_INTERVALS;
+        let silent = match state.roster.borrow().uses_relays() {
             true => SILENT_RELAYED,
             false => SILENT,
         };
         self.note(now, seat, within.max(silent), within, "gossip");
-        state.roster.borrow_mut().heard(from);
+        state.roster.borrow_mut().mark_heard(from);
         self.note_age(now, from, said.age_ms);
         if let Some(duties) = &*state.duties.borrow() {
             duties.hear(from, seat.rank(), within, said.wall_ms);
         }
         crashes::hear(state, now, &said.crashes);
-        state.others.borrow_mut().hear(now, read(said));
+        state.others.borrow_mut().observe(now, read(said));
         match said.asks {
             Asks::Nothing => {}
             Asks::Entries => self.answer(now, &seat, None),
@@ -242,18 +247,18 @@
     }
 
     /// Tells `asker` what this entry knows of others.
-    fn answer(&self, now: Instant, asker: &Seat, sums: Option<Saying>) {
+    fn answer(&self, now: Instant, asker: &EntryInfo, sums: Option<Saying>) {
         let roster = self.state.roster.borrow();
-        let zones = self.state.others.borrow().zones();
+        let zones = self.state.others.borrow().entries_by_zone();
         let count = roster.count_for(asker, &zones);
-        let named = roster.named(now, asker, self.state.tables.age(now));
+        let named = roster.entries_for(now, asker, self.state.tables.age(now));
         drop(roster);
-        let seat = |named: Named| gossip::Seat {
-            addr: named.seat.addr,
-            zone: named.seat.zone,
-            link_mbps: named.seat.link_mbps,
-            left_ms: millis(named.left),
-            age_ms: named.age.map(millis),
+        let seat = |named: RosterEntry| gossip::Seat {
+            addr: named.info.addr,
+            zone: named.info.zone,
+            link_mbps: named.info.link_mbps,
+            left_ms: millis(named.remaining),
+            age_ms: named.copy_age.map(millis),
         };
         let mut seats: Vec<gossip::Seat> = named.into_iter().map(seat).collect();
         let small = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
@@ -261,9 +266,9 @@
         loop {
             let rest = seats.split_off(seats.len().min(NAMED));
             let answer = Answer {
-                all: small(count.all),
-                near: small(count.near),
-                place: small(count.place),
+                all: small(count.total),
+                near: small(count.same_zone),
+                place: small(count.preceding),
                 seats,
                 sums: sums.take(),
             };
@@ -284,9 +289,9 @@
         let said = self.saying(now);
         let own = read(&said);
         let sum = self.state.others.borrow().sum_all(now, &own);
-        let members = self.state.roster.borrow().count().near;
+        let members = self.state.roster.borrow().count().same_zone;
         let sums = Saying {
-            every_ms: millis(Intervals::relayed(members).near),
+            every_ms: millis(Intervals::to_relays(members).same_zone),
             ..write(&said, sum)
         };
         *self.sums.borrow_mut() = Some((now, sums.clone()));
@@ -297,17 +302,17 @@
         let state = &self.state;
         let now = state.clock.now();
         let large = |count: u32| usize::try_from(count).unwrap_or(usize::MAX);
-        let count = Count {
-            all: large(answer.all),
-            near: large(answer.near),
-            place: large(answer.place),
+        let count = EntryCounts {
+            total: large(answer.all),
+            same_zone: large(answer.near),
+            preceding: large(answer.place),
         };
         state.finder.borrow_mut().answered(now);
-        state.roster.borrow_mut().counted(now, count);
+        state.roster.borrow_mut().record_counts(now, count);
         for seat in &answer.seats {
             let left = Duration::from_millis(u64::from(seat.left_ms));
             let age_ms = seat.age_ms;
-            let seat = Seat {
+            let seat = EntryInfo {
                 addr: seat.addr,
                 zone: seat.zone,
                 link_mbps: seat.link_mbps,
@@ -317,12 +322,12 @@
                 self.note_age(now, seat.addr, age_ms);
             }
         }
-        state.roster.borrow_mut().heard(from);
+        state.roster.borrow_mut().mark_heard(from);
         let Some(sums) = &answer.sums else {
             return;
         };
         crashes::hear(state, now, &sums.crashes);
-        state.others.borrow_mut().hear(now, read(sums));
+        state.others.borrow_mut().observe(now, read(sums));
         metrics::counter!("pimentocart_sums_heard_total").increment(1);
     }
 
@@ -330,18 +335,18 @@
     fn note_age(&self, now: Instant, addr: SocketAddr, age_ms: Option<u32>) {
         let state = &self.state;
         let age = age_ms.map(|ms| Duration::from_millis(u64::from(ms)));
-        state.roster.borrow_mut().aged(now, addr, age);
+        state.roster.borrow_mut().set_copy_age(now, addr, age);
         if let Some(age) = age {
-            state.readers.borrow_mut().aged(now, addr, age);
+            state.readers.borrow_mut().set_copy_age(now, addr, age);
             state.finder.borrow_mut().running();
         }
     }
 
     /// Notes another entry, which counts as there for `within`, and as one that
     /// reads the store for its zone for `reads`.
-    fn note(&self, now: Instant, seat: Seat, within: Duration, reads: Duration, by: &str) {
+    fn note(&self, now: Instant, seat: EntryInfo, within: Duration, reads: Duration, by: &str) {
         let state = &self.state;
-        if state.roster.borrow_mut().note(seat, now + within) {
+        if state.roster.borrow_mut().insert(seat, now + within) {
             info!("entry found", kv: { peer = seat.addr.to_string().as_str(), by });
         }
         if seat.zone == zone_number(&state.settings.zone) {
@@ -349,7 +354,7 @@
             state
                 .readers
                 .borrow_mut()
-                .hear(seat.addr, rank, now + reads);
+                .observe(seat.addr, rank, now + reads);
         }
     }
 
@@ -358,14 +363,14 @@
         let state = &self.state;
         let own = read(&self.saying(now));
         let mut others = state.others.borrow_mut();
-        others.forget(now);
+        others.expire(now);
         let sum = others.sum(now, &own);
         drop(others);
         let count = state.roster.borrow().count();
-        metrics::gauge!("pimentocart_entries_heard").set(count.all.saturating_sub(1) as f64);
+        metrics::gauge!("pimentocart_entries_heard").set(count.total.saturating_sub(1) as f64);
         let calls = |server: u16| sum.calls.get(&server).copied().unwrap_or_default();
         state.balance.borrow_mut().hear(calls);
-        state.readers.borrow_mut().sized(count.near);
+        state.readers.borrow_mut().set_zone_size(count.same_zone);
         self.share(now, count);
         let Some(catalog) = state.catalog.borrow().clone() else {
             return;
@@ -379,14 +384,14 @@
 
     /// Takes this entry's part of what all share: the limits that servers name,
     /// and repeats.
-    fn share(&self, now: Instant, count: Count) {
+    fn share(&self, now: Instant, count: EntryCounts) {
         let state = &self.state;
-        let entries = state.entry_count.borrow_mut().note(now, count.all);
+        let entries = state.entry_count.borrow_mut().record(now, count.total);
         state.budget.borrow_mut().shared(entries);
         let number = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         state.balance.borrow_mut().share(Turns {
             entries: number(entries),
-            place: number(count.place),
+            place: number(count.preceding),
             at: now,
             wall: Duration::from_millis(state.clock.wall_ms()),
         });
--- a/crates/forward/src/gossip/words.rs
+++ b/crates/forward/src/gossip/words.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::others::{self, Calls};
+use policy::peer_load::{self, CallCounts};
 use policy::pools::Told;
 use policy::rendezvous;
 use policy::suspects::{Crash, Fingerprint};
@@ -28,13 +28,13 @@
     }
 }
 
-pub(super) fn calls_at((server, calls): (u16, Calls)) -> (u16, u16, u16) {
+pub(super) fn calls_at((server, calls): (u16, CallCounts)) -> (u16, u16, u16) {
     let small = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
     (server, small(calls.open), small(calls.waiting))
 }
 
 /// What `said` says, in the types of those who decide.
-pub(super) fn read(said: &Saying) -> others::Saying {
+pub(super) fn read(said: &Saying) -> peer_load::LoadReport {
     let told = |s: &gossip::Service| {
         let told = Told {
             reading: f64::from(s.reading),
@@ -46,7 +46,7 @@
         (s.number, told)
     };
     let calls = |(server, open, waiting): &(u16, u16, u16)| {
-        let calls = Calls {
+        let calls = CallCounts {
             open: u32::from(*open),
             waiting: u32::from(*waiting),
         };
@@ -60,17 +60,17 @@
         };
         (crash, age)
     };
-    others::Saying {
-        life: said.life,
+    peer_load::LoadReport {
+        incarnation: said.life,
         seq: said.seq,
         zone: said.zone,
         scope: match said.scope {
-            Scope::Own => others::Scope::Own,
-            Scope::Zone => others::Scope::Zone,
-            Scope::All => others::Scope::All,
+            Scope::Own => peer_load::Scope::Own,
+            Scope::Zone => peer_load::Scope::Zone,
+            Scope::All => peer_load::Scope::All,
         },
         entries: said.entries,
-        every: Duration::from_millis(u64::from(said.every_ms)),
+        interval: Duration::from_millis(u64::from(said.every_ms)),
         services: said.services.iter().map(told).collect(),
         calls: said.calls.iter().map(calls).collect(),
         crashes: said.crashes.iter().map(crash).collect(),
@@ -79,7 +79,7 @@
 
 /// What several entries have, as the one that says `own` passes it on. The
 /// busiest servers stand first.
-pub(super) fn write(own: &Saying, sum: others::Saying) -> Saying {
+pub(super) fn write(own: &Saying, sum: peer_load::LoadReport) -> Saying {
     let mut calls = sum.calls;
     calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
     let crash = |(crash, age): (Crash, Duration)| gossip::Crash {
@@ -89,9 +89,9 @@
     };
     Saying {
         scope: match sum.scope {
-            others::Scope::Own => Scope::Own,
-            others::Scope::Zone => Scope::Zone,
-            others::Scope::All => Scope::All,
+            peer_load::Scope::Own => Scope::Own,
+            peer_load::Scope::Zone => Scope::Zone,
+            peer_load::Scope::All => Scope::All,
         },
         asks: Asks::Nothing,
         entries: sum.entries,
--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use base::stop::Stop;
-use policy::readers::TURN;
-use policy::replica::{Records, Replica, Scope, Update};
+use policy::readers::TAKEOVER_AGE;
+use policy::replica::{Records, Replica, Update, UpdateKind};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use spdlog::{info, warn};
@@ -56,7 +56,7 @@
     while !end.asked() {
         let now = state.clock.now();
         let age = state.tables.age(now);
-        let addr = state.readers.borrow_mut().source(now, age);
+        let addr = state.readers.borrow_mut().update_source(now, age);
         if before != Some(addr) {
             note_source(addr);
             before = Some(addr);
@@ -84,10 +84,10 @@
     forget(state, now);
     match asked {
         Ok((link, age)) => {
-            if age.is_some_and(|age| age <= TURN) {
+            if age.is_some_and(|age| age <= TAKEOVER_AGE) {
                 state.lost.set(false);
             }
-            state.readers.borrow_mut().answered(now, addr, age);
+            state.readers.borrow_mut().record_answer(now, addr, age);
             Some(link)
         }
         Err(e) => {
@@ -95,7 +95,7 @@
             info!("neighbour lost", kv: {
                 peer = addr.to_string().as_str(), cause = e.to_string().as_str()
             });
-            state.readers.borrow_mut().failed(now, addr);
+            state.readers.borrow_mut().record_failure(now, addr);
             None
         }
     }
@@ -131,9 +131,9 @@
     };
     Follow {
         version: tables::VERSION,
-        catalog: state.tables.catalog.borrow().next(),
-        servers: state.tables.servers.borrow().next(),
-        crashes: state.tables.crashes.borrow().next(),
+        catalog: state.tables.catalog.borrow().position(),
+        servers: state.tables.servers.borrow().position(),
+        crashes: state.tables.crashes.borrow().position(),
         wait_ms: millis(hold),
     }
 }
@@ -171,15 +171,15 @@
     T: Clone + PartialEq + DeserializeOwned,
 {
     let age = Duration::from_millis(u64::from(part.age_ms));
-    Ok(replica.take(Update {
+    Ok(replica.apply_peer_update(Update {
         records: tables::read(from.addr(), &part.records)?,
-        scope: if part.whole {
-            Scope::Whole
+        kind: if part.whole {
+            UpdateKind::Snapshot
         } else {
-            Scope::Changes
+            UpdateKind::Delta
         },
-        next: part.next,
-        at: now.checked_sub(age).unwrap_or(now),
+        position: part.next,
+        as_of: now.checked_sub(age).unwrap_or(now),
     }))
 }
 
@@ -253,10 +253,10 @@
 where
     T: Clone + PartialEq + Serialize,
 {
-    let (scope, records) = replica.since(from)?;
+    let (scope, records) = replica.changes_since(from)?;
     Some(Part {
-        whole: scope == Scope::Whole,
-        next: replica.next()?,
+        whole: scope == UpdateKind::Snapshot,
+        next: replica.position()?,
         age_ms: millis(replica.age(now)?),
         records: tables::write(&records),
     })
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -10,11 +10,11 @@
 use policy::budget::Budget;
 use policy::finding::Finder;
 use policy::link::Link;
-use policy::others::{EntryCount, Others};
+use policy::peer_load::{PeakEntryCount, PeerLoads};
 use policy::pools::Pools;
-use policy::readers::{Rank, Readers};
+use policy::readers::{Rank, ZoneReaders};
 use policy::rendezvous;
-use policy::roster::{Roster, Seat};
+use policy::roster::{EntryInfo, Roster};
 use policy::routes::Catalog;
 use policy::waits::Waits;
 
@@ -54,15 +54,15 @@
     /// Copies of the store's tables.
     pub tables: Tables,
     /// Who reads the store in this availability zone.
-    pub readers: RefCell<Readers>,
+    pub readers: RefCell<ZoneReaders>,
     /// What other entries have in progress.
-    pub others: RefCell<Others>,
+    pub others: RefCell<PeerLoads>,
     /// Other entries.
     pub roster: RefCell<Roster>,
     /// How they are found.
     pub finder: RefCell<Finder>,
     /// How many entries there are.
-    pub entry_count: RefCell<EntryCount>,
+    pub entry_count: RefCell<PeakEntryCount>,
     /// Repeats that are left.
     pub budget: RefCell<Budget>,
     /// The sidecars beside engines, if there are any.
@@ -107,7 +107,7 @@
             pools: RefCell::default(),
             waits: RefCell::default(),
             tables: Tables::default(),
-            readers: RefCell::new(Readers::new(own_rank(&settings))),
+            readers: RefCell::new(ZoneReaders::new(own_rank(&settings))),
             others: RefCell::default(),
             roster: RefCell::new(Roster::new(own_seat(&settings), settings.duties.is_some())),
             finder: RefCell::new(Finder::new(
@@ -162,7 +162,7 @@
     /// other.
     #[must_use]
     pub fn shares(&self) -> bool {
-        self.readers.borrow().shared()
+        self.readers.borrow().shares_reads()
     }
 
     /// Other entries that read the store as often as this one.
@@ -170,7 +170,7 @@
     pub fn rivals(&self) -> usize {
         match self.shares() {
             true => 0,
-            false => self.roster.borrow().count().all.saturating_sub(1),
+            false => self.roster.borrow().count().total.saturating_sub(1),
         }
     }
 
@@ -184,8 +184,8 @@
 }
 
 /// This entry as others know it.
-fn own_seat(settings: &Settings) -> Seat {
-    Seat {
+fn own_seat(settings: &Settings) -> EntryInfo {
+    EntryInfo {
         addr: settings.gossip,
         zone: zone_number(&settings.zone),
         link_mbps: link_mbps(settings),
--- a/crates/forward/src/status.rs
+++ b/crates/forward/src/status.rs
@@ -44,7 +44,7 @@
             zone: state.settings.zone.clone(),
             ready: state.ready(),
             catalog: state.catalog.borrow().as_ref().map(|c| c.version),
-            entries: state.roster.borrow().count().all.saturating_sub(1),
+            entries: state.roster.borrow().count().total.saturating_sub(1),
             servers: state.balance.borrow().ids().len(),
             leaving: said.leaving,
             resting: said.resting,
--- a/crates/forward/src/tables.rs
+++ b/crates/forward/src/tables.rs
@@ -70,9 +70,9 @@
 
     /// Whether there is news for one who asks.
     pub(crate) fn newer(&self, ask: &Follow) -> bool {
-        let catalog = self.catalog.borrow().newer(ask.catalog);
-        let servers = self.servers.borrow().newer(ask.servers);
-        catalog || servers || self.crashes.borrow().newer(ask.crashes)
+        let catalog = self.catalog.borrow().has_changes_since(ask.catalog);
+        let servers = self.servers.borrow().has_changes_since(ask.servers);
+        catalog || servers || self.crashes.borrow().has_changes_since(ask.crashes)
     }
 
     /// For how much longer servers may be missing though they live.
--- a/crates/forward/tests/duties/common.rs
+++ b/crates/forward/tests/duties/common.rs
@@ -15,11 +15,11 @@
 use forward::state::State;
 use http::HeaderMap;
 use policy::balance::Listed;
-use policy::duty::Written;
+use policy::duty::WriteOutcome;
 use policy::readers::Rank;
 use policy::routes::{Catalog, Limits, Service};
 use policy::scaling::{self, Order};
-use policy::usage::Counts;
+use policy::usage::WorkspaceCounts;
 
 /// Long enough for any step here, so that a test that hangs fails instead.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -71,23 +71,23 @@
         }
     }
 
-    async fn write(&self, at: u64, kept: &Kept) -> Written {
+    async fn write(&self, at: u64, kept: &Kept) -> WriteOutcome {
         if self.0.away.get() {
-            return Written::Refused;
+            return WriteOutcome::Refused;
         }
         if at != self.0.end.get() {
-            return Written::Behind;
+            return WriteOutcome::Conflict;
         }
         *self.0.kept.borrow_mut() = Some(kept.clone());
         self.0.end.set(at + 1);
-        Written::At(at)
+        WriteOutcome::Stored(at)
     }
 }
 
 /// What the platform has accepted.
 #[derive(Default)]
 pub(crate) struct Platform {
-    windows: RefCell<BTreeMap<u64, Counts>>,
+    windows: RefCell<BTreeMap<u64, WorkspaceCounts>>,
     tokens: RefCell<BTreeSet<u64>>,
     calls: Cell<usize>,
     losing: Cell<u32>,
@@ -166,7 +166,7 @@
         &self,
         _holder: &str,
         window: u64,
-        counts: &Counts,
+        counts: &WorkspaceCounts,
         token: impl FnOnce() -> Option<u64>,
     ) -> Outcome {
         let outcome = match self.0.call(token) {
--- a/crates/forward/tests/duties/main.rs
+++ b/crates/forward/tests/duties/main.rs
@@ -52,7 +52,7 @@
     .await;
     let kept = fleet.store.kept();
     let host = common::ip(fleet.net, u8::try_from(first).expect("a few entries"));
-    assert_eq!(kept.term.before, Some(host));
+    assert_eq!(kept.term.previous_host, Some(host));
 }
 
 #[actix_rt::test]
@@ -80,7 +80,7 @@
     fleet.count((first + 1) % 3, "ecole", 11);
     until("all is reported", || fleet.reported() == 16).await;
     until("the store knows", || {
-        fleet.store.kept().usage.fixed.is_empty()
+        fleet.store.kept().usage.finalized.is_empty()
     })
     .await;
     fleet.kill(first);
--- a/crates/forward/tests/tables/crashes.rs
+++ b/crates/forward/tests/tables/crashes.rs
@@ -11,7 +11,7 @@
 use forward::settings::Settings;
 use forward::state::State;
 use forward::{crashes, follow, neighbours};
-use policy::readers::{Rank, SHARED_FROM};
+use policy::readers::{MIN_SHARING_ENTRIES, Rank};
 use policy::suspects::{Crash, Fingerprint};
 use tokio::net::TcpListener;
 
@@ -136,10 +136,10 @@
 fn hear(state: &State, first: &State) {
     let (until, addr) = (Instant::now() + PATIENCE, first.settings.gossip);
     let mut readers = state.readers.borrow_mut();
-    readers.hear(addr, Rank::new(0, addr, u32::MAX), until);
-    for n in 2..=SHARED_FROM {
+    readers.observe(addr, Rank::new(0, addr, u32::MAX), until);
+    for n in 2..=MIN_SHARING_ENTRIES {
         let addr = ([127, 0, 0, u8::try_from(n).expect("a few")], 1).into();
-        readers.hear(addr, Rank::new(0, addr, 0), until);
+        readers.observe(addr, Rank::new(0, addr, 0), until);
     }
 }
 
--- a/crates/forward/tests/tables/neighbours.rs
+++ b/crates/forward/tests/tables/neighbours.rs
@@ -12,7 +12,7 @@
 use forward::state::State;
 use forward::{follow, neighbours};
 use policy::balance::Listed;
-use policy::readers::{Rank, SHARED_FROM};
+use policy::readers::{MIN_SHARING_ENTRIES, Rank};
 use policy::routes::{Catalog, Limits};
 use tokio::net::TcpListener;
 
@@ -181,11 +181,11 @@
     fn hear(&self, first: &Entry) {
         let until = Instant::now() + PATIENCE;
         let mut readers = self.state.readers.borrow_mut();
-        readers.hear(first.addr, Rank::new(0, first.addr, u32::MAX), until);
-        for n in 2..=SHARED_FROM {
+        readers.observe(first.addr, Rank::new(0, first.addr, u32::MAX), until);
+        for n in 2..=MIN_SHARING_ENTRIES {
             let n = u8::try_from(n).expect("a few");
             let addr = SocketAddr::from(([127, 0, 0, n], 1));
-            readers.hear(addr, Rank::new(0, addr, 0), until);
+            readers.observe(addr, Rank::new(0, addr, 0), until);
         }
     }
 
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -22,7 +22,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::others::Calls;
+use crate::peer_load::CallCounts;
 use crate::rendezvous::{number, weight};
 use names::Names;
 use past::Past;
@@ -143,9 +143,9 @@
     /// Hash of its name, equal at every entry.
     key: u64,
     /// Own calls.
-    own: Calls,
+    own: CallCounts,
     /// Calls of other entries, as far as they have told.
-    others: Calls,
+    others: CallCounts,
     /// Failures to connect in a row.
     refused: u32,
     /// Failed runs in a row.
@@ -272,8 +272,8 @@
                     first,
                     replaced: false,
                     key: number(&listed.id),
-                    own: Calls::default(),
-                    others: Calls::default(),
+                    own: CallCounts::default(),
+                    others: CallCounts::default(),
                     refused: 0,
                     failed: 0,
                     rest: None,
@@ -481,13 +481,13 @@
 
     /// Own calls, by the server's short number.
     #[must_use]
-    pub fn told(&self) -> Vec<(u16, Calls)> {
+    pub fn told(&self) -> Vec<(u16, CallCounts)> {
         let busy = self.servers.values().filter(|s| s.own.open > 0);
         busy.map(|s| (short(s.key), s.own)).collect()
     }
 
     /// Takes over the calls that all other entries together have.
-    pub fn hear(&mut self, others: impl Fn(u16) -> Calls) {
+    pub fn hear(&mut self, others: impl Fn(u16) -> CallCounts) {
         for server in self.servers.values_mut() {
             server.others = others(short(server.key));
         }
--- a/crates/policy/src/duty.rs
+++ b/crates/policy/src/duty.rs
@@ -17,7 +17,7 @@
 
 /// How long a record holds. Taking over after a silent loss lasts as long, and
 /// renewing it costs a write each half of it.
-pub const TTL: Duration = Duration::from_millis(1800);
+pub const TERM_TTL: Duration = Duration::from_millis(1800);
 
 /// How much longer each further candidate in the order waits, so that one
 /// claims and the others hear of it.
@@ -49,7 +49,8 @@
     /// The fencing token; it grows with each holder.
     pub token: u64,
     /// The host that held the duty before, if it was another one.
-    pub before: Option<String>,
+    #[serde(rename = "before")]
+    pub previous_host: Option<String>,
     /// Whether the holder has given the duty up.
     pub released: bool,
 }
@@ -58,11 +59,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Nothing for now.
-    Rest,
+    Wait,
     /// Read the duty's record.
     Read,
     /// Write this at the end that the candidate knows ([`Candidate::end`]).
-    Write(Term),
+    Renew(Term),
     /// The same, with what the record that was read keeps beside the term in
     /// place of all that this candidate has of it: others may have held the
     /// duty meanwhile and acted on what they wrote.
@@ -71,11 +72,11 @@
 
 /// What became of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It stands at this offset.
-    At(u64),
+    Stored(u64),
     /// Another write came first; nothing was written.
-    Behind,
+    Conflict,
     /// The store refused it; nothing was written.
     Refused,
     /// It was not answered: it may have been written, or may be later.
@@ -137,7 +138,7 @@
 
     /// Where the log ends, as far as is known.
     #[must_use]
-    pub fn end(&self) -> u64 {
+    pub fn log_end(&self) -> u64 {
         self.seen.map_or(0, |seen| seen.end)
     }
 
@@ -161,23 +162,23 @@
 
     /// What to do at `now`, with `place` other candidates before this one.
     #[must_use]
-    pub fn next(&self, now: Instant, place: usize) -> Step {
+    pub fn next_step(&self, now: Instant, place: usize) -> Step {
         if self.resigned || now < self.look {
-            return Step::Rest;
+            return Step::Wait;
         }
         let stagger = STAGGER * place.min(PLACES) as u32;
         match (&self.term, self.lease, self.seen) {
             (Some(_), _, _) if self.unsure => Step::Read,
-            (Some(term), Some(lease), _) if lease.due(now) => Step::Write(term.clone()),
-            (Some(_), _, _) => Step::Rest,
-            (None, _, Some(seen)) if now < seen.at + TTL + stagger => Step::Rest,
-            (None, _, None) if now < self.look + stagger => Step::Rest,
+            (Some(term), Some(lease), _) if lease.due(now) => Step::Renew(term.clone()),
+            (Some(_), _, _) => Step::Wait,
+            (None, _, Some(seen)) if now < seen.at + TERM_TTL + stagger => Step::Wait,
+            (None, _, None) if now < self.look + stagger => Step::Wait,
             _ => Step::Read,
         }
     }
 
     /// Notes that the holder told where the log ends after its last record.
-    pub fn heard(&mut self, now: Instant, end: u64, released: bool) {
+    pub fn observe_record(&mut self, now: Instant, end: u64, released: bool) {
         if self.seen.is_some_and(|seen| end <= seen.end) {
             return;
         }
@@ -191,30 +192,30 @@
     }
 
     /// Takes what the store holds: the duty's record, and where its log ends.
-    pub fn read(&mut self, now: Instant, term: Option<&Term>, end: u64) -> Step {
+    pub fn record_read(&mut self, now: Instant, term: Option<&Term>, end: u64) -> Step {
         let before = self.seen.filter(|seen| seen.end == end);
         let seen = before.unwrap_or(Seen { end, at: now });
         self.seen = Some(seen);
         self.unsure = false;
         self.failures = 0;
         if self.resigned {
-            return Step::Rest;
+            return Step::Wait;
         }
         let stood = now.saturating_duration_since(seen.at);
         match term {
             Some(t) if t.holder == self.life && !t.released && t.token > self.barred => {
                 let held = self.term.replace(t.clone()).is_some();
                 return match held {
-                    true => Step::Write(t.clone()),
+                    true => Step::Renew(t.clone()),
                     false => Step::Claim(t.clone()),
                 };
             }
             Some(t) if !self.may_follow(t, stood) => {
                 self.drop_term();
                 // A record that was given up has nobody to renew it.
-                let wait = if t.released { self.away } else { TTL };
+                let wait = if t.released { self.away } else { TERM_TTL };
                 self.look = now + wait.saturating_sub(stood).max(RETRY);
-                return Step::Rest;
+                return Step::Wait;
             }
             _ => {}
         }
@@ -223,7 +224,7 @@
             holder: self.life.clone(),
             host: self.host.clone(),
             token: end + 1,
-            before: term.and_then(|t| self.before(t)),
+            previous_host: term.and_then(|t| self.before(t)),
             released: false,
         })
     }
@@ -231,16 +232,16 @@
     /// Whether this candidate may follow the holder of `term`, whose record
     /// has stood unchanged for `stood`.
     fn may_follow(&self, term: &Term, stood: Duration) -> bool {
-        let returns = term.before.as_deref() == Some(&*self.host);
+        let returns = term.previous_host.as_deref() == Some(&*self.host);
         let wait = match (term.released, returns) {
             // An earlier life of this host has ended, or this one would not
             // have got its ports.
             _ if term.host == self.host => Duration::ZERO,
             // Taken back at once, the duty would go to and fro between two
             // hosts, with calls of both on their way.
-            (_, true) => TTL.max(self.away),
+            (_, true) => TERM_TTL.max(self.away),
             (true, false) => Duration::ZERO,
-            (false, false) => TTL,
+            (false, false) => TERM_TTL,
         };
         stood >= wait
     }
@@ -248,22 +249,22 @@
     /// The host to name as the one before, when `term` is followed.
     fn before(&self, term: &Term) -> Option<String> {
         if term.host == self.host {
-            return term.before.clone();
+            return term.previous_host.clone();
         }
         Some(term.host.clone())
     }
 
     /// Takes what became of writing `term`, which was sent at `sent`.
-    pub fn wrote(&mut self, now: Instant, sent: Instant, term: Term, written: Written) {
+    pub fn record_write(&mut self, now: Instant, sent: Instant, term: Term, written: WriteOutcome) {
         match written {
-            Written::At(offset) => {
+            WriteOutcome::Stored(offset) => {
                 self.seen = Some(Seen {
                     end: offset + 1,
                     at: now,
                 });
                 self.unsure = false;
                 self.failures = 0;
-                self.lease = Some(Lease::new(Offset(term.token), sent, TTL));
+                self.lease = Some(Lease::new(Offset(term.token), sent, TERM_TTL));
                 if term.released {
                     self.drop_term();
                 } else {
@@ -272,23 +273,23 @@
             }
             // What was held before stays held until its time is over; nobody
             // may follow before that.
-            Written::Behind => self.unsure = true,
-            Written::Unknown => {
+            WriteOutcome::Conflict => self.unsure = true,
+            WriteOutcome::Unknown => {
                 self.unsure = true;
                 self.failed(now);
             }
-            Written::Refused => self.failed(now),
+            WriteOutcome::Refused => self.failed(now),
         }
     }
 
     /// Notes that the store could not be read.
-    pub fn unread(&mut self, now: Instant) {
+    pub fn record_read_failure(&mut self, now: Instant) {
         self.failed(now);
     }
 
     /// Whether the last call was the first in a row that failed.
     #[must_use]
-    pub fn has_failed(&self) -> bool {
+    pub fn failed_first(&self) -> bool {
         self.failures == 1
     }
 
@@ -299,7 +300,7 @@
 
     /// Notes that a call with `token` was refused since a higher one was seen.
     /// It is never used again.
-    pub fn refused(&mut self, now: Instant, token: u64) {
+    pub fn reject_token(&mut self, now: Instant, token: u64) {
         self.barred = self.barred.max(token);
         if self.term.as_ref().is_some_and(|t| t.token <= self.barred) {
             self.drop_term();
--- a/crates/policy/src/fleet_time.rs
+++ b/crates/policy/src/fleet_time.rs
@@ -51,7 +51,7 @@
     }
 
     /// Notes a peer's time of day, from the Unix epoch.
-    pub fn hear(&mut self, now: Instant, peer: u64, wall: Duration) {
+    pub fn observe(&mut self, now: Instant, peer: u64, wall: Duration) {
         let ahead = self.ahead(now, wall);
         self.peers.insert(peer, (now, ahead));
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -20,7 +20,7 @@
 //! - [`link`]: whether it should get new connections.
 //! - [`finding`]: how it finds the other entries.
 //! - [`roster`]: which there are, and whom it speaks with.
-//! - [`others`]: what they have in progress.
+//! - [`peer_load`]: what they have in progress.
 //! - [`replica`]: its copies of the store's tables.
 //! - [`readers`]: whether it reads them itself or asks a neighbour.
 //! - [`budget`]: whether it may be sent to a second one.
@@ -56,11 +56,11 @@
 pub mod link;
 pub mod membership;
 pub mod offer;
-pub mod others;
 pub mod outlier;
 pub mod pace;
 pub mod pacing;
 pub mod pauses;
+pub mod peer_load;
 pub mod placement;
 pub mod pools;
 pub mod queue;
--- a/crates/policy/src/others.rs
+++ b/crates/policy/src/peer_load.rs
@@ -13,7 +13,7 @@
 use crate::suspects::Crash;
 
 /// What an entry said is believed for so many of its own intervals.
-pub const BELIEVED: u32 = 4;
+pub const EXPIRY_INTERVALS: u32 = 4;
 
 /// The shortest interval: what is told is as old as that, and a call takes
 /// about ten of it.
@@ -45,9 +45,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Intervals {
     /// To entries of its own zone.
-    pub near: Duration,
+    pub same_zone: Duration,
     /// To the others.
-    pub far: Duration,
+    pub other_zones: Duration,
 }
 
 impl Intervals {
@@ -59,8 +59,8 @@
         if every <= EVERY_MOST {
             let every = every.max(EVERY_LEAST);
             return Self {
-                near: every,
-                far: every,
+                same_zone: every,
+                other_zones: every,
             };
         }
         let span = |bytes: usize, rate: f64| {
@@ -70,20 +70,20 @@
         let near_every = span(near, RATE);
         let left = RATE - near as f64 / near_every.as_secs_f64();
         Self {
-            near: near_every,
-            far: span(far, left.max(1.0)),
+            same_zone: near_every,
+            other_zones: span(far, left.max(1.0)),
         }
     }
 
     /// The intervals of an entry of a zone with so many members, which tells its
     /// relays.
     #[must_use]
-    pub fn relayed(members: usize) -> Self {
+    pub fn to_relays(members: usize) -> Self {
         let span = Duration::from_secs_f64(members as f64 / ANSWERS);
         let span = span.clamp(EVERY_MOST, FAR_MOST);
         Self {
-            near: span,
-            far: span,
+            same_zone: span,
+            other_zones: span,
         }
     }
 }
@@ -102,9 +102,9 @@
 
 /// What one entry says.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Saying {
+pub struct LoadReport {
     /// The life of the entry.
-    pub life: u64,
+    pub incarnation: u64,
     /// Grows with each saying of that life.
     pub seq: u32,
     /// The availability zone that the entry stands in, by number.
@@ -114,11 +114,11 @@
     /// Entries whose calls these are.
     pub entries: u32,
     /// How often the entry speaks.
-    pub every: Duration,
+    pub interval: Duration,
     /// What there is for each service, by the service's number.
     pub services: Vec<(u32, Told)>,
     /// Calls at each server, by the server's short number.
-    pub calls: Vec<(u16, Calls)>,
+    pub calls: Vec<(u16, CallCounts)>,
     /// Crashes of servers under calls, with how long ago they were seen, that
     /// the store has not taken yet.
     pub crashes: Vec<(Crash, Duration)>,
@@ -126,7 +126,7 @@
 
 /// Calls at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Calls {
+pub struct CallCounts {
     /// All that have not ended.
     pub open: u32,
     /// Those of them that wait for their first event.
@@ -143,14 +143,14 @@
 
 /// How many entries there are at the most, as far as one of them has heard.
 #[derive(Debug, Default)]
-pub struct EntryCount {
+pub struct PeakEntryCount {
     /// Counts, each larger than the later ones, with when they were last seen.
     counts: VecDeque<(Instant, usize)>,
 }
 
-impl EntryCount {
+impl PeakEntryCount {
     /// Notes how many entries are heard now; returns the most of late.
-    pub fn note(&mut self, now: Instant, count: usize) -> usize {
+    pub fn record(&mut self, now: Instant, count: usize) -> usize {
         while self.counts.back().is_some_and(|(_, c)| *c <= count) {
             self.counts.pop_back();
         }
@@ -168,14 +168,14 @@
 
 /// What all other entries said last.
 #[derive(Debug, Default)]
-pub struct Others {
-    said: HashMap<(u64, Scope), (Instant, Saying)>,
+pub struct PeerLoads {
+    said: HashMap<(u64, Scope), (Instant, LoadReport)>,
 }
 
-impl Others {
+impl PeerLoads {
     /// Takes a saying over, unless a later one of the same life came first.
-    pub fn hear(&mut self, now: Instant, saying: Saying) {
-        let key = (saying.life, saying.scope);
+    pub fn observe(&mut self, now: Instant, saying: LoadReport) {
+        let key = (saying.incarnation, saying.scope);
         let held = self.said.get(&key);
         if held.is_none_or(|(_, held)| held.seq < saying.seq) {
             self.said.insert(key, (now, saying));
@@ -184,9 +184,9 @@
 
     /// Forgets what is too old to be believed: its entry may have ended, and
     /// the calls that it told of with it.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn expire(&mut self, now: Instant) {
         self.said
-            .retain(|_, (at, said)| now < *at + said.every * BELIEVED);
+            .retain(|_, (at, said)| now < *at + said.interval * EXPIRY_INTERVALS);
     }
 
     /// Entries that are heard themselves.
@@ -198,7 +198,7 @@
 
     /// How many entries the relays of each other zone have summed up.
     #[must_use]
-    pub fn zones(&self) -> BTreeMap<u32, usize> {
+    pub fn entries_by_zone(&self) -> BTreeMap<u32, usize> {
         let mut zones = BTreeMap::new();
         for (_, said) in self.said.values().filter(|(_, s)| s.scope == Scope::Zone) {
             let entries = usize::try_from(said.entries).unwrap_or(usize::MAX);
@@ -211,10 +211,10 @@
     /// What all other entries have, as far as is known; `own` is what this one
     /// says, which a sum of all holds as well.
     #[must_use]
-    pub fn sum(&self, now: Instant, own: &Saying) -> Sum {
+    pub fn sum(&self, now: Instant, own: &LoadReport) -> LoadTotal {
         match self.best(|said| said.scope == Scope::All) {
             Some(all) => {
-                let mut sum = Sum::default();
+                let mut sum = LoadTotal::default();
                 sum.add(now, all);
                 sum.less(own);
                 sum
@@ -225,8 +225,8 @@
 
     /// What the entries of zone `own.zone` have together, for the other zones.
     #[must_use]
-    pub fn sum_zone(&self, now: Instant, own: &Saying) -> Saying {
-        let mut sum = Sum::default();
+    pub fn sum_zone(&self, now: Instant, own: &LoadReport) -> LoadReport {
+        let mut sum = LoadTotal::default();
         let said = self.said.values();
         for held in said.filter(|(_, s)| s.scope == Scope::Own && s.zone == own.zone) {
             sum.add(now, held);
@@ -237,26 +237,26 @@
 
     /// What all entries have together, for those of the own zone.
     #[must_use]
-    pub fn sum_all(&self, now: Instant, own: &Saying) -> Saying {
+    pub fn sum_all(&self, now: Instant, own: &LoadReport) -> LoadReport {
         let mut sum = self.heard(now);
         sum.add(now, &(now, own.clone()));
         sum.saying(own, Scope::All)
     }
 
     /// What was heard of each zone, or of its entries.
-    fn heard(&self, now: Instant) -> Sum {
+    fn heard(&self, now: Instant) -> LoadTotal {
         let mut zones: Vec<u32> = Vec::new();
         for (_, said) in self.said.values() {
             if said.scope == Scope::Zone && !zones.contains(&said.zone) {
                 zones.push(said.zone);
             }
         }
-        let mut sum = Sum::default();
+        let mut sum = LoadTotal::default();
         for zone in &zones {
             let best = self.best(|s| s.scope == Scope::Zone && s.zone == *zone);
             sum.add_some(now, best);
         }
-        let apart = |s: &Saying| s.scope == Scope::Own && !zones.contains(&s.zone);
+        let apart = |s: &LoadReport| s.scope == Scope::Own && !zones.contains(&s.zone);
         for held in self.said.values().filter(|(_, said)| apart(said)) {
             sum.add(now, held);
         }
@@ -265,7 +265,7 @@
 
     /// Of several sums of the same entries, the one that holds most of them: a
     /// relay that has just started has heard few.
-    fn best(&self, which: impl Fn(&Saying) -> bool) -> Option<&(Instant, Saying)> {
+    fn best(&self, which: impl Fn(&LoadReport) -> bool) -> Option<&(Instant, LoadReport)> {
         let held = self.said.values().filter(|(_, said)| which(said));
         held.max_by_key(|(at, said)| (said.entries, *at))
     }
@@ -273,20 +273,20 @@
 
 /// What several entries have together.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Sum {
+pub struct LoadTotal {
     /// How many they are.
     pub entries: u32,
     /// What they have for each service, by the service's number.
     pub services: BTreeMap<u32, Told>,
     /// Calls at each server, by the server's short number.
-    pub calls: BTreeMap<u16, Calls>,
+    pub calls: BTreeMap<u16, CallCounts>,
     /// Crashes of servers, with how long ago they were seen.
     pub crashes: BTreeMap<Crash, Duration>,
 }
 
-impl Sum {
+impl LoadTotal {
     /// Adds what was heard at some time.
-    fn add(&mut self, now: Instant, (at, said): &(Instant, Saying)) {
+    fn add(&mut self, now: Instant, (at, said): &(Instant, LoadReport)) {
         self.entries += said.entries;
         for (service, told) in &said.services {
             let held = self.services.entry(*service).or_default();
@@ -303,14 +303,14 @@
         }
     }
 
-    fn add_some(&mut self, now: Instant, held: Option<&(Instant, Saying)>) {
+    fn add_some(&mut self, now: Instant, held: Option<&(Instant, LoadReport)>) {
         if let Some(held) = held {
             self.add(now, held);
         }
     }
 
     /// Takes away what one entry has.
-    fn less(&mut self, own: &Saying) {
+    fn less(&mut self, own: &LoadReport) {
         self.entries = self.entries.saturating_sub(own.entries);
         for (service, told) in &own.services {
             if let Some(held) = self.services.get_mut(service) {
@@ -326,8 +326,8 @@
     }
 
     /// The same as it is passed on by the entry that says `own`.
-    fn saying(self, own: &Saying, scope: Scope) -> Saying {
-        Saying {
+    fn saying(self, own: &LoadReport, scope: Scope) -> LoadReport {
+        LoadReport {
             scope,
             entries: self.entries,
             services: self.services.into_iter().collect(),
--- a/crates/policy/src/readers.rs
+++ b/crates/policy/src/readers.rs
@@ -1,4 +1,4 @@
-//! Which entries read the store's tables, and which hear of them from a
+//! Which entries read the store's tables, and which observe of them from a
 //! neighbour.
 //!
 //! Load pattern: calls to the store grow with the number of entries, since
@@ -19,16 +19,16 @@
 
 /// Entries in a zone from which on they read for each other. Below, it saves
 /// less than a call a second, and costs what is known some freshness.
-pub const SHARED_FROM: usize = 4;
+pub const MIN_SHARING_ENTRIES: usize = 4;
 
 /// The age at which an entry does not wait for its neighbours any more. What
 /// operators change has to be in force, and servers that leave have to be left
 /// alone, within a few seconds; a reader that died silently costs this much.
-pub const OLDEST: Duration = Duration::from_millis(1800);
+pub const MAX_COPY_AGE: Duration = Duration::from_millis(1800);
 
 /// The age at which the next in the order reads as well, and the others ask it.
 /// It has to be above what a copy comes to between two answers of the store.
-pub const TURN: Duration = Duration::from_millis(1450);
+pub const TAKEOVER_AGE: Duration = Duration::from_millis(1450);
 
 /// How much later the one after that reads.
 const TURN_EACH: Duration = Duration::from_millis(100);
@@ -104,7 +104,7 @@
 
 /// The entries of one availability zone, as one of them sees them.
 #[derive(Debug)]
-pub struct Readers {
+pub struct ZoneReaders {
     own: Rank,
     peers: HashMap<SocketAddr, Peer>,
     /// How many entries the zone has, as far as others say.
@@ -130,7 +130,8 @@
     /// Whether what it told of late was too old to go on with.
     fn stale(&self, now: Instant) -> bool {
         let late = |at: Instant| now < at + REST_STALE;
-        self.told.is_some_and(|(at, age)| age > TURN && late(at))
+        self.told
+            .is_some_and(|(at, age)| age > TAKEOVER_AGE && late(at))
     }
 
     /// Whether it is not passed over.
@@ -141,11 +142,11 @@
     /// Whether its copies are known to be fresh by now.
     fn fresh(&self, now: Instant) -> bool {
         self.told
-            .is_some_and(|(at, age)| age <= TURN && now < at + KNOWN)
+            .is_some_and(|(at, age)| age <= TAKEOVER_AGE && now < at + KNOWN)
     }
 }
 
-impl Readers {
+impl ZoneReaders {
     /// Makes the view of an entry that has heard nobody yet.
     #[must_use]
     pub fn new(own: Rank) -> Self {
@@ -158,13 +159,13 @@
     }
 
     /// Notes how many entries the zone has.
-    pub fn sized(&mut self, size: usize) {
+    pub fn set_zone_size(&mut self, size: usize) {
         self.size = size;
     }
 
     /// Notes that a neighbour was heard, which will be heard again before
     /// `until`.
-    pub fn hear(&mut self, addr: SocketAddr, rank: Rank, until: Instant) {
+    pub fn observe(&mut self, addr: SocketAddr, rank: Rank, until: Instant) {
         let peer = self.peers.entry(addr).or_insert(Peer {
             rank,
             until,
@@ -177,7 +178,7 @@
     }
 
     /// Notes how old the copies of a neighbour are, as it says itself.
-    pub fn aged(&mut self, now: Instant, addr: SocketAddr, age: Duration) {
+    pub fn set_copy_age(&mut self, now: Instant, addr: SocketAddr, age: Duration) {
         if let Some(peer) = self.peers.get_mut(&addr) {
             peer.told = Some((now, age));
         }
@@ -188,12 +189,12 @@
     /// One whose copies are old has lost the store, and the next in the order
     /// reads by then. If both have, the store may be away for all, and nothing
     /// is gained by asking one after the other.
-    pub fn ask(&mut self, now: Instant) -> Option<SocketAddr> {
+    pub fn preferred_peer(&mut self, now: Instant) -> Option<SocketAddr> {
         self.peers.retain(|_, peer| now < peer.until);
         if !self.peers.is_empty() {
             self.place = self.before();
         }
-        if !self.shared() {
+        if !self.shares_reads() {
             return None;
         }
         let before = self.peers.iter().filter(|(_, p)| p.rank < self.own);
@@ -209,9 +210,9 @@
     /// when it has none. Where those before it have lost the store as it has
     /// itself, or have just started as it has, any other one that has fresh copies
     /// will do.
-    pub fn source(&mut self, now: Instant, age: Option<Duration>) -> Option<SocketAddr> {
-        let asked = self.ask(now);
-        let young = age.is_some_and(|age| age <= TURN);
+    pub fn update_source(&mut self, now: Instant, age: Option<Duration>) -> Option<SocketAddr> {
+        let asked = self.preferred_peer(now);
+        let young = age.is_some_and(|age| age <= TAKEOVER_AGE);
         if young && (asked.is_some() || self.place == 0) {
             return asked;
         }
@@ -226,7 +227,7 @@
     /// Whether there is a neighbour to ask for an entry that has no copies, or
     /// whose turn it is not to read.
     #[must_use]
-    pub fn copied(&self, now: Instant, any: bool) -> bool {
+    pub fn has_fresh_peer(&self, now: Instant, any: bool) -> bool {
         (any || self.place > 0) && self.fresh(now).next().is_some()
     }
 
@@ -238,9 +239,9 @@
 
     /// Notes what a neighbour has answered: how old its copies are, or none
     /// when it has not all of them.
-    pub fn answered(&mut self, now: Instant, addr: SocketAddr, age: Option<Duration>) {
+    pub fn record_answer(&mut self, now: Instant, addr: SocketAddr, age: Option<Duration>) {
         let Some(age) = age else {
-            return self.failed(now, addr);
+            return self.record_failure(now, addr);
         };
         if let Some(peer) = self.peers.get_mut(&addr) {
             peer.failures = 0;
@@ -249,7 +250,7 @@
     }
 
     /// Notes that a neighbour did not answer.
-    pub fn failed(&mut self, now: Instant, addr: SocketAddr) {
+    pub fn record_failure(&mut self, now: Instant, addr: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&addr) {
             let rest = REST_FIRST * 2u32.pow(peer.failures.min(8));
             peer.rest = Some(now + rest.min(REST_MOST));
@@ -260,21 +261,21 @@
     /// How old a copy may become before this entry reads by itself, though
     /// it has a neighbour to ask.
     #[must_use]
-    pub fn patience(&self) -> Duration {
+    pub fn copy_age_limit(&self) -> Duration {
         let before = self.before();
         if before <= ASKED {
-            return TURN + TURN_EACH * u32::try_from(before.saturating_sub(1)).unwrap_or(0);
+            return TAKEOVER_AGE + TURN_EACH * u32::try_from(before.saturating_sub(1)).unwrap_or(0);
         }
         let share = self.share();
         let crowd = u32::try_from(self.size.saturating_sub(CROWD)).unwrap_or(u32::MAX);
         let later = SPREAD_EACH.saturating_mul(crowd).min(SPREAD_MOST);
-        OLDEST - SPREAD.mul_f64(share) + later.mul_f64(1.0 - share)
+        MAX_COPY_AGE - SPREAD.mul_f64(share) + later.mul_f64(1.0 - share)
     }
 
     /// How long an entry that has started waits for its neighbours' copies before
     /// it reads by itself.
     #[must_use]
-    pub fn patience_first(&self) -> Duration {
+    pub fn initial_copy_wait(&self) -> Duration {
         let before = self.before();
         if before <= ASKED {
             let later = u32::try_from(before.saturating_sub(1)).unwrap_or(0);
@@ -291,8 +292,8 @@
 
     /// How long an entry whose turn it is not to read waits before it tries a
     /// store again that did not answer; none when it is its turn.
-    pub fn aside(&mut self, now: Instant) -> Option<Duration> {
-        let asked = self.ask(now).is_some();
+    pub fn store_retry_delay(&mut self, now: Instant) -> Option<Duration> {
+        let asked = self.preferred_peer(now).is_some();
         if self.place == 0 {
             return None;
         }
@@ -313,7 +314,7 @@
 
     /// Whether the entries of the zone read for each other.
     #[must_use]
-    pub fn shared(&self) -> bool {
-        self.peers.len() + 1 >= SHARED_FROM
+    pub fn shares_reads(&self) -> bool {
+        self.peers.len() + 1 >= MIN_SHARING_ENTRIES
     }
 }
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -23,15 +23,15 @@
 
 /// What an update of a table holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum UpdateKind {
     /// All changes since the position from which was asked.
-    Changes,
+    Delta,
     /// The whole table: what it does not show is gone.
-    Whole,
+    Snapshot,
     /// The whole table of a store that has come back from an old copy. What it
     /// shows and was dropped since the copy was made waits until it is written
     /// again.
-    Copy,
+    RestoredSnapshot,
 }
 
 /// What the store or a neighbour says of a table.
@@ -40,11 +40,11 @@
     /// What it says.
     pub records: Records<T>,
     /// What the records are.
-    pub scope: Scope,
+    pub kind: UpdateKind,
     /// The store's position up to which they are complete.
-    pub next: u64,
+    pub position: u64,
     /// A moment at which they were all that there was.
-    pub at: Instant,
+    pub as_of: Instant,
 }
 
 impl<T> Update<T> {
@@ -54,9 +54,9 @@
         let record = |(key, old): (Rc<str>, Option<T>)| (key, old.map(&value));
         Update {
             records: self.records.into_iter().map(record).collect(),
-            scope: self.scope,
-            next: self.next,
-            at: self.at,
+            kind: self.kind,
+            position: self.position,
+            as_of: self.as_of,
         }
     }
 }
@@ -108,8 +108,9 @@
     ///
     /// The store has the last word: if its positions went back, as after it was
     /// set up anew, a whole table replaces what was held under the old ones.
-    pub fn read(&mut self, update: Update<T>, asked: Option<u64>) -> Records<T> {
-        let restarted = update.scope == Scope::Whole && asked.is_some_and(|a| update.next < a);
+    pub fn apply_store_update(&mut self, update: Update<T>, asked: Option<u64>) -> Records<T> {
+        let restarted =
+            update.kind == UpdateKind::Snapshot && asked.is_some_and(|a| update.position < a);
         if restarted {
             self.next = None;
             self.forgotten = 0;
@@ -119,7 +120,7 @@
 
     /// Takes over what a neighbour said, and returns what is new: nothing, if
     /// it is behind what is held.
-    pub fn take(&mut self, update: Update<T>) -> Records<T> {
+    pub fn apply_peer_update(&mut self, update: Update<T>) -> Records<T> {
         self.merge(update, true)
     }
 
@@ -127,26 +128,32 @@
     /// value of each key only: a key that is as it was before may have been
     /// another meanwhile, and those who saw that have to be told again.
     fn merge(&mut self, update: Update<T>, collapsed: bool) -> Records<T> {
-        if self.next.is_some_and(|next| update.next < next) {
+        if self.next.is_some_and(|next| update.position < next) {
             return Vec::new();
         }
         let mut news = Vec::new();
-        if update.scope != Scope::Changes {
+        if update.kind != UpdateKind::Delta {
             news.extend(self.drop_unseen(&update));
-            self.forgotten = self.forgotten.max(update.next);
+            self.forgotten = self.forgotten.max(update.position);
         }
-        let copy = update.scope == Scope::Copy;
+        let copy = update.kind == UpdateKind::RestoredSnapshot;
         for (key, value) in update.records {
             if copy && self.dropped(&key) {
                 continue;
             }
-            if self.put(&key, value.clone(), update.next, update.at, collapsed) {
+            if self.put(
+                &key,
+                value.clone(),
+                update.position,
+                update.as_of,
+                collapsed,
+            ) {
                 news.push((key, value));
             }
         }
-        self.next = Some(update.next);
-        self.fresh = self.fresh.max(Some(update.at));
-        self.forget(update.at);
+        self.next = Some(update.position);
+        self.fresh = self.fresh.max(Some(update.as_of));
+        self.forget(update.as_of);
         news
     }
 
@@ -160,10 +167,10 @@
             if record.value.is_some() && !shown.contains(&**key) {
                 *record = Record {
                     value: None,
-                    lacked: update.scope == Scope::Copy,
-                    changed: update.next + 1,
+                    lacked: update.kind == UpdateKind::RestoredSnapshot,
+                    changed: update.position + 1,
                     order: record.order,
-                    at: update.at,
+                    at: update.as_of,
                 };
                 dropped.push((Rc::clone(key), None));
             }
@@ -224,10 +231,10 @@
     /// What one that is complete up to `from` has to be told; none while the
     /// copy itself is not known to be complete.
     #[must_use]
-    pub fn since(&self, from: Option<u64>) -> Option<(Scope, Records<T>)> {
+    pub fn changes_since(&self, from: Option<u64>) -> Option<(UpdateKind, Records<T>)> {
         self.next?;
         let from = from.filter(|from| *from >= self.forgotten);
-        let scope = from.map_or(Scope::Whole, |_| Scope::Changes);
+        let scope = from.map_or(UpdateKind::Snapshot, |_| UpdateKind::Delta);
         let wanted = |r: &Record<T>| match from {
             Some(from) => r.changed > from,
             None => r.value.is_some(),
@@ -242,7 +249,7 @@
 
     /// Whether one that is complete up to `from` has anything to be update.
     #[must_use]
-    pub fn newer(&self, from: Option<u64>) -> bool {
+    pub fn has_changes_since(&self, from: Option<u64>) -> bool {
         match (self.next, from) {
             (None, _) => false,
             (Some(_), None) => true,
@@ -254,13 +261,13 @@
 
     /// The store's position up to which the copy is complete.
     #[must_use]
-    pub fn next(&self) -> Option<u64> {
+    pub fn position(&self) -> Option<u64> {
         self.next
     }
 
     /// The last moment at which the copy was known to be complete.
     #[must_use]
-    pub fn fresh(&self) -> Option<Instant> {
+    pub fn fresh_at(&self) -> Option<Instant> {
         self.fresh
     }
 
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -15,15 +15,15 @@
 
 /// Entries up to which all tell all: what 8 kB a second carry to each of the
 /// others every 4 s, in datagrams of 350 bytes.
-pub const ALL_MOST: usize = 93;
+pub const MAX_FULL_MESH: usize = 93;
 
 /// Relays of each availability zone. The loss of one leaves a second that
 /// knows as much.
-pub const RELAYS: usize = 2;
+pub const RELAYS_PER_ZONE: usize = 2;
 
 /// Entries of its own zone that one which asks is told of where there are too
 /// many to name: those that may read the store for it, and itself.
-pub const NAMED: usize = 5;
+pub const MAX_NAMED: usize = 5;
 
 /// How long an entry counts as there after it has answered.
 const ANSWERED: Duration = Duration::from_secs(10);
@@ -36,7 +36,7 @@
 
 /// An entry as others know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seat {
+pub struct EntryInfo {
     /// Where it hears others.
     pub addr: SocketAddr,
     /// Its availability zone, by number.
@@ -45,7 +45,7 @@
     pub link_mbps: u32,
 }
 
-impl Seat {
+impl EntryInfo {
     /// Its place in the order of its zone.
     #[must_use]
     pub fn rank(&self) -> Rank {
@@ -56,19 +56,19 @@
 /// The entries that one of them knows of.
 #[derive(Debug)]
 pub struct Roster {
-    own: Seat,
+    own: EntryInfo,
     rank: Rank,
     /// Whether all have to tell all, however many there are.
     whole: bool,
     entries: HashMap<SocketAddr, Known>,
     /// What was last answered about the number of entries.
-    told: Option<(Instant, Count)>,
+    told: Option<(Instant, EntryCounts)>,
 }
 
 /// Another entry.
 #[derive(Debug, Clone, Copy)]
 struct Known {
-    seat: Seat,
+    seat: EntryInfo,
     rank: Rank,
     /// Until when it counts as there unless it is heard again.
     until: Instant,
@@ -87,42 +87,42 @@
 
 /// How many entries there are, as one that hears them knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Count {
+pub struct EntryCounts {
     /// In all zones.
-    pub all: usize,
+    pub total: usize,
     /// In the zone of the one that asks.
-    pub near: usize,
+    pub same_zone: usize,
     /// Those that stand before it in the order by zone and address.
-    pub place: usize,
+    pub preceding: usize,
 }
 
 /// What an entry is told of another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Named {
+pub struct RosterEntry {
     /// The entry.
-    pub seat: Seat,
+    pub info: EntryInfo,
     /// How much longer it counts as there.
-    pub left: Duration,
+    pub remaining: Duration,
     /// How old its copies of the store's tables are; none while it has none.
-    pub age: Option<Duration>,
+    pub copy_age: Option<Duration>,
 }
 
 /// Whom an entry tells what it has in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Targets {
     /// All others.
-    All {
+    FullMesh {
         /// Those of its own zone.
-        near: Vec<SocketAddr>,
+        same_zone: Vec<SocketAddr>,
         /// Those of the other zones.
-        far: Vec<SocketAddr>,
+        other_zones: Vec<SocketAddr>,
     },
     /// The relays.
     Relays {
         /// The relays of its own zone, but itself.
-        near: Vec<SocketAddr>,
+        same_zone: Vec<SocketAddr>,
         /// Those of the other zones, if it is a relay itself.
-        far: Vec<SocketAddr>,
+        other_zones: Vec<SocketAddr>,
         /// Entries of its zone.
         members: usize,
     },
@@ -132,7 +132,7 @@
     /// Makes the roster of an entry that knows no other one. `whole` says that
     /// all have to tell all, however many there are.
     #[must_use]
-    pub fn new(own: Seat, whole: bool) -> Self {
+    pub fn new(own: EntryInfo, whole: bool) -> Self {
         Self {
             own,
             rank: own.rank(),
@@ -143,7 +143,7 @@
     }
 
     /// Notes how old the copies of an entry are.
-    pub fn aged(&mut self, now: Instant, addr: SocketAddr, age: Option<Duration>) {
+    pub fn set_copy_age(&mut self, now: Instant, addr: SocketAddr, age: Option<Duration>) {
         if let Some(known) = self.entries.get_mut(&addr) {
             let fresh = age.and_then(|age| now.checked_sub(age));
             known.fresh = known.fresh.max(fresh);
@@ -151,7 +151,7 @@
     }
 
     /// Notes that an entry was heard itself.
-    pub fn heard(&mut self, addr: SocketAddr) {
+    pub fn mark_heard(&mut self, addr: SocketAddr) {
         if let Some(known) = self.entries.get_mut(&addr) {
             known.unanswered = 0;
         }
@@ -159,7 +159,7 @@
 
     /// Notes an entry that counts as there until `until` at least; returns
     /// whether it was not known.
-    pub fn note(&mut self, seat: Seat, until: Instant) -> bool {
+    pub fn insert(&mut self, seat: EntryInfo, until: Instant) -> bool {
         if seat.addr == self.own.addr {
             return false;
         }
@@ -181,17 +181,18 @@
 
     /// Notes how many entries another one knows of. The one that knows most
     /// counts, for a while.
-    pub fn counted(&mut self, now: Instant, count: Count) {
-        let fresh = |(at, held): &(Instant, Count)| now < *at + COUNTED && held.all > count.all;
+    pub fn record_counts(&mut self, now: Instant, count: EntryCounts) {
+        let fresh =
+            |(at, held): &(Instant, EntryCounts)| now < *at + COUNTED && held.total > count.total;
         if !self.told.as_ref().is_some_and(fresh) {
             self.told = Some((now, count));
         }
     }
 
     /// Forgets entries that were not heard of for too long.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn expire(&mut self, now: Instant) {
         self.entries.retain(|_, known| now < known.until);
-        let old = |(at, _): &(Instant, Count)| now >= *at + COUNTED;
+        let old = |(at, _): &(Instant, EntryCounts)| now >= *at + COUNTED;
         if self.told.as_ref().is_some_and(old) {
             self.told = None;
         }
@@ -199,76 +200,83 @@
 
     /// How many entries there are, with this one.
     #[must_use]
-    pub fn count(&self) -> Count {
+    pub fn count(&self) -> EntryCounts {
         let before = |k: &&Known| (k.seat.zone, k.seat.addr) < (self.own.zone, self.own.addr);
-        let known = Count {
-            all: self.entries.len() + 1,
-            near: self.zone(self.own.zone).count() + 1,
-            place: self.entries.values().filter(before).count(),
+        let known = EntryCounts {
+            total: self.entries.len() + 1,
+            same_zone: self.zone(self.own.zone).count() + 1,
+            preceding: self.entries.values().filter(before).count(),
         };
         match self.told {
-            Some((_, told)) if told.all > known.all => told,
+            Some((_, told)) if told.total > known.total => told,
             _ => known,
         }
     }
 
     /// Whether there are too many entries for all to tell all.
     #[must_use]
-    pub fn relayed(&self) -> bool {
-        !self.whole && self.count().all > ALL_MOST
+    pub fn uses_relays(&self) -> bool {
+        !self.whole && self.count().total > MAX_FULL_MESH
     }
 
     /// Whether this entry is a relay of its zone.
     #[must_use]
-    pub fn relays(&self) -> bool {
+    pub fn is_relay(&self) -> bool {
         let before = self.zone(self.own.zone);
         let before = before.filter(|k| k.rank < self.rank && !k.mute());
-        before.count() < RELAYS
+        before.count() < RELAYS_PER_ZONE
     }
 
     /// Whom this entry tells what it has in progress, now.
     pub fn targets(&mut self) -> Targets {
         let own = self.own.zone;
-        if !self.relayed() {
+        if !self.uses_relays() {
             let (near, far) = self.entries.values().partition(|k| k.seat.zone == own);
-            return Targets::All {
-                near: addrs(near),
-                far: addrs(far),
+            return Targets::FullMesh {
+                same_zone: addrs(near),
+                other_zones: addrs(far),
             };
         }
-        let far = match self.relays() {
+        let far = match self.is_relay() {
             true => {
                 let zones = self.zones();
                 let others = zones.keys().filter(|zone| **zone != own);
-                others.flat_map(|zone| self.first(*zone, RELAYS)).collect()
+                others
+                    .flat_map(|zone| self.first(*zone, RELAYS_PER_ZONE))
+                    .collect()
             }
             false => Vec::new(),
         };
         let far = addrs(far);
-        let near = addrs(self.first(own, RELAYS));
+        let near = addrs(self.first(own, RELAYS_PER_ZONE));
         for addr in &near {
             if let Some(known) = self.entries.get_mut(addr) {
                 known.unanswered += 1;
             }
         }
         Targets::Relays {
-            near,
-            far,
-            members: self.count().near,
+            same_zone: near,
+            other_zones: far,
+            members: self.count().same_zone,
         }
     }
 
     /// The entries that `asker` is told of, this one first, whose own copies are
     /// `age` old.
     #[must_use]
-    pub fn named(&self, now: Instant, asker: &Seat, age: Option<Duration>) -> Vec<Named> {
-        let known: Vec<&Known> = match self.relayed() {
+    pub fn entries_for(
+        &self,
+        now: Instant,
+        asker: &EntryInfo,
+        age: Option<Duration>,
+    ) -> Vec<RosterEntry> {
+        let known: Vec<&Known> = match self.uses_relays() {
             false => self.entries.values().collect(),
             true => {
                 let zones = self.zones();
                 let zones = zones.keys().map(|zone| match *zone == asker.zone {
-                    true => (*zone, NAMED),
-                    false => (*zone, RELAYS),
+                    true => (*zone, MAX_NAMED),
+                    false => (*zone, RELAYS_PER_ZONE),
                 });
                 zones.flat_map(|(zone, n)| self.first(zone, n)).collect()
             }
@@ -276,15 +284,15 @@
         // Told on with no time left, one that has ended would go round for ever.
         let there = |k: &&Known| k.seat.addr != asker.addr && now < k.until;
         let others = known.into_iter().filter(there);
-        let others = others.map(|k| Named {
-            seat: k.seat,
-            left: k.until.saturating_duration_since(now),
-            age: k.fresh.map(|at| now.saturating_duration_since(at)),
+        let others = others.map(|k| RosterEntry {
+            info: k.seat,
+            remaining: k.until.saturating_duration_since(now),
+            copy_age: k.fresh.map(|at| now.saturating_duration_since(at)),
         });
-        let own = Named {
-            seat: self.own,
-            left: ANSWERED,
-            age,
+        let own = RosterEntry {
+            info: self.own,
+            remaining: ANSWERED,
+            copy_age: age,
         };
         std::iter::once(own).chain(others).collect()
     }
@@ -292,7 +300,7 @@
     /// How many entries there are, as `asker` is told; `zones` are the entries
     /// that relays of other zones have summed up.
     #[must_use]
-    pub fn count_for(&self, asker: &Seat, zones: &BTreeMap<u32, usize>) -> Count {
+    pub fn count_for(&self, asker: &EntryInfo, zones: &BTreeMap<u32, usize>) -> EntryCounts {
         let mut counts = self.zones();
         *counts.entry(self.own.zone).or_default() += 1;
         for (zone, summed) in zones {
@@ -303,10 +311,10 @@
         let before: usize = counts.range(..asker.zone).map(|(_, count)| count).sum();
         let seats = self.entries.values().map(|k| &k.seat).chain([&self.own]);
         let seats = seats.filter(|s| s.zone == asker.zone && s.addr < asker.addr);
-        Count {
-            all: self.count().all.max(counts.values().sum()),
-            near,
-            place: before + seats.count(),
+        EntryCounts {
+            total: self.count().total.max(counts.values().sum()),
+            same_zone: near,
+            preceding: before + seats.count(),
         }
     }
 
--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -32,77 +32,79 @@
 const GATHER: Duration = Duration::from_millis(800);
 
 /// The number of a life.
-pub type Life = u64;
+pub type IncarnationId = u64;
 
 /// Requests by workspace.
-pub type Counts = BTreeMap<String, u64>;
+pub type WorkspaceCounts = BTreeMap<String, u64>;
 
 /// The windows of time that are reported.
 #[derive(Debug, Clone, Copy)]
-pub struct Windows {
+pub struct UsageWindows {
     /// How long each is; the first began with the Unix epoch.
-    pub span: Duration,
+    pub length: Duration,
     /// How long after its end the report is due.
-    pub due: Duration,
+    pub deadline: Duration,
 }
 
-impl Windows {
+impl UsageWindows {
     /// The window that `time` falls into, counted from the Unix epoch.
     #[must_use]
-    pub fn at(&self, time: Duration) -> u64 {
-        (time.as_nanos() / self.span.as_nanos().max(1)) as u64
+    pub fn containing(&self, time: Duration) -> u64 {
+        (time.as_nanos() / self.length.as_nanos().max(1)) as u64
     }
 
     /// When a window ends, from the Unix epoch.
     #[must_use]
     pub fn end(&self, window: u64) -> Duration {
         const SECOND: u128 = 1_000_000_000;
-        let nanos = self.span.as_nanos() * (u128::from(window) + 1);
+        let nanos = self.length.as_nanos() * (u128::from(window) + 1);
         Duration::new((nanos / SECOND) as u64, (nanos % SECOND) as u32)
     }
 
     /// The first window that is not closed at `time`.
     #[must_use]
-    pub fn closed(&self, time: Duration) -> u64 {
-        self.at(time.saturating_sub(CLOSE))
+    pub fn first_open(&self, time: Duration) -> u64 {
+        self.containing(time.saturating_sub(CLOSE))
     }
 }
 
 /// What one life has counted in one window so far, as it tells the others.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct WindowCounts {
     /// Who counted.
-    pub life: Life,
+    pub incarnation: IncarnationId,
     /// All windows before this one are closed there.
-    pub closed: u64,
+    pub closed_before: u64,
     /// The window that was counted.
     pub window: u64,
     /// All its counts together, also those that are told separately.
     pub total: u64,
     /// The counts, or a part of them.
-    pub counts: Counts,
+    pub counts: WorkspaceCounts,
 }
 
 /// What the store keeps of the usage.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Account {
+pub struct UsageState {
     /// The first window whose counts are not fixed.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_window: u64,
     /// Windows with the counts that are reported, until the platform has
     /// accepted them.
-    pub fixed: BTreeMap<u64, Counts>,
+    #[serde(rename = "fixed")]
+    pub finalized: BTreeMap<u64, WorkspaceCounts>,
     /// Later windows, with what was known when this was written.
-    pub open: BTreeMap<u64, Sum>,
+    pub open: BTreeMap<u64, WindowUsage>,
 }
 
-impl Account {
+impl UsageState {
     /// The account of a duty that nobody has held before: it begins with
     /// `window`, whose start nobody may have seen.
     #[must_use]
-    pub fn begin(window: u64) -> Self {
+    pub fn starting_at(window: u64) -> Self {
         Self {
-            next: window,
+            next_window: window,
             ..Self::default()
         }
     }
@@ -114,14 +116,14 @@
     /// counts nobody has any more.
     pub fn catch_up(&mut self, next: u64, own: &Self) -> Vec<u64> {
         let mut lost = Vec::new();
-        for window in self.next..next {
+        for window in self.next_window..next {
             self.open.remove(&window);
-            match own.fixed.get(&window) {
-                Some(counts) => drop(self.fixed.insert(window, counts.clone())),
+            match own.finalized.get(&window) {
+                Some(counts) => drop(self.finalized.insert(window, counts.clone())),
                 None => lost.push(window),
             }
         }
-        self.next = self.next.max(next);
+        self.next_window = self.next_window.max(next);
         lost
     }
 }
@@ -129,19 +131,20 @@
 /// What several lives have counted in one window.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Sum {
+pub struct WindowUsage {
     /// Their counts together.
-    pub counts: Counts,
+    pub counts: WorkspaceCounts,
     /// The lives, with what each has counted in all.
-    pub lives: BTreeMap<Life, u64>,
+    #[serde(rename = "lives")]
+    pub incarnations: BTreeMap<IncarnationId, u64>,
 }
 
 /// What all lives have counted, as one of them knows.
 #[derive(Debug)]
-pub struct Books {
-    own: Life,
-    windows: Windows,
-    lives: HashMap<Life, Page>,
+pub struct UsageCounter {
+    own: IncarnationId,
+    windows: UsageWindows,
+    lives: HashMap<IncarnationId, Page>,
 }
 
 /// What one life has counted.
@@ -154,15 +157,15 @@
 
 #[derive(Debug, Default)]
 struct Tally {
-    counts: Counts,
+    counts: WorkspaceCounts,
     /// What the counts come to when all of them are known.
     total: u64,
 }
 
-impl Books {
+impl UsageCounter {
     /// Makes the books of a life that has counted nothing.
     #[must_use]
-    pub fn new(own: Life, windows: Windows) -> Self {
+    pub fn new(own: IncarnationId, windows: UsageWindows) -> Self {
         Self {
             own,
             windows,
@@ -172,13 +175,13 @@
 
     /// The life that these books belong to.
     #[must_use]
-    pub fn own(&self) -> Life {
+    pub fn own_incarnation(&self) -> IncarnationId {
         self.own
     }
 
     /// Requests that are known of a life, of windows that are not forgotten.
     #[must_use]
-    pub fn heard(&self, life: Life) -> u64 {
+    pub fn requests_of(&self, life: IncarnationId) -> u64 {
         let windows = self
             .lives
             .get(&life)
@@ -189,13 +192,13 @@
 
     /// The windows of time.
     #[must_use]
-    pub fn windows(&self) -> Windows {
+    pub fn windows(&self) -> UsageWindows {
         self.windows
     }
 
     /// Counts a request of a workspace that began at `time`.
-    pub fn began(&mut self, now: Instant, time: Duration, workspace: &str) {
-        let window = self.windows.at(time);
+    pub fn count_request(&mut self, now: Instant, time: Duration, workspace: &str) {
+        let window = self.windows.containing(time);
         let page = self.page(now, self.own);
         // A window that was told to be closed gets no more counts.
         let window = window.max(page.closed);
@@ -211,8 +214,12 @@
 
     /// What this life has counted in windows from `from` on. Windows of which
     /// it has nothing are told as well, since that they are closed counts.
-    pub fn told(&mut self, now: Instant, time: Duration, from: u64) -> Vec<Told> {
-        let (own, closed, at) = (self.own, self.windows.closed(time), self.windows.at(time));
+    pub fn own_counts(&mut self, now: Instant, time: Duration, from: u64) -> Vec<WindowCounts> {
+        let (own, closed, at) = (
+            self.own,
+            self.windows.first_open(time),
+            self.windows.containing(time),
+        );
         let from = from.max(at.saturating_sub(self.wanted()));
         let page = self.page(now, own);
         page.heard = now;
@@ -220,9 +227,9 @@
         let closed = page.closed;
         let told = |window: u64| {
             let tally = page.windows.get(&window);
-            Told {
-                life: own,
-                closed,
+            WindowCounts {
+                incarnation: own,
+                closed_before: closed,
                 window,
                 total: tally.map_or(0, |t| t.total),
                 counts: tally.map(|t| t.counts.clone()).unwrap_or_default(),
@@ -233,17 +240,17 @@
 
     /// Windows before the present one of which anybody still wants counts.
     fn wanted(&self) -> u64 {
-        self.windows.at(self.windows.due) + 1
+        self.windows.containing(self.windows.deadline) + 1
     }
 
     /// Takes what another life has counted.
-    pub fn hear(&mut self, now: Instant, told: Told) {
-        if told.life == self.own {
+    pub fn observe(&mut self, now: Instant, told: WindowCounts) {
+        if told.incarnation == self.own {
             return;
         }
-        let page = self.page(now, told.life);
+        let page = self.page(now, told.incarnation);
         page.heard = now;
-        page.closed = page.closed.max(told.closed);
+        page.closed = page.closed.max(told.closed_before);
         let tally = page.windows.entry(told.window).or_default();
         tally.total = tally.total.max(told.total);
         for (workspace, count) in told.counts {
@@ -252,7 +259,7 @@
         }
     }
 
-    fn page(&mut self, now: Instant, life: Life) -> &mut Page {
+    fn page(&mut self, now: Instant, life: IncarnationId) -> &mut Page {
         self.lives.entry(life).or_insert(Page {
             heard: now,
             closed: 0,
@@ -276,7 +283,7 @@
     /// Lives that were not heard lately, or not yet told that they closed
     /// `window`, for logs.
     #[must_use]
-    pub fn missing(&self, now: Instant, window: u64) -> usize {
+    pub fn pending_incarnations(&self, now: Instant, window: u64) -> usize {
         let silent = |page: &&Page| page.closed <= window || now > page.heard + SILENT;
         self.lives.values().filter(silent).count()
     }
@@ -285,13 +292,13 @@
     /// of lives that ended before they told it. Of these only the total is
     /// known; they count with their share of what was kept.
     #[must_use]
-    pub fn sum(&self, window: u64, account: &Account) -> Sum {
-        let mut sum = Sum::default();
+    pub fn sum(&self, window: u64, account: &UsageState) -> WindowUsage {
+        let mut sum = WindowUsage::default();
         for (life, page) in &self.lives {
             let Some(tally) = page.windows.get(&window) else {
                 continue;
             };
-            sum.lives.insert(*life, tally.counts.values().sum());
+            sum.incarnations.insert(*life, tally.counts.values().sum());
             for (workspace, count) in &tally.counts {
                 *sum.counts.entry(workspace.clone()).or_default() += count;
             }
@@ -299,18 +306,21 @@
         let Some(kept) = account.open.get(&window) else {
             return sum;
         };
-        let known = |life| sum.lives.get(life).copied().unwrap_or(0);
-        let unknown = kept.lives.iter().map(|(l, n)| n.saturating_sub(known(l)));
+        let known = |life| sum.incarnations.get(life).copied().unwrap_or(0);
+        let unknown = kept
+            .incarnations
+            .iter()
+            .map(|(l, n)| n.saturating_sub(known(l)));
         let unknown: u64 = unknown.sum();
-        let all: u64 = kept.lives.values().sum::<u64>().max(1);
+        let all: u64 = kept.incarnations.values().sum::<u64>().max(1);
         for (workspace, count) in &kept.counts {
             let part = (count * unknown + all / 2) / all;
             if part > 0 {
                 *sum.counts.entry(workspace.clone()).or_default() += part;
             }
         }
-        for (life, total) in &kept.lives {
-            let known = sum.lives.entry(*life).or_default();
+        for (life, total) in &kept.incarnations {
+            let known = sum.incarnations.entry(*life).or_default();
             *known = (*known).max(*total);
         }
         sum
@@ -320,32 +330,32 @@
     /// returns those that nobody can report in time any more. The duty has
     /// been held for `held`; `gathered` says whether all entries that are there
     /// have told their counts since.
-    pub fn fix(
+    pub fn finalize(
         &self,
         time: Duration,
         held: Duration,
         gathered: bool,
-        account: &mut Account,
+        account: &mut UsageState,
     ) -> Vec<u64> {
         let mut missed = Vec::new();
-        let closed = self.windows.closed(time);
+        let closed = self.windows.first_open(time);
         let gathered = held >= GATHER && gathered;
-        while account.next < closed {
-            let window = account.next;
+        while account.next_window < closed {
+            let window = account.next_window;
             let late = time.saturating_sub(self.windows.end(window));
-            let waited = late >= self.windows.due.mul_f64(WAIT_SHARE) && held >= GATHER;
+            let waited = late >= self.windows.deadline.mul_f64(WAIT_SHARE) && held >= GATHER;
             let whole = gathered && self.complete(window);
             if !(waited || whole) {
                 break;
             }
-            if late > self.windows.due {
+            if late > self.windows.deadline {
                 missed.push(window);
             } else {
                 let sum = self.sum(window, account);
-                account.fixed.insert(window, sum.counts);
+                account.finalized.insert(window, sum.counts);
             }
             account.open.remove(&window);
-            account.next += 1;
+            account.next_window += 1;
         }
         missed
     }
@@ -353,10 +363,10 @@
     /// The account as the store should keep it: with all that is known now of
     /// windows that are still open.
     #[must_use]
-    pub fn kept(&self, time: Duration, account: &Account) -> Account {
-        let windows = account.next..=self.windows.at(time);
+    pub fn snapshot(&self, time: Duration, account: &UsageState) -> UsageState {
+        let windows = account.next_window..=self.windows.containing(time);
         let open = windows.map(|w| (w, self.sum(w, account)));
-        Account {
+        UsageState {
             open: open.filter(|(_, sum)| !sum.counts.is_empty()).collect(),
             ..account.clone()
         }
@@ -364,7 +374,7 @@
 
     /// Forgets windows before `window`, and lives that are silent and have
     /// nothing in later ones.
-    pub fn forget(&mut self, now: Instant, window: u64) {
+    pub fn expire(&mut self, now: Instant, window: u64) {
         for page in self.lives.values_mut() {
             page.windows.retain(|w, _| *w >= window);
         }
--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use policy::balance::{Balance, By, Change, Listed, Part, Want, Word};
-use policy::others::Calls;
+use policy::peer_load::CallCounts;
 use policy::rendezvous;
 
 /// A server that is silent for so long counts as dark.
@@ -102,11 +102,11 @@
     balance.begun(&busy);
     balance.ended(&busy);
     balance.hear(|server| match server == told[0].0 {
-        true => Calls {
+        true => CallCounts {
             open: 9,
             waiting: 4,
         },
-        false => Calls::default(),
+        false => CallCounts::default(),
     });
     for _ in 0..8 {
         assert_ne!(chosen(&mut balance, now, &by_open), Some(busy.clone()));
@@ -126,7 +126,7 @@
     let mut used = HashSet::new();
     for entry in 0..20 {
         let mut balance = balance(12);
-        balance.hear(|server| Calls {
+        balance.hear(|server| CallCounts {
             open: u32::from(server % 7),
             waiting: 0,
         });
--- a/crates/policy/tests/duty.rs
+++ b/crates/policy/tests/duty.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use policy::duty::{Candidate, Step, TTL, Term, Written};
+use policy::duty::{Candidate, Step, TERM_TTL, Term, WriteOutcome};
 use rstest::rstest;
 
 /// How long a host stays away after another one has followed it.
@@ -21,12 +21,12 @@
 }
 
 impl Log {
-    fn write(&mut self, at: u64, term: &Term) -> Written {
+    fn write(&mut self, at: u64, term: &Term) -> WriteOutcome {
         if at != self.records.len() as u64 {
-            return Written::Behind;
+            return WriteOutcome::Conflict;
         }
         self.records.push(term.clone());
-        Written::At(at)
+        WriteOutcome::Stored(at)
     }
 
     fn end(&self) -> u64 {
@@ -36,13 +36,13 @@
 
 /// Lets a candidate do what is due, with the store answering at once.
 fn round(candidate: &mut Candidate, log: &mut Log, now: Instant, place: usize) {
-    let step = match candidate.next(now, place) {
-        Step::Read => candidate.read(now, log.records.last(), log.end()),
+    let step = match candidate.next_step(now, place) {
+        Step::Read => candidate.record_read(now, log.records.last(), log.end()),
         step => step,
     };
-    if let Step::Write(term) | Step::Claim(term) = step {
-        let written = log.write(candidate.end(), &term);
-        candidate.wrote(now, now, term, written);
+    if let Step::Renew(term) | Step::Claim(term) = step {
+        let written = log.write(candidate.log_end(), &term);
+        candidate.record_write(now, now, term, written);
     }
 }
 
@@ -99,11 +99,11 @@
     let now = play(&mut a, &mut log, start, holds);
     let first = a.token(now).expect("held");
     let mut b = candidate(now, "b");
-    b.heard(now, log.end(), false);
+    b.observe_record(now, log.end(), false);
     let taken = play(&mut b, &mut log, now, holds);
     assert!(b.token(taken).expect("held") > first);
     assert_eq!(a.token(taken), None, "the old holder had stopped before");
-    assert!(taken - now >= TTL);
+    assert!(taken - now >= TERM_TTL);
 }
 
 #[test]
@@ -151,13 +151,13 @@
     let mut log = Log::default();
     let (mut a, mut b) = (candidate(start, "a"), candidate(start, "b"));
     let now = start + LONG;
-    let steps = [&mut a, &mut b].map(|c| c.read(now, None, 0));
+    let steps = [&mut a, &mut b].map(|c| c.record_read(now, None, 0));
     for (c, step) in [&mut a, &mut b].into_iter().zip(steps) {
         let Step::Claim(term) = step else {
             panic!("a claim")
         };
         let written = log.write(0, &term);
-        c.wrote(now, now, term, written);
+        c.record_write(now, now, term, written);
     }
     assert!(holds(&a, now));
     assert!(!holds(&b, now));
@@ -175,14 +175,14 @@
     let token = a.token(now);
     let term = loop {
         now += TICK;
-        match a.next(now, 0) {
-            Step::Write(term) => break term,
-            step => assert_eq!(step, Step::Rest),
+        match a.next_step(now, 0) {
+            Step::Renew(term) => break term,
+            step => assert_eq!(step, Step::Wait),
         }
     };
-    assert_eq!(log.write(a.end(), &term), Written::At(1));
-    a.wrote(now, now, term, Written::Unknown);
-    let now = play(&mut a, &mut log, now + TICK, |a, _| a.end() == 3);
+    assert_eq!(log.write(a.log_end(), &term), WriteOutcome::Stored(1));
+    a.record_write(now, now, term, WriteOutcome::Unknown);
+    let now = play(&mut a, &mut log, now + TICK, |a, _| a.log_end() == 3);
     assert_eq!(a.token(now), token);
 }
 
@@ -195,13 +195,13 @@
     let mut log = Log::default();
     let (mut a, mut b) = (candidate(start, "a"), candidate(start, "b"));
     let now = start + LONG;
-    let Step::Claim(late) = a.read(now, None, 0) else {
+    let Step::Claim(late) = a.record_read(now, None, 0) else {
         panic!("a claim")
     };
-    a.wrote(now, now, late.clone(), Written::Unknown);
+    a.record_write(now, now, late.clone(), WriteOutcome::Unknown);
     round(&mut b, &mut log, now, 0);
     assert!(holds(&b, now));
-    assert_eq!(log.write(0, &late), Written::Behind);
+    assert_eq!(log.write(0, &late), WriteOutcome::Conflict);
     assert!(!holds(&a, now));
 }
 
@@ -220,12 +220,12 @@
     let now = play(&mut c, &mut log, now, holds);
     let term = c.resign(now, None).expect("it held the duty");
     assert_eq!(c.token(now), None);
-    let written = log.write(c.end(), &term);
-    c.wrote(now, now, term, written);
-    assert_eq!(c.next(now + LONG, 0), Step::Rest, "for good");
+    let written = log.write(c.log_end(), &term);
+    c.record_write(now, now, term, written);
+    assert_eq!(c.next_step(now + LONG, 0), Step::Wait, "for good");
 
     let mut next = candidate(now - LONG, name);
-    next.heard(now, log.end(), true);
+    next.observe_record(now, log.end(), true);
     round(&mut next, &mut log, now, 0);
     assert_eq!(holds(&next, now), at_once);
     let later = play(&mut next, &mut log, now + TICK, holds);
@@ -241,7 +241,7 @@
     let mut a = candidate(start, "a");
     let now = play(&mut a, &mut log, start, holds);
     let token = a.token(now).expect("held");
-    a.refused(now, token);
+    a.reject_token(now, token);
     assert_eq!(a.token(now), None);
     let now = play(&mut a, &mut log, now, holds);
     assert!(a.token(now).expect("held") > token);
@@ -256,12 +256,14 @@
     let mut a = candidate(start, "a");
     let mut now = play(&mut a, &mut log, start, holds);
     let token = a.token(now);
-    let back = now + TTL * 3;
+    let back = now + TERM_TTL * 3;
     while now < back {
-        match a.next(now, 0) {
-            Step::Rest => {}
-            Step::Read => a.unread(now),
-            Step::Write(term) | Step::Claim(term) => a.wrote(now, now, term, Written::Refused),
+        match a.next_step(now, 0) {
+            Step::Wait => {}
+            Step::Read => a.record_read_failure(now),
+            Step::Renew(term) | Step::Claim(term) => {
+                a.record_write(now, now, term, WriteOutcome::Refused)
+            }
         }
         now += TICK;
     }
@@ -283,18 +285,18 @@
     let mut b = candidate(now, "b");
     let now = play(&mut b, &mut log, now, holds);
     let woken = now + LONG;
-    let Step::Write(term) = a.next(woken, 0) else {
+    let Step::Renew(term) = a.next_step(woken, 0) else {
         panic!("a renewal")
     };
-    let written = log.write(a.end(), &term);
-    assert_eq!(written, Written::Behind);
-    a.wrote(woken, woken, term, written);
+    let written = log.write(a.log_end(), &term);
+    assert_eq!(written, WriteOutcome::Conflict);
+    a.record_write(woken, woken, term, written);
     let mut now = woken;
     let step = loop {
         now += TICK;
-        if a.next(now, 0) == Step::Read {
-            match a.read(now, log.records.last(), log.end()) {
-                Step::Rest => {}
+        if a.next_step(now, 0) == Step::Read {
+            match a.record_read(now, log.records.last(), log.end()) {
+                Step::Wait => {}
                 step => break step,
             }
         }
--- a/crates/policy/tests/duty_props.rs
+++ b/crates/policy/tests/duty_props.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use policy::duty::{Candidate, Step, Term, Written};
+use policy::duty::{Candidate, Step, Term, WriteOutcome};
 use proptest::prelude::*;
 
 const TICK: Duration = Duration::from_millis(100);
@@ -63,13 +63,13 @@
 }
 
 impl Store {
-    fn write(&mut self, at: u64, kept: Kept) -> Written {
+    fn write(&mut self, at: u64, kept: Kept) -> WriteOutcome {
         if at != self.end {
-            return Written::Behind;
+            return WriteOutcome::Conflict;
         }
         self.end += 1;
         self.kept = Some(kept);
-        Written::At(at)
+        WriteOutcome::Stored(at)
     }
 }
 
@@ -157,9 +157,9 @@
     }
 
     fn round(&mut self, now: Instant, tick: u64, luck: Luck, store: &mut Store) {
-        let step = match self.candidate.next(now, self.number) {
+        let step = match self.candidate.next_step(now, self.number) {
             Step::Read if luck == Luck::Cut => {
-                self.candidate.unread(now);
+                self.candidate.record_read_failure(now);
                 return;
             }
             Step::Read => self.read(now, store),
@@ -167,7 +167,7 @@
         };
         let fixed = self.fix(now, tick);
         let term = match step {
-            Step::Write(term) | Step::Claim(term) => Some(term),
+            Step::Renew(term) | Step::Claim(term) => Some(term),
             _ if fixed => self.candidate.term().cloned(),
             _ => None,
         };
@@ -181,7 +181,7 @@
 
     fn read(&mut self, now: Instant, store: &Store) -> Step {
         let term = store.kept.as_ref().map(|k| &k.term);
-        let step = self.candidate.read(now, term, store.end);
+        let step = self.candidate.record_read(now, term, store.end);
         if matches!(step, Step::Claim(_)) {
             let kept = store.kept.as_ref();
             self.fixed = kept.map(|k| k.fixed.clone()).unwrap_or_default();
@@ -209,22 +209,22 @@
             fixed: self.fixed.clone(),
             next: self.next,
         };
-        let at = self.candidate.end();
+        let at = self.candidate.log_end();
         let written = match luck {
-            Luck::Cut => Written::Unknown,
+            Luck::Cut => WriteOutcome::Unknown,
             Luck::Lost => {
                 store.write(at, kept);
-                Written::Unknown
+                WriteOutcome::Unknown
             }
             Luck::Late(ticks) => {
                 store.late.push((tick + u64::from(ticks), at, kept));
-                Written::Unknown
+                WriteOutcome::Unknown
             }
             _ => store.write(at, kept),
         };
         let released = term.released;
-        self.candidate.wrote(now, now, term, written);
-        if matches!(written, Written::At(_)) && !released {
+        self.candidate.record_write(now, now, term, written);
+        if matches!(written, WriteOutcome::Stored(_)) && !released {
             self.recorded = self.fixed.clone();
         }
     }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use policy::finding::{Finder, Step};
-use policy::others::{BELIEVED, Intervals, Others, Saying, Scope};
-use policy::readers::Readers;
-use policy::roster::{ALL_MOST, Named, RELAYS, Roster, Seat, Targets};
+use policy::peer_load::{EXPIRY_INTERVALS, Intervals, LoadReport, PeerLoads, Scope};
+use policy::readers::ZoneReaders;
+use policy::roster::{EntryInfo, MAX_FULL_MESH, RELAYS_PER_ZONE, Roster, RosterEntry, Targets};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
@@ -40,19 +40,23 @@
 #[derive(Clone)]
 enum Message {
     /// What the sender has; asks for an answer where it is said.
-    Said(Seat, Saying, bool),
+    Said(EntryInfo, LoadReport, bool),
     /// Entries with the time that is left to them, how many there are, and what
     /// all have.
-    Answer(Vec<Named>, policy::roster::Count, Option<Saying>),
+    Answer(
+        Vec<RosterEntry>,
+        policy::roster::EntryCounts,
+        Option<LoadReport>,
+    ),
 }
 
 struct Entry {
-    seat: Seat,
+    seat: EntryInfo,
     starts: Instant,
     finder: Finder,
     roster: Roster,
-    readers: Readers,
-    others: Others,
+    readers: ZoneReaders,
+    others: PeerLoads,
     next: Instant,
     seq: u32,
     life: u64,
@@ -74,8 +78,8 @@
             starts,
             finder: Finder::new(starts, seeds, first),
             roster: Roster::new(seat, false),
-            readers: Readers::new(seat.rank()),
-            others: Others::default(),
+            readers: ZoneReaders::new(seat.rank()),
+            others: PeerLoads::default(),
             next: starts,
             seq: 0,
             life: number as u64,
@@ -86,32 +90,32 @@
         }
     }
 
-    fn saying(&mut self, every: Duration) -> Saying {
+    fn saying(&mut self, every: Duration) -> LoadReport {
         self.seq += 1;
-        Saying {
-            life: self.life,
+        LoadReport {
+            incarnation: self.life,
             seq: self.seq,
             zone: self.seat.zone,
             entries: 1,
-            every,
-            ..Saying::default()
+            interval: every,
+            ..LoadReport::default()
         }
     }
 
-    fn note(&mut self, now: Instant, seat: Seat, left: Duration) {
+    fn note(&mut self, now: Instant, seat: EntryInfo, left: Duration) {
         if seat.addr != self.seat.addr {
-            self.roster.note(seat, now + left);
+            self.roster.insert(seat, now + left);
             if seat.zone == self.seat.zone {
-                self.readers.hear(seat.addr, seat.rank(), now + left);
+                self.readers.observe(seat.addr, seat.rank(), now + left);
             }
         }
     }
 }
 
-fn seat_of(number: usize) -> Seat {
+fn seat_of(number: usize) -> EntryInfo {
     let [_, _, a, b] = u32::try_from(number + 1).expect("few").to_be_bytes();
     let zone = u32::try_from(number).expect("few") % ZONES;
-    Seat {
+    EntryInfo {
         addr: SocketAddr::from(([10, u8::try_from(zone).expect("few"), a, b], 7340)),
         zone,
         link_mbps: if number / ZONES as usize % WIDE == WIDE - 1 {
@@ -122,7 +126,7 @@
     }
 }
 
-fn seat(number: usize) -> Seat {
+fn seat(number: usize) -> EntryInfo {
     seat_of(number)
 }
 
@@ -206,27 +210,29 @@
         entry.heard += 1;
         match message {
             Message::Said(seat, saying, asks) => {
-                entry.note(now, seat, HEARD.max(saying.every * BELIEVED));
-                entry.roster.heard(from);
-                entry.others.hear(now, saying);
+                entry.note(now, seat, HEARD.max(saying.interval * EXPIRY_INTERVALS));
+                entry.roster.mark_heard(from);
+                entry.others.observe(now, saying);
                 if asks {
                     let own = entry.saying(HEARD);
                     let age = entry.read.then_some(Duration::ZERO);
-                    let named = entry.roster.named(now, &seat, age);
-                    let count = entry.roster.count_for(&seat, &entry.others.zones());
+                    let named = entry.roster.entries_for(now, &seat, age);
+                    let count = entry
+                        .roster
+                        .count_for(&seat, &entry.others.entries_by_zone());
                     let all = entry.others.sum_all(now, &own);
                     self.send(to, from, Message::Answer(named, count, Some(all)));
                 }
             }
             Message::Answer(named, count, sums) => {
                 entry.finder.answered(now);
-                entry.roster.counted(now, count);
+                entry.roster.record_counts(now, count);
                 for named in named {
-                    entry.note(now, named.seat, named.left);
+                    entry.note(now, named.info, named.remaining);
                 }
-                entry.roster.heard(from);
+                entry.roster.mark_heard(from);
                 if let Some(sums) = sums {
-                    entry.others.hear(now, sums);
+                    entry.others.observe(now, sums);
                 }
             }
         }
@@ -235,7 +241,7 @@
     fn step(&mut self, n: usize) {
         let now = self.now;
         let entry = &mut self.entries[n];
-        let (first, relayed) = (entry.roster.relays(), entry.roster.relayed());
+        let (first, relayed) = (entry.roster.is_relay(), entry.roster.uses_relays());
         match entry.finder.next(now, first, relayed) {
             Step::Ask(addr) => {
                 let seat = entry.seat;
@@ -257,7 +263,7 @@
             Step::Wait(_) => {}
         }
         let entry = &mut self.entries[n];
-        entry.read |= entry.finder.settled(now) && entry.readers.ask(now).is_none();
+        entry.read |= entry.finder.settled(now) && entry.readers.preferred_peer(now).is_none();
         if now >= entry.next {
             self.speak(n);
         }
@@ -266,20 +272,27 @@
     fn speak(&mut self, n: usize) {
         let now = self.now;
         let entry = &mut self.entries[n];
-        entry.roster.forget(now);
-        entry.others.forget(now);
+        entry.roster.expire(now);
+        entry.others.expire(now);
         let seat = entry.seat;
         match entry.roster.targets() {
-            Targets::All { near, far } => {
-                let every = Intervals::new(near.len() * 100, far.len() * 100).far;
+            Targets::FullMesh {
+                same_zone: near,
+                other_zones: far,
+            } => {
+                let every = Intervals::new(near.len() * 100, far.len() * 100).other_zones;
                 entry.next = now + every;
                 let said = entry.saying(every);
                 for to in near.into_iter().chain(far) {
                     self.send(n, to, Message::Said(seat, said.clone(), false));
                 }
             }
-            Targets::Relays { near, far, members } => {
-                let every = Intervals::relayed(members).near;
+            Targets::Relays {
+                same_zone: near,
+                other_zones: far,
+                members,
+            } => {
+                let every = Intervals::to_relays(members).same_zone;
                 entry.next = now + every;
                 let said = entry.saying(every);
                 let sum = entry.others.sum_zone(now, &said);
@@ -310,7 +323,7 @@
     fn sent(&self, before: &[usize], span: Duration) -> (f64, f64) {
         let rate = |(e, before): (&Entry, &usize)| {
             let rate = (e.sent - before) as f64 / span.as_secs_f64();
-            (rate, e.roster.relays())
+            (rate, e.roster.is_relay())
         };
         let rates: Vec<(f64, bool)> = self.entries.iter().zip(before).map(rate).collect();
         let most = |rates: Vec<f64>| rates.into_iter().fold(0.0, f64::max);
@@ -337,20 +350,20 @@
     assert!(readers <= 30, "entries that read: {readers}");
     let now = fleet.now;
     for entry in &mut fleet.entries {
-        let all = entry.roster.count().all;
+        let all = entry.roster.count().total;
         assert!(
             all <= size && all + size / 100 >= size,
             "{all} at {:?}",
             entry.seat
         );
-        let asked = entry.readers.ask(now);
+        let asked = entry.readers.preferred_peer(now);
         let wide = |addr| fleet.places.get(addr).map(|n| seat(*n).link_mbps);
         assert_eq!(asked.as_ref().map_or(Some(1000), wide), Some(1000));
     }
     let asked: BTreeSet<_> = fleet
         .entries
         .iter_mut()
-        .filter_map(|e| Some((e.seat.zone, e.readers.ask(now)?)))
+        .filter_map(|e| Some((e.seat.zone, e.readers.preferred_peer(now)?)))
         .collect();
     assert_eq!(asked.len(), ZONES as usize, "{asked:?}");
 }
@@ -412,38 +425,45 @@
     let mut fleet = Fleet::new(300, 8);
     fleet.run(Duration::from_secs(6));
     let relays: Vec<usize> = (0..300)
-        .filter(|n| fleet.entries[*n].roster.relays())
+        .filter(|n| fleet.entries[*n].roster.is_relay())
         .collect();
-    assert_eq!(relays.len(), RELAYS * ZONES as usize);
+    assert_eq!(relays.len(), RELAYS_PER_ZONE * ZONES as usize);
     fleet.dead.extend(&relays);
     fleet.run(Duration::from_secs(45));
     let dead: BTreeSet<SocketAddr> = relays.iter().map(|n| seat(*n).addr).collect();
     let live = fleet.entries.iter_mut();
     for entry in live.filter(|e| !dead.contains(&e.seat.addr)) {
-        let Targets::Relays { near, .. } = entry.roster.targets() else {
+        let Targets::Relays {
+            same_zone: near, ..
+        } = entry.roster.targets()
+        else {
             panic!(
                 "{} entries are too many to tell all",
-                entry.roster.count().all
+                entry.roster.count().total
             );
         };
         let live = !near.is_empty() && near.iter().all(|a| !dead.contains(a));
         assert!(live, "{near:?} at {:?}", entry.seat);
     }
-    let relays = fleet.live().filter(|e| e.roster.relays()).count();
-    assert_eq!(relays, RELAYS * ZONES as usize);
+    let relays = fleet.live().filter(|e| e.roster.is_relay()).count();
+    assert_eq!(relays, RELAYS_PER_ZONE * ZONES as usize);
 }
 
 /// Guards against small fleets that lose what they know of each other's calls
 /// to a relay.
 #[test]
 fn few_tell_all() {
-    let mut fleet = Fleet::new(ALL_MOST, 9);
+    let mut fleet = Fleet::new(MAX_FULL_MESH, 9);
     fleet.run(Duration::from_secs(6));
     for entry in &mut fleet.entries {
-        let Targets::All { near, far } = entry.roster.targets() else {
+        let Targets::FullMesh {
+            same_zone: near,
+            other_zones: far,
+        } = entry.roster.targets()
+        else {
             panic!("relayed at {:?}", entry.seat);
         };
-        assert_eq!(near.len() + far.len(), ALL_MOST - 1);
+        assert_eq!(near.len() + far.len(), MAX_FULL_MESH - 1);
     }
 }
 
@@ -455,7 +475,7 @@
     fleet.dead.extend(0..SEEDS);
     fleet.run(Duration::from_secs(40));
     for entry in fleet.live() {
-        let all = entry.roster.count().all;
+        let all = entry.roster.count().total;
         assert_eq!(all, 120 - SEEDS, "at {:?}", entry.seat);
     }
 }
@@ -466,24 +486,24 @@
 fn sums_count_each_once() {
     let now = Instant::now();
     let every = Duration::from_secs(1);
-    let said = |life, zone, scope, entries| Saying {
-        life,
+    let said = |life, zone, scope, entries| LoadReport {
+        incarnation: life,
         zone,
         scope,
         entries,
-        every,
-        ..Saying::default()
+        interval: every,
+        ..LoadReport::default()
     };
-    let mut others = Others::default();
-    others.hear(now, said(1, 1, Scope::Own, 1));
-    others.hear(now, said(2, 1, Scope::Zone, 40));
-    others.hear(now, said(3, 1, Scope::Zone, 38));
-    others.hear(now, said(4, 2, Scope::Own, 1));
+    let mut others = PeerLoads::default();
+    others.observe(now, said(1, 1, Scope::Own, 1));
+    others.observe(now, said(2, 1, Scope::Zone, 40));
+    others.observe(now, said(3, 1, Scope::Zone, 38));
+    others.observe(now, said(4, 2, Scope::Own, 1));
     let own = said(9, 2, Scope::Own, 1);
     assert_eq!(others.sum(now, &own).entries, 41);
     assert_eq!(others.sum_zone(now, &own).entries, 2);
     assert_eq!(others.sum_all(now, &own).entries, 42);
-    others.hear(now, said(2, 1, Scope::All, 50));
+    others.observe(now, said(2, 1, Scope::All, 50));
     assert_eq!(others.sum(now, &own).entries, 49);
     assert_eq!(others.sum_all(now, &own).entries, 42);
 }
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use policy::balance::{Balance, By, Listed, Part, Turns, Want, Word};
-use policy::others::EntryCount;
+use policy::peer_load::PeakEntryCount;
 use rstest::rstest;
 
 const MS: Duration = Duration::from_millis(1);
@@ -167,11 +167,11 @@
 /// which counts towards the one limit.
 #[test]
 fn lost_entries_still_count() {
-    let (mut count, now) = (EntryCount::default(), Instant::now());
-    assert_eq!(count.note(now, 4), 4);
-    assert_eq!(count.note(now + Duration::from_secs(60), 1), 4);
-    assert_eq!(count.note(now + Duration::from_secs(61), 5), 5);
-    assert_eq!(count.note(now + Duration::from_secs(900), 3), 3);
+    let (mut count, now) = (PeakEntryCount::default(), Instant::now());
+    assert_eq!(count.record(now, 4), 4);
+    assert_eq!(count.record(now + Duration::from_secs(60), 1), 4);
+    assert_eq!(count.record(now + Duration::from_secs(61), 5), 5);
+    assert_eq!(count.record(now + Duration::from_secs(900), 3), 3);
 }
 
 fn limited() -> (Balance, Instant) {
--- a/crates/policy/tests/others.rs
+++ b/crates/policy/tests/peer_load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::others::Intervals;
+use policy::peer_load::Intervals;
 use rstest::rstest;
 
 /// Bytes of a datagram with its headers.
@@ -27,8 +27,8 @@
     #[case] far_ms: u128,
 ) {
     let every = Intervals::new(near * DATAGRAM, far * DATAGRAM);
-    assert_eq!(every.near.as_millis(), near_ms);
-    assert_eq!(every.far.as_millis(), far_ms);
+    assert_eq!(every.same_zone.as_millis(), near_ms);
+    assert_eq!(every.other_zones.as_millis(), far_ms);
 }
 
 /// Forty entries in four zones: all that one of them sends stays within its
@@ -38,7 +38,7 @@
     let (near, far) = (9 * DATAGRAM, 30 * DATAGRAM);
     let every = Intervals::new(near, far);
     let rate = |bytes: usize, every: Duration| bytes as f64 / every.as_secs_f64();
-    let sent = rate(near, every.near) + rate(far, every.far);
+    let sent = rate(near, every.same_zone) + rate(far, every.other_zones);
     assert!(sent <= BUDGET, "{sent}");
     assert!((near + far) as f64 > BUDGET);
 }
--- a/crates/policy/tests/pools.rs
+++ b/crates/policy/tests/pools.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::others::{Calls, Others, Saying};
+use policy::peer_load::{CallCounts, LoadReport, PeerLoads};
 use policy::pools::{Coming, Pools, Told, Work};
 
 const ENGINES: usize = 18;
@@ -292,33 +292,33 @@
     }
 }
 
-fn saying(life: u64, seq: u32, open: u32) -> Saying {
-    Saying {
-        life,
+fn saying(life: u64, seq: u32, open: u32) -> LoadReport {
+    LoadReport {
+        incarnation: life,
         seq,
-        every: Duration::from_millis(100),
+        interval: Duration::from_millis(100),
         entries: 1,
-        calls: vec![(1, Calls { open, waiting: 1 })],
-        ..Saying::default()
+        calls: vec![(1, CallCounts { open, waiting: 1 })],
+        ..LoadReport::default()
     }
 }
 
 /// Calls that all others have open at the server.
-fn open(others: &Others, now: Instant) -> u32 {
-    others.sum(now, &Saying::default()).calls[&1].open
+fn open(others: &PeerLoads, now: Instant) -> u32 {
+    others.sum(now, &LoadReport::default()).calls[&1].open
 }
 
 /// An entry is killed and never speaks again. Its calls end with it, so what
 /// it told must not keep servers looking busy.
 #[test]
 fn silent_entry_is_forgotten() {
-    let (now, mut others) = (Instant::now(), Others::default());
-    others.hear(now, saying(1, 1, 5));
-    others.hear(now, saying(2, 1, 3));
+    let (now, mut others) = (Instant::now(), PeerLoads::default());
+    others.observe(now, saying(1, 1, 5));
+    others.observe(now, saying(2, 1, 3));
     assert_eq!(open(&others, now), 8);
     let later = now + Duration::from_millis(300);
-    others.hear(later, saying(2, 2, 4));
-    others.forget(now + Duration::from_millis(500));
+    others.observe(later, saying(2, 2, 4));
+    others.expire(now + Duration::from_millis(500));
     assert_eq!(open(&others, later), 4);
     assert_eq!(others.count(), 1);
 }
@@ -326,8 +326,8 @@
 /// Datagrams overtake each other; the older one must not count.
 #[test]
 fn late_saying_is_dropped() {
-    let (now, mut others) = (Instant::now(), Others::default());
-    others.hear(now, saying(1, 2, 5));
-    others.hear(now, saying(1, 1, 9));
+    let (now, mut others) = (Instant::now(), PeerLoads::default());
+    others.observe(now, saying(1, 2, 5));
+    others.observe(now, saying(1, 1, 9));
     assert_eq!(open(&others, now), 5);
 }
--- a/crates/policy/tests/readers.rs
+++ b/crates/policy/tests/readers.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use policy::readers::{OLDEST, Rank, Readers, SHARED_FROM};
+use policy::readers::{MAX_COPY_AGE, MIN_SHARING_ENTRIES, Rank, ZoneReaders};
 use rstest::rstest;
 
 const ZONE: u32 = 7;
@@ -22,17 +22,17 @@
 }
 
 /// The view of entry `own` among `count` entries that all hear each other.
-fn view(now: Instant, own: u8, count: u8) -> Readers {
-    let mut readers = Readers::new(rank(own));
+fn view(now: Instant, own: u8, count: u8) -> ZoneReaders {
+    let mut readers = ZoneReaders::new(rank(own));
     for n in (0..count).filter(|n| *n != own) {
-        readers.hear(addr(n), rank(n), now + HEARD);
+        readers.observe(addr(n), rank(n), now + HEARD);
     }
     readers
 }
 
 /// Entries 0 and 1 in the order of their zone.
 fn wide(now: Instant) -> (u8, u8) {
-    match view(now, 0, 12).ask(now) {
+    match view(now, 0, 12).preferred_peer(now) {
         None => (0, 1),
         Some(_) => (1, 0),
     }
@@ -45,7 +45,7 @@
     let now = Instant::now();
     let (first, _) = wide(now);
     for own in 0..12 {
-        let asked = view(now, own, 12).ask(now);
+        let asked = view(now, own, 12).preferred_peer(now);
         assert_eq!(asked, (own != first).then(|| addr(first)));
     }
 }
@@ -54,11 +54,11 @@
 #[test]
 fn few_read_by_themselves() {
     let now = Instant::now();
-    let few = u8::try_from(SHARED_FROM).expect("a few") - 1;
+    let few = u8::try_from(MIN_SHARING_ENTRIES).expect("a few") - 1;
     for own in 0..few {
-        assert_eq!(view(now, own, few).ask(now), None);
+        assert_eq!(view(now, own, few).preferred_peer(now), None);
     }
-    assert!((0..=few).any(|own| view(now, own, few + 1).ask(now).is_some()));
+    assert!((0..=few).any(|own| view(now, own, few + 1).preferred_peer(now).is_some()));
 }
 
 /// The reader is killed without a word. Its neighbours' questions fail, and
@@ -70,13 +70,13 @@
     let now = Instant::now();
     let (first, second) = wide(now);
     let mut stand_in = view(now, second, 12);
-    stand_in.failed(now, addr(first));
-    assert_eq!(stand_in.ask(now), None);
+    stand_in.record_failure(now, addr(first));
+    assert_eq!(stand_in.preferred_peer(now), None);
     let mut other = view(now, 9, 12);
-    other.failed(now, addr(first));
-    assert_eq!(other.ask(now), Some(addr(second)));
-    other.failed(now, addr(second));
-    assert_eq!(other.ask(now), None);
+    other.record_failure(now, addr(first));
+    assert_eq!(other.preferred_peer(now), Some(addr(second)));
+    other.record_failure(now, addr(second));
+    assert_eq!(other.preferred_peer(now), None);
 }
 
 /// The reader comes back. It is asked again within seconds, however often it
@@ -89,14 +89,14 @@
     let (first, _) = wide(now);
     let mut other = view(now, 9, 12);
     for _ in 0..failures {
-        other.failed(now, addr(first));
+        other.record_failure(now, addr(first));
     }
     let back = now + Duration::from_secs(seconds);
     assert_ne!(
-        other.ask(back - Duration::from_millis(1)),
+        other.preferred_peer(back - Duration::from_millis(1)),
         Some(addr(first))
     );
-    assert_eq!(other.ask(back), Some(addr(first)));
+    assert_eq!(other.preferred_peer(back), Some(addr(first)));
 }
 
 /// The reader alone is cut off from the store. It answers, but with ever older
@@ -107,13 +107,13 @@
     let now = Instant::now();
     let (first, second) = wide(now);
     let mut other = view(now, 9, 12);
-    other.answered(now, addr(first), Some(OLDEST * 2));
-    assert_eq!(other.ask(now), Some(addr(second)));
-    let next = view(now, second, 12).patience();
+    other.record_answer(now, addr(first), Some(MAX_COPY_AGE * 2));
+    assert_eq!(other.preferred_peer(now), Some(addr(second)));
+    let next = view(now, second, 12).copy_age_limit();
     let others = (0..12).filter(|n| ![first, second].contains(n));
     assert!(
         others
-            .map(|n| view(now, n, 12).patience())
+            .map(|n| view(now, n, 12).copy_age_limit())
             .all(|p| p > next)
     );
 }
@@ -127,16 +127,16 @@
     let (first, second) = wide(now);
     for own in [first, second] {
         let mut reader = view(now, own, 12);
-        let old = Some(OLDEST * 2);
-        reader.answered(now, addr(first), old);
-        reader.answered(now, addr(second), old);
-        let before = reader.ask(now);
-        assert_eq!(reader.source(now, old), before);
-        reader.aged(now, addr(9), Duration::from_millis(100));
-        assert_eq!(reader.source(now, old), Some(addr(9)));
-        assert_eq!(reader.source(now, Some(Duration::ZERO)), before);
-        let later = now + OLDEST * 3;
-        assert_ne!(reader.source(later, old), Some(addr(9)));
+        let old = Some(MAX_COPY_AGE * 2);
+        reader.record_answer(now, addr(first), old);
+        reader.record_answer(now, addr(second), old);
+        let before = reader.preferred_peer(now);
+        assert_eq!(reader.update_source(now, old), before);
+        reader.set_copy_age(now, addr(9), Duration::from_millis(100));
+        assert_eq!(reader.update_source(now, old), Some(addr(9)));
+        assert_eq!(reader.update_source(now, Some(Duration::ZERO)), before);
+        let later = now + MAX_COPY_AGE * 3;
+        assert_ne!(reader.update_source(later, old), Some(addr(9)));
     }
 }
 
@@ -148,9 +148,9 @@
     let (first, second) = wide(now);
     let mut other = view(now, 9, 12);
     for _ in 0..40 {
-        let asked = other.ask(now).expect("a neighbour");
+        let asked = other.preferred_peer(now).expect("a neighbour");
         assert!([first, second].map(addr).contains(&asked));
-        other.answered(now, asked, Some(OLDEST * 10));
+        other.record_answer(now, asked, Some(MAX_COPY_AGE * 10));
     }
 }
 
@@ -161,8 +161,8 @@
     let now = Instant::now();
     let (first, second) = wide(now);
     let mut other = view(now, 9, 12);
-    other.answered(now, addr(first), None);
-    assert_eq!(other.ask(now), Some(addr(second)));
+    other.record_answer(now, addr(first), None);
+    assert_eq!(other.preferred_peer(now), Some(addr(second)));
 }
 
 /// A neighbour that is heard no more is not asked, and when too few are left
@@ -171,8 +171,8 @@
 fn silent_ones_are_forgotten() {
     let now = Instant::now();
     let mut other = view(now, 9, 12);
-    assert!(other.ask(now).is_some());
-    assert_eq!(other.ask(now + HEARD), None);
+    assert!(other.preferred_peer(now).is_some());
+    assert_eq!(other.preferred_peer(now + HEARD), None);
 }
 
 /// Whatever its neighbours say, an entry reads a copy that has become too old
@@ -180,8 +180,12 @@
 #[test]
 fn patience_is_bounded_and_spread() {
     let now = Instant::now();
-    let spans: Vec<Duration> = (0..12).map(|n| view(now, n, 12).patience()).collect();
-    assert!(spans.iter().all(|s| *s <= OLDEST && *s * 2 > OLDEST));
+    let spans: Vec<Duration> = (0..12).map(|n| view(now, n, 12).copy_age_limit()).collect();
+    assert!(
+        spans
+            .iter()
+            .all(|s| *s <= MAX_COPY_AGE && *s * 2 > MAX_COPY_AGE)
+    );
     let (least, most) = (spans.iter().min(), spans.iter().max());
     assert!(least < most);
 }
@@ -195,8 +199,8 @@
 fn tries_of_a_lost_store_do_not_grow(#[case] size: usize) {
     let now = Instant::now();
     let mut other = view(now, 9, 12);
-    other.sized(size);
-    let aside = other.aside(now).expect("others are before it");
+    other.set_zone_size(size);
+    let aside = other.store_retry_delay(now).expect("others are before it");
     let rate = size as f64 / aside.as_secs_f64();
     assert!(rate <= 6.0, "{rate} a second");
 }
@@ -208,15 +212,15 @@
     let now = Instant::now();
     let (first, second) = wide(now);
     let mut other = view(now, 9, 12);
-    assert_eq!(other.source(now, None), Some(addr(first)));
-    other.aged(now, addr(3), Duration::from_millis(200));
-    assert_eq!(other.source(now, None), Some(addr(3)));
+    assert_eq!(other.update_source(now, None), Some(addr(first)));
+    other.set_copy_age(now, addr(3), Duration::from_millis(200));
+    assert_eq!(other.update_source(now, None), Some(addr(3)));
     let mut reader = view(now, first, 12);
-    assert!(!reader.copied(now, true));
-    reader.aged(now, addr(3), Duration::from_millis(200));
-    assert!(reader.copied(now, true) && !reader.copied(now, false));
-    assert_eq!(reader.source(now, None), Some(addr(3)));
-    let waits = |n| view(now, n, 12).patience_first();
+    assert!(!reader.has_fresh_peer(now, true));
+    reader.set_copy_age(now, addr(3), Duration::from_millis(200));
+    assert!(reader.has_fresh_peer(now, true) && !reader.has_fresh_peer(now, false));
+    assert_eq!(reader.update_source(now, None), Some(addr(3)));
+    let waits = |n| view(now, n, 12).initial_copy_wait();
     assert!((2..12).all(|n| waits(second) < waits(n)));
 }
 
@@ -229,8 +233,8 @@
     let now = Instant::now();
     let spans = (2..60).map(|n| {
         let mut other = view(now, n, 60);
-        other.sized(size);
-        other.patience()
+        other.set_zone_size(size);
+        other.copy_age_limit()
     });
     let spans: Vec<Duration> = spans.collect();
     let (least, most) = (spans.iter().min(), spans.iter().max());
@@ -239,7 +243,7 @@
     assert!(
         spans
             .iter()
-            .all(|s| *s <= OLDEST + Duration::from_millis(2500))
+            .all(|s| *s <= MAX_COPY_AGE + Duration::from_millis(2500))
     );
 }
 
@@ -253,12 +257,12 @@
     let now = Instant::now();
     for own in 0..size {
         let mut other = view(now, own, size);
-        other.sized(usize::from(size));
+        other.set_zone_size(usize::from(size));
         for n in 0..size {
-            other.failed(now, addr(n));
+            other.record_failure(now, addr(n));
         }
-        assert_eq!(other.ask(now), None);
-        let aside = other.aside(now).unwrap_or_default();
+        assert_eq!(other.preferred_peer(now), None);
+        let aside = other.store_retry_delay(now).unwrap_or_default();
         assert!(aside <= Duration::from_millis(300), "{aside:?}");
     }
 }
--- a/crates/policy/tests/replica.rs
+++ b/crates/policy/tests/replica.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use policy::replica::{Replica, Scope, Update};
+use policy::replica::{Replica, Update, UpdateKind};
 use proptest::prelude::*;
 
 type Records = policy::replica::Records<u8>;
@@ -13,21 +13,21 @@
     (Rc::from(key), value.into())
 }
 
-fn update(scope: Scope, next: u64, records: Records) -> Update<u8> {
+fn update(scope: UpdateKind, next: u64, records: Records) -> Update<u8> {
     Update {
         records,
-        scope,
-        next,
-        at: Instant::now(),
+        kind: scope,
+        position: next,
+        as_of: Instant::now(),
     }
 }
 
 fn whole(next: u64, records: Records) -> Update<u8> {
-    update(Scope::Whole, next, records)
+    update(UpdateKind::Snapshot, next, records)
 }
 
 fn changes(next: u64, records: Records) -> Update<u8> {
-    update(Scope::Changes, next, records)
+    update(UpdateKind::Delta, next, records)
 }
 
 /// An entry has read from the store that a server left. The neighbour that it
@@ -36,11 +36,17 @@
 #[test]
 fn neighbour_behind_brings_nothing_back() {
     let mut held = Replica::default();
-    held.read(whole(10, vec![record("s1", 1)]), None);
-    held.read(changes(12, vec![record("s1", None)]), Some(10));
-    assert!(held.take(changes(11, vec![record("s1", 1)])).is_empty());
-    assert!(held.take(whole(11, vec![record("s1", 1)])).is_empty());
-    assert_eq!(held.next(), Some(12));
+    held.apply_store_update(whole(10, vec![record("s1", 1)]), None);
+    held.apply_store_update(changes(12, vec![record("s1", None)]), Some(10));
+    assert!(
+        held.apply_peer_update(changes(11, vec![record("s1", 1)]))
+            .is_empty()
+    );
+    assert!(
+        held.apply_peer_update(whole(11, vec![record("s1", 1)]))
+            .is_empty()
+    );
+    assert_eq!(held.position(), Some(12));
 }
 
 /// Guards against a record being left out for good that one old copy of the store
@@ -48,11 +54,18 @@
 #[test]
 fn record_lacking_in_one_copy_is_taken_from_the_next() {
     let mut held = Replica::default();
-    held.read(whole(10, vec![record("config", 1)]), None);
-    held.read(update(Scope::Copy, 1000, Vec::new()), None);
-    let news = held.read(update(Scope::Copy, 2000, vec![record("config", 1)]), None);
+    held.apply_store_update(whole(10, vec![record("config", 1)]), None);
+    held.apply_store_update(update(UpdateKind::RestoredSnapshot, 1000, Vec::new()), None);
+    let news = held.apply_store_update(
+        update(
+            UpdateKind::RestoredSnapshot,
+            2000,
+            vec![record("config", 1)],
+        ),
+        None,
+    );
     assert_eq!(news, vec![record("config", 1)]);
-    let (_, told) = held.since(None).expect("a table");
+    let (_, told) = held.changes_since(None).expect("a table");
     assert_eq!(told, vec![record("config", 1)]);
 }
 
@@ -61,10 +74,13 @@
 #[test]
 fn record_dropped_after_it_was_lacking_waits() {
     let mut held = Replica::default();
-    held.read(whole(10, vec![record("s1", 1)]), None);
-    held.read(update(Scope::Copy, 1000, Vec::new()), None);
-    held.read(changes(1001, vec![record("s1", None)]), Some(1000));
-    let news = held.read(update(Scope::Copy, 2000, vec![record("s1", 1)]), None);
+    held.apply_store_update(whole(10, vec![record("s1", 1)]), None);
+    held.apply_store_update(update(UpdateKind::RestoredSnapshot, 1000, Vec::new()), None);
+    held.apply_store_update(changes(1001, vec![record("s1", None)]), Some(1000));
+    let news = held.apply_store_update(
+        update(UpdateKind::RestoredSnapshot, 2000, vec![record("s1", 1)]),
+        None,
+    );
     assert!(news.is_empty(), "{news:?}");
 }
 
@@ -73,21 +89,27 @@
 #[test]
 fn dropped_key_waits_after_a_rewind() {
     let mut held = Replica::default();
-    held.read(whole(10, vec![record("left", 1), record("stays", 2)]), None);
-    held.read(
+    held.apply_store_update(whole(10, vec![record("left", 1), record("stays", 2)]), None);
+    held.apply_store_update(
         changes(12, vec![record("left", None), record("new", 3)]),
         Some(10),
     );
     let copy = update(
-        Scope::Copy,
+        UpdateKind::RestoredSnapshot,
         1000,
         vec![record("left", 1), record("stays", 2)],
     );
-    assert_eq!(held.read(copy, Some(12)), [record("new", None)]);
-    let (scope, told) = held.since(Some(12)).expect("a copy");
-    assert_eq!((scope, told), (Scope::Whole, vec![record("stays", 2)]));
+    assert_eq!(
+        held.apply_store_update(copy, Some(12)),
+        [record("new", None)]
+    );
+    let (scope, told) = held.changes_since(Some(12)).expect("a copy");
+    assert_eq!(
+        (scope, told),
+        (UpdateKind::Snapshot, vec![record("stays", 2)])
+    );
     // One that lives writes its record again.
-    let news = held.read(changes(1001, vec![record("left", 1)]), Some(1000));
+    let news = held.apply_store_update(changes(1001, vec![record("left", 1)]), Some(1000));
     assert_eq!(news, [record("left", 1)]);
 }
 
@@ -96,9 +118,16 @@
 #[test]
 fn unknown_key_is_taken_after_a_rewind() {
     let mut held = Replica::default();
-    held.read(whole(0, Vec::new()), None);
-    let copy = update(Scope::Copy, 1000, vec![record("config", 1)]);
-    assert_eq!(held.read(copy, Some(0)), [record("config", 1)]);
+    held.apply_store_update(whole(0, Vec::new()), None);
+    let copy = update(
+        UpdateKind::RestoredSnapshot,
+        1000,
+        vec![record("config", 1)],
+    );
+    assert_eq!(
+        held.apply_store_update(copy, Some(0)),
+        [record("config", 1)]
+    );
 }
 
 /// What a whole table does not show has gone, and neighbours have to be told,
@@ -107,11 +136,11 @@
 #[test]
 fn lapsed_key_is_told() {
     let mut held = Replica::default();
-    held.read(whole(10, vec![record("s1", 1), record("s2", 2)]), None);
-    let news = held.read(whole(10, vec![record("s2", 2)]), Some(10));
+    held.apply_store_update(whole(10, vec![record("s1", 1), record("s2", 2)]), None);
+    let news = held.apply_store_update(whole(10, vec![record("s2", 2)]), Some(10));
     assert_eq!(news, [record("s1", None)]);
-    let (scope, told) = held.since(Some(10)).expect("a copy");
-    assert_eq!(scope, Scope::Changes);
+    let (scope, told) = held.changes_since(Some(10)).expect("a copy");
+    assert_eq!(scope, UpdateKind::Delta);
     assert!(told.contains(&record("s1", None)));
 }
 
@@ -122,16 +151,16 @@
     let start = Instant::now();
     let mut held = Replica::default();
     let at = |mut told: Update<u8>, s| {
-        told.at = start + Duration::from_secs(s);
+        told.as_of = start + Duration::from_secs(s);
         told
     };
-    held.read(at(whole(10, vec![record("s1", 1)]), 0), None);
-    held.read(at(changes(12, vec![record("s1", None)]), 1), Some(10));
-    let (scope, _) = held.since(Some(10)).expect("a copy");
-    assert_eq!(scope, Scope::Changes);
-    held.read(at(changes(900, vec![record("s2", 2)]), 100), Some(12));
-    let (scope, told) = held.since(Some(10)).expect("a copy");
-    assert_eq!(scope, Scope::Whole);
+    held.apply_store_update(at(whole(10, vec![record("s1", 1)]), 0), None);
+    held.apply_store_update(at(changes(12, vec![record("s1", None)]), 1), Some(10));
+    let (scope, _) = held.changes_since(Some(10)).expect("a copy");
+    assert_eq!(scope, UpdateKind::Delta);
+    held.apply_store_update(at(changes(900, vec![record("s2", 2)]), 100), Some(12));
+    let (scope, told) = held.changes_since(Some(10)).expect("a copy");
+    assert_eq!(scope, UpdateKind::Snapshot);
     assert_eq!(told, [record("s2", 2)]);
 }
 
@@ -140,10 +169,10 @@
 #[test]
 fn store_that_counts_anew_is_followed() {
     let mut held = Replica::default();
-    held.read(whole(900, vec![record("s1", 1)]), None);
-    let news = held.read(whole(3, vec![record("s2", 2)]), Some(900));
+    held.apply_store_update(whole(900, vec![record("s1", 1)]), None);
+    let news = held.apply_store_update(whole(3, vec![record("s2", 2)]), Some(900));
     assert_eq!(news, [record("s1", None), record("s2", 2)]);
-    assert_eq!(held.next(), Some(3));
+    assert_eq!(held.position(), Some(3));
 }
 
 /// The store as a plain log, to compare with.
@@ -181,7 +210,7 @@
             .map(|(k, v)| (name(*k), Some(*v)))
             .collect(),
     };
-    let scope = from.map_or(Scope::Whole, |_| Scope::Changes);
+    let scope = from.map_or(UpdateKind::Snapshot, |_| UpdateKind::Delta);
     update(scope, next as u64, records)
 }
 
@@ -213,28 +242,28 @@
         let mut log = Log::default();
         let mut copies: Vec<Replica<u8>> = (0..ENTRIES).map(|_| Replica::default()).collect();
         for step in steps {
-            let before: Vec<_> = copies.iter().map(Replica::next).collect();
+            let before: Vec<_> = copies.iter().map(Replica::position).collect();
             match step {
                 Step::Write(key, value) => log.0.push((key, value)),
                 Step::ReadWhole(i) => {
-                    let asked = copies[i].next();
-                    copies[i].read(told(&log, None), asked);
+                    let asked = copies[i].position();
+                    copies[i].apply_store_update(told(&log, None), asked);
                 }
                 Step::ReadChanges(i) => {
-                    let asked = copies[i].next();
-                    copies[i].read(told(&log, asked), asked);
+                    let asked = copies[i].position();
+                    copies[i].apply_store_update(told(&log, asked), asked);
                 }
                 Step::Ask(i, j) => {
-                    if let Some((scope, records)) = copies[j].since(copies[i].next()) {
-                        let next = copies[j].next().expect("a copy");
-                        copies[i].take(update(scope, next, records));
+                    if let Some((scope, records)) = copies[j].changes_since(copies[i].position()) {
+                        let next = copies[j].position().expect("a copy");
+                        copies[i].apply_peer_update(update(scope, next, records));
                     }
                 }
             }
             for (copy, before) in copies.iter().zip(before) {
-                prop_assert!(copy.next() >= before);
-                let Some(next) = copy.next() else { continue };
-                let (_, records) = copy.since(None).expect("a copy");
+                prop_assert!(copy.position() >= before);
+                let Some(next) = copy.position() else { continue };
+                let (_, records) = copy.changes_since(None).expect("a copy");
                 let held: BTreeMap<Rc<str>, Option<u8>> = records.into_iter().collect();
                 let table = log.table(next as usize);
                 let table: BTreeMap<_, _> =
--- a/crates/policy/tests/usage.rs
+++ b/crates/policy/tests/usage.rs
@@ -4,14 +4,14 @@
 use std::time::{Duration, Instant};
 
 use policy::fleet_time::FleetTime;
-use policy::usage::{Account, Books, Counts, Told, Windows};
+use policy::usage::{UsageCounter, UsageState, UsageWindows, WindowCounts, WorkspaceCounts};
 use rstest::rstest;
 
 const SPAN: Duration = Duration::from_secs(5);
 const DUE: Duration = Duration::from_secs(10);
-const WINDOWS: Windows = Windows {
-    span: SPAN,
-    due: DUE,
+const WINDOWS: UsageWindows = UsageWindows {
+    length: SPAN,
+    deadline: DUE,
 };
 
 /// The window in which the tests begin.
@@ -25,30 +25,30 @@
     SPAN * FIRST as u32 + Duration::from_secs_f64(seconds)
 }
 
-fn books(life: u64) -> Books {
-    Books::new(life, WINDOWS)
+fn books(life: u64) -> UsageCounter {
+    UsageCounter::new(life, WINDOWS)
 }
 
-fn account() -> Account {
-    Account::begin(FIRST)
+fn account() -> UsageState {
+    UsageState::starting_at(FIRST)
 }
 
-fn counts(counts: &[(&str, u64)]) -> Counts {
+fn counts(counts: &[(&str, u64)]) -> WorkspaceCounts {
     let counts = counts.iter();
     counts.map(|(name, n)| ((*name).to_owned(), *n)).collect()
 }
 
 /// Lets a life count `n` requests of a workspace at a time.
-fn count(books: &mut Books, now: Instant, seconds: f64, workspace: &str, n: u64) {
+fn count(books: &mut UsageCounter, now: Instant, seconds: f64, workspace: &str, n: u64) {
     for _ in 0..n {
-        books.began(now, after(seconds), workspace);
+        books.count_request(now, after(seconds), workspace);
     }
 }
 
 /// Tells one life's counts to another.
-fn tell(now: Instant, seconds: f64, from: &mut Books, to: &mut Books) {
-    for told in from.told(now, after(seconds), FIRST) {
-        to.hear(now, told);
+fn tell(now: Instant, seconds: f64, from: &mut UsageCounter, to: &mut UsageCounter) {
+    for told in from.own_counts(now, after(seconds), FIRST) {
+        to.observe(now, told);
     }
 }
 
@@ -66,12 +66,16 @@
     tell(now, 4.9, &mut other, &mut holder);
     tell(now, 5.2, &mut other, &mut holder);
     tell(now, 5.2, &mut other, &mut holder);
-    holder.told(now, after(5.2), FIRST);
-    assert!(holder.fix(after(5.1), HELD, true, &mut account).is_empty());
-    assert!(account.fixed.is_empty(), "clocks are apart a little");
-    holder.fix(after(5.2), HELD, true, &mut account);
-    assert_eq!(account.fixed[&FIRST], counts(&[("mairie", 7)]));
-    assert_eq!(account.next, FIRST + 1);
+    holder.own_counts(now, after(5.2), FIRST);
+    assert!(
+        holder
+            .finalize(after(5.1), HELD, true, &mut account)
+            .is_empty()
+    );
+    assert!(account.finalized.is_empty(), "clocks are apart a little");
+    holder.finalize(after(5.2), HELD, true, &mut account);
+    assert_eq!(account.finalized[&FIRST], counts(&[("mairie", 7)]));
+    assert_eq!(account.next_window, FIRST + 1);
 }
 
 #[test]
@@ -81,20 +85,20 @@
     let now = Instant::now();
     let mut holder = books(1);
     let mut account = account();
-    let part = |name: &str| Told {
-        life: 2,
-        closed: FIRST + 1,
+    let part = |name: &str| WindowCounts {
+        incarnation: 2,
+        closed_before: FIRST + 1,
         window: FIRST,
         total: 5,
         counts: counts(&[(name, if name == "mairie" { 3 } else { 2 })]),
     };
-    holder.hear(now, part("mairie"));
-    holder.fix(after(6.0), HELD, true, &mut account);
-    assert!(account.fixed.is_empty());
-    holder.hear(now, part("ecole"));
-    holder.fix(after(6.0), HELD, true, &mut account);
+    holder.observe(now, part("mairie"));
+    holder.finalize(after(6.0), HELD, true, &mut account);
+    assert!(account.finalized.is_empty());
+    holder.observe(now, part("ecole"));
+    holder.finalize(after(6.0), HELD, true, &mut account);
     assert_eq!(
-        account.fixed[&FIRST],
+        account.finalized[&FIRST],
         counts(&[("ecole", 2), ("mairie", 3)])
     );
 }
@@ -109,12 +113,12 @@
     count(&mut other, now, 3.0, "mairie", 4);
     tell(now, 3.1, &mut other, &mut holder);
     let late = |seconds| now + Duration::from_secs_f64(seconds);
-    holder.told(late(6.0), after(6.0), FIRST);
-    holder.fix(after(6.0), HELD, true, &mut account);
-    assert!(account.fixed.is_empty(), "its host may only be cut off");
-    holder.told(late(10.0), after(10.0), FIRST);
-    holder.fix(after(10.0), HELD, true, &mut account);
-    assert_eq!(account.fixed[&FIRST], counts(&[("mairie", 4)]));
+    holder.own_counts(late(6.0), after(6.0), FIRST);
+    holder.finalize(after(6.0), HELD, true, &mut account);
+    assert!(account.finalized.is_empty(), "its host may only be cut off");
+    holder.own_counts(late(10.0), after(10.0), FIRST);
+    holder.finalize(after(10.0), HELD, true, &mut account);
+    assert_eq!(account.finalized[&FIRST], counts(&[("mairie", 4)]));
 }
 
 #[test]
@@ -127,12 +131,12 @@
     let mut account = account();
     count(&mut other, now, 3.0, "mairie", 4);
     tell(now, 5.3, &mut other, &mut holder);
-    holder.told(now, after(5.3), FIRST);
-    holder.fix(after(5.3), HELD, false, &mut account);
-    holder.fix(after(9.9), Duration::from_millis(100), true, &mut account);
-    assert!(account.fixed.is_empty());
-    holder.fix(after(5.3), HELD, true, &mut account);
-    assert_eq!(account.fixed[&FIRST], counts(&[("mairie", 4)]));
+    holder.own_counts(now, after(5.3), FIRST);
+    holder.finalize(after(5.3), HELD, false, &mut account);
+    holder.finalize(after(9.9), Duration::from_millis(100), true, &mut account);
+    assert!(account.finalized.is_empty());
+    holder.finalize(after(5.3), HELD, true, &mut account);
+    assert_eq!(account.finalized[&FIRST], counts(&[("mairie", 4)]));
 }
 
 #[test]
@@ -144,15 +148,15 @@
     count(&mut a, now, 1.0, "mairie", 10);
     count(&mut b, now, 1.0, "ecole", 20);
     tell(now, 2.0, &mut b, &mut a);
-    let kept = a.kept(after(2.0), &account());
+    let kept = a.snapshot(after(2.0), &account());
 
     let mut next = books(3);
     let mut account = kept;
     count(&mut next, now, 4.0, "mairie", 5);
-    next.told(now, after(5.3), FIRST);
-    next.fix(after(5.3), HELD, true, &mut account);
+    next.own_counts(now, after(5.3), FIRST);
+    next.finalize(after(5.3), HELD, true, &mut account);
     assert_eq!(
-        account.fixed[&FIRST],
+        account.finalized[&FIRST],
         counts(&[("ecole", 20), ("mairie", 15)])
     );
 }
@@ -167,12 +171,12 @@
     count(&mut a, now, 1.0, "mairie", 10);
     count(&mut b, now, 1.0, "mairie", 20);
     tell(now, 2.0, &mut b, &mut a);
-    let mut account = a.kept(after(2.0), &account());
+    let mut account = a.snapshot(after(2.0), &account());
     count(&mut b, now, 3.0, "mairie", 2);
     tell(now, 5.3, &mut b, &mut c);
-    c.told(now, after(5.3), FIRST);
-    c.fix(after(5.3), HELD, true, &mut account);
-    assert_eq!(account.fixed[&FIRST], counts(&[("mairie", 32)]));
+    c.own_counts(now, after(5.3), FIRST);
+    c.finalize(after(5.3), HELD, true, &mut account);
+    assert_eq!(account.finalized[&FIRST], counts(&[("mairie", 32)]));
 }
 
 #[test]
@@ -184,12 +188,12 @@
     let mut account = account();
     count(&mut holder, now, 1.0, "mairie", 1);
     count(&mut holder, now, 12.0, "mairie", 2);
-    holder.told(now, after(16.0), FIRST);
-    let missed = holder.fix(after(16.0), HELD, true, &mut account);
+    holder.own_counts(now, after(16.0), FIRST);
+    let missed = holder.finalize(after(16.0), HELD, true, &mut account);
     assert_eq!(missed, [FIRST]);
-    let fixed: Vec<u64> = account.fixed.keys().copied().collect();
+    let fixed: Vec<u64> = account.finalized.keys().copied().collect();
     assert_eq!(fixed, [FIRST + 1, FIRST + 2]);
-    assert_eq!(account.fixed[&(FIRST + 2)], counts(&[("mairie", 2)]));
+    assert_eq!(account.finalized[&(FIRST + 2)], counts(&[("mairie", 2)]));
 }
 
 #[test]
@@ -200,9 +204,9 @@
     let mut holder = books(1);
     let now = Instant::now();
     count(&mut holder, now, 1.0, "mairie", 1);
-    let begun = Account::begin(WINDOWS.at(after(2.0)));
-    let kept = holder.kept(after(2.0), &begun);
-    assert_eq!(kept.next, FIRST);
+    let begun = UsageState::starting_at(WINDOWS.containing(after(2.0)));
+    let kept = holder.snapshot(after(2.0), &begun);
+    assert_eq!(kept.next_window, FIRST);
     assert_eq!(kept.open.keys().copied().collect::<Vec<_>>(), [FIRST]);
 }
 
@@ -239,7 +243,7 @@
     };
     let (own, peers) = ahead.split_last().expect("some");
     for (peer, ahead) in peers.iter().enumerate() {
-        time.hear(now, peer as u64, wall(*ahead));
+        time.observe(now, peer as u64, wall(*ahead));
     }
     let later = now + Duration::from_secs(1);
     let own = wall(*own) + Duration::from_secs(1);
@@ -264,7 +268,7 @@
             false => true_time(seconds),
         };
         for peer in 0..4 {
-            time.hear(now, peer, wall);
+            time.observe(now, peer, wall);
         }
         let agreed = time.now(now, wall);
         if seconds < 50 {
@@ -283,7 +287,7 @@
     let start = Instant::now();
     let mut time = FleetTime::new(start);
     for peer in 0..5 {
-        time.hear(start, peer, Duration::from_secs(500));
+        time.observe(start, peer, Duration::from_secs(500));
     }
     let later = start + Duration::from_secs(60);
     let own = Duration::from_secs(2000);
@@ -294,16 +298,16 @@
 /// the store lost that it was fixed.
 #[test]
 fn lost_windows_are_not_fixed_again() {
-    let mut own = Account::begin(FIRST + 3);
-    own.fixed.insert(FIRST + 1, counts(&[("mairie", 4)]));
-    own.fixed.insert(FIRST + 2, counts(&[("mairie", 5)]));
+    let mut own = UsageState::starting_at(FIRST + 3);
+    own.finalized.insert(FIRST + 1, counts(&[("mairie", 4)]));
+    own.finalized.insert(FIRST + 2, counts(&[("mairie", 5)]));
     let mut read = account();
-    read.fixed.insert(FIRST - 1, counts(&[("ecole", 1)]));
+    read.finalized.insert(FIRST - 1, counts(&[("ecole", 1)]));
     assert_eq!(read.catch_up(FIRST + 2, &own), [FIRST]);
-    assert_eq!(read.next, FIRST + 2);
-    let fixed: Vec<u64> = read.fixed.keys().copied().collect();
+    assert_eq!(read.next_window, FIRST + 2);
+    let fixed: Vec<u64> = read.finalized.keys().copied().collect();
     assert_eq!(fixed, [FIRST - 1, FIRST + 1]);
     // What the store knows better stays.
-    assert!(read.catch_up(FIRST, &Account::default()).is_empty());
-    assert_eq!(read.next, FIRST + 2);
+    assert!(read.catch_up(FIRST, &UsageState::default()).is_empty());
+    assert_eq!(read.next_window, FIRST + 2);
 }
