--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -22,7 +22,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::others::Calls;
+use crate::peer_load::CallCounts;
 use crate::rendezvous::{hash_name, score};
 use feedback::Said;
 use name_order::Names;
@@ -144,9 +144,9 @@
     /// Hash of its name, equal at every entry.
     key: u64,
     /// Own calls.
-    own: Calls,
+    own: CallCounts,
     /// Calls of other entries, as far as they have told.
-    others: Calls,
+    others: CallCounts,
     /// Failures to connect in a row.
     refused: u32,
     /// Failed runs in a row.
@@ -273,8 +273,8 @@
                     first,
                     replaced: false,
                     key: hash_name(&listed.id),
-                    own: Calls::default(),
-                    others: Calls::default(),
+                    own: CallCounts::default(),
+                    others: CallCounts::default(),
                     refused: 0,
                     failed: 0,
                     rest: None,
@@ -482,13 +482,13 @@
 
     /// Own calls, by the server's short number.
     #[must_use]
-    pub fn own_calls(&self) -> Vec<(u16, Calls)> {
+    pub fn own_calls(&self) -> Vec<(u16, CallCounts)> {
         let busy = self.servers.values().filter(|s| s.own.open > 0);
         busy.map(|s| (short(s.key), s.own)).collect()
     }
 
     /// Takes over the calls that all other entries together have.
-    pub fn set_remote_calls(&mut self, others: impl Fn(u16) -> Calls) {
+    pub fn set_remote_calls(&mut self, others: impl Fn(u16) -> CallCounts) {
         for server in self.servers.values_mut() {
             server.others = others(short(server.key));
         }
--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -8,7 +8,7 @@
 use policy::balance::{
     Balancer, Partition, RecordChange, ServerFeedback, ServerQuery, ServerRecord, Strategy,
 };
-use policy::others::Calls;
+use policy::peer_load::CallCounts;
 use policy::rendezvous;
 
 /// A server that is silent for so long counts as dark.
@@ -104,11 +104,11 @@
     balance.call_started(&busy);
     balance.call_ended(&busy);
     balance.set_remote_calls(|server| match server == told[0].0 {
-        true => Calls {
+        true => CallCounts {
             open: 9,
             waiting: 4,
         },
-        false => Calls::default(),
+        false => CallCounts::default(),
     });
     for _ in 0..8 {
         assert_ne!(chosen(&mut balance, now, &by_open), Some(busy.clone()));
@@ -128,7 +128,7 @@
     let mut used = HashSet::new();
     for entry in 0..20 {
         let mut balance = balance(12);
-        balance.set_remote_calls(|server| Calls {
+        balance.set_remote_calls(|server| CallCounts {
             open: u32::from(server % 7),
             waiting: 0,
         });
