--- a/crates/forward/src/call/place.rs
+++ b/crates/forward/src/call/place.rs
@@ -375,7 +375,8 @@
             prefix_hash,
             tried,
             partition,
-            silence_timeout: (self.route.latency_target * SILENCE).clamp(SILENCE_LEAST, SILENCE_MOST),
+            silence_timeout: (self.route.latency_target * SILENCE)
+                .clamp(SILENCE_LEAST, SILENCE_MOST),
         }
     }
 
--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/follow.rs
@@ -208,7 +208,9 @@
         (None, None) if !finder.is_settled(now) => LOOK_FIRST,
         // Some neighbour tells it what there is sooner than the store would.
         (asked, None) if asked.is_some() || readers.has_fresh_peer(now, true) => {
-            let spare = readers.initial_copy_wait().checked_sub(finder.elapsed(now))?;
+            let spare = readers
+                .initial_copy_wait()
+                .checked_sub(finder.elapsed(now))?;
             spare.min(LOOK_FIRST)
         }
         (None, Some(age)) if readers.has_fresh_peer(now, false) => {
