--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -9,7 +9,7 @@
 use bundle::Bundle;
 use clients::hosts::{Host as Listed, Role as Kind, Standing};
 use entry::settings::{Drain, Keys, Known, Roster, Routing};
-use policy::queue::Rules;
+use policy::queue::QueueSettings;
 use sidecar::settings::Backend;
 use standin::hosts::{self, Registry};
 use standin::{Control, Ledger, engine, plain, silence};
@@ -253,7 +253,7 @@
             orders: None,
             lease: Span::secs(5),
             kept_bytes: 16 << 20,
-            queue: Rules::default(),
+            queue: QueueSettings::default(),
             log_level: base::logging::Level::Warn,
         };
         self.arm.sidecar(&mut settings);
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -219,9 +219,9 @@
     let usual = state.placement.borrow_mut().usual(now, &request.target);
     if tries.begun && !request.stream {
         let lengths = state.lengths.borrow();
-        return usual.finish(lengths.expect(&request.class, request.max_tokens));
+        return usual.completion_time(lengths.expected_tokens(&request.class, request.max_tokens));
     }
-    usual.first
+    usual.first_token
 }
 
 fn no_server() -> Refused {
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -239,7 +239,7 @@
         self.run.over();
         self.state.ran(&self.run.server, true);
         let mut lengths = self.state.lengths.borrow_mut();
-        lengths.note(&self.request.class, self.tokens);
+        lengths.record(&self.request.class, self.tokens);
     }
 
     /// The sidecar says that the run broke off.
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -9,8 +9,8 @@
 use base::reason::{Refusal, Retry};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use policy::offer::{self, Offer, Size};
-use policy::pace::Pace;
+use policy::load::TokenLatency;
+use policy::offer::{self, Offer, RequestSize};
 use policy::placement::ServerIndex;
 use spdlog::debug;
 use tokio::time::Instant;
@@ -44,8 +44,8 @@
     state: &'a Rc<State>,
     request: &'a Request,
     ticket: Ticket,
-    size: Size,
-    usual: Pace,
+    size: RequestSize,
+    usual: TokenLatency,
     bids: Vec<Bid>,
 }
 
@@ -85,9 +85,9 @@
             state,
             request,
             ticket,
-            size: Size {
-                prompt: request.prompt,
-                answer: lengths.expect(&request.class, request.max_tokens),
+            size: RequestSize {
+                prompt_tokens: request.prompt,
+                answer_tokens: lengths.expected_tokens(&request.class, request.max_tokens),
             },
             usual: state.placement.borrow_mut().usual(now, &request.target),
             bids: servers
@@ -172,7 +172,7 @@
 
     /// The slot with the earlier expected finish.
     fn better(&self, old: Held, new: Held) -> Held {
-        let finish = |held: &Held| held.offer.finish(self.size, self.usual);
+        let finish = |held: &Held| held.offer.completion_time(self.size, self.usual);
         if finish(&new) < finish(&old) {
             new
         } else {
@@ -189,7 +189,7 @@
                 .then(|| bid.expected())
                 .flatten()
         });
-        offer::grace(best.offer, others, self.size, self.usual, limit)
+        offer::grace_period(best.offer, others, self.size, self.usual, limit)
     }
 
     /// Asks one sidecar until a slot is held or rejected there.
@@ -285,17 +285,21 @@
 
     /// The slot that the sidecar holds, with the pace that it told for this
     /// request or, failing that, in its load.
-    fn offer(&self, first_us: u32, token_us: u32, cached: u32) -> Offer {
+    fn offer(&self, first_us: u32, token_us: u32, cached_tokens: u32) -> Offer {
         let us = |us: u32| Duration::from_micros(u64::from(us));
-        let told = Pace {
-            first: us(first_us),
-            token: us(token_us),
+        let told = TokenLatency {
+            first_token: us(first_us),
+            per_token: us(token_us),
         };
         let load = self.state.placement.borrow().load(self.server.index);
         Offer {
             wait: Duration::ZERO,
-            pace: if told.known() { told } else { load.pace },
-            cached,
+            latency: if told.is_measured() {
+                told
+            } else {
+                load.latency
+            },
+            cached_tokens,
         }
     }
 
@@ -310,8 +314,8 @@
         };
         Some(Offer {
             wait,
-            pace: load.pace,
-            cached: 0,
+            latency: load.latency,
+            cached_tokens: 0,
         })
     }
 }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -11,9 +11,9 @@
 use bundle::Shares;
 use claims::Claims;
 use policy::Placement;
-use policy::lengths::Lengths;
+use policy::lengths::AnswerLengths;
+use policy::load::{Load, TokenLatency};
 use policy::outlier::{Fault, Good};
-use policy::pace::{Load, Pace};
 use policy::placement::{Options, ServerIndex};
 use policy::retry::Budget;
 use wire::peer::{Error, Timing};
@@ -44,7 +44,7 @@
     /// The retries that are left to each class.
     pub budget: RefCell<Budget>,
     /// How long answers are.
-    pub lengths: RefCell<Lengths>,
+    pub lengths: RefCell<AnswerLengths>,
     /// Whether readiness is off: the balancer should send nothing more.
     pub draining: Cell<bool>,
     /// Asked once the sidecars are known from the host list.
@@ -258,9 +258,9 @@
         slots: told.slots,
         waiting: told.waiting,
         wait: us(told.wait_us),
-        pace: Pace {
-            first: us(told.first_us),
-            token: us(told.token_us),
+        latency: TokenLatency {
+            first_token: us(told.first_us),
+            per_token: us(told.token_us),
         },
         draining: told.draining,
     }
--- a/crates/forward/src/call.rs
+++ b/crates/forward/src/call.rs
@@ -20,8 +20,8 @@
 use policy::pools::{Coming, Work};
 use policy::routes::{Access, Catalog, Kind, Route, Workspace};
 use policy::suspects::Fingerprint;
-use policy::terms;
-use policy::waits;
+use policy::urgency;
+use policy::wait_estimate;
 use rand::RngExt;
 use spdlog::info;
 
@@ -130,7 +130,7 @@
     pub fn read(state: &Rc<State>, incoming: Incoming) -> Result<Self, Own> {
         let catalog = state.catalog.borrow().clone();
         let Some(catalog) = catalog else {
-            let after = waits::spread(AFTER_START, rand::rng().random());
+            let after = wait_estimate::jitter(AFTER_START, rand::rng().random());
             return Err(Own::refused(Refusal::NoBundle, after));
         };
         let ask = state.dialect.ask(&incoming.headers);
@@ -235,7 +235,7 @@
     /// The call's rank for engines.
     fn rank(&self) -> u8 {
         let workspace = self.workspace.as_ref().and_then(|w| w.tier);
-        terms::rank(workspace, self.route.tier)
+        urgency::rank(workspace, self.route.tier)
     }
 
     /// Gets the call to run and says what to answer.
@@ -394,7 +394,7 @@
         let turn = balance.next_turn(now, &self.service);
         let wait = turn.max(balance.next_try(now, &self.service));
         let wait = wait.unwrap_or_default().max(least);
-        waits::spread(wait, rand::rng().random())
+        wait_estimate::jitter(wait, rand::rng().random())
     }
 }
 
--- a/crates/forward/src/call/answer.rs
+++ b/crates/forward/src/call/answer.rs
@@ -69,7 +69,7 @@
             let mut pools = self.state.pools.borrow_mut();
             pools.first(now, &self.service, fresh(&self.ask), took);
             let mut waits = self.state.waits.borrow_mut();
-            waits.saw(&self.service, self.rank(), answer.ahead, took);
+            waits.record(&self.service, self.rank(), answer.ahead, took);
         }
     }
 
@@ -79,7 +79,7 @@
         if self.work == Some(Work::Reading) {
             let took = self.state.clock.now().saturating_duration_since(sent);
             let mut waits = self.state.waits.borrow_mut();
-            waits.saw(&self.service, self.rank(), ahead, took);
+            waits.record(&self.service, self.rank(), ahead, took);
         }
     }
 
--- a/crates/forward/src/call/place.rs
+++ b/crates/forward/src/call/place.rs
@@ -8,8 +8,8 @@
 use policy::grants::fetch;
 use policy::pools::Work;
 use policy::rendezvous;
-use policy::terms::Caller;
-use policy::waits::{self, Claim, Verdict};
+use policy::urgency::CallTiming;
+use policy::wait_estimate::{self, CallDeadline, Decision};
 use rand::RngExt;
 use spdlog::info;
 use wire::grants;
@@ -157,7 +157,7 @@
             return Ok(None);
         };
         let left = self.until.saturating_duration_since(self.state.clock.now());
-        let must = work == Work::Writing || self.caller(begin).must(expected, left);
+        let must = work == Work::Writing || self.caller(begin).must_accept(expected, left);
         if !must {
             return Err(self.too_late(&server, expected));
         }
@@ -283,7 +283,7 @@
         let now = self.state.clock.now();
         let age = now.saturating_duration_since(self.came);
         let left = self.until.saturating_duration_since(now);
-        let allowed = self.caller(begin).allowed(age, left);
+        let allowed = self.caller(begin).latency_limit(age, left);
         let ms = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
         let want = grants::Want {
             name: self.name().to_owned(),
@@ -338,7 +338,7 @@
 
     fn too_late(&self, server: &Listed, expected: Duration) -> Failure {
         let target = self.route.target;
-        let after = waits::comeback(expected, target, rand::rng().random());
+        let after = wait_estimate::retry_after(expected, target, rand::rng().random());
         info!("call refused", kv: {
             id = self.name(),
             route = self.route.name.as_str(),
@@ -375,19 +375,19 @@
     }
 
     /// What its terms depend on.
-    fn caller(&self, begin: Begin) -> Caller {
-        Caller {
+    fn caller(&self, begin: Begin) -> CallTiming {
+        CallTiming {
             tier: self.route.tier.0,
             target: self.route.target,
             timeout: self.route.timeout,
-            patience: self.ask.patience,
-            fresh: begin == Begin::Fresh,
+            caller_timeout: self.ask.patience,
+            first_attempt: begin == Begin::Fresh,
         }
     }
 
     /// Whether the caller has spent its target elsewhere before.
     fn returned(&self) -> bool {
-        self.caller(Begin::Fresh).returned()
+        self.caller(Begin::Fresh).is_retry()
     }
 
     /// Whether the call may go to a server, or would come too late there.
@@ -400,16 +400,19 @@
         let waits = self.state.waits.borrow();
         let target = self.route.target;
         let now = self.state.clock.now();
-        let claim = Claim {
+        let claim = CallDeadline {
             tier: self.route.tier.0,
             rank: self.rank(),
             target,
             left: self.until.saturating_duration_since(now),
-            returned: self.returned(),
+            is_retry: self.returned(),
         };
-        match waits.judge(&self.service, claim, ahead, rand::rng().random()) {
-            Verdict::Send => Ok(ahead),
-            Verdict::Refuse { after, expected } => {
+        match waits.decide(&self.service, claim, ahead, rand::rng().random()) {
+            Decision::Send => Ok(ahead),
+            Decision::Refuse {
+                retry_after,
+                expected,
+            } => {
                 info!("call refused", kv: {
                     id = self.name(),
                     route = self.route.name.as_str(),
@@ -417,9 +420,9 @@
                     ahead,
                     expected_ms = millis(expected),
                     target_ms = millis(target),
-                    after_ms = millis(after)
+                    after_ms = millis(retry_after)
                 });
-                Err(Failure::TooLate(after))
+                Err(Failure::TooLate(retry_after))
             }
         }
     }
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -16,7 +16,7 @@
 use policy::rendezvous;
 use policy::roster::{Roster, Seat};
 use policy::routes::Catalog;
-use policy::waits::Waits;
+use policy::wait_estimate::WaitEstimator;
 
 use tokio::sync::Notify;
 
@@ -50,7 +50,7 @@
     /// What calls load the engines with.
     pub pools: RefCell<Pools>,
     /// How long calls wait at engines.
-    pub waits: RefCell<Waits>,
+    pub waits: RefCell<WaitEstimator>,
     /// Copies of the store's tables.
     pub tables: Tables,
     /// Who reads the store in this availability zone.
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use policy::Placement;
-use policy::pace::{Load, Pace};
+use policy::load::{Load, TokenLatency};
 use policy::placement::{Mode, Options, Want};
 
 /// Decisions timed at once.
@@ -69,9 +69,9 @@
         let load = Load {
             running: i % 8,
             slots: 8,
-            pace: Pace {
-                first: Duration::from_millis(9),
-                token: Duration::from_millis(3),
+            latency: TokenLatency {
+                first_token: Duration::from_millis(9),
+                per_token: Duration::from_millis(3),
             },
             ..Load::default()
         };
--- a/crates/policy/benches/queue.rs
+++ b/crates/policy/benches/queue.rs
@@ -9,7 +9,7 @@
 
 use base::ids::{Ticket, Tier};
 use hdrhistogram::Histogram;
-use policy::queue::{Ask, Queue, QueuePolicy, Rules};
+use policy::queue::{Queue, QueuePolicy, QueueRequest, QueueSettings};
 
 /// Rounds measured at each length.
 const ROUNDS: u32 = 20_000;
@@ -40,10 +40,10 @@
 fn measure(queued: u32) -> [Histogram<u64>; 4] {
     // Time passes here by hand, so that the queue stays as long as it is.
     let mut now = Instant::now();
-    let rules = Rules {
+    let rules = QueueSettings {
         policy: QueuePolicy::Full,
         limit: usize::MAX,
-        ..Rules::default()
+        ..QueueSettings::default()
     };
     let mut queue = Queue::new(rules, SLOTS, now);
     learn(&mut queue, &mut now);
@@ -60,11 +60,11 @@
         let ask = ask(ticket, now);
         timed(&mut times[0], || black_box(queue.offer(now, ask)));
         timed(&mut times[1], || black_box(queue.review(now)));
-        let Some(granted) = timed(&mut times[2], || black_box(queue.next(now))) else {
+        let Some(granted) = timed(&mut times[2], || black_box(queue.grant_next(now))) else {
             continue;
         };
         queue.start(now, granted.ticket);
-        queue.piece(now, granted.ticket, 1);
+        queue.record_piece(now, granted.ticket, 1);
         timed(&mut times[3], || queue.finish(now, granted.ticket, true));
     }
     times
@@ -74,33 +74,33 @@
 fn learn(queue: &mut Queue, now: &mut Instant) {
     for ticket in 0..300 {
         queue.offer(*now, ask(u32::MAX - ticket, *now));
-        let Some(granted) = queue.next(*now) else {
+        let Some(granted) = queue.grant_next(*now) else {
             continue;
         };
         queue.start(*now, granted.ticket);
         *now += Duration::from_millis(5);
-        queue.piece(*now, granted.ticket, 1);
+        queue.record_piece(*now, granted.ticket, 1);
         *now += Duration::from_millis(5);
         queue.finish(*now, granted.ticket, true);
     }
 }
 
-fn ask(ticket: u32, now: Instant) -> Ask {
+fn ask(ticket: u32, now: Instant) -> QueueRequest {
     // Spread without order over workspaces, tiers and deadlines.
     let mixed = ticket.wrapping_mul(2_654_435_761);
     let target = Duration::from_secs(600) + Duration::from_micros(u64::from(mixed >> 8));
-    Ask {
+    QueueRequest {
         ticket: Ticket(u128::from(ticket)),
         class: Rc::from(format!("class-{}", mixed % 3)),
         workspace: Rc::from(format!("workspace-{}", (mixed >> 4) % 64)),
         weight: 1 + (mixed >> 4) % 4,
         tier: Tier((mixed % 3) as u8),
-        first_due: now + target,
-        whole_due: now + target * 2,
-        prompt: 50 + mixed % 1000,
-        tokens: 1000,
+        first_deadline: now + target,
+        answer_deadline: now + target * 2,
+        prompt_tokens: 50 + mixed % 1000,
+        max_tokens: 1000,
         repeatable: true,
-        preempted: 0,
+        preemptions: 0,
     }
 }
 
--- a/crates/policy/src/duty.rs
+++ b/crates/policy/src/duty.rs
@@ -149,7 +149,7 @@
     /// before each call.
     #[must_use]
     pub fn token(&self, now: Instant) -> Option<u64> {
-        let Offset(token) = self.lease?.fence(now)?;
+        let Offset(token) = self.lease?.fencing_token(now)?;
         (token > self.barred).then_some(token)
     }
 
@@ -168,7 +168,7 @@
         let stagger = STAGGER * place.min(PLACES) as u32;
         match (&self.term, self.lease, self.seen) {
             (Some(_), _, _) if self.unsure => Step::Read,
-            (Some(term), Some(lease), _) if lease.due(now) => Step::Write(term.clone()),
+            (Some(term), Some(lease), _) if lease.needs_renewal(now) => Step::Write(term.clone()),
             (Some(_), _, _) => Step::Rest,
             (None, _, Some(seen)) if now < seen.at + TTL + stagger => Step::Rest,
             (None, _, None) if now < self.look + stagger => Step::Rest,
--- a/crates/policy/src/estimate/fit.rs
+++ b/crates/policy/src/estimate/averages.rs
@@ -10,19 +10,19 @@
 const FIT_DECAY: f64 = 0.99;
 
 /// Samples wanted before a slope is trusted.
-const FIT_FEW: f64 = 8.0;
+const FIT_MIN_SAMPLES: f64 = 8.0;
 
 /// The samples must spread at least this much for a slope.
-const FIT_SPREAD: f64 = 1.0;
+const FIT_MIN_SPREAD: f64 = 1.0;
 
 /// A mean in which newer values weigh more.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Mean {
+pub(crate) struct MovingAverage {
     value: f64,
     count: u32,
 }
 
-impl Mean {
+impl MovingAverage {
     pub(crate) fn add(&mut self, value: f64) {
         self.count = self.count.saturating_add(1);
         let weight = MEAN_WEIGHT.max(1.0 / f64::from(self.count));
@@ -41,9 +41,9 @@
 
 /// A share of events in which newer ones weigh more; 1 before the first.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Share(f64);
+pub(crate) struct MovingShare(f64);
 
-impl Share {
+impl MovingShare {
     pub(crate) fn new() -> Self {
         Self(1.0)
     }
@@ -61,7 +61,7 @@
 /// Time to the first token as a straight line over the prompt's length, by
 /// least squares in which older samples weigh less.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Fit {
+pub(crate) struct LinearFit {
     n: f64,
     x: f64,
     y: f64,
@@ -69,7 +69,7 @@
     xy: f64,
 }
 
-impl Fit {
+impl LinearFit {
     /// Takes in that a prompt of `tokens` had its first token after `us`.
     pub(crate) fn add(&mut self, tokens: u32, us: f64) {
         let x = f64::from(tokens);
@@ -85,7 +85,7 @@
     }
 
     /// Expected time in microseconds; `None` before the first sample.
-    pub(crate) fn at(&self, tokens: u32) -> Option<f64> {
+    pub(crate) fn predict(&self, tokens: u32) -> Option<f64> {
         if self.n <= 0.0 {
             return None;
         }
@@ -101,7 +101,7 @@
             return 0.0;
         }
         let spread = self.xx / self.n - (self.x / self.n).powi(2);
-        if self.n < FIT_FEW || spread < FIT_SPREAD * FIT_SPREAD {
+        if self.n < FIT_MIN_SAMPLES || spread < FIT_MIN_SPREAD * FIT_MIN_SPREAD {
             return 0.0;
         }
         let joint = self.xy / self.n - self.x * self.y / (self.n * self.n);
--- a/crates/policy/src/grants.rs
+++ b/crates/policy/src/grants.rs
@@ -33,7 +33,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::estimate::fit::Mean;
+use crate::estimate::averages::MovingAverage;
 pub use call::{Ask, Beliefs, CallId, Report, Verdict};
 use fetch::Fetch;
 use mix::Mix;
@@ -117,7 +117,7 @@
     /// What fetching a token from another engine takes.
     fetch: Fetch,
     /// How long calls hold a slot after their first event, in seconds.
-    hold: Mean,
+    hold: MovingAverage,
     /// Tokens of calls without a first event up to which more are let in.
     window: f64,
     /// Prompt parts that the engine should hold.
@@ -185,7 +185,7 @@
             running: HashMap::new(),
             timing: Timing::default(),
             fetch: Fetch::default(),
-            hold: Mean::default(),
+            hold: MovingAverage::default(),
             window: WINDOW,
             parts: Parts::default(),
             report: None,
--- a/crates/policy/src/grants/timing.rs
+++ b/crates/policy/src/grants/timing.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use crate::estimate::READ_GUESS;
+use crate::estimate::DEFAULT_PREFILL_SECS;
 
 /// The most that the fixed part is believed to take, in seconds: a call that
 /// waited for a slot says little about it.
@@ -94,7 +94,7 @@
             seen: VecDeque::new(),
             last: None,
             base: 0.0,
-            pace: READ_GUESS,
+            pace: DEFAULT_PREFILL_SECS,
         }
     }
 }
@@ -134,7 +134,7 @@
     /// Fits both to what was seen.
     fn fit(&mut self, now: Instant) {
         let mut sums = Sums::default();
-        let guess = GUESS_TOKENS * READ_GUESS;
+        let guess = GUESS_TOKENS * DEFAULT_PREFILL_SECS;
         sums.add(BASE_WEIGHT / guess, 1.0, 0.0, 0.0);
         sums.add(GUESS_WEIGHT / guess, 0.0, GUESS_TOKENS, guess);
         for seen in &self.seen {
@@ -180,6 +180,6 @@
         let base = base.clamp(0.0, BASE_MOST);
         // With the fixed part held where it can be, the rest is reading.
         let pace = (self.products - self.alone_tokens * base) / self.squares;
-        (base, pace.max(READ_GUESS / PACE_RANGE))
+        (base, pace.max(DEFAULT_PREFILL_SECS / PACE_RANGE))
     }
 }
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -7,7 +7,7 @@
 
 /// One claim of a lease, as a record of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Claim<'a> {
+pub struct LeaseClaim<'a> {
     /// The record's place.
     pub offset: Offset,
     /// When it was appended, by the log's own clock, in milliseconds.
@@ -22,17 +22,21 @@
 /// counts when it renews its holder's own lease or comes after the one in
 /// force has lapsed, by the log's clock alone: every reader decides the same.
 #[must_use]
-pub fn in_force<'a>(claims: impl IntoIterator<Item = Claim<'a>>) -> Option<Claim<'a>> {
+pub fn current_claim<'a>(
+    claims: impl IntoIterator<Item = LeaseClaim<'a>>,
+) -> Option<LeaseClaim<'a>> {
     claims.into_iter().fold(None, |held, claim| match held {
-        Some(held) if held.holder != claim.holder && held.until_ms() > claim.time_ms => Some(held),
+        Some(held) if held.holder != claim.holder && held.expires_ms() > claim.time_ms => {
+            Some(held)
+        }
         _ => Some(claim),
     })
 }
 
-impl Claim<'_> {
+impl LeaseClaim<'_> {
     /// When it lapses, by the log's own clock.
     #[must_use]
-    pub fn until_ms(&self) -> u64 {
+    pub fn expires_ms(&self) -> u64 {
         self.time_ms.saturating_add(self.ttl_ms)
     }
 }
@@ -41,11 +45,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
     /// The number that goes with each order: the claim's offset.
-    pub fence: Offset,
+    pub fencing_token: Offset,
     /// When it lapses.
-    until: Instant,
+    expires_at: Instant,
     /// When it should be renewed.
-    renew: Instant,
+    renew_at: Instant,
 }
 
 impl Lease {
@@ -57,9 +61,9 @@
         // The two clocks may run apart by a little.
         let sure = ttl - ttl / 10;
         Self {
-            fence,
-            until: sent + sure,
-            renew: sent + ttl / 2,
+            fencing_token: fence,
+            expires_at: sent + sure,
+            renew_at: sent + ttl / 2,
         }
     }
 
@@ -69,13 +73,13 @@
     /// what its successor has undone. It must ask here after each wait and
     /// right before each order.
     #[must_use]
-    pub fn fence(&self, now: Instant) -> Option<Offset> {
-        (now < self.until).then_some(self.fence)
+    pub fn fencing_token(&self, now: Instant) -> Option<Offset> {
+        (now < self.expires_at).then_some(self.fencing_token)
     }
 
     /// Whether to renew it.
     #[must_use]
-    pub fn due(&self, now: Instant) -> bool {
-        now >= self.renew
+    pub fn needs_renewal(&self, now: Instant) -> bool {
+        now >= self.renew_at
     }
 }
--- a/crates/policy/src/lengths.rs
+++ b/crates/policy/src/lengths.rs
@@ -4,20 +4,20 @@
 use std::collections::HashMap;
 
 /// The guess for a class of which no answer has ended yet, in tokens.
-const GUESS: f64 = 128.0;
+const DEFAULT_TOKENS: f64 = 128.0;
 
 /// Weight of one more answer in the mean.
 const WEIGHT: f64 = 1.0 / 16.0;
 
 /// The mean length of answers by class, in tokens, newer ones weighing more.
 #[derive(Debug, Default)]
-pub struct Lengths {
+pub struct AnswerLengths {
     means: HashMap<String, f64>,
 }
 
-impl Lengths {
+impl AnswerLengths {
     /// Notes an answer that ended.
-    pub fn note(&mut self, class: &str, tokens: u32) {
+    pub fn record(&mut self, class: &str, tokens: u32) {
         let tokens = f64::from(tokens);
         if let Some(mean) = self.means.get_mut(class) {
             *mean += (tokens - *mean) * WEIGHT;
@@ -28,8 +28,8 @@
 
     /// The expected length of an answer of at most `limit` tokens.
     #[must_use]
-    pub fn expect(&self, class: &str, limit: u32) -> u32 {
-        let mean = self.means.get(class).copied().unwrap_or(GUESS);
+    pub fn expected_tokens(&self, class: &str, limit: u32) -> u32 {
+        let mean = self.means.get(class).copied().unwrap_or(DEFAULT_TOKENS);
         (mean.round() as u32).min(limit)
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,21 +2,21 @@
 //! asks hands the time in.
 //!
 //! What a sidecar decides:
-//! - [`queue`]: who waits, who starts, who is shed or preempted.
-//! - [`estimate`]: what a request is expected to take.
+//! - [`queue`]: which requests wait, start, are shed or preempted.
+//! - [`estimate`]: expected service times of requests.
 //! - [`grants`]: which calls an engine is given, and when.
 //! - [`caches`]: which prompt prefixes the engine holds.
-//! - [`wish`]: what a backend server should have loaded.
-//! - [`lease`]: who may give it orders.
-//! - [`pacing`]: when to ask a rate-limited service again.
+//! - [`loading`]: the next step towards the models and adapters to have loaded.
+//! - [`lease`]: which holder may give it orders.
+//! - [`backoff`]: delay before asking a rate-limited service again.
 //!
 //! What an entry decides about the calls that it sends by itself:
 //! - [`routes`]: which route a call takes and who may ask.
 //! - [`balance`]: which backend server gets it.
 //! - [`pools`]: which engines read prompts and which write answers.
 //! - [`pauses`]: how long reading keeps streams beside it waiting.
-//! - [`terms`]: on what terms a call asks for a place at an engine.
-//! - [`waits`]: whether it would come too late.
+//! - [`urgency`]: a call's rank and latency limit at engines.
+//! - [`wait_estimate`]: whether a call would be too late.
 //! - [`link`]: whether it should get new connections.
 //! - [`finding`]: how it finds the other entries.
 //! - [`roster`]: which there are, and whom it speaks with.
@@ -37,12 +37,13 @@
 //! - [`membership`]: which hosts there are.
 //! - [`subset`]: which backend servers one entry keeps connections to.
 //! - [`placement`]: where to ask for a slot.
-//! - [`pace`]: how loaded and how fast servers are.
+//! - [`load`]: load and latency of backend servers.
 //! - [`offer`]: which of the offered slots to take.
 //! - [`lengths`]: how long answers are.
 //! - [`retry`]: when a request may be tried again.
 //! - [`outlier`]: which servers get no requests for a while.
 
+pub mod backoff;
 pub mod balance;
 pub mod budget;
 pub mod caches;
@@ -54,12 +55,12 @@
 pub mod lease;
 pub mod lengths;
 pub mod link;
+pub mod load;
+pub mod loading;
 pub mod membership;
 pub mod offer;
 pub mod others;
 pub mod outlier;
-pub mod pace;
-pub mod pacing;
 pub mod pauses;
 pub mod placement;
 pub mod pools;
@@ -73,10 +74,9 @@
 pub mod scaling;
 pub mod subset;
 pub mod suspects;
-pub mod terms;
+pub mod urgency;
 pub mod usage;
-pub mod waits;
-pub mod wish;
+pub mod wait_estimate;
 
 pub use placement::Placement;
 pub use queue::Queue;
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/load.rs
@@ -4,24 +4,24 @@
 
 /// How fast a backend server makes answers. Zero means not observed yet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Pace {
+pub struct TokenLatency {
     /// From a start to the first token.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Between two tokens of one answer.
-    pub token: Duration,
+    pub per_token: Duration,
 }
 
-impl Pace {
+impl TokenLatency {
     /// Expected time from a start to the end of an answer of `tokens`.
     #[must_use]
-    pub fn finish(&self, tokens: u32) -> Duration {
-        self.first + self.token.saturating_mul(tokens)
+    pub fn completion_time(&self, tokens: u32) -> Duration {
+        self.first_token + self.per_token.saturating_mul(tokens)
     }
 
     /// Whether anything was observed.
     #[must_use]
-    pub fn known(&self) -> bool {
-        !self.token.is_zero()
+    pub fn is_measured(&self) -> bool {
+        !self.per_token.is_zero()
     }
 }
 
@@ -37,7 +37,7 @@
     /// Estimated wait of a request that came now; zero when a slot is free.
     pub wait: Duration,
     /// Its recent pace.
-    pub pace: Pace,
+    pub latency: TokenLatency,
     /// Whether it takes nothing new any more.
     pub draining: bool,
 }
@@ -52,7 +52,7 @@
     /// Requests for each slot, counting one more. Zero for a server that was
     /// not heard yet, so that it is tried.
     #[must_use]
-    pub fn depth(&self) -> f64 {
+    pub fn load_per_slot(&self) -> f64 {
         if self.slots == 0 {
             return 0.0;
         }
@@ -63,46 +63,46 @@
 /// The load reports of one server: the newest, and the one that a router
 /// would know whose reports arrive with a lag.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Reports {
+pub struct LoadReports {
     /// The newest report and when it came.
-    fresh: Option<(Instant, Load)>,
+    newest: Option<(Instant, Load)>,
     /// The report on its way, and when it was sent.
-    sent: Option<(Instant, Load)>,
+    in_transit: Option<(Instant, Load)>,
     /// The last report that arrived.
     arrived: Load,
 }
 
-impl Reports {
+impl LoadReports {
     /// Takes in a report. With a `lag`, reports are sent one after the other,
     /// so what is known is between one and two lags old.
-    pub fn note(&mut self, now: Instant, load: Load, lag: Duration) {
-        self.fresh = Some((now, load));
-        match self.sent {
+    pub fn record(&mut self, now: Instant, load: Load, lag: Duration) {
+        self.newest = Some((now, load));
+        match self.in_transit {
             Some((at, _)) if now < at + lag => {}
             Some((_, sent)) => {
                 self.arrived = sent;
-                self.sent = Some((now, load));
+                self.in_transit = Some((now, load));
             }
-            None => self.sent = Some((now, load)),
+            None => self.in_transit = Some((now, load)),
         }
     }
 
     /// The newest report; an idle server until there is one.
     #[must_use]
-    pub fn fresh(&self) -> Load {
-        self.fresh.map_or_else(Load::default, |(_, load)| load)
+    pub fn newest(&self) -> Load {
+        self.newest.map_or_else(Load::default, |(_, load)| load)
     }
 
     /// How old the newest report is.
     #[must_use]
-    pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.fresh.map(|(at, _)| now.saturating_duration_since(at))
+    pub fn newest_age(&self, now: Instant) -> Option<Duration> {
+        self.newest.map(|(at, _)| now.saturating_duration_since(at))
     }
 
     /// The report as known with a `lag`.
     #[must_use]
     pub fn lagged(&self, now: Instant, lag: Duration) -> Load {
-        match self.sent {
+        match self.in_transit {
             Some((at, sent)) if now >= at + lag => sent,
             _ => self.arrived,
         }
--- a/crates/policy/src/wish.rs
+++ b/crates/policy/src/loading.rs
@@ -4,7 +4,7 @@
 
 /// What should be loaded, or is.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Loaded {
+pub struct LoadedModel {
     /// The model's version.
     pub version: String,
     /// The adapters.
@@ -13,30 +13,30 @@
 
 /// One step.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum LoadStep {
     /// Load a version of the model.
-    Version(String),
+    LoadVersion(String),
     /// Load an adapter.
-    Adapter(String),
+    LoadAdapter(String),
     /// Unload an adapter.
-    Unload(String),
+    UnloadAdapter(String),
 }
 
 /// The next step from what `is` loaded to what is wanted: the version first,
 /// since adapters belong to it; adapters are unloaded last, as requests for
 /// them may still run. An empty version wants nothing.
 #[must_use]
-pub fn next(wanted: &Loaded, is: &Loaded) -> Option<Step> {
+pub fn next_step(wanted: &LoadedModel, is: &LoadedModel) -> Option<LoadStep> {
     if wanted.version.is_empty() {
         return None;
     }
     if wanted.version != is.version {
-        return Some(Step::Version(wanted.version.clone()));
+        return Some(LoadStep::LoadVersion(wanted.version.clone()));
     }
     let missing = wanted.adapters.difference(&is.adapters).next();
     if let Some(adapter) = missing {
-        return Some(Step::Adapter(adapter.clone()));
+        return Some(LoadStep::LoadAdapter(adapter.clone()));
     }
     let extra = is.adapters.difference(&wanted.adapters).next();
-    extra.map(|adapter| Step::Unload(adapter.clone()))
+    extra.map(|adapter| LoadStep::UnloadAdapter(adapter.clone()))
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -8,8 +8,8 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
+use crate::load::{Load, LoadReports, TokenLatency};
 use crate::outlier::{self, Fault, Good, Outlier};
-use crate::pace::{Load, Pace, Reports};
 use crate::rendezvous::{number, weight};
 
 /// A backend server as an entry knows it, by its place in the entry's list.
@@ -92,7 +92,7 @@
     key: u64,
     /// The place of its pool.
     pool: usize,
-    reports: Reports,
+    reports: LoadReports,
     health: Outlier,
     /// Whether the host list leaves it no new requests.
     closed: bool,
@@ -106,7 +106,7 @@
     /// All others.
     far: Vec<ServerIndex>,
     /// The median pace, and when it was worked out.
-    usual: Option<(Instant, Pace)>,
+    usual: Option<(Instant, TokenLatency)>,
 }
 
 impl Pool {
@@ -143,7 +143,7 @@
         self.servers[index] = Some(Server {
             key: number(name),
             pool,
-            reports: Reports::default(),
+            reports: LoadReports::default(),
             health: Outlier::default(),
             closed: false,
         });
@@ -185,7 +185,7 @@
     #[must_use]
     pub fn open(&self, index: ServerIndex) -> bool {
         self.server(index)
-            .is_some_and(|s| !s.closed && !s.reports.fresh().draining)
+            .is_some_and(|s| !s.closed && !s.reports.newest().draining)
     }
 
     /// Notes the load that an answer carried. The answer itself is a good
@@ -197,14 +197,14 @@
             return false;
         };
         let pool = server.pool;
-        server.reports.note(now, load, lag);
+        server.reports.record(now, load, lag);
         server.health.good(now, Good::Link);
-        if !load.pace.known() {
+        if !load.latency.is_measured() {
             return false;
         }
 
         let usual = self.usual_in(now, pool);
-        if usual.known() && load.pace.token > usual.token * SLOW_FACTOR {
+        if usual.is_measured() && load.latency.per_token > usual.per_token * SLOW_FACTOR {
             return self.fault(now, index, Fault::Slow, ejected);
         }
         self.good(now, index, Good::Pace);
@@ -237,13 +237,13 @@
     #[must_use]
     pub fn load(&self, index: ServerIndex) -> Load {
         self.server(index)
-            .map_or_else(Load::default, |s| s.reports.fresh())
+            .map_or_else(Load::default, |s| s.reports.newest())
     }
 
     /// How long ago a server was last heard.
     #[must_use]
     pub fn age(&self, now: Instant, index: ServerIndex) -> Option<Duration> {
-        self.server(index)?.reports.age(now)
+        self.server(index)?.reports.newest_age(now)
     }
 
     /// Whether a server is ejected or probed.
@@ -254,14 +254,14 @@
 
     /// The median pace of the servers of `target`; unknown until some told
     /// theirs.
-    pub fn usual(&mut self, now: Instant, target: &str) -> Pace {
+    pub fn usual(&mut self, now: Instant, target: &str) -> TokenLatency {
         match self.targets.get(target) {
             Some(pool) => self.usual_in(now, *pool),
-            None => Pace::default(),
+            None => TokenLatency::default(),
         }
     }
 
-    fn usual_in(&mut self, now: Instant, pool: usize) -> Pace {
+    fn usual_in(&mut self, now: Instant, pool: usize) -> TokenLatency {
         let held = self.pools[pool].usual;
         if let Some((_, usual)) = held.filter(|(at, _)| now < *at + MEDIAN_EVERY) {
             return usual;
@@ -271,14 +271,14 @@
         usual
     }
 
-    fn median(&self, pool: &Pool) -> Pace {
-        let paces = pool.all().map(|i| self.load(i).pace);
-        let mut paces: Vec<Pace> = paces.filter(Pace::known).collect();
+    fn median(&self, pool: &Pool) -> TokenLatency {
+        let paces = pool.all().map(|i| self.load(i).latency);
+        let mut paces: Vec<TokenLatency> = paces.filter(TokenLatency::is_measured).collect();
         if paces.len() < MEDIAN_LEAST {
-            return Pace::default();
+            return TokenLatency::default();
         }
         let middle = paces.len() / 2;
-        let (_, usual, _) = paces.select_nth_unstable_by_key(middle, |p| p.token);
+        let (_, usual, _) = paces.select_nth_unstable_by_key(middle, |p| p.per_token);
         *usual
     }
 
@@ -333,7 +333,7 @@
         }
         let ranked = pool.all().filter_map(|i| {
             let server = self.usable(now, i, want.tried)?;
-            let load = server.reports.fresh();
+            let load = server.reports.newest();
             let crowded = load.slots > 0 && load.waiting >= load.slots;
             (!crowded).then(|| (weight(want.prefix, server.key), i))
         });
@@ -380,8 +380,8 @@
     /// frees its slots four times later.
     fn cost(&self, index: ServerIndex) -> f64 {
         let load = self.load(index);
-        let token = load.pace.token.max(Duration::from_micros(1));
-        load.depth() * token.as_secs_f64()
+        let token = load.latency.per_token.max(Duration::from_micros(1));
+        load.load_per_slot() * token.as_secs_f64()
     }
 
     fn least_loaded(&mut self, now: Instant, pool: &Pool, want: &Want<'_>) -> Option<ServerIndex> {
@@ -409,7 +409,7 @@
     fn reported(&self, now: Instant, index: ServerIndex) -> f64 {
         let lag = self.options.lag;
         self.server(index)
-            .map_or(0.0, |s| s.reports.lagged(now, lag).depth())
+            .map_or(0.0, |s| s.reports.lagged(now, lag).load_per_slot())
     }
 
     /// Any usable server of the pool, wherever it is.
@@ -459,8 +459,11 @@
     /// The server if it may be asked.
     fn usable(&self, now: Instant, index: ServerIndex, tried: &[ServerIndex]) -> Option<&Server> {
         let server = self.server(index)?;
-        let drains = server.reports.fresh().draining
-            && server.reports.age(now).is_some_and(|a| a < DRAIN_TRUST);
+        let drains = server.reports.newest().draining
+            && server
+                .reports
+                .newest_age(now)
+                .is_some_and(|a| a < DRAIN_TRUST);
         (server.health.usable(now) && !server.closed && !drains && !tried.contains(&index))
             .then_some(server)
     }
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -16,8 +16,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::estimate::READ_GUESS;
-use crate::estimate::fit::Fit;
+use crate::estimate::DEFAULT_PREFILL_SECS;
+use crate::estimate::averages::LinearFit;
 use crate::pauses::Pauses;
 
 /// Answer tokens for each prompt token from which a route's calls spend their
@@ -124,7 +124,7 @@
     open: u32,
     writing: f64,
     /// Time to the first event by what had to be read.
-    first: Fit,
+    first: LinearFit,
     /// Pauses of streams at engines that read.
     pauses: Pauses,
     /// The longest pause that any of its routes bears.
@@ -286,7 +286,7 @@
         let paced = own.paced + others.paced;
         let sum = own.pace * f64::from(own.paced) + others.pace * f64::from(others.paced);
         let pace = match paced {
-            0 => READ_GUESS,
+            0 => DEFAULT_PREFILL_SECS,
             _ => sum / f64::from(paced),
         };
         let reading = (own.reading + others.reading) * pace / READ_SHARE;
@@ -337,7 +337,7 @@
                 reading: 0.0,
                 open: 0,
                 writing: 0.0,
-                first: Fit::default(),
+                first: LinearFit::default(),
                 pauses: Pauses::default(),
                 patience: Duration::ZERO,
                 others: Told::default(),
--- a/crates/policy/src/queue/backlog.rs
+++ b/crates/policy/src/queue/backlog.rs
@@ -5,12 +5,12 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use super::item::{Item, Key};
-use super::ranks::{Bucket, Ranks};
+use super::deadline_counts::{Bucket, DeadlineCounts};
+use super::item::{DeadlineKey, QueuedRequest};
 
 /// How far, in microseconds of slot time at weight 1, a workspace may run
 /// ahead of its fair share because its deadlines are near.
-pub(super) const CREDIT_US: u64 = 1_000_000;
+pub(super) const MAX_LEAD_US: u64 = 1_000_000;
 
 /// The waiting requests of one tier: fair between workspaces by start-time
 /// fair queueing, and earliest deadline first within a workspace.
@@ -26,17 +26,17 @@
     /// Workspaces that wait, by tag.
     by_tag: BTreeSet<(u64, Rc<str>)>,
     /// Workspaces that do not wait but are ahead of their share, by tag.
-    idle: BTreeSet<(u64, Rc<str>)>,
+    idle_by_tag: BTreeSet<(u64, Rc<str>)>,
     /// All requests by deadline.
-    by_due: BTreeSet<Key>,
+    by_deadline: BTreeSet<DeadlineKey>,
     /// The tag of the workspace that was picked last for its share.
     virtual_time: u64,
     /// Sum of the weights of workspaces that wait.
-    weights: u64,
+    total_weight: u64,
     /// Sum of the slot time that waiting requests are expected to take.
-    cost: u64,
+    total_cost: u64,
     /// Counts of deadlines.
-    ranks: Ranks,
+    deadline_counts: DeadlineCounts,
 }
 
 /// One workspace's waiting requests.
@@ -44,7 +44,7 @@
 struct Flow {
     tag: u64,
     weight: u64,
-    waiting: BTreeSet<Key>,
+    waiting: BTreeSet<DeadlineKey>,
 }
 
 impl Backlog {
@@ -52,38 +52,38 @@
         Self {
             flows: HashMap::new(),
             by_tag: BTreeSet::new(),
-            idle: BTreeSet::new(),
-            by_due: BTreeSet::new(),
+            idle_by_tag: BTreeSet::new(),
+            by_deadline: BTreeSet::new(),
             virtual_time: 0,
-            weights: 0,
-            cost: 0,
-            ranks: Ranks::new(now),
+            total_weight: 0,
+            total_cost: 0,
+            deadline_counts: DeadlineCounts::new(now),
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.by_due.len()
+        self.by_deadline.len()
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.by_due.is_empty()
+        self.by_deadline.is_empty()
     }
 
     /// Slot time that the waiting requests are expected to take.
-    pub(super) fn cost(&self) -> u64 {
-        self.cost
+    pub(super) fn total_cost(&self) -> u64 {
+        self.total_cost
     }
 
     /// The bucket in which a deadline counts.
     pub(super) fn bucket(&self, now: Instant, due: Instant) -> Bucket {
-        self.ranks.bucket(now, due)
+        self.deadline_counts.bucket(now, due)
     }
 
     /// Queues a request.
-    pub(super) fn insert(&mut self, item: &Item) {
-        self.ranks.add(item.bucket);
-        self.by_due.insert(item.key);
-        self.cost += item.cost;
+    pub(super) fn insert(&mut self, item: &QueuedRequest) {
+        self.deadline_counts.add(item.bucket);
+        self.by_deadline.insert(item.key);
+        self.total_cost += item.cost_us;
 
         let flow = self.flows.entry(Rc::clone(&item.flow));
         let flow = flow.or_insert_with(|| Flow {
@@ -91,35 +91,35 @@
             weight: 1,
             waiting: BTreeSet::new(),
         });
-        let weight = u64::from(item.ask.weight.max(1));
+        let weight = u64::from(item.request.weight.max(1));
         if flow.waiting.is_empty() {
-            self.idle.remove(&(flow.tag, Rc::clone(&item.flow)));
+            self.idle_by_tag.remove(&(flow.tag, Rc::clone(&item.flow)));
             flow.tag = flow.tag.max(self.virtual_time);
             self.by_tag.insert((flow.tag, Rc::clone(&item.flow)));
         } else {
-            self.weights -= flow.weight;
+            self.total_weight -= flow.weight;
         }
         flow.weight = weight;
-        self.weights += weight;
+        self.total_weight += weight;
         flow.waiting.insert(item.key);
     }
 
     /// Takes a request out that does not start.
-    pub(super) fn remove(&mut self, item: &Item) {
-        self.by_due.remove(&item.key);
-        self.cost -= item.cost.min(self.cost);
-        self.ranks.remove(item.bucket);
+    pub(super) fn remove(&mut self, item: &QueuedRequest) {
+        self.by_deadline.remove(&item.key);
+        self.total_cost -= item.cost_us.min(self.total_cost);
+        self.deadline_counts.remove(item.bucket);
 
         if let Some(flow) = self.flows.get_mut(&item.flow) {
             flow.waiting.remove(&item.key);
             if flow.waiting.is_empty() {
-                self.rest(&item.flow);
+                self.mark_idle(&item.flow);
             }
         }
     }
 
     /// Takes a request out that starts, and charges its workspace.
-    pub(super) fn take(&mut self, item: &Item) {
+    pub(super) fn dequeue(&mut self, item: &QueuedRequest) {
         // The virtual time follows the smallest tag; a start out of turn must
         // not move it, or those passed over would lose their claim.
         if let Some((tag, _)) = self.by_tag.first() {
@@ -127,11 +127,11 @@
         }
         if let Some(flow) = self.flows.get_mut(&item.flow) {
             self.by_tag.remove(&(flow.tag, Rc::clone(&item.flow)));
-            flow.tag += charge(item.cost, flow.weight);
+            flow.tag += charge(item.cost_us, flow.weight);
             self.by_tag.insert((flow.tag, Rc::clone(&item.flow)));
         }
         self.remove(item);
-        self.forget();
+        self.forget_idle();
     }
 
     /// Gives a workspace back what a start was charged that did not happen.
@@ -140,7 +140,7 @@
             return;
         };
         let order = match flow.waiting.is_empty() {
-            true => &mut self.idle,
+            true => &mut self.idle_by_tag,
             false => &mut self.by_tag,
         };
         order.remove(&(flow.tag, Rc::clone(name)));
@@ -150,25 +150,25 @@
     }
 
     /// The request that starts next by the fair share.
-    pub(super) fn fair(&self) -> Option<Key> {
+    pub(super) fn next_by_share(&self) -> Option<DeadlineKey> {
         let (_, name) = self.by_tag.first()?;
         self.flows.get(name)?.waiting.first().copied()
     }
 
     /// The request with the earliest deadline.
-    pub(super) fn earliest(&self) -> Option<Key> {
-        self.by_due.first().copied()
+    pub(super) fn earliest(&self) -> Option<DeadlineKey> {
+        self.by_deadline.first().copied()
     }
 
     /// The request with the latest deadline.
-    pub(super) fn last(&self) -> Option<Key> {
-        self.by_due.last().copied()
+    pub(super) fn last(&self) -> Option<DeadlineKey> {
+        self.by_deadline.last().copied()
     }
 
     /// The next request in the order of deadlines after `key`.
-    pub(super) fn after(&self, key: Key) -> Option<Key> {
+    pub(super) fn next_after(&self, key: DeadlineKey) -> Option<DeadlineKey> {
         let range = (Bound::Excluded(key), Bound::Unbounded);
-        self.by_due.range(range).next().copied()
+        self.by_deadline.range(range).next().copied()
     }
 
     /// Whether a workspace may go out of turn for its deadline.
@@ -176,43 +176,43 @@
         let ahead = |f: &Flow| f.tag.saturating_sub(self.virtual_time);
         self.flows
             .get(name)
-            .is_some_and(|f| ahead(f) <= CREDIT_US / f.weight)
+            .is_some_and(|f| ahead(f) <= MAX_LEAD_US / f.weight)
     }
 
     /// How many of the tier's requests are expected to start before one: no
     /// more than are due before `bucket`, and no more than the fair share lets pass
     /// while its own workspace's earlier ones start.
-    pub(super) fn ahead(&self, now: Instant, flow: &Rc<str>, bucket: Bucket) -> usize {
-        let due = self.ranks.before(now, bucket);
+    pub(super) fn count_ahead(&self, now: Instant, flow: &Rc<str>, bucket: Bucket) -> usize {
+        let due = self.deadline_counts.count_before(now, bucket);
         let Some(own) = self.flows.get(flow).filter(|f| !f.waiting.is_empty()) else {
             // A workspace that waits for nothing yet goes after one request
             // of each other one at the most.
             return due.min(self.by_tag.len());
         };
-        let share = own.waiting.len() as u64 * self.weights / own.weight;
+        let share = own.waiting.len() as u64 * self.total_weight / own.weight;
         due.min(usize::try_from(share).unwrap_or(usize::MAX))
     }
 
     /// Moves a workspace that waits no more to those at rest.
-    fn rest(&mut self, name: &Rc<str>) {
+    fn mark_idle(&mut self, name: &Rc<str>) {
         let Some(flow) = self.flows.get(name) else {
             return;
         };
-        self.weights -= flow.weight;
+        self.total_weight -= flow.weight;
         self.by_tag.remove(&(flow.tag, Rc::clone(name)));
-        self.idle.insert((flow.tag, Rc::clone(name)));
-        self.forget();
+        self.idle_by_tag.insert((flow.tag, Rc::clone(name)));
+        self.forget_idle();
     }
 
     /// Forgets workspaces at rest that are not ahead of their share any more:
     /// coming back they start where a new one does. That bounds the memory.
-    fn forget(&mut self) {
-        let all = self.by_due.is_empty();
-        while let Some((tag, _)) = self.idle.first() {
+    fn forget_idle(&mut self) {
+        let all = self.by_deadline.is_empty();
+        while let Some((tag, _)) = self.idle_by_tag.first() {
             if !all && *tag > self.virtual_time {
                 return;
             }
-            if let Some((_, name)) = self.idle.pop_first() {
+            if let Some((_, name)) = self.idle_by_tag.pop_first() {
                 self.flows.remove(&name);
             }
         }
--- a/crates/policy/src/queue/guarantee.rs
+++ b/crates/policy/src/queue/guarantee.rs
@@ -7,13 +7,13 @@
 use base::ids::Tier;
 
 /// Classes that wait for nothing are forgotten after this time.
-const FORGET: Duration = Duration::from_secs(60);
+const CLASS_EXPIRY: Duration = Duration::from_secs(60);
 
 /// With more classes than this the forgotten ones are taken out.
-const MANY: usize = 32;
+const CLEANUP_THRESHOLD: usize = 32;
 
 /// A start is due when the credit has come to a whole one, but for rounding.
-const WHOLE: f64 = 1.0 - 1e-9;
+const FULL_CREDIT: f64 = 1.0 - 1e-9;
 
 /// Counts the share of starts due to lower tiers and whose turn it is.
 ///
@@ -27,14 +27,14 @@
     /// What was earned and not spent.
     credit: f64,
     /// Classes by tier and name.
-    classes: BTreeMap<(Tier, Rc<str>), Class>,
+    classes: BTreeMap<(Tier, Rc<str>), ClassState>,
 }
 
 /// One class's claim.
 #[derive(Debug)]
-struct Class {
+struct ClassState {
     /// Since when requests came and none started.
-    since: Instant,
+    unserved_since: Instant,
     /// Whether any came since one started.
     unserved: bool,
     /// When one came or started last.
@@ -66,22 +66,22 @@
     }
 
     /// Notes that a request of a class came, whether or not it is queued.
-    pub(super) fn came(&mut self, now: Instant, tier: Tier, class: &Rc<str>) {
-        if self.classes.len() > MANY {
-            let lately = |c: &Class| now.saturating_duration_since(c.seen) < FORGET;
+    pub(super) fn record_arrival(&mut self, now: Instant, tier: Tier, class: &Rc<str>) {
+        if self.classes.len() > CLEANUP_THRESHOLD {
+            let lately = |c: &ClassState| now.saturating_duration_since(c.seen) < CLASS_EXPIRY;
             self.classes
                 .retain(|_, c| !c.waiting.is_empty() || lately(c));
         }
         let entry = self.classes.entry((tier, Rc::clone(class)));
-        let class = entry.or_insert_with(|| Class {
-            since: now,
+        let class = entry.or_insert_with(|| ClassState {
+            unserved_since: now,
             unserved: false,
             seen: now,
             waiting: BTreeSet::new(),
         });
         if !class.unserved {
             class.unserved = true;
-            class.since = now;
+            class.unserved_since = now;
         }
         class.seen = now;
     }
@@ -90,7 +90,9 @@
     pub(super) fn unserved(&self, now: Instant, tier: Tier, class: &Rc<str>) -> Duration {
         let found = self.classes.get(&(tier, Rc::clone(class)));
         let found = found.filter(|c| c.unserved);
-        found.map_or(Duration::ZERO, |c| now.saturating_duration_since(c.since))
+        found.map_or(Duration::ZERO, |c| {
+            now.saturating_duration_since(c.unserved_since)
+        })
     }
 
     /// How many requests of a class wait.
@@ -100,7 +102,7 @@
     }
 
     /// How many classes below `top` wait.
-    pub(super) fn claims(&self, top: Tier) -> usize {
+    pub(super) fn waiting_classes(&self, top: Tier) -> usize {
         let below = self.classes.iter().filter(|((tier, _), _)| *tier > top);
         below.filter(|(_, c)| !c.waiting.is_empty()).count()
     }
@@ -121,20 +123,20 @@
     /// the class below `top` that has gone without a start longest. By class
     /// and not by request, or a class with long targets, whose requests can
     /// wait long, would take every turn of one with short targets.
-    pub(super) fn due(&self, top: Tier) -> Option<u64> {
-        if self.credit < WHOLE {
+    pub(super) fn next_out_of_turn(&self, top: Tier) -> Option<u64> {
+        if self.credit < FULL_CREDIT {
             return None;
         }
         let below = self.classes.iter().filter(|((tier, _), _)| *tier > top);
         let waiting = below.filter(|(_, c)| !c.waiting.is_empty());
-        let (_, class) = waiting.min_by_key(|(_, c)| c.since)?;
+        let (_, class) = waiting.min_by_key(|(_, c)| c.unserved_since)?;
         class.waiting.first().copied()
     }
 
     /// Notes a start of a class.
-    pub(super) fn started(&mut self, now: Instant, tier: Tier, class: &Rc<str>) {
+    pub(super) fn record_start(&mut self, now: Instant, tier: Tier, class: &Rc<str>) {
         if let Some(class) = self.classes.get_mut(&(tier, Rc::clone(class))) {
-            class.since = now;
+            class.unserved_since = now;
             class.seen = now;
             class.unserved = !class.waiting.is_empty();
         }
--- a/crates/policy/src/queue/rules.rs
+++ b/crates/policy/src/queue/settings.rs
@@ -19,7 +19,7 @@
 /// Limits and shares of one queue.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Rules {
+pub struct QueueSettings {
     /// How the queue decides.
     pub policy: QueuePolicy,
     /// Requests that may wait.
@@ -37,7 +37,7 @@
     pub preempt: bool,
 }
 
-impl Default for Rules {
+impl Default for QueueSettings {
     fn default() -> Self {
         Self {
             policy: QueuePolicy::default(),
--- a/crates/policy/src/queue/slots.rs
+++ b/crates/policy/src/queue/slots.rs
@@ -7,39 +7,39 @@
 
 use base::ids::{Ticket, Tier};
 
-use super::item::Ask;
+use super::item::QueueRequest;
 
 /// Who holds a slot and who runs. The number of slots in use is the number of
 /// entries here, so that no interleaving of calls can leak one.
 #[derive(Debug)]
 pub(super) struct Slots {
     total: usize,
-    held: HashMap<Ticket, Grant>,
-    running: HashMap<Ticket, Grant>,
+    held: HashMap<Ticket, SlotHolder>,
+    running: HashMap<Ticket, SlotHolder>,
     /// Slots in use by tier.
     tiers: BTreeMap<Tier, usize>,
     /// Sum of the running requests' starts, as time since `epoch`, so that
     /// their mean age needs no walk over them.
-    starts: Duration,
+    start_sum: Duration,
     epoch: Instant,
 }
 
 /// A request that holds a slot or runs.
 #[derive(Debug)]
-pub(super) struct Grant {
-    pub(super) ask: Ask,
+pub(super) struct SlotHolder {
+    pub(super) request: QueueRequest,
     /// The tier that it was queued in.
     pub(super) tier: Tier,
     /// The flow that was charged.
     pub(super) flow: Rc<str>,
     /// What the flow was charged.
-    pub(super) cost: u64,
+    pub(super) cost_us: u64,
     /// Whether it was let go before a higher tier.
     pub(super) guaranteed: bool,
     /// When it got the slot, or started.
     pub(super) since: Instant,
     /// When its newest piece came.
-    pub(super) newest: Option<Instant>,
+    pub(super) last_piece: Option<Instant>,
     /// Pieces made.
     pub(super) pieces: u32,
     /// Whether any piece has left the sidecar.
@@ -55,7 +55,7 @@
             held: HashMap::new(),
             running: HashMap::new(),
             tiers: BTreeMap::new(),
-            starts: Duration::ZERO,
+            start_sum: Duration::ZERO,
             epoch: now,
         }
     }
@@ -77,12 +77,12 @@
     }
 
     /// Slots in use by one tier.
-    pub(super) fn of_tier(&self, tier: Tier) -> usize {
+    pub(super) fn used_by_tier(&self, tier: Tier) -> usize {
         self.tiers.get(&tier).copied().unwrap_or(0)
     }
 
     /// Mean time since the start of those that run.
-    pub(super) fn age(&self, now: Instant) -> Duration {
+    pub(super) fn mean_age(&self, now: Instant) -> Duration {
         let Ok(count) = u32::try_from(self.running.len()) else {
             return Duration::ZERO;
         };
@@ -90,18 +90,18 @@
             return Duration::ZERO;
         }
         let now = now.saturating_duration_since(self.epoch);
-        now.saturating_sub(self.starts / count)
+        now.saturating_sub(self.start_sum / count)
     }
 
-    pub(super) fn hold(&mut self, grant: Grant) {
+    pub(super) fn hold(&mut self, grant: SlotHolder) {
         *self.tiers.entry(grant.tier).or_default() += 1;
-        self.held.insert(grant.ask.ticket, grant);
+        self.held.insert(grant.request.ticket, grant);
     }
 
     /// Gives the slot of a request back that holds it and has not started.
-    pub(super) fn unhold(&mut self, ticket: Ticket) -> Option<Grant> {
+    pub(super) fn release_held(&mut self, ticket: Ticket) -> Option<SlotHolder> {
         let grant = self.held.remove(&ticket)?;
-        self.vacate(grant.tier);
+        self.release_in_tier(grant.tier);
         Some(grant)
     }
 
@@ -111,21 +111,21 @@
             return false;
         };
         grant.since = now;
-        self.starts += now.saturating_duration_since(self.epoch);
+        self.start_sum += now.saturating_duration_since(self.epoch);
         self.running.insert(ticket, grant);
         true
     }
 
-    pub(super) fn run(&mut self, ticket: Ticket) -> Option<&mut Grant> {
+    pub(super) fn running_mut(&mut self, ticket: Ticket) -> Option<&mut SlotHolder> {
         self.running.get_mut(&ticket)
     }
 
     /// Gives the slot of a run back.
-    pub(super) fn end(&mut self, ticket: Ticket) -> Option<Grant> {
+    pub(super) fn release_running(&mut self, ticket: Ticket) -> Option<SlotHolder> {
         let grant = self.running.remove(&ticket)?;
         let start = grant.since.saturating_duration_since(self.epoch);
-        self.starts = self.starts.saturating_sub(start);
-        self.vacate(grant.tier);
+        self.start_sum = self.start_sum.saturating_sub(start);
+        self.release_in_tier(grant.tier);
         Some(grant)
     }
 
@@ -137,17 +137,17 @@
     /// The run to stop for a request of tier `above`: of the lowest tier, the
     /// one with the least done. Only one whose caller has seen nothing, which
     /// may run again, and which was not stopped before; so each ends.
-    pub(super) fn victim(&self, above: Tier) -> Option<Ticket> {
-        let fit = |g: &&Grant| {
-            let fresh = g.ask.preempted == 0 && !g.delivered && !g.stopping;
-            g.tier > above && g.ask.repeatable && fresh
+    pub(super) fn preemption_victim(&self, above: Tier) -> Option<Ticket> {
+        let fit = |g: &&SlotHolder| {
+            let fresh = g.request.preemptions == 0 && !g.delivered && !g.stopping;
+            g.tier > above && g.request.repeatable && fresh
         };
-        let worst = |g: &&Grant| (g.tier, Reverse(g.pieces), g.since, g.ask.ticket);
+        let worst = |g: &&SlotHolder| (g.tier, Reverse(g.pieces), g.since, g.request.ticket);
         let found = self.running.values().filter(fit).max_by_key(worst);
-        found.map(|g| g.ask.ticket)
+        found.map(|g| g.request.ticket)
     }
 
-    fn vacate(&mut self, tier: Tier) {
+    fn release_in_tier(&mut self, tier: Tier) {
         if let Some(count) = self.tiers.get_mut(&tier) {
             *count -= 1;
             if *count == 0 {
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -3,16 +3,16 @@
 use std::time::{Duration, Instant};
 
 use base::ids::Offset;
-use policy::lease::{Claim, Lease, in_force};
-use policy::pacing;
-use policy::wish::{Loaded, Step, next};
+use policy::backoff;
+use policy::lease::{Lease, LeaseClaim, current_claim};
+use policy::loading::{LoadStep, LoadedModel, next_step};
 use rstest::rstest;
 
 const TTL: Duration = Duration::from_secs(10);
 
 /// A claim for ten seconds at a time of the log, in seconds.
-fn claim(offset: u64, secs: u64, holder: &str) -> Claim<'_> {
-    Claim {
+fn claim(offset: u64, secs: u64, holder: &str) -> LeaseClaim<'_> {
+    LeaseClaim {
         offset: Offset(offset),
         time_ms: secs * 1000,
         holder,
@@ -29,7 +29,7 @@
 #[case::late_renewal_in_vain(&[(0, 0, "a"), (1, 10, "b"), (2, 11, "a")], Some((1, "b")))]
 #[case::race(&[(0, 0, "a"), (1, 10, "b"), (2, 10, "c")], Some((1, "b")))]
 fn in_force_claims(#[case] claims: &[(u64, u64, &str)], #[case] expected: Option<(u64, &str)>) {
-    let held = in_force(claims.iter().map(|(o, t, h)| claim(*o, *t, h)));
+    let held = current_claim(claims.iter().map(|(o, t, h)| claim(*o, *t, h)));
     assert_eq!(held.map(|c| (c.offset.0, c.holder)), expected);
 }
 
@@ -40,16 +40,16 @@
 fn fence_after_pause() {
     let sent = Instant::now();
     let lease = Lease::new(Offset(7), sent, TTL);
-    assert_eq!(lease.fence(sent), Some(Offset(7)));
-    assert!(!lease.due(sent + TTL / 4));
-    assert!(lease.due(sent + TTL / 2));
-    assert_eq!(lease.fence(sent + TTL), None);
+    assert_eq!(lease.fencing_token(sent), Some(Offset(7)));
+    assert!(!lease.needs_renewal(sent + TTL / 4));
+    assert!(lease.needs_renewal(sent + TTL / 2));
+    assert_eq!(lease.fencing_token(sent + TTL), None);
     // It ends before the log lets anyone else in.
-    assert_eq!(lease.fence(sent + TTL * 9 / 10), None);
+    assert_eq!(lease.fencing_token(sent + TTL * 9 / 10), None);
 }
 
-fn loaded(version: &str, adapters: &[&str]) -> Loaded {
-    Loaded {
+fn loaded(version: &str, adapters: &[&str]) -> LoadedModel {
+    LoadedModel {
         version: version.to_owned(),
         adapters: adapters.iter().map(|a| (*a).to_owned()).collect(),
     }
@@ -58,11 +58,15 @@
 #[rstest]
 #[case::nothing_wanted(loaded("", &[]), loaded("1", &["x"]), None)]
 #[case::there(loaded("1", &["x"]), loaded("1", &["x"]), None)]
-#[case::version_first(loaded("2", &["y"]), loaded("1", &[]), Some(Step::Version("2".into())))]
-#[case::adapter(loaded("1", &["x"]), loaded("1", &["y"]), Some(Step::Adapter("x".into())))]
-#[case::unload_last(loaded("1", &["x"]), loaded("1", &["x", "y"]), Some(Step::Unload("y".into())))]
-fn next_step(#[case] wanted: Loaded, #[case] is: Loaded, #[case] expected: Option<Step>) {
-    assert_eq!(next(&wanted, &is), expected);
+#[case::version_first(loaded("2", &["y"]), loaded("1", &[]), Some(LoadStep::LoadVersion("2".into())))]
+#[case::adapter(loaded("1", &["x"]), loaded("1", &["y"]), Some(LoadStep::LoadAdapter("x".into())))]
+#[case::unload_last(loaded("1", &["x"]), loaded("1", &["x", "y"]), Some(LoadStep::UnloadAdapter("y".into())))]
+fn load_steps_in_order(
+    #[case] wanted: LoadedModel,
+    #[case] is: LoadedModel,
+    #[case] expected: Option<LoadStep>,
+) {
+    assert_eq!(next_step(&wanted, &is), expected);
 }
 
 #[rstest]
@@ -79,7 +83,7 @@
 ) {
     let ms = Duration::from_millis;
     assert_eq!(
-        pacing::wait(attempt, ms(100), ms(after), drawn),
+        backoff::delay(attempt, ms(100), ms(after), drawn),
         ms(expected)
     );
 }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use policy::Placement;
-use policy::offer::{Offer, Size, grace};
+use policy::load::{Load, TokenLatency};
+use policy::offer::{Offer, RequestSize, grace_period};
 use policy::outlier::Fault;
-use policy::pace::{Load, Pace};
 use policy::placement::{Mode, Options, ServerIndex, Want};
 use rstest::rstest;
 
@@ -40,9 +40,9 @@
     Load {
         running,
         slots: SLOTS,
-        pace: Pace {
-            first: Duration::from_millis(token_ms),
-            token: Duration::from_millis(token_ms),
+        latency: TokenLatency {
+            first_token: Duration::from_millis(token_ms),
+            per_token: Duration::from_millis(token_ms),
         },
         ..Load::default()
     }
@@ -177,16 +177,16 @@
     assert_eq!(placement.ejected(3), expected);
 }
 
-const SIZE: Size = Size {
-    prompt: 100,
-    answer: 100,
+const SIZE: RequestSize = RequestSize {
+    prompt_tokens: 100,
+    answer_tokens: 100,
 };
 
 fn offer(wait_ms: u64, token_ms: u64) -> Offer {
     Offer {
         wait: Duration::from_millis(wait_ms),
-        pace: load(0, token_ms).pace,
-        cached: 0,
+        latency: load(0, token_ms).latency,
+        cached_tokens: 0,
     }
 }
 
@@ -200,7 +200,13 @@
 #[case::alone(offer(0, 12), vec![], 0)]
 fn grace_cases(#[case] held: Offer, #[case] others: Vec<Offer>, #[case] expected_ms: u64) {
     let limit = Duration::from_millis(100);
-    let grace = grace(held, others.into_iter(), SIZE, Pace::default(), limit);
+    let grace = grace_period(
+        held,
+        others.into_iter(),
+        SIZE,
+        TokenLatency::default(),
+        limit,
+    );
     assert_eq!(grace, Duration::from_millis(expected_ms));
 }
 
@@ -208,9 +214,9 @@
 fn finish_cached() {
     let cold = offer(0, 3);
     let warm = Offer {
-        cached: 100,
+        cached_tokens: 100,
         ..cold
     };
-    let saved = cold.finish(SIZE, cold.pace) - warm.finish(SIZE, cold.pace);
+    let saved = cold.completion_time(SIZE, cold.latency) - warm.completion_time(SIZE, cold.latency);
     assert_eq!(saved, Duration::from_millis(3));
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -5,48 +5,48 @@
 
 use base::ids::{Ticket, Tier};
 use base::reason::Refusal;
-use policy::queue::{Ask, Offered, Queue, QueuePolicy, Rules, Verdict};
+use policy::queue::{Admission, Queue, QueuePolicy, QueueRequest, QueueSettings, Rejection};
 use rstest::rstest;
 
 const MS: Duration = Duration::from_millis(1);
 
-fn ask(ticket: u128, tier: u8, workspace: &str, due: Instant) -> Ask {
-    Ask {
+fn ask(ticket: u128, tier: u8, workspace: &str, due: Instant) -> QueueRequest {
+    QueueRequest {
         ticket: Ticket(ticket),
         class: Rc::from(format!("class-{tier}")),
         workspace: Rc::from(workspace),
         weight: 1,
         tier: Tier(tier),
-        first_due: due,
-        whole_due: due + Duration::from_secs(20),
-        prompt: 100,
-        tokens: u32::MAX,
+        first_deadline: due,
+        answer_deadline: due + Duration::from_secs(20),
+        prompt_tokens: 100,
+        max_tokens: u32::MAX,
         repeatable: true,
-        preempted: 0,
+        preemptions: 0,
     }
 }
 
-fn rules(policy: QueuePolicy) -> Rules {
-    Rules {
+fn rules(policy: QueuePolicy) -> QueueSettings {
+    QueueSettings {
         policy,
         limit: 4,
         guaranteed: 0.0,
-        ..Rules::default()
+        ..QueueSettings::default()
     }
 }
 
 /// Grants a slot and runs the request in it for `took`.
 fn run(queue: &mut Queue, now: &mut Instant, took: Duration) -> Option<u128> {
-    let granted = queue.next(*now)?;
+    let granted = queue.grant_next(*now)?;
     queue.start(*now, granted.ticket);
     *now += took / 2;
-    queue.piece(*now, granted.ticket, 1);
+    queue.record_piece(*now, granted.ticket, 1);
     *now += took / 2;
     queue.finish(*now, granted.ticket, true);
     Some(granted.ticket.0)
 }
 
-fn refused(reason: Refusal, given_up: &[(Ticket, Verdict)]) -> Vec<u128> {
+fn refused(reason: Refusal, given_up: &[(Ticket, Rejection)]) -> Vec<u128> {
     let of = given_up.iter().filter(|(_, v)| v.reason == reason);
     of.map(|(ticket, _)| ticket.0).collect()
 }
@@ -71,11 +71,16 @@
 // tier's latest deadline is told "shed" and "not run", be it the newcomer or
 // one that waits; callers of higher tiers notice nothing.
 #[rstest]
-#[case::newcomer_higher(0, 100, Offered::Queued, &[4])]
-#[case::newcomer_same_tier_earlier(2, 100, Offered::Queued, &[4])]
+#[case::newcomer_higher(0, 100, Admission::Queued, &[4])]
+#[case::newcomer_same_tier_earlier(2, 100, Admission::Queued, &[4])]
 #[case::newcomer_lowest(3, 100, shed(), &[])]
 #[case::newcomer_same_tier_latest(2, 900, shed(), &[])]
-fn offer_full(#[case] tier: u8, #[case] due: u32, #[case] offered: Offered, #[case] out: &[u128]) {
+fn offer_full(
+    #[case] tier: u8,
+    #[case] due: u32,
+    #[case] offered: Admission,
+    #[case] out: &[u128],
+) {
     let now = Instant::now();
     let mut queue = Queue::new(rules(QueuePolicy::Full), 1, now);
     for (ticket, tier, due) in [(1, 0, 800), (2, 1, 850), (3, 2, 300), (4, 2, 700)] {
@@ -88,10 +93,10 @@
     assert_eq!(queue.waiting(), 4);
 }
 
-fn shed() -> Offered {
-    Offered::Refused(Verdict {
+fn shed() -> Admission {
+    Admission::Refused(Rejection {
         reason: Refusal::Shed,
-        after: Duration::from_secs(1),
+        retry_after: Duration::from_secs(1),
     })
 }
 
@@ -103,7 +108,7 @@
 #[case::double_weight(2, 6)]
 fn next_fair(#[case] weight: u32, #[case] small_of_ten: usize) {
     let mut now = Instant::now();
-    let rules = Rules {
+    let rules = QueueSettings {
         limit: 1000,
         ..rules(QueuePolicy::NoAdmission)
     };
@@ -127,7 +132,7 @@
 #[test]
 fn next_guaranteed_share() {
     let mut now = Instant::now();
-    let rules = Rules {
+    let rules = QueueSettings {
         limit: 10_000,
         guaranteed: 0.05,
         ..rules(QueuePolicy::NoAdmission)
@@ -161,7 +166,7 @@
 
 /// A queue with one slot that has learned that a run takes 100 ms.
 fn learned(now: &mut Instant) -> Queue {
-    let rules = Rules {
+    let rules = QueueSettings {
         limit: 1000,
         ..rules(QueuePolicy::Full)
     };
@@ -185,14 +190,14 @@
         .map(|ticket| queue.offer(now, ask(ticket, 1, "a", due)))
         .collect();
 
-    let accepted = offers.iter().filter(|o| **o == Offered::Queued).count();
+    let accepted = offers.iter().filter(|o| **o == Admission::Queued).count();
     assert!((4..=5).contains(&accepted), "{accepted}");
     for offer in &offers {
-        let Offered::Refused(verdict) = offer else {
+        let Admission::Refused(verdict) = offer else {
             continue;
         };
         assert_eq!(verdict.reason, Refusal::TargetUnreachable);
-        assert!(verdict.after >= 50 * MS && verdict.after < Duration::from_secs(5));
+        assert!(verdict.retry_after >= 50 * MS && verdict.retry_after < Duration::from_secs(5));
     }
 
     let mut served = 0;
@@ -208,14 +213,14 @@
 #[test]
 fn offer_cold() {
     let now = Instant::now();
-    let rules = Rules {
+    let rules = QueueSettings {
         limit: 1000,
         ..rules(QueuePolicy::Full)
     };
     let mut queue = Queue::new(rules, 1, now);
     for ticket in 0..20 {
         let offered = queue.offer(now, ask(ticket, 1, "a", now + 100 * MS));
-        assert_eq!(offered, Offered::Queued);
+        assert_eq!(offered, Admission::Queued);
     }
     assert_eq!(queue.review(now + 99 * MS), []);
     let given_up = queue.review(now + 100 * MS);
@@ -233,11 +238,11 @@
     for ticket in 0..6 {
         assert_eq!(
             queue.offer(now, ask(ticket, 1, "a", due + 50 * MS * ticket as u32)),
-            Offered::Queued
+            Admission::Queued
         );
     }
 
-    let granted = queue.next(now).expect("a slot is free");
+    let granted = queue.grant_next(now).expect("a slot is free");
     queue.start(now, granted.ticket);
     let mut told = Vec::new();
     while now < due - 300 * MS {
@@ -260,17 +265,17 @@
     let mut queue = Queue::new(rules, 1, now);
     for ticket in 0..40 {
         let mut short = ask(ticket, 1, "a", now + Duration::from_secs(9));
-        short.prompt = 100 + 10 * ticket as u32;
-        let first = MS / 2 * short.prompt;
+        short.prompt_tokens = 100 + 10 * ticket as u32;
+        let first = MS / 2 * short.prompt_tokens;
         queue.offer(now, short);
         run(&mut queue, &mut now, first * 2);
     }
 
     let mut long = ask(1000, 1, "a", now + 500 * MS);
-    long.prompt = 20_000;
-    assert!(matches!(queue.offer(now, long), Offered::Refused(_)));
+    long.prompt_tokens = 20_000;
+    assert!(matches!(queue.offer(now, long), Admission::Refused(_)));
     let short = ask(1001, 1, "a", now + 500 * MS);
-    assert_eq!(queue.offer(now, short), Offered::Queued);
+    assert_eq!(queue.offer(now, short), Admission::Queued);
 }
 
 // Callers of the top tier have lately used two slots at a time, and a slot in
@@ -279,7 +284,7 @@
 #[test]
 fn next_headroom() {
     let mut now = Instant::now();
-    let rules = Rules {
+    let rules = QueueSettings {
         limit: 1000,
         ..rules(QueuePolicy::Full)
     };
@@ -292,7 +297,7 @@
         let tops = [100 + 2 * round, 101 + 2 * round];
         for ticket in tops {
             queue.offer(now, ask(ticket, 0, "a", now + 100 * MS));
-            let granted = queue.next(now).expect("a slot is free");
+            let granted = queue.grant_next(now).expect("a slot is free");
             queue.start(now, granted.ticket);
         }
         now += 10 * MS;
@@ -302,15 +307,15 @@
         }
     }
 
-    assert_eq!(queue.kept(now), 2);
+    assert_eq!(queue.reserved_slots(now), 2);
     for ticket in 1000..1010 {
         queue.offer(now, ask(ticket, 1, "a", now + Duration::from_secs(60)));
     }
-    let granted = |queue: &mut Queue, now| std::iter::from_fn(|| queue.next(now)).count();
+    let granted = |queue: &mut Queue, now| std::iter::from_fn(|| queue.grant_next(now)).count();
     assert_eq!(granted(&mut queue, now), 2);
     queue.offer(now, ask(2000, 0, "a", now + 100 * MS));
     assert_eq!(granted(&mut queue, now), 1, "the top tier's own");
-    assert_eq!(queue.kept(now), 1);
+    assert_eq!(queue.reserved_slots(now), 1);
 
     now += Duration::from_secs(10);
     assert_eq!(granted(&mut queue, now), 1);
@@ -332,15 +337,15 @@
     let mut queue = Queue::new(rules(QueuePolicy::Full), runs.len(), now);
     for (ticket, (tier, pieces)) in (0..).zip(runs) {
         queue.offer(now, ask(ticket, *tier, "a", now + Duration::from_secs(9)));
-        let granted = queue.next(now).expect("a slot is free");
+        let granted = queue.grant_next(now).expect("a slot is free");
         queue.start(now, granted.ticket);
         for _ in 0..*pieces {
             now += MS;
-            queue.piece(now, granted.ticket, 1);
+            queue.record_piece(now, granted.ticket, 1);
         }
     }
     if let Some(ticket) = delivered {
-        queue.delivered(Ticket(ticket));
+        queue.mark_delivered(Ticket(ticket));
     }
 
     queue.offer(now, ask(99, 0, "a", now + 50 * MS));
@@ -359,9 +364,9 @@
     let now = Instant::now();
     let mut queue = Queue::new(rules(QueuePolicy::Full), 1, now);
     let mut lower = ask(1, 1, "a", now + Duration::from_secs(9));
-    (lower.repeatable, lower.preempted) = (repeatable, preempted);
+    (lower.repeatable, lower.preemptions) = (repeatable, preempted);
     queue.offer(now, lower);
-    let granted = queue.next(now).expect("a slot is free");
+    let granted = queue.grant_next(now).expect("a slot is free");
     queue.start(now, granted.ticket);
     queue.offer(now, ask(2, 0, "a", now + MS));
     assert_eq!(queue.preempt(now + MS), None);
--- a/crates/policy/tests/queue_props.rs
+++ b/crates/policy/tests/queue_props.rs
@@ -7,7 +7,7 @@
 
 use base::ids::{Ticket, Tier};
 use base::reason::Refusal;
-use policy::queue::{Ask, Offered, Queue, QueuePolicy, Rules, Verdict};
+use policy::queue::{Admission, Queue, QueuePolicy, QueueRequest, QueueSettings, Rejection};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -84,7 +84,7 @@
     queue: Queue,
     now: Instant,
     last: u128,
-    asks: HashMap<Ticket, Ask>,
+    asks: HashMap<Ticket, QueueRequest>,
     waiting: HashSet<Ticket>,
     held: Vec<Ticket>,
     running: Vec<Ticket>,
@@ -95,7 +95,7 @@
 }
 
 impl Model {
-    fn new(rules: Rules) -> Self {
+    fn new(rules: QueueSettings) -> Self {
         let now = Instant::now();
         Self {
             queue: Queue::new(rules, SLOTS, now),
@@ -129,12 +129,12 @@
             Step::Cancel { which, lapsed } => self.cancel(which, lapsed),
             Step::Piece { which } => {
                 if let Some(ticket) = nth(&self.running, which) {
-                    self.queue.piece(self.now, ticket, 1);
+                    self.queue.record_piece(self.now, ticket, 1);
                 }
             }
             Step::Deliver { which } => {
                 if let Some(ticket) = nth(&self.running, which) {
-                    self.queue.delivered(ticket);
+                    self.queue.mark_delivered(ticket);
                 }
             }
             Step::Finish { which, whole } => {
@@ -158,26 +158,26 @@
         repeatable: bool,
     ) -> Result<(), TestCaseError> {
         self.last += 1;
-        let ask = Ask {
+        let ask = QueueRequest {
             ticket: Ticket(self.last),
             class: Rc::from(format!("class-{tier}")),
             workspace: Rc::from(format!("workspace-{workspace}")),
             weight: u32::from(workspace),
             tier: Tier(tier),
-            first_due: self.now + target_ms * MS,
-            whole_due: self.now + (target_ms + 500) * MS,
-            prompt: 10 * target_ms,
-            tokens: 1000,
+            first_deadline: self.now + target_ms * MS,
+            answer_deadline: self.now + (target_ms + 500) * MS,
+            prompt_tokens: 10 * target_ms,
+            max_tokens: 1000,
             repeatable,
-            preempted: u32::from(target_ms.is_multiple_of(7)),
+            preemptions: u32::from(target_ms.is_multiple_of(7)),
         };
         self.asks.insert(ask.ticket, ask.clone());
         let (ticket, before) = (ask.ticket, self.waiting.clone());
         match self.queue.offer(self.now, ask) {
-            Offered::Queued => {
+            Admission::Queued => {
                 self.waiting.insert(ticket);
             }
-            Offered::Refused(verdict) => self.refused(ticket, verdict, &before)?,
+            Admission::Refused(verdict) => self.refused(ticket, verdict, &before)?,
         }
         Ok(())
     }
@@ -188,7 +188,7 @@
     fn refused(
         &self,
         ticket: Ticket,
-        verdict: Verdict,
+        verdict: Rejection,
         others: &HashSet<Ticket>,
     ) -> Result<(), TestCaseError> {
         let tier = self.tier(ticket);
@@ -199,7 +199,7 @@
         Ok(())
     }
 
-    fn give_up(&mut self, given_up: &[(Ticket, Verdict)]) -> Result<(), TestCaseError> {
+    fn give_up(&mut self, given_up: &[(Ticket, Rejection)]) -> Result<(), TestCaseError> {
         for (ticket, _) in given_up {
             prop_assert!(self.waiting.remove(ticket), "given up but not waiting");
         }
@@ -211,7 +211,7 @@
 
     fn next(&mut self, unstarted: usize) -> Result<(), TestCaseError> {
         let mut left = unstarted;
-        while let Some(granted) = self.queue.next(self.now) {
+        while let Some(granted) = self.queue.grant_next(self.now) {
             let ticket = granted.ticket;
             prop_assert!(self.waiting.remove(&ticket), "granted but not waiting");
             let higher = self.waiting.iter().any(|t| self.tier(*t) < granted.tier);
@@ -265,12 +265,12 @@
         };
         let ask = self.asks[&victim].clone();
         prop_assert!(self.running.contains(&victim));
-        prop_assert!(ask.repeatable && ask.preempted == 0);
+        prop_assert!(ask.repeatable && ask.preemptions == 0);
         let wanted = self.waiting.iter().map(|t| self.tier(*t)).min();
         prop_assert!(wanted.is_some_and(|t| t < ask.tier), "nothing higher waits");
         self.finish(victim, false);
         // The slot goes to the tier that it was taken for.
-        let granted = self.queue.next(self.now);
+        let granted = self.queue.grant_next(self.now);
         let granted = granted.ok_or_else(|| TestCaseError::fail("stopped in vain"))?;
         prop_assert!(granted.tier < ask.tier);
         self.waiting.remove(&granted.ticket);
@@ -299,12 +299,12 @@
     of.get(which % of.len().max(1)).copied()
 }
 
-fn rules(policy: QueuePolicy) -> Rules {
-    Rules {
+fn rules(policy: QueuePolicy) -> QueueSettings {
+    QueueSettings {
         policy,
         limit: 12,
         guaranteed: 0.2,
-        ..Rules::default()
+        ..QueueSettings::default()
     }
 }
 
@@ -331,10 +331,10 @@
 fn queue_serves_every_class() {
     for seed in 0..4 {
         let mut rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
-        let mut model = Model::new(Rules {
+        let mut model = Model::new(QueueSettings {
             limit: 200,
             guaranteed: 0.05,
-            ..Rules::default()
+            ..QueueSettings::default()
         });
         let mut served = [0; 3];
         for tick in 0..12_000u32 {
@@ -355,7 +355,7 @@
             }
             model.next(0).expect("holds");
             for ticket in model.running.clone() {
-                model.queue.piece(model.now, ticket, 1);
+                model.queue.record_piece(model.now, ticket, 1);
             }
             if tick % 4000 == 3999 {
                 assert!(served.iter().all(|n| *n > 0), "seed {seed}: {served:?}");
@@ -375,7 +375,7 @@
         let mut rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
         let now = Instant::now();
         let mut queue = Queue::new(
-            Rules {
+            QueueSettings {
                 limit: 10_000,
                 ..rules(QueuePolicy::NoAdmission)
             },
@@ -387,18 +387,18 @@
             // The first workspace asks for most and with the nearest deadlines.
             let which: u128 = rng.random_range(0..10);
             let workspace = which.saturating_sub(6) as u32;
-            let ask = Ask {
+            let ask = QueueRequest {
                 ticket: Ticket(ticket),
                 class: Rc::from("class"),
                 workspace: Rc::from(format!("workspace-{workspace}")),
                 weight: workspace + 1,
                 tier: Tier(1),
-                first_due: now + Duration::from_secs(60 + u64::from(workspace)),
-                whole_due: now + Duration::from_secs(600),
-                prompt: 100,
-                tokens: 1000,
+                first_deadline: now + Duration::from_secs(60 + u64::from(workspace)),
+                answer_deadline: now + Duration::from_secs(600),
+                prompt_tokens: 100,
+                max_tokens: 1000,
                 repeatable: true,
-                preempted: 0,
+                preemptions: 0,
             };
             asks.insert(ask.ticket, workspace);
             queue.offer(now, ask);
@@ -406,7 +406,7 @@
 
         let mut got = [0u32; 4];
         for _ in 0..600 {
-            let granted = queue.next(now).expect("a slot is free");
+            let granted = queue.grant_next(now).expect("a slot is free");
             queue.start(now, granted.ticket);
             queue.finish(now, granted.ticket, false);
             got[asks[&granted.ticket] as usize] += 1;
--- a/crates/policy/tests/rests.rs
+++ b/crates/policy/tests/rests.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use policy::balance::{Balance, By, Listed, Part, Want, Word};
-use policy::waits;
+use policy::wait_estimate;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -185,7 +185,7 @@
         }
         let wait = self.entries[which].next_turn(self.now, "app");
         let wait = wait.unwrap_or_default().max(MS * 100);
-        let after = waits::spread(wait, self.rng.random());
+        let after = wait_estimate::jitter(wait, self.rng.random());
         self.returning.push(self.now + after.min(PATIENCE / 3));
     }
 }
@@ -232,7 +232,7 @@
 #[test]
 fn callers_return_one_after_the_other() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let back = (0..ENTRIES).map(|_| waits::spread(ASKED, rng.random()));
+    let back = (0..ENTRIES).map(|_| wait_estimate::jitter(ASKED, rng.random()));
     let back: Vec<Duration> = back.collect();
     assert!(back.iter().all(|left| *left >= ASKED));
     assert!(most_at_once(&back) <= ENTRIES / 4);
--- a/crates/policy/tests/terms.rs
+++ b/crates/policy/tests/urgency.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::ids::Tier;
-use policy::terms::{self, Caller};
+use policy::urgency::{self, CallTiming};
 use rstest::rstest;
 
 fn ms(ms: u64) -> Duration {
@@ -11,13 +11,13 @@
 }
 
 /// A call for a dossier: 800 ms to the first event, given up after 4 s.
-fn caller(tier: u8, patience: u64) -> Caller {
-    Caller {
+fn caller(tier: u8, patience: u64) -> CallTiming {
+    CallTiming {
         tier,
         target: ms(800),
         timeout: ms(4_000),
-        patience: Some(ms(patience)),
-        fresh: true,
+        caller_timeout: Some(ms(patience)),
+        first_attempt: true,
     }
 }
 
@@ -30,17 +30,17 @@
     // Callers bring up to 15 in 100 less than the timeout of their own accord.
     // Only one that lacks its target besides was here before; a fresh one taken
     // for it would be turned away while there is room.
-    assert_eq!(caller(2, patience).returned(), returned);
+    assert_eq!(caller(2, patience).is_retry(), returned);
 }
 
 #[test]
 fn returned_unknown() {
     // A caller that does not say how long it waits counts as fresh.
-    let caller = Caller {
-        patience: None,
+    let caller = CallTiming {
+        caller_timeout: None,
         ..caller(2, 0)
     };
-    assert!(!caller.returned());
+    assert!(!caller.is_retry());
 }
 
 #[rstest]
@@ -51,7 +51,7 @@
 fn allowed_shrinks(#[case] age: u64, #[case] left: u64, #[case] allowed: u64) {
     // While a call waits, an engine must be the sooner free for it to be in
     // time. Once that is past, it goes where there is room without it.
-    let got = caller(2, 4_000).allowed(ms(age), ms(left));
+    let got = caller(2, 4_000).latency_limit(ms(age), ms(left));
     assert_eq!(got, ms(allowed));
 }
 
@@ -62,8 +62,8 @@
     // call that can yet be in time.
     let wait = ms(300);
     let (fresh, returned) = (caller(2, 4_000), caller(2, 2_000));
-    assert!(wait <= fresh.allowed(Duration::ZERO, ms(4_000)));
-    assert!(wait > returned.allowed(Duration::ZERO, ms(2_000)));
+    assert!(wait <= fresh.latency_limit(Duration::ZERO, ms(4_000)));
+    assert!(wait > returned.latency_limit(Duration::ZERO, ms(2_000)));
 }
 
 #[rstest]
@@ -75,11 +75,11 @@
     // All engines have turned the call away. Higher tiers are late rather than
     // refused, as long as they can be served at all; whoever has a part of its
     // answer is never turned away.
-    let caller = Caller {
-        fresh,
+    let caller = CallTiming {
+        first_attempt: fresh,
         ..caller(tier, 4_000)
     };
-    assert_eq!(caller.must(ms(expected), ms(4_000)), must);
+    assert_eq!(caller.must_accept(ms(expected), ms(4_000)), must);
 }
 
 /// Guards against a call of a workspace with a tier standing behind one of a
@@ -88,11 +88,11 @@
 fn tiers_go_before_routes() {
     for (high, low) in [(0, 1), (1, 2), (0, 2)] {
         for within in 0..3 {
-            let named = terms::rank(Some(Tier(high)), Tier(within));
-            let route = terms::rank(None, Tier(low));
+            let named = urgency::rank(Some(Tier(high)), Tier(within));
+            let route = urgency::rank(None, Tier(low));
             assert!(named < route, "{high} within {within} against {low}");
         }
-        let open = terms::rank(None, Tier(high));
-        assert!(open < terms::rank(Some(Tier(low)), Tier(0)));
+        let open = urgency::rank(None, Tier(high));
+        assert!(open < urgency::rank(Some(Tier(low)), Tier(0)));
     }
 }
--- a/crates/policy/tests/waits.rs
+++ b/crates/policy/tests/wait_estimate.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use policy::waits::{Claim, Verdict, Waits};
+use policy::wait_estimate::{CallDeadline, Decision, WaitEstimator};
 use rstest::rstest;
 
 const TARGET: Duration = Duration::from_millis(800);
@@ -14,13 +14,13 @@
 /// Time that the engine takes to read one prompt.
 const EACH: Duration = Duration::from_millis(40);
 
-fn claim(tier: u8, returned: bool) -> Claim {
-    Claim {
+fn claim(tier: u8, returned: bool) -> CallDeadline {
+    CallDeadline {
         tier,
         rank: tier,
         target: TARGET,
         left: TIMEOUT,
-        returned,
+        is_retry: returned,
     }
 }
 
@@ -38,7 +38,7 @@
 /// can read, and plays what becomes of them. The engine reads them in order.
 fn burst(admit: bool) -> Outcome {
     let service = Rc::from("llm");
-    let (mut waits, mut outcome) = (Waits::default(), Outcome::default());
+    let (mut waits, mut outcome) = (WaitEstimator::default(), Outcome::default());
     let mut free = Duration::ZERO;
     // When each prompt that waits will have its first event.
     let mut waiting: BinaryHeap<std::cmp::Reverse<Duration>> = BinaryHeap::new();
@@ -49,8 +49,8 @@
             waiting.pop();
         }
         let ahead = u32::try_from(waiting.len()).expect("a few");
-        let verdict = waits.judge(&service, claim(2, false), ahead, 0.5);
-        if admit && verdict != Verdict::Send {
+        let verdict = waits.decide(&service, claim(2, false), ahead, 0.5);
+        if admit && verdict != Decision::Send {
             outcome.refused += 1;
             continue;
         }
@@ -59,7 +59,7 @@
         let took = (free - now).min(TIMEOUT);
         // An entry learns it when the event comes; in order, that is the same
         // as learning it now for all that come later.
-        waits.saw(&service, 2, ahead, took);
+        waits.record(&service, 2, ahead, took);
         match took {
             t if t <= TARGET => outcome.in_time += 1,
             t if t < TIMEOUT => outcome.late += 1,
@@ -81,11 +81,11 @@
     assert!(with.refused < 160, "{with:?}");
 }
 
-fn busy() -> (Waits, Rc<str>) {
-    let (mut waits, service) = (Waits::default(), Rc::from("llm"));
+fn busy() -> (WaitEstimator, Rc<str>) {
+    let (mut waits, service) = (WaitEstimator::default(), Rc::from("llm"));
     for rank in 0..3 {
         for ahead in 0..40 {
-            waits.saw(&service, rank, ahead, EACH * (ahead + 1));
+            waits.record(&service, rank, ahead, EACH * (ahead + 1));
         }
     }
     (waits, service)
@@ -102,41 +102,43 @@
 #[case::returned_waits_longer(2, true, 30, true)]
 fn judged(#[case] tier: u8, #[case] returned: bool, #[case] ahead: u32, #[case] sent: bool) {
     let (waits, service) = busy();
-    let verdict = waits.judge(&service, claim(tier, returned), ahead, 0.0);
-    assert_eq!(verdict == Verdict::Send, sent, "{verdict:?}");
+    let verdict = waits.decide(&service, claim(tier, returned), ahead, 0.0);
+    assert_eq!(verdict == Decision::Send, sent, "{verdict:?}");
 }
 
 /// Nothing was seen yet: a fresh entry must not refuse what it knows nothing
 /// about.
 #[test]
 fn unknown_is_sent() {
-    let waits = Waits::default();
-    let verdict = waits.judge(&Rc::from("llm"), claim(2, false), 500, 0.0);
-    assert_eq!(verdict, Verdict::Send);
+    let waits = WaitEstimator::default();
+    let verdict = waits.decide(&Rc::from("llm"), claim(2, false), 500, 0.0);
+    assert_eq!(verdict, Decision::Send);
 }
 
 /// The engine reads urgent calls first. By a mean over all ranks the least
 /// urgent look as if they were served soon, and are sent on to wait in vain.
 #[test]
 fn ranks_are_told_apart() {
-    let (mut waits, service) = (Waits::default(), Rc::from("llm"));
+    let (mut waits, service) = (WaitEstimator::default(), Rc::from("llm"));
     for ahead in 0..40 {
-        waits.saw(&service, 0, ahead, Duration::from_millis(100));
-        waits.saw(&service, 2, ahead, Duration::from_millis(3500));
+        waits.record(&service, 0, ahead, Duration::from_millis(100));
+        waits.record(&service, 2, ahead, Duration::from_millis(3500));
     }
-    let urgent = waits.judge(&service, claim(0, false), 20, 0.0);
-    let least = waits.judge(&service, claim(2, false), 20, 0.0);
-    assert_eq!(urgent, Verdict::Send);
-    assert!(matches!(least, Verdict::Refuse { .. }));
+    let urgent = waits.decide(&service, claim(0, false), 20, 0.0);
+    let least = waits.decide(&service, claim(2, false), 20, 0.0);
+    assert_eq!(urgent, Decision::Send);
+    assert!(matches!(least, Decision::Refuse { .. }));
 }
 
 /// Callers who are refused together must not come back together.
 #[test]
 fn returns_are_spread() {
     let (waits, service) = busy();
-    let after = |drawn| match waits.judge(&service, claim(2, false), 35, drawn) {
-        Verdict::Refuse { after, .. } => after,
-        Verdict::Send => panic!("sent"),
+    let after = |drawn| match waits.decide(&service, claim(2, false), 35, drawn) {
+        Decision::Refuse {
+            retry_after: after, ..
+        } => after,
+        Decision::Send => panic!("sent"),
     };
     assert!(after(0.0) >= Duration::from_millis(200));
     assert!(after(1.0) >= after(0.0) + Duration::from_secs(1));
--- a/crates/scenario/tests/run/hosts.rs
+++ b/crates/scenario/tests/run/hosts.rs
@@ -7,7 +7,7 @@
 use base::clock::{Clock, ManualClock};
 use base::ids::{Incarnation, Offset};
 use base::settings::Span;
-use policy::lease::{Claim, Lease, in_force};
+use policy::lease::{Lease, LeaseClaim, current_claim};
 use policy::membership::{Host, Kind, Limits, Membership};
 use policy::subset::Size;
 
@@ -108,13 +108,13 @@
             .claims
             .iter()
             .enumerate()
-            .map(|(at, (time_ms, holder, ttl_ms))| Claim {
+            .map(|(at, (time_ms, holder, ttl_ms))| LeaseClaim {
                 offset: Offset(at as u64 + 1),
                 time_ms: *time_ms,
                 holder,
                 ttl_ms: *ttl_ms,
             });
-        let held = in_force(claims).ok_or("no claim")?;
+        let held = current_claim(claims).ok_or("no claim")?;
         if held.holder == holder {
             let lease = Lease::new(held.offset, clock.now(), Duration::from_millis(held.ttl_ms));
             self.leases.insert(holder.to_owned(), lease);
@@ -129,7 +129,7 @@
     fn order(&mut self, clock: &ManualClock, words: &Words) -> Said {
         let holder = words.at(0)?;
         let lease = self.leases.get(holder).ok_or("it never had the lease")?;
-        let Some(fence) = lease.fence(clock.now()) else {
+        let Some(fence) = lease.fencing_token(clock.now()) else {
             return Ok(format!("{holder} gives no order: its lease lapsed\n"));
         };
         if fence < self.fence {
--- a/crates/scenario/tests/run/route.rs
+++ b/crates/scenario/tests/run/route.rs
@@ -8,8 +8,8 @@
 use base::clock::{Clock, ManualClock};
 use base::reason::{Ran, Retry};
 use base::settings::Span;
+use policy::load::{Load, TokenLatency};
 use policy::outlier::{Fault, Good};
-use policy::pace::{Load, Pace};
 use policy::placement::{Mode, Options, Placement, ServerIndex, Want};
 use policy::retry::{Budget, Failure};
 use serde::de::DeserializeOwned;
@@ -76,9 +76,9 @@
             slots: words.get("slots", 8)?,
             waiting: words.get("waiting", 0)?,
             wait: words.get("wait", Span::ms(0))?.0,
-            pace: Pace {
-                first: words.get("first", Span::ms(20))?.0,
-                token: words.get("token", Span::ms(4))?.0,
+            latency: TokenLatency {
+                first_token: words.get("first", Span::ms(20))?.0,
+                per_token: words.get("token", Span::ms(4))?.0,
             },
             draining: words.get("draining", false)?,
         };
--- a/crates/sidecar/src/meter.rs
+++ b/crates/sidecar/src/meter.rs
@@ -4,7 +4,7 @@
 use base::ids::Tier;
 use base::reason::Refusal;
 use metrics::{counter, gauge};
-use policy::queue::Standing;
+use policy::queue::QueueStatus;
 
 use crate::orders::Round;
 use crate::run::Fault;
@@ -57,7 +57,7 @@
 }
 
 /// Shows how the queue stands; `kept` is the number of slots kept free.
-pub(crate) fn standing(standing: &Standing, kept: usize) {
+pub(crate) fn standing(standing: &QueueStatus, kept: usize) {
     gauge!("pimentocart_queue_waiting").set(standing.waiting as f64);
     gauge!("pimentocart_queue_busy").set(standing.busy as f64);
     gauge!("pimentocart_queue_wait_seconds").set(standing.wait_us as f64 / 1e6);
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -12,9 +12,9 @@
 use clients::log::{self, Log};
 use clients::orders::{Order, Orders};
 use clients::weights::{Permit, Weights};
-use policy::lease::{Claim, Lease, in_force};
-use policy::pacing;
-use policy::wish::{self, Loaded, Step};
+use policy::backoff;
+use policy::lease::{Lease, LeaseClaim, current_claim};
+use policy::loading::{self, LoadStep, LoadedModel};
 use serde::{Deserialize, Serialize};
 use spdlog::{info, warn};
 
@@ -122,8 +122,8 @@
         })
     }
 
-    fn claim(&self) -> Claim<'_> {
-        Claim {
+    fn claim(&self) -> LeaseClaim<'_> {
+        LeaseClaim {
             offset: self.offset,
             time_ms: self.time_ms,
             holder: &self.body.holder,
@@ -150,15 +150,15 @@
     }
 
     /// Takes one step towards what is `wanted`.
-    pub async fn round(&mut self, wanted: &Loaded) -> Round {
+    pub async fn round(&mut self, wanted: &LoadedModel) -> Round {
         let Ok(standing) = self.engine.standing().await else {
             return Round::Failed;
         };
-        let is = Loaded {
+        let is = LoadedModel {
             version: standing.version,
             adapters: standing.adapters,
         };
-        let step = wish::next(wanted, &is).filter(|_| !standing.loading);
+        let step = loading::next_step(wanted, &is).filter(|_| !standing.loading);
         let Some(step) = step else {
             return Round::Idle;
         };
@@ -184,7 +184,7 @@
     /// here is all that keeps a holder that was paused from undoing what its
     /// successor ordered, so nothing may be waited for between the two.
     async fn give(&mut self, order: &Order) -> Round {
-        let fence = self.lease.and_then(|l| l.fence(self.clock.now()));
+        let fence = self.lease.and_then(|l| l.fencing_token(self.clock.now()));
         let Some(fence) = fence.filter(|fence| *fence >= self.highest) else {
             return Round::Lapsed;
         };
@@ -212,7 +212,7 @@
         let now = self.clock.now();
         if self
             .lease
-            .is_some_and(|l| l.fence(now).is_some() && !l.due(now))
+            .is_some_and(|l| l.fencing_token(now).is_some() && !l.needs_renewal(now))
         {
             return Ok(());
         }
@@ -226,8 +226,8 @@
         // A claim while another's lease lasts is in vain, and the log takes
         // only so many appends.
         let (now_ms, claims) = self.read(&stream).await?;
-        let taken = |held: &Claim| held.holder != self.holder && held.until_ms() > now_ms;
-        if in_force(claims.iter().map(Record::claim)).is_some_and(|held| taken(&held)) {
+        let taken = |held: &LeaseClaim| held.holder != self.holder && held.expires_ms() > now_ms;
+        if current_claim(claims.iter().map(Record::claim)).is_some_and(|held| taken(&held)) {
             return Ok(None);
         }
 
@@ -242,7 +242,7 @@
         self.log.append(&stream, &id, &body).await?;
 
         let (_, claims) = self.read(&stream).await?;
-        let Some(held) = in_force(claims.iter().map(Record::claim)) else {
+        let Some(held) = current_claim(claims.iter().map(Record::claim)) else {
             return Ok(None);
         };
         self.highest = self.highest.max(held.offset);
@@ -268,8 +268,9 @@
     }
 
     /// Waits for the weight store's permit, where a step needs one.
-    async fn permit(&self, step: &Step) -> bool {
-        let (Some(weights), Step::Version(what) | Step::Adapter(what)) = (&self.weights, step)
+    async fn permit(&self, step: &LoadStep) -> bool {
+        let (Some(weights), LoadStep::LoadVersion(what) | LoadStep::LoadAdapter(what)) =
+            (&self.weights, step)
         else {
             return true;
         };
@@ -283,7 +284,7 @@
             };
             attempt += 1;
             meter::weight_wait();
-            let wait = pacing::wait(attempt, PERMIT_FIRST, after, rand::random());
+            let wait = backoff::delay(attempt, PERMIT_FIRST, after, rand::random());
             if self.clock.now() + wait > began + self.settings.wait.0 {
                 return false;
             }
@@ -292,11 +293,11 @@
     }
 }
 
-fn order(step: Step) -> Order {
+fn order(step: LoadStep) -> Order {
     match step {
-        Step::Version(version) => Order::LoadVersion(version),
-        Step::Adapter(adapter) => Order::LoadAdapter(adapter),
-        Step::Unload(adapter) => Order::UnloadAdapter(adapter),
+        LoadStep::LoadVersion(version) => Order::LoadVersion(version),
+        LoadStep::LoadAdapter(adapter) => Order::LoadAdapter(adapter),
+        LoadStep::UnloadAdapter(adapter) => Order::UnloadAdapter(adapter),
     }
 }
 
@@ -353,13 +354,13 @@
 
 /// What the bundle in force wants the engine to have. Nothing while the
 /// sidecar drains: its successor goes on.
-fn wanted(state: &State, model: &str) -> Option<Loaded> {
+fn wanted(state: &State, model: &str) -> Option<LoadedModel> {
     if state.load().draining {
         return None;
     }
     let bundle = state.spread.held.bundle()?;
     let pool = bundle.models.get(model)?;
-    Some(Loaded {
+    Some(LoadedModel {
         version: pool.version.clone(),
         adapters: pool.adapters.clone(),
     })
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -4,7 +4,7 @@
 
 use base::logging::Level;
 use base::settings::{Error, Span, check};
-use policy::queue::Rules;
+use policy::queue::QueueSettings;
 use serde::{Deserialize, Serialize};
 
 /// Shortest hold: a start must be able to arrive within it.
@@ -60,7 +60,7 @@
     pub kept_bytes: usize,
     /// How the queue decides.
     #[serde(default)]
-    pub queue: Rules,
+    pub queue: QueueSettings,
     /// How much is logged.
     #[serde(default)]
     pub log_level: Level,
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -27,7 +27,7 @@
 use clients::plain::Plain;
 use policy::Queue;
 use policy::caches::CacheMap;
-use policy::queue::{Ask, Offered, Verdict};
+use policy::queue::{Admission, QueueRequest, Rejection};
 use tokio::sync::Notify;
 use wire::{Cancelled, End, Load, Reply, Reserve, Reserved, Start, Started};
 
@@ -131,7 +131,7 @@
 
     /// How busy the backend server is.
     pub fn load(&self) -> Load {
-        let standing = self.queue.borrow().standing(self.clock.now());
+        let standing = self.queue.borrow().status(self.clock.now());
         Load {
             running: number(standing.busy as u64),
             slots: number(standing.slots as u64),
@@ -164,10 +164,10 @@
         let lease = now + self.lease(ask.wait_ms);
         let entry = Rc::new(Entry::new(ask.ticket, ask.tier, lease));
         let offered = match self.closed() {
-            Some(verdict) => Offered::Refused(verdict),
+            Some(verdict) => Admission::Refused(verdict),
             None => self.queue.borrow_mut().offer(now, queue_ask(ask, now)),
         };
-        if let Offered::Refused(verdict) = offered {
+        if let Admission::Refused(verdict) = offered {
             self.leave(now, &entry, Left::Refused(verdict));
             return (None, refused(verdict));
         }
@@ -184,7 +184,7 @@
         let now = self.clock.now();
         match &*entry.phase.borrow() {
             Phase::Queued => {
-                let estimate = self.queue.borrow().estimate(now, entry.ticket);
+                let estimate = self.queue.borrow().estimated_wait(now, entry.ticket);
                 let estimate_us = u64::try_from(estimate.as_micros()).unwrap_or(u64::MAX);
                 Reserved::Waiting { estimate_us }
             }
@@ -193,8 +193,8 @@
                 let queue = self.queue.borrow();
                 Reserved::Ready {
                     hold_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
-                    first_us: number(queue.first_us(prompt)),
-                    token_us: number(queue.standing(now).token_us),
+                    first_us: number(queue.expected_first_us(prompt)),
+                    token_us: number(queue.status(now).token_us),
                     cached: 0,
                 }
             }
@@ -275,14 +275,14 @@
     }
 
     /// Why a ticket that left is not queued again; `None` when it may be.
-    fn left(&self, now: Instant, ticket: Ticket) -> Option<Verdict> {
+    fn left(&self, now: Instant, ticket: Ticket) -> Option<Rejection> {
         let (left, at) = self.tombs.borrow().get(ticket)?;
         match left {
             Left::Cancelled => return Some(gone()),
             // A draining sidecar refuses for good; another refusal stands
             // until the time that it told.
             Left::Refused(verdict) if verdict.reason == Refusal::Draining => return Some(verdict),
-            Left::Refused(verdict) if now < at + verdict.after => return Some(verdict),
+            Left::Refused(verdict) if now < at + verdict.retry_after => return Some(verdict),
             Left::Refused(_) | Left::Lapsed => {}
         }
         self.tombs.borrow_mut().remove(ticket);
@@ -302,34 +302,34 @@
     }
 }
 
-fn queue_ask(ask: &Reserve, now: Instant) -> Ask {
-    Ask {
+fn queue_ask(ask: &Reserve, now: Instant) -> QueueRequest {
+    QueueRequest {
         ticket: ask.ticket,
         class: Rc::from(ask.class.as_str()),
         workspace: Rc::from(ask.workspace.as_str()),
         weight: ask.weight,
         tier: ask.tier,
-        first_due: now + Duration::from_micros(ask.first_left_us),
-        whole_due: now + Duration::from_micros(ask.whole_left_us),
-        prompt: ask.prompt,
-        tokens: ask.max_tokens,
+        first_deadline: now + Duration::from_micros(ask.first_left_us),
+        answer_deadline: now + Duration::from_micros(ask.whole_left_us),
+        prompt_tokens: ask.prompt,
+        max_tokens: ask.max_tokens,
         repeatable: ask.repeatable,
-        preempted: ask.preempted,
+        preemptions: ask.preempted,
     }
 }
 
 /// What a cancelled ticket is told.
-fn gone() -> Verdict {
-    Verdict {
+fn gone() -> Rejection {
+    Rejection {
         reason: Refusal::CallerGone,
-        after: Duration::ZERO,
+        retry_after: Duration::ZERO,
     }
 }
 
-fn refused(verdict: Verdict) -> Reserved {
+fn refused(verdict: Rejection) -> Reserved {
     Reserved::Refused {
         reason: verdict.reason,
-        retry_after_ms: u32::try_from(verdict.after.as_millis()).unwrap_or(u32::MAX),
+        retry_after_ms: u32::try_from(verdict.retry_after.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
--- a/crates/sidecar/src/state/delivery.rs
+++ b/crates/sidecar/src/state/delivery.rs
@@ -37,7 +37,7 @@
         drop(phase);
 
         if delivered {
-            self.queue.borrow_mut().delivered(entry.ticket);
+            self.queue.borrow_mut().mark_delivered(entry.ticket);
         }
         Pulled::Pieces { first, pieces, end }
     }
@@ -45,7 +45,9 @@
     /// Adds a piece to an answer.
     pub fn push(&self, entry: &Entry, piece: Piece) {
         let (now, tokens) = (self.clock.now(), piece.tokens);
-        self.queue.borrow_mut().piece(now, entry.ticket, tokens);
+        self.queue
+            .borrow_mut()
+            .record_piece(now, entry.ticket, tokens);
 
         let mut phase = entry.phase.borrow_mut();
         let Phase::Started(answer) = &mut *phase else {
--- a/crates/sidecar/src/state/drain.rs
+++ b/crates/sidecar/src/state/drain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::reason::Refusal;
-use policy::queue::Verdict;
+use policy::queue::Rejection;
 
 use super::State;
 use super::answer::Answer;
@@ -21,15 +21,15 @@
 const CUTOFF_LIMIT: Duration = Duration::from_secs(2);
 
 /// What a draining sidecar tells newcomers; another one takes them at once.
-const DRAINING: Verdict = Verdict {
+const DRAINING: Rejection = Rejection {
     reason: Refusal::Draining,
-    after: Duration::ZERO,
+    retry_after: Duration::ZERO,
 };
 
 /// What newcomers are told while the backend server cannot be reached.
-const FAILED: Verdict = Verdict {
+const FAILED: Rejection = Rejection {
     reason: Refusal::BackendFailed,
-    after: Duration::from_secs(1),
+    retry_after: Duration::from_secs(1),
 };
 
 /// How a drain ended.
@@ -74,14 +74,14 @@
     }
 
     /// Why nothing new is taken, if so.
-    pub(super) fn closed(&self) -> Option<Verdict> {
+    pub(super) fn closed(&self) -> Option<Rejection> {
         if self.draining.get() {
             return Some(DRAINING);
         }
         self.failed.get().then_some(FAILED)
     }
 
-    fn refuse_waiting(&self, verdict: Verdict) {
+    fn refuse_waiting(&self, verdict: Rejection) {
         let now = self.clock.now();
         let tickets = self.tickets.borrow();
         let waiting = |phase: &Phase| matches!(phase, Phase::Queued);
--- a/crates/sidecar/src/state/ticket.rs
+++ b/crates/sidecar/src/state/ticket.rs
@@ -6,7 +6,7 @@
 use base::ids::{Ticket, Tier};
 use base::reason::Refusal;
 use base::stop::Stop;
-use policy::queue::Verdict;
+use policy::queue::Rejection;
 use tokio::sync::Notify;
 
 use super::answer::Answer;
@@ -52,7 +52,7 @@
     /// Its hold ran out; it may ask again.
     Lapsed,
     /// The queue refused it.
-    Refused(Verdict),
+    Refused(Rejection),
     /// It was cancelled and never starts in this life.
     Cancelled,
 }
--- a/crates/sidecar/src/state/upkeep.rs
+++ b/crates/sidecar/src/state/upkeep.rs
@@ -24,7 +24,7 @@
         // The bundle goes before the settings, which only count without one.
         if let Some(bundle) = self.spread.held.bundle() {
             let share = bundle.shares.guaranteed;
-            self.queue.borrow_mut().set_guaranteed(share);
+            self.queue.borrow_mut().set_guaranteed_share(share);
         }
 
         let given_up = self.queue.borrow_mut().review(now);
@@ -36,7 +36,7 @@
         self.advance();
 
         let queue = self.queue.borrow();
-        meter::standing(&queue.standing(now), queue.kept(now));
+        meter::standing(&queue.status(now), queue.reserved_slots(now));
     }
 
     /// Hands free slots to those who wait, and takes one from a lower tier
@@ -44,7 +44,7 @@
     pub(super) fn advance(&self) {
         let now = self.clock.now();
         loop {
-            let next = self.queue.borrow_mut().next(now);
+            let next = self.queue.borrow_mut().grant_next(now);
             let Some(granted) = next else {
                 break;
             };
--- a/crates/sidecar/tests/orders.rs
+++ b/crates/sidecar/tests/orders.rs
@@ -11,7 +11,7 @@
 use base::settings::Span;
 use base::stop::Stop;
 use clients::orders::{Error, Order, Orders};
-use policy::wish::Loaded;
+use policy::loading::LoadedModel;
 use rstest::rstest;
 use sidecar::orders::{Keeper, Round, Settings};
 use standin::log::Faults as LogFaults;
@@ -113,10 +113,10 @@
     }
 }
 
-fn loaded(version: &str) -> Loaded {
-    Loaded {
+fn loaded(version: &str) -> LoadedModel {
+    LoadedModel {
         version: version.to_owned(),
-        ..Loaded::default()
+        ..LoadedModel::default()
     }
 }
 
--- a/crates/sidecar/tests/state.rs
+++ b/crates/sidecar/tests/state.rs
@@ -11,7 +11,7 @@
 use base::reason::{Ran, Refusal};
 use base::settings::Span;
 use bytes::Bytes;
-use policy::queue::Rules;
+use policy::queue::QueueSettings;
 use rstest::rstest;
 use sidecar::Settings;
 use sidecar::settings::{Backend, Streams};
@@ -45,9 +45,9 @@
         streams: Streams::default(),
         follow: None,
         kept_bytes: 64 << 10,
-        queue: Rules {
+        queue: QueueSettings {
             limit: 1,
-            ..Rules::default()
+            ..QueueSettings::default()
         },
         log_level: Level::default(),
     };
