--- a/crates/policy/src/duty.rs
+++ b/crates/policy/src/duty.rs
@@ -150,7 +150,7 @@
     /// before each call.
     #[must_use]
     pub fn token(&self, now: Instant) -> Option<u64> {
-        let Offset(token) = self.lease?.fence(now)?;
+        let Offset(token) = self.lease?.fencing_token(now)?;
         (token > self.barred).then_some(token)
     }
 
@@ -169,7 +169,7 @@
         let stagger = STAGGER * place.min(PLACES) as u32;
         match (&self.term, self.lease, self.seen) {
             (Some(_), _, _) if self.unsure => Step::Read,
-            (Some(term), Some(lease), _) if lease.due(now) => Step::Renew(term.clone()),
+            (Some(term), Some(lease), _) if lease.needs_renewal(now) => Step::Renew(term.clone()),
             (Some(_), _, _) => Step::Wait,
             (None, _, Some(seen)) if now < seen.at + TERM_TTL + stagger => Step::Wait,
             (None, _, None) if now < self.look + stagger => Step::Wait,
--- a/crates/policy/src/grants.rs
+++ b/crates/policy/src/grants.rs
@@ -33,7 +33,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::estimate::fit::Mean;
+use crate::estimate::averages::MovingAverage;
 pub use call::{CallId, EngineEstimates, EngineReport, GrantDecision, GrantRequest};
 use fetch::FetchEstimate;
 use mix::RankMix;
@@ -117,7 +117,7 @@
     /// What fetching a token from another engine takes.
     fetch: FetchEstimate,
     /// How long calls hold a slot after their first event, in seconds.
-    hold_time: Mean,
+    hold_time: MovingAverage,
     /// Tokens of calls without a first event up to which more are let in.
     window: f64,
     /// Prompt parts that the engine should hold.
@@ -185,7 +185,7 @@
             running: HashMap::new(),
             timing: TtftModel::default(),
             fetch: FetchEstimate::default(),
-            hold_time: Mean::default(),
+            hold_time: MovingAverage::default(),
             window: WINDOW,
             parts: PartCache::default(),
             report: None,
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -16,8 +16,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::estimate::READ_GUESS;
-use crate::estimate::fit::Fit;
+use crate::estimate::DEFAULT_PREFILL_SECS;
+use crate::estimate::averages::LinearFit;
 use crate::pauses::PauseEstimate;
 
 /// Answer tokens for each prompt token from which a route's calls spend their
@@ -124,7 +124,7 @@
     open: u32,
     writing: f64,
     /// Time to the first event by what had to be read.
-    first: Fit,
+    first: LinearFit,
     /// Pauses of streams at engines that read.
     pauses: PauseEstimate,
     /// The longest pause that any of its routes bears.
@@ -296,7 +296,7 @@
         let sum = own.prefill_pace * f64::from(own.pace_samples)
             + others.prefill_pace * f64::from(others.pace_samples);
         let pace = match pace_samples {
-            0 => READ_GUESS,
+            0 => DEFAULT_PREFILL_SECS,
             _ => sum / f64::from(pace_samples),
         };
         let reading = (own.prefill_rate + others.prefill_rate) * pace / READ_SHARE;
@@ -350,7 +350,7 @@
                 reading: 0.0,
                 open: 0,
                 writing: 0.0,
-                first: Fit::default(),
+                first: LinearFit::default(),
                 pauses: PauseEstimate::default(),
                 patience: Duration::ZERO,
                 others: ServiceDemand::default(),
