--- a/crates/admission/src/desk.rs
+++ b/crates/admission/src/desk.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use base::clock::Clock;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::grants::lives::{Lives, Meant};
 use policy::grants::{Ask, CallId, Grants, Report, Verdict};
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
-use wire::grants::{self, What};
+use wire::grants::{self, RequestKind};
 
 /// How often waiting calls are looked at when no message comes: pauses of
 /// streams end by themselves.
@@ -66,7 +66,7 @@
 
     /// Takes messages of entries for as long as the process lives.
     pub async fn listen(self: Rc<Self>) {
-        let mut buffer = vec![0; grants::LARGEST];
+        let mut buffer = vec![0; grants::MAX_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((length, from)) => self.take(&buffer[..length], from),
@@ -84,8 +84,8 @@
     }
 
     /// Looks at the waiting calls until `end`.
-    pub async fn tick(self: Rc<Self>, end: Stop) {
-        while !end.asked() {
+    pub async fn tick(self: Rc<Self>, end: StopSignal) {
+        while !end.is_triggered() {
             let waits = !self.inner.borrow().askers.is_empty();
             tokio::time::sleep(if waits { TICK } else { REST }).await;
             if waits {
@@ -126,7 +126,7 @@
     }
 
     fn take(&self, bytes: &[u8], from: SocketAddr) {
-        let ask: grants::Ask = match grants::decode(bytes) {
+        let ask: grants::GrantRequest = match grants::decode(bytes) {
             Ok(ask) => ask,
             Err(e) => {
                 warn!("message not understood", kv: {
@@ -137,17 +137,17 @@
         };
         let now = self.clock.now();
         let id = CallId {
-            life: ask.life,
-            number: ask.number,
+            life: ask.incarnation,
+            number: ask.call_number,
         };
-        match ask.what {
-            What::Want(want) => self.want(id, want, from),
-            What::Look(look) => self.look(id, &look, from),
-            What::Busy => self.busy(id, from),
-            What::Fetches(source) => self.inner.borrow_mut().grants.fetches(id, source),
-            What::Gone { server, born } => self.gone(&server, born),
-            What::Begun => self.inner.borrow_mut().grants.begun(now, id),
-            What::Ended { pause_ms } => {
+        match ask.kind {
+            RequestKind::Admission(want) => self.want(id, want, from),
+            RequestKind::Lookup(look) => self.look(id, &look, from),
+            RequestKind::Utilization => self.busy(id, from),
+            RequestKind::Fetching(source) => self.inner.borrow_mut().grants.fetches(id, source),
+            RequestKind::ServerGone { server, started_ms } => self.gone(&server, started_ms),
+            RequestKind::FirstEvent => self.inner.borrow_mut().grants.begun(now, id),
+            RequestKind::Ended { pause_ms } => {
                 let mut inner = self.inner.borrow_mut();
                 let pause = Duration::from_millis(u64::from(pause_ms));
                 inner.grants.ended(now, id, pause);
@@ -157,12 +157,12 @@
         self.let_in();
     }
 
-    fn want(&self, id: CallId, want: grants::Want, from: SocketAddr) {
+    fn want(&self, id: CallId, want: grants::AdmissionRequest, from: SocketAddr) {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
-        let meant = inner.lives.asked(&want.server, want.born);
+        let meant = inner.lives.asked(&want.server, want.started_ms);
         let over = match meant {
-            Meant::Gone => Some(("gone", grants::Verdict::Gone)),
+            Meant::Gone => Some(("gone", grants::Verdict::ServerGone)),
             Meant::Leaving => Some(("leaving", grants::Verdict::Leaving)),
             Meant::Known | Meant::New => None,
         };
@@ -172,12 +172,12 @@
             self.send(from, id, verdict, 0, false);
             return;
         }
-        if !inner.grants.life(want.born) {
+        if !inner.grants.life(want.started_ms) {
             // An entry whose list is old means the engine that this one
             // replaces. Taken for the newest, it would have the books cleared
             // with each of its calls.
             drop(inner);
-            let verdict = grants::Verdict::Refused(want.left_ms);
+            let verdict = grants::Verdict::Refused(want.timeout_ms);
             self.send(from, id, verdict, 0, false);
             return;
         }
@@ -189,15 +189,15 @@
         let ms = |ms: u32| Duration::from_millis(u64::from(ms));
         let ask = Ask {
             id,
-            parts: want.parts,
-            allowed: ms(want.allowed_ms),
-            left: ms(want.left_ms),
-            gap: want.gap_ms.map(ms),
+            parts: want.prompt_parts,
+            allowed: ms(want.first_event_ms),
+            left: ms(want.timeout_ms),
+            gap: want.max_gap_ms.map(ms),
             slots: want.slots,
-            rank: want.rank,
-            home: want.home,
-            must: want.must,
-            source: want.source,
+            rank: want.priority,
+            home: want.is_home,
+            must: want.forced,
+            source: want.remote_tokens,
             copy: want.copy_ns.map(|ns| Duration::from_nanos(u64::from(ns))),
         };
         let tokens = inner.grants.missing(&ask.parts);
@@ -216,10 +216,10 @@
         let known = inner.askers.contains_key(&id);
         if !known {
             info!("call judged", kv: {
-            id = want.name.as_str(),
+            id = want.request_id.as_str(),
             verdict = word,
             expected_ms = millis(expected),
-            allowed_ms = want.allowed_ms, home = want.home, tokens, held, source = want.source,
+            allowed_ms = want.first_event_ms, home = want.is_home, tokens, held, source = want.remote_tokens,
             waiting, flying, running, pace_ns = beliefs.pace_ns, fetch_ns = beliefs.fetch_ns,
             base_us = beliefs.base_us, window = beliefs.window, gap_percent = beliefs.gap_percent
             });
@@ -227,7 +227,7 @@
         if word == "queued" {
             let asker = Asker {
                 addr: from,
-                name: want.name,
+                name: want.request_id,
                 server: want.server,
             };
             inner.askers.insert(id, asker);
@@ -249,7 +249,7 @@
             inner.grants.ended_all();
         }
         // Let in one after the other, each would be refused by the engine.
-        self.send_away(&mut inner, server, grants::Verdict::Gone);
+        self.send_away(&mut inner, server, grants::Verdict::ServerGone);
     }
 
     /// The life of the engine that is known.
@@ -284,19 +284,19 @@
     }
 
     /// Says how much of a prompt the engine holds.
-    fn look(&self, id: CallId, look: &grants::Look, from: SocketAddr) {
+    fn look(&self, id: CallId, look: &grants::PrefixLookup, from: SocketAddr) {
         let inner = self.inner.borrow();
         let held = match inner.lives.is(&look.server) {
-            true => inner.held(&look.parts),
+            true => inner.held(&look.prompt_parts),
             false => 0,
         };
-        self.send(from, id, grants::Verdict::Told, held, false);
+        self.send(from, id, grants::Verdict::Acknowledged, held, false);
     }
 
     /// Says how busy the engine is.
     fn busy(&self, id: CallId, from: SocketAddr) {
         let busy = self.inner.borrow().grants.busy(self.clock.now());
-        let verdict = grants::Verdict::Busy((busy * 1e3) as u32);
+        let verdict = grants::Verdict::Utilization((busy * 1e3) as u32);
         self.send(from, id, verdict, 0, false);
     }
 
@@ -314,12 +314,19 @@
         }
     }
 
-    fn send(&self, to: SocketAddr, id: CallId, verdict: grants::Verdict, held: u32, fetch: bool) {
-        let bytes = grants::encode(&grants::Answer {
-            number: id.number,
+    fn send(
+        &self,
+        to: SocketAddr,
+        id: CallId,
+        verdict: grants::Verdict,
+        cached_tokens: u32,
+        prefer_fetch: bool,
+    ) {
+        let bytes = grants::encode(&grants::GrantResponse {
+            call_number: id.number,
             verdict,
-            held,
-            fetch,
+            cached_tokens,
+            prefer_fetch,
         });
         // One that cannot be sent is like one that is lost: it is asked again.
         let _ = self.socket.try_send_to(&bytes, to);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 
 use base::clock::{Clock, SystemClock};
-use base::stop::Stop;
+use base::stop::StopSignal;
 use spdlog::info;
 use tokio::net::UdpSocket;
 
@@ -30,13 +30,17 @@
 /// # Errors
 ///
 /// Returns the error when the sidecar cannot listen.
-pub async fn run<E: Engine + 'static>(settings: Settings, engine: E, stop: Stop) -> io::Result<()> {
+pub async fn run<E: Engine + 'static>(
+    settings: Settings,
+    engine: E,
+    stop: StopSignal,
+) -> io::Result<()> {
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     let socket = UdpSocket::bind(settings.listen).await?;
-    let end = Stop::new();
+    let end = StopSignal::new();
     if let Some(addr) = settings.metrics {
         let listener = base::listen("metrics", addr).await?;
-        actix_rt::spawn(base::operators::scrape(listener, end.clone()));
+        actix_rt::spawn(base::admin::serve_metrics(listener, end.clone()));
     }
     info!("sidecar started", kv: {
         name = settings.name.as_str(),
@@ -55,6 +59,6 @@
     stop.wait().await;
     let waiting = desk.release().await;
     info!("sidecar stopped", kv: { name = settings.name.as_str(), waiting });
-    end.ask();
+    end.trigger();
     Ok(())
 }
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use base::logging::Level;
-use base::settings::{Span, check};
+use base::settings::{HumanDuration, check};
 use serde::{Deserialize, Serialize};
 
 /// Settings of a sidecar for routed calls.
@@ -21,15 +21,15 @@
     pub metrics: Option<SocketAddr>,
     /// How often the engine is asked for its report.
     #[serde(default = "report_every")]
-    pub report_every: Span,
+    pub report_every: HumanDuration,
     /// How much is logged.
     #[serde(default)]
     pub log_level: Level,
 }
 
 /// Memory fills within some tenths of a second; asking costs about 0.1 ms.
-fn report_every() -> Span {
-    Span::ms(50)
+fn report_every() -> HumanDuration {
+    HumanDuration::ms(50)
 }
 
 impl Settings {
--- a/crates/admission/src/watch.rs
+++ b/crates/admission/src/watch.rs
@@ -3,16 +3,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use spdlog::{info, warn};
 
 use crate::desk::Desk;
 use crate::edge::Engine;
 
 /// Asks the engine for its report while there are calls, until `end`.
-pub(crate) async fn follow<E: Engine>(desk: Rc<Desk>, engine: E, every: Duration, end: Stop) {
+pub(crate) async fn follow<E: Engine>(desk: Rc<Desk>, engine: E, every: Duration, end: StopSignal) {
     let mut lost = false;
-    while !end.asked() {
+    while !end.is_triggered() {
         tokio::time::sleep(every).await;
         if desk.idle() {
             continue;
--- a/crates/admission/tests/desk.rs
+++ b/crates/admission/tests/desk.rs
@@ -7,10 +7,13 @@
 use admission::Settings;
 use admission::desk::Desk;
 use base::clock::SystemClock;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use rstest::rstest;
 use tokio::net::UdpSocket;
-use wire::grants::{Answer, Ask, LARGEST, Verdict, Want, What, decode, encode};
+use wire::grants::{
+    AdmissionRequest, GrantRequest, GrantResponse, MAX_DATAGRAM_BYTES, RequestKind, Verdict,
+    decode, encode,
+};
 
 struct Entry {
     socket: UdpSocket,
@@ -18,11 +21,11 @@
 }
 
 impl Entry {
-    async fn tell(&self, number: u32, what: What) {
-        let ask = Ask {
-            life: 1,
-            number,
-            what,
+    async fn tell(&self, call_number: u32, kind: RequestKind) {
+        let ask = GrantRequest {
+            incarnation: 1,
+            call_number,
+            kind,
         };
         let sent = self.socket.send_to(&encode(&ask), self.to).await;
         sent.expect("sent");
@@ -38,37 +41,43 @@
     }
 
     /// The same of the engine's life `server`.
-    async fn want_at(&self, server: &str, number: u32, tokens: u32, born: Option<u64>) -> Verdict {
-        let want = Want {
-            name: number.to_string(),
+    async fn want_at(
+        &self,
+        server: &str,
+        number: u32,
+        tokens: u32,
+        started_ms: Option<u64>,
+    ) -> Verdict {
+        let want = AdmissionRequest {
+            request_id: number.to_string(),
             server: server.to_owned(),
-            born,
-            parts: vec![(u64::from(number), tokens)],
-            allowed_ms: 2_000,
-            left_ms: 4_000,
-            gap_ms: None,
+            started_ms,
+            prompt_parts: vec![(u64::from(number), tokens)],
+            first_event_ms: 2_000,
+            timeout_ms: 4_000,
+            max_gap_ms: None,
             slots: 32,
-            rank: 5,
-            home: true,
-            must: false,
-            source: 0,
+            priority: 5,
+            is_home: true,
+            forced: false,
+            remote_tokens: 0,
             copy_ns: None,
         };
-        self.tell(number, What::Want(want)).await;
+        self.tell(number, RequestKind::Admission(want)).await;
         self.next().await.verdict
     }
 
     /// How busy the sidecar says that its engine is, in thousandths.
     async fn busy(&self, number: u32) -> u32 {
-        self.tell(number, What::Busy).await;
+        self.tell(number, RequestKind::Utilization).await;
         match self.next().await.verdict {
-            Verdict::Busy(thousandths) => thousandths,
+            Verdict::Utilization(thousandths) => thousandths,
             other => panic!("expected how busy it is: {other:?}"),
         }
     }
 
-    async fn next(&self) -> Answer {
-        let mut buffer = [0; LARGEST];
+    async fn next(&self) -> GrantResponse {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         let (length, _) = self.socket.recv_from(&mut buffer).await.expect("an answer");
         decode(&buffer[..length]).expect("understood")
     }
@@ -79,7 +88,7 @@
     let to = socket.local_addr().expect("an address");
     let desk = Desk::new(socket, Rc::new(SystemClock));
     actix_rt::spawn(Rc::clone(&desk).listen());
-    actix_rt::spawn(Rc::clone(&desk).tick(Stop::new()));
+    actix_rt::spawn(Rc::clone(&desk).tick(StopSignal::new()));
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     (desk, Entry { socket, to })
 }
@@ -92,9 +101,9 @@
     assert!(desk.idle());
     assert_eq!(entry.want(1, 30_000).await, Verdict::Granted);
     assert!(matches!(entry.want(2, 3_000).await, Verdict::Queued(_)));
-    entry.tell(1, What::Begun).await;
+    entry.tell(1, RequestKind::FirstEvent).await;
     let answer = entry.next().await;
-    assert_eq!((answer.number, answer.verdict), (2, Verdict::Granted));
+    assert_eq!((answer.call_number, answer.verdict), (2, Verdict::Granted));
 }
 
 /// An engine is replaced beside its sidecar, and one entry's list is old: it
@@ -134,7 +143,7 @@
     entry.want(2, 3_000).await;
     assert_eq!(desk.release().await, 1);
     let answer = entry.next().await;
-    assert_eq!((answer.number, answer.verdict), (2, Verdict::Granted));
+    assert_eq!((answer.call_number, answer.verdict), (2, Verdict::Granted));
 }
 
 /// Bytes that make no sense change nothing.
@@ -161,9 +170,9 @@
     );
 }
 
-fn gone(server: &str, born: Option<u64>) -> What {
+fn gone(server: &str, started_ms: Option<u64>) -> RequestKind {
     let server = server.to_owned();
-    What::Gone { server, born }
+    RequestKind::ServerGone { server, started_ms }
 }
 
 /// All engines start again under new names while the store lists both. One
@@ -177,7 +186,10 @@
     entry.tell(1, gone("old", None)).await;
     let granted = entry.want_at("new", 2, 30_000, None).await;
     assert_eq!(granted, Verdict::Granted);
-    assert_eq!(entry.want_at("old", 3, 3_000, None).await, Verdict::Gone);
+    assert_eq!(
+        entry.want_at("old", 3, 3_000, None).await,
+        Verdict::ServerGone
+    );
     let queued = entry.want_at("new", 4, 3_000, None).await;
     assert!(matches!(queued, Verdict::Queued(_)));
     assert!(!desk.idle());
@@ -193,7 +205,10 @@
     assert!(matches!(queued, Verdict::Queued(_)));
     entry.tell(1, gone("old", None)).await;
     let answer = entry.next().await;
-    assert_eq!((answer.number, answer.verdict), (2, Verdict::Gone));
+    assert_eq!(
+        (answer.call_number, answer.verdict),
+        (2, Verdict::ServerGone)
+    );
 }
 
 /// An engine starts again under the name that it had. What was said of its
@@ -205,7 +220,7 @@
     entry.tell(1, gone("s", Some(1_000))).await;
     assert_eq!(
         entry.want_at("s", 2, 3_000, Some(1_000)).await,
-        Verdict::Gone
+        Verdict::ServerGone
     );
     let granted = entry.want_at("s", 3, 3_000, Some(2_000)).await;
     assert_eq!(granted, Verdict::Granted);
@@ -221,7 +236,7 @@
     assert!(matches!(queued, Verdict::Queued(_)));
     desk.leaves("old");
     let answer = entry.next().await;
-    assert_eq!((answer.number, answer.verdict), (2, Verdict::Leaving));
+    assert_eq!((answer.call_number, answer.verdict), (2, Verdict::Leaving));
     let refused = entry.want_at("old", 3, 3_000, None).await;
     assert_eq!(refused, Verdict::Leaving);
     let judged = entry.want_at("new", 4, 3_000, None).await;
--- a/crates/base/src/operators.rs
+++ b/crates/base/src/admin.rs
@@ -10,11 +10,11 @@
 use serde::Serialize;
 use tokio::net::TcpListener;
 
-use crate::stop::Stop;
+use crate::stop::StopSignal;
 use crate::{http, telemetry};
 
 /// What a daemon shows its operators.
-pub trait Shown {
+pub trait DaemonStatus {
     /// The daemon's own view, as a JSON object.
     type Status: Serialize;
 
@@ -32,10 +32,10 @@
 /// # Errors
 ///
 /// Returns the error when the address cannot be served.
-pub async fn serve<T: Shown + 'static>(
+pub async fn serve<T: DaemonStatus + 'static>(
     listener: TcpListener,
     daemon: Rc<T>,
-    stop: Stop,
+    stop: StopSignal,
 ) -> io::Result<()> {
     let app = App::new()
         .app_data(daemon)
@@ -50,7 +50,7 @@
     "live\n"
 }
 
-async fn ready<T: Shown + 'static>(http: HttpRequest) -> HttpResponse {
+async fn ready<T: DaemonStatus + 'static>(http: HttpRequest) -> HttpResponse {
     let ready = http
         .app_data::<Rc<T>>()
         .is_some_and(|daemon| daemon.ready());
@@ -60,7 +60,7 @@
     HttpResponse::Ok().body("ready\n")
 }
 
-async fn status<T: Shown + 'static>(http: HttpRequest) -> HttpResponse {
+async fn status<T: DaemonStatus + 'static>(http: HttpRequest) -> HttpResponse {
     let Some(daemon) = http.app_data::<Rc<T>>() else {
         return HttpResponse::InternalServerError().finish();
     };
@@ -79,7 +79,7 @@
 /// # Errors
 ///
 /// Returns the error when the address cannot be served.
-pub async fn scrape(listener: TcpListener, stop: Stop) -> io::Result<()> {
+pub async fn serve_metrics(listener: TcpListener, stop: StopSignal) -> io::Result<()> {
     let app = App::new().route("/metrics", web::get().to(metrics));
     http::serve(listener, app, stop).await
 }
--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -14,7 +14,7 @@
     /// Monotonic time that goes on while the host is suspended. A lease that
     /// was counted by [`Clock::now`] would seem to hold after a suspension in
     /// which it has lapsed. Not to be compared with [`Clock::now`].
-    fn lasting(&self) -> Instant;
+    fn now_boottime(&self) -> Instant;
 
     /// Wall-clock time, for records that leave the process.
     fn wall(&self) -> SystemTime;
@@ -35,7 +35,7 @@
         Instant::now()
     }
 
-    fn lasting(&self) -> Instant {
+    fn now_boottime(&self) -> Instant {
         static START: OnceLock<(Instant, Duration)> = OnceLock::new();
         let Some(booted) = since_boot() else {
             return Instant::now();
@@ -91,7 +91,7 @@
 
     /// Time passed since the start.
     #[must_use]
-    pub fn passed(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.passed.get()
     }
 }
@@ -107,7 +107,7 @@
         self.start + self.passed.get()
     }
 
-    fn lasting(&self) -> Instant {
+    fn now_boottime(&self) -> Instant {
         self.now() + self.suspended.get()
     }
 
--- a/crates/base/src/http.rs
+++ b/crates/base/src/http.rs
@@ -16,7 +16,7 @@
 use actix_web::dev::{AppConfig, ServiceResponse};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::stop::Stop;
+use crate::stop::StopSignal;
 
 /// A caller that opens a connection and sends no request holds it this long.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// Returns the error when the application cannot be set up.
-pub async fn serve<F, A, B>(listener: TcpListener, app: F, stop: Stop) -> io::Result<()>
+pub async fn serve<F, A, B>(listener: TcpListener, app: F, stop: StopSignal) -> io::Result<()>
 where
     F: IntoServiceFactory<A, actix_http::Request> + 'static,
     A: ServiceFactory<
@@ -69,10 +69,10 @@
 /// # Errors
 ///
 /// Returns the error when the application cannot be set up.
-pub async fn serve_whole<F, A, B>(
+pub async fn serve_and_drain<F, A, B>(
     listener: TcpListener,
     app: F,
-    stop: Stop,
+    stop: StopSignal,
     limit: Duration,
 ) -> io::Result<()>
 where
@@ -98,7 +98,7 @@
 
 /// Accepts connections until `stop` is asked. Each connection that is open
 /// holds a clone of the result.
-async fn accept<F, A, B>(listener: TcpListener, app: F, stop: Stop) -> io::Result<Rc<()>>
+async fn accept<F, A, B>(listener: TcpListener, app: F, stop: StopSignal) -> io::Result<Rc<()>>
 where
     F: IntoServiceFactory<A, actix_http::Request> + 'static,
     A: ServiceFactory<
@@ -168,7 +168,7 @@
 
 /// Waits for a connection's first bytes. The library keeps a connection that
 /// has sent nothing for the whole request timeout, also when it is closing.
-async fn begun(stream: &TcpStream, stop: &Stop) -> bool {
+async fn begun(stream: &TcpStream, stop: &StopSignal) -> bool {
     let readable = tokio::time::timeout(REQUEST_TIMEOUT, stream.readable());
     tokio::select! {
         biased;
--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -8,9 +8,9 @@
 /// which makes the calls idempotent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Ticket(pub u128);
+pub struct RequestId(pub u128);
 
-impl Ticket {
+impl RequestId {
     /// Draws a new ticket at random.
     #[must_use]
     pub fn random() -> Self {
@@ -18,7 +18,7 @@
     }
 }
 
-impl Display for Ticket {
+impl Display for RequestId {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "{:032x}", self.0)
     }
@@ -49,9 +49,9 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Sequence(pub u64);
+pub struct BundleSequence(pub u64);
 
-impl Display for Sequence {
+impl Display for BundleSequence {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
--- a/crates/base/src/logging.rs
+++ b/crates/base/src/logging.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::UNIX_EPOCH;
 
-use bounded::Bounded;
+use bounded::BoundedWriter;
 use serde::{Deserialize, Serialize};
 use spdlog::formatter::{Formatter, FormatterContext};
 use spdlog::sink::{Sink, StdStreamSink, WriteSink};
@@ -69,7 +69,7 @@
 ///
 /// Returns the error when the thread that writes them cannot be started.
 pub fn init_daemon(level: Level) -> io::Result<()> {
-    let out = Bounded::start(io::stdout())?;
+    let out = BoundedWriter::start(io::stdout())?;
     let sink = WriteSink::builder().formatter(KeyValue).target(out).build();
     let sink = sink.map_err(io::Error::other)?;
     install(level, Arc::new(sink), LevelFilter::Off);
--- a/crates/base/src/logging/bounded.rs
+++ b/crates/base/src/logging/bounded.rs
@@ -23,7 +23,7 @@
 
 /// The writing side, for a log sink.
 #[derive(Debug, Clone)]
-pub struct Bounded(Arc<Shared>);
+pub struct BoundedWriter(Arc<Shared>);
 
 #[derive(Debug, Default)]
 struct Shared {
@@ -40,7 +40,7 @@
     writing: bool,
 }
 
-impl Bounded {
+impl BoundedWriter {
     /// Starts the thread that writes to `out`.
     ///
     /// # Errors
@@ -57,12 +57,12 @@
 
     /// Lines that are left out and not told of yet.
     #[must_use]
-    pub fn left_out(&self) -> u64 {
+    pub fn dropped_lines(&self) -> u64 {
         self.0.lock().left_out
     }
 }
 
-impl Write for Bounded {
+impl Write for BoundedWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut state = self.0.lock();
         match state.buffer.len() + line.len() > LIMIT {
--- a/crates/base/src/reason.rs
+++ b/crates/base/src/reason.rs
@@ -8,7 +8,7 @@
 /// What is known about whether a request ran, as told to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum Executed {
     /// The request did not run and never will.
     No,
     /// The request may have run; its outcome cannot be told.
@@ -17,7 +17,7 @@
     Partial,
 }
 
-impl Ran {
+impl Executed {
     /// The word used in answers and labels.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -29,7 +29,7 @@
     }
 }
 
-impl Display for Ran {
+impl Display for Executed {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -72,15 +72,18 @@
     /// The backend server's outcome cannot be told.
     OutcomeUnknown,
     /// The answer broke off after its first piece.
-    BrokenOff,
+    #[serde(rename = "broken_off")]
+    Truncated,
     /// Backend servers crash when they run the request.
     CrashesServers,
     /// All backend servers have asked for fewer requests or for none.
     ServersBusy,
     /// The platform's log is needed and cannot be reached.
-    LogDown,
+    #[serde(rename = "log_down")]
+    LogUnavailable,
     /// The idempotency key is in use by another entry.
-    KeyTaken,
+    #[serde(rename = "key_taken")]
+    KeyInUse,
     /// The idempotency key was used with another request body.
     KeyReused,
     /// The caller went away.
@@ -106,11 +109,11 @@
         Self::Draining,
         Self::BackendFailed,
         Self::OutcomeUnknown,
-        Self::BrokenOff,
+        Self::Truncated,
         Self::CrashesServers,
         Self::ServersBusy,
-        Self::LogDown,
-        Self::KeyTaken,
+        Self::LogUnavailable,
+        Self::KeyInUse,
         Self::KeyReused,
         Self::CallerGone,
     ];
@@ -135,11 +138,11 @@
             Self::Draining => "draining",
             Self::BackendFailed => "backend_failed",
             Self::OutcomeUnknown => "outcome_unknown",
-            Self::BrokenOff => "broken_off",
+            Self::Truncated => "broken_off",
             Self::CrashesServers => "crashes_servers",
             Self::ServersBusy => "servers_busy",
-            Self::LogDown => "log_down",
-            Self::KeyTaken => "key_taken",
+            Self::LogUnavailable => "log_down",
+            Self::KeyInUse => "key_taken",
             Self::KeyReused => "key_reused",
             Self::CallerGone => "caller_gone",
         }
@@ -153,17 +156,17 @@
             Self::BadToken => 401,
             Self::NotEntitled => 403,
             Self::UnknownTarget => 404,
-            Self::KeyTaken | Self::KeyReused => 409,
+            Self::KeyInUse | Self::KeyReused => 409,
             Self::TooLarge => 413,
             Self::TargetUnreachable | Self::Shed | Self::Preempted => 429,
-            Self::BackendFailed | Self::BrokenOff => 502,
+            Self::BackendFailed | Self::Truncated => 502,
             Self::NoBundle
             | Self::NoServer
             | Self::RetryBudget
             | Self::Draining
             | Self::CrashesServers
             | Self::ServersBusy
-            | Self::LogDown => 503,
+            | Self::LogUnavailable => 503,
             Self::Expired | Self::OutcomeUnknown => 504,
             Self::CallerGone => 499,
         }
@@ -179,7 +182,7 @@
 /// Why a request was granted again, or a call repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Retry {
+pub enum RetryReason {
     /// The sidecar could not be reached before the start.
     Unreachable,
     /// The connection went silent and was dialled anew.
@@ -187,9 +190,11 @@
     /// The sidecar refused the reservation.
     Refused,
     /// The reservation lapsed before the start.
-    Lapsed,
+    #[serde(rename = "lapsed")]
+    ReservationExpired,
     /// The sidecar started a new life since the reservation.
-    Incarnation,
+    #[serde(rename = "incarnation")]
+    SidecarRestarted,
     /// The backend server failed before the first piece.
     BackendFailed,
     /// The outcome is unknown and the request may be repeated.
@@ -200,14 +205,14 @@
     Preempted,
 }
 
-impl Retry {
+impl RetryReason {
     /// Every reason, for setting up counters.
     pub const ALL: [Self; 9] = [
         Self::Unreachable,
         Self::Silent,
         Self::Refused,
-        Self::Lapsed,
-        Self::Incarnation,
+        Self::ReservationExpired,
+        Self::SidecarRestarted,
         Self::BackendFailed,
         Self::Unknown,
         Self::Draining,
@@ -221,8 +226,8 @@
             Self::Unreachable => "unreachable",
             Self::Silent => "silent",
             Self::Refused => "refused",
-            Self::Lapsed => "lapsed",
-            Self::Incarnation => "incarnation",
+            Self::ReservationExpired => "lapsed",
+            Self::SidecarRestarted => "incarnation",
             Self::BackendFailed => "backend_failed",
             Self::Unknown => "unknown",
             Self::Draining => "draining",
@@ -231,7 +236,7 @@
     }
 }
 
-impl Display for Retry {
+impl Display for RetryReason {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
--- a/crates/base/src/settings.rs
+++ b/crates/base/src/settings.rs
@@ -99,9 +99,9 @@
 
 /// A duration written with its unit, as in `"250ms"`, `"2s"` or `"5m"`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct Span(pub Duration);
+pub struct HumanDuration(pub Duration);
 
-impl Span {
+impl HumanDuration {
     /// Makes a span of whole milliseconds.
     #[must_use]
     pub const fn ms(ms: u64) -> Self {
@@ -115,7 +115,7 @@
     }
 }
 
-impl std::str::FromStr for Span {
+impl std::str::FromStr for HumanDuration {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -145,7 +145,7 @@
     )
 }
 
-impl Display for Span {
+impl Display for HumanDuration {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let us = self.0.as_micros();
         match us {
@@ -157,13 +157,13 @@
     }
 }
 
-impl Serialize for Span {
+impl Serialize for HumanDuration {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
+impl<'de> Deserialize<'de> for HumanDuration {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
         text.parse().map_err(D::Error::custom)
--- a/crates/base/src/stop.rs
+++ b/crates/base/src/stop.rs
@@ -9,7 +9,7 @@
 /// Says that a daemon should stop; all clones share one state, on whatever
 /// thread they live.
 #[derive(Debug, Clone, Default)]
-pub struct Stop {
+pub struct StopSignal {
     inner: Arc<Inner>,
 }
 
@@ -20,7 +20,7 @@
     reload: Notify,
 }
 
-impl Stop {
+impl StopSignal {
     /// Makes a flag that is not set.
     #[must_use]
     pub fn new() -> Self {
@@ -28,24 +28,24 @@
     }
 
     /// Sets the flag and wakes all who wait for it.
-    pub fn ask(&self) {
+    pub fn trigger(&self) {
         self.inner.asked.store(true, Ordering::Release);
         self.inner.notify.notify_waiters();
     }
 
     /// Whether the flag is set.
     #[must_use]
-    pub fn asked(&self) -> bool {
+    pub fn is_triggered(&self) -> bool {
         self.inner.asked.load(Ordering::Acquire)
     }
 
     /// Says that the settings may have changed.
-    pub fn reload(&self) {
+    pub fn request_reload(&self) {
         self.inner.reload.notify_one();
     }
 
     /// Waits until the settings may have changed.
-    pub async fn reloaded(&self) {
+    pub async fn wait_reload(&self) {
         self.inner.reload.notified().await;
     }
 
@@ -54,7 +54,7 @@
         loop {
             // Enrolled before the flag is read, so that no wake-up is missed.
             let woken = self.inner.notify.notified();
-            if self.asked() {
+            if self.is_triggered() {
                 return;
             }
             woken.await;
--- a/crates/base/src/telemetry.rs
+++ b/crates/base/src/telemetry.rs
@@ -11,7 +11,7 @@
 use metrics::counter;
 use recorder::Recorder;
 
-use crate::reason::{Ran, Refusal, Retry};
+use crate::reason::{Executed, Refusal, RetryReason};
 
 /// Name of the counter of refusals, by reason and by what was said about
 /// having run.
@@ -32,9 +32,10 @@
     RECORDER.set(Some(recorder.clone()));
     metrics::with_local_recorder(&recorder, || {
         for reason in Refusal::ALL {
-            counter!(REFUSALS, "reason" => reason.as_str(), "ran" => Ran::No.as_str()).absolute(0);
+            counter!(REFUSALS, "reason" => reason.as_str(), "ran" => Executed::No.as_str())
+                .absolute(0);
         }
-        for reason in Retry::ALL {
+        for reason in RetryReason::ALL {
             counter!(RETRIES, "reason" => reason.as_str()).absolute(0);
         }
         body()
@@ -48,11 +49,11 @@
 }
 
 /// Counts one refusal.
-pub fn count_refusal(reason: Refusal, ran: Ran) {
+pub fn count_refusal(reason: Refusal, ran: Executed) {
     counter!(REFUSALS, "reason" => reason.as_str(), "ran" => ran.as_str()).increment(1);
 }
 
 /// Counts one retry.
-pub fn count_retry(reason: Retry) {
+pub fn count_retry(reason: RetryReason) {
     counter!(RETRIES, "reason" => reason.as_str()).increment(1);
 }
--- a/crates/base/src/story.rs
+++ b/crates/base/src/timeline.rs
@@ -23,7 +23,7 @@
 
 /// One log line.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Line {
+pub struct LogLine {
     /// When it was logged, in milliseconds since the Unix epoch.
     pub time: u64,
     /// The daemon that logged it, as far as the log says.
@@ -32,7 +32,7 @@
     pub text: String,
 }
 
-impl Line {
+impl LogLine {
     /// Reads a line; `daemon` says whose log it is unless a name stands
     /// before the line's time.
     #[must_use]
@@ -57,8 +57,8 @@
 
 /// The lines that tell what became of the request `id`, in order of time.
 #[must_use]
-pub fn story(id: &str, lines: &[Line]) -> Vec<Line> {
-    let own: Vec<&Line> = lines.iter().filter(|l| l.get("id") == Some(id)).collect();
+pub fn request_timeline(id: &str, lines: &[LogLine]) -> Vec<LogLine> {
+    let own: Vec<&LogLine> = lines.iter().filter(|l| l.get("id") == Some(id)).collect();
     let Some(first) = own.iter().map(|l| l.time).min() else {
         return Vec::new();
     };
@@ -70,7 +70,7 @@
         .collect();
     let daemons: BTreeSet<&str> = own.iter().map(|l| l.daemon.as_str()).collect();
 
-    let matters = |l: &&Line| {
+    let matters = |l: &&LogLine| {
         if l.get("id") == Some(id) {
             return true;
         }
@@ -80,7 +80,7 @@
         let near = (first.saturating_sub(BEFORE_MS)..=last).contains(&l.time);
         belief && near && l.get("id").is_none() && daemons.contains(l.daemon.as_str())
     };
-    let mut story: Vec<Line> = lines.iter().filter(matters).cloned().collect();
+    let mut story: Vec<LogLine> = lines.iter().filter(matters).cloned().collect();
     // Lines of one daemon stay in its order within a millisecond.
     story.sort_by_key(|l| l.time);
     story
--- a/crates/base/tests/http.rs
+++ b/crates/base/tests/http.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use actix_web::{App, HttpResponse, web};
-use base::http::serve_whole;
-use base::stop::Stop;
+use base::http::serve_and_drain;
+use base::stop::StopSignal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
@@ -19,7 +19,7 @@
 const REQUEST: &[u8] = b"GET /small HTTP/1.1\r\nhost: a\r\n\r\n";
 
 /// An application that runs, and what tells that it has ended.
-async fn start(stop: &Stop) -> (SocketAddr, oneshot::Receiver<()>) {
+async fn start(stop: &StopSignal) -> (SocketAddr, oneshot::Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let app = App::new()
@@ -31,7 +31,7 @@
     let (ended, wait) = oneshot::channel();
     let stop = stop.clone();
     actix_rt::spawn(async move {
-        serve_whole(listener, app, stop, PATIENCE * 10)
+        serve_and_drain(listener, app, stop, PATIENCE * 10)
             .await
             .unwrap();
         let _ = ended.send(());
@@ -48,14 +48,14 @@
 // The stop must not wait for the keep-alive time of over a minute.
 #[actix_rt::test]
 async fn serve_whole_idle_connection() {
-    let stop = Stop::new();
+    let stop = StopSignal::new();
     let (addr, wait) = start(&stop).await;
     let mut idle = TcpStream::connect(addr).await.unwrap();
     idle.write_all(REQUEST).await.unwrap();
     let mut answer = [0; 5];
     idle.read_exact(&mut answer).await.unwrap();
 
-    stop.ask();
+    stop.trigger();
     ended(wait).await;
     let mut rest = Vec::new();
     idle.read_to_end(&mut rest).await.unwrap();
@@ -65,14 +65,14 @@
 // A balancer opens connections ahead of need and never used this one.
 #[actix_rt::test]
 async fn serve_whole_unused_connection() {
-    let stop = Stop::new();
+    let stop = StopSignal::new();
     let (addr, wait) = start(&stop).await;
     let mut unused = TcpStream::connect(addr).await.unwrap();
     let mut served = TcpStream::connect(addr).await.unwrap();
     served.write_all(REQUEST).await.unwrap();
     served.read_exact(&mut [0; 5]).await.unwrap();
 
-    stop.ask();
+    stop.trigger();
     ended(wait).await;
     assert_eq!(unused.read(&mut [0; 1]).await.unwrap(), 0);
 }
@@ -81,7 +81,7 @@
 // bytes have left. The stop comes between, and the caller still gets them all.
 #[actix_rt::test]
 async fn serve_whole_slow_reader() {
-    let stop = Stop::new();
+    let stop = StopSignal::new();
     let (addr, wait) = start(&stop).await;
     let mut slow = TcpStream::connect(addr).await.unwrap();
     slow.write_all(b"GET /large HTTP/1.1\r\nhost: a\r\n\r\n")
@@ -89,7 +89,7 @@
         .unwrap();
     slow.read_exact(&mut [0; 5]).await.unwrap();
 
-    stop.ask();
+    stop.trigger();
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut rest = Vec::new();
     slow.read_to_end(&mut rest).await.unwrap();
@@ -104,17 +104,17 @@
     let addr = listener.local_addr().unwrap();
     let large = async || HttpResponse::Ok().body(vec![b'x'; LARGE]);
     let app = App::new().route("/large", web::get().to(large));
-    let stop = Stop::new();
+    let stop = StopSignal::new();
     let asked = stop.clone();
     let limit = Duration::from_millis(50);
-    let served = actix_rt::spawn(serve_whole(listener, app, asked, limit));
+    let served = actix_rt::spawn(serve_and_drain(listener, app, asked, limit));
 
     let mut gone = TcpStream::connect(addr).await.unwrap();
     gone.write_all(b"GET /large HTTP/1.1\r\nhost: a\r\n\r\n")
         .await
         .unwrap();
     gone.read_exact(&mut [0; 5]).await.unwrap();
-    stop.ask();
+    stop.trigger();
     let served = tokio::time::timeout(PATIENCE, served).await;
     served.expect("the application holds on").unwrap().unwrap();
 }
--- a/crates/base/tests/logging.rs
+++ b/crates/base/tests/logging.rs
@@ -4,8 +4,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use base::logging::bounded::Bounded;
-use base::story::{Line, story};
+use base::logging::bounded::BoundedWriter;
+use base::timeline::{LogLine, request_timeline};
 use rstest::rstest;
 
 /// Takes nothing until it is told to.
@@ -33,12 +33,15 @@
 fn stuck_reader_holds_nothing_up() {
     let (go, gone) = channel();
     let (out, written) = channel();
-    let mut log = Bounded::start(Stuck { go: gone, out }).expect("a thread");
+    let mut log = BoundedWriter::start(Stuck { go: gone, out }).expect("a thread");
     let line = [b'x'; 1024];
     for _ in 0..1000 {
         log.write_all(&line).expect("never fails");
     }
-    assert!(log.left_out() > 0, "nothing was left out of a full buffer");
+    assert!(
+        log.dropped_lines() > 0,
+        "nothing was left out of a full buffer"
+    );
     drop(go);
     let mut text = String::new();
     while !text.contains("event=\"log lines left out\" count=") {
@@ -66,7 +69,7 @@
 #[test]
 fn lines_are_not_torn() {
     let (out, written) = channel();
-    let mut log = Bounded::start(Pieces(out)).expect("a thread");
+    let mut log = BoundedWriter::start(Pieces(out)).expect("a thread");
     for i in 0..500 {
         let line = format!("time={i} event=\"{}\"\n", "x".repeat(i % 90));
         log.write_all(line.as_bytes()).expect("never fails");
@@ -79,7 +82,7 @@
     assert_eq!(lines, 500);
 }
 
-fn lines() -> Vec<Line> {
+fn lines() -> Vec<LogLine> {
     let raw = [
         "time=900 level=info event=\"server listed\" server=s9 leaving=false",
         "   1.2 front-1 time=1000 level=info event=\"server missing\" server=s1",
@@ -90,14 +93,16 @@
         "   1.6 front-1 time=1210 level=info event=\"call answered\" id=77 status=200",
         "no log line at all",
     ];
-    raw.iter().filter_map(|l| Line::parse("file", l)).collect()
+    raw.iter()
+        .filter_map(|l| LogLine::parse("file", l))
+        .collect()
 }
 
 #[test]
 fn story_told_in_order() {
     let lines = lines();
     assert_eq!(lines.len(), 7);
-    let told = story("7", &lines);
+    let told = request_timeline("7", &lines);
     let events: Vec<_> = told.iter().filter_map(|l| l.get("event")).collect();
     assert_eq!(
         events,
@@ -113,7 +118,7 @@
 
 #[test]
 fn story_of_unknown_is_empty() {
-    assert!(story("8", &lines()).is_empty());
+    assert!(request_timeline("8", &lines()).is_empty());
 }
 
 #[rstest]
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -3,7 +3,7 @@
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
 
-use base::settings::Span;
+use base::settings::HumanDuration;
 use futures_util::StreamExt;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -74,7 +74,7 @@
     let idle_site = Layout {
         engines: 4,
         slots: 16,
-        step: Span::default(),
+        step: HumanDuration::default(),
     };
     let site = idle_site.start();
     let idle_bytes = cost::memory();
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use base::ids::Tier;
-use base::settings::{self, Span};
+use base::settings::{self, HumanDuration};
 use bundle::{Bundle, Class, Pool, Targets, Workspace};
 use demo::host::Host;
 use entry::settings::Known;
@@ -26,7 +26,7 @@
 pub const TOKEN: &str = "bench-token";
 
 /// A target that no request misses.
-const NEVER: Span = Span::secs(3600);
+const NEVER: HumanDuration = HumanDuration::secs(3600);
 
 /// Counts the sites of a process, so that each has addresses of its own.
 static SITES: AtomicU8 = AtomicU8::new(0);
@@ -39,7 +39,7 @@
     /// Requests that an engine runs at once.
     pub slots: usize,
     /// Time of an engine's step.
-    pub step: Span,
+    pub step: HumanDuration,
 }
 
 /// A site that runs.
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -5,11 +5,11 @@
 use std::fmt::{self, Display, Formatter};
 use std::time::{Duration, Instant};
 
-use base::ids::{Sequence, Ticket};
-use base::settings::Span;
+use base::ids::{BundleSequence, RequestId};
+use base::settings::HumanDuration;
 use bundle::Lookup;
 use serde::{Deserialize, Serialize};
-use wire::{Peer, Timing};
+use wire::{Peer, Timeouts};
 
 use crate::callers::{self, Way};
 use crate::cost;
@@ -109,7 +109,7 @@
     let layout = Layout {
         engines,
         slots: 16,
-        step: Span::default(),
+        step: HumanDuration::default(),
     };
     layout.start()
 }
@@ -132,7 +132,7 @@
     let layout = Layout {
         engines: 4,
         slots: 16,
-        step: Span::ms(3),
+        step: HumanDuration::ms(3),
     };
     let site = layout.start();
     let _ = callers::send(site.entry, 64, OPEN, 50);
@@ -170,7 +170,7 @@
     let layout = Layout {
         engines: 1,
         slots: 4096,
-        step: Span::ms(2500),
+        step: HumanDuration::ms(2500),
     };
     layout.start()
 }
@@ -217,14 +217,14 @@
     let site = fast(1);
     actix_rt::System::new().block_on(async {
         let before = cost::memory();
-        let stamp = wire::Stamp {
-            sequence: Sequence::default(),
+        let stamp = wire::CallHeader {
+            sequence: BundleSequence::default(),
         };
         let mut open = Vec::new();
         for count in [200, 400, 800, 1600] {
             while open.len() < count {
-                let peer = Peer::new(site.link, Timing::default());
-                let sent = peer.cancel(stamp, Ticket::random()).await;
+                let peer = Peer::new(site.link, Timeouts::default());
+                let sent = peer.cancel(stamp, RequestId::random()).await;
                 sent.map_err(|e| e.to_string())?;
                 open.push(peer);
             }
--- a/crates/bundle/src/accept.rs
+++ b/crates/bundle/src/accept.rs
@@ -17,7 +17,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 
 use crate::content::{Content, Entries};
 use crate::hash::Hash;
@@ -53,7 +53,7 @@
     /// Parts of larger content by its digest, oldest set first.
     parts: VecDeque<(Hash, BTreeMap<u32, Entries>)>,
     /// The newest checkpoint: where it stands and what it holds.
-    newest: Option<(Offset, Sequence)>,
+    newest: Option<(Offset, BundleSequence)>,
     /// Entries that changed since [`Self::take_touched`]; none when all may
     /// have.
     touched: Option<Touched>,
@@ -71,7 +71,7 @@
 impl Head {
     /// Its number.
     #[must_use]
-    pub fn sequence(&self) -> Sequence {
+    pub fn sequence(&self) -> BundleSequence {
         self.signed.header.sequence
     }
 }
@@ -79,7 +79,7 @@
 /// A version that is or was in force.
 #[derive(Debug, Clone)]
 struct Past {
-    sequence: Sequence,
+    sequence: BundleSequence,
     id: Hash,
     parent: Hash,
     operator: String,
@@ -113,8 +113,8 @@
 
     /// The number of the version in force; 0 when there is none.
     #[must_use]
-    pub fn sequence(&self) -> Sequence {
-        self.head.as_ref().map_or(Sequence(0), Head::sequence)
+    pub fn sequence(&self) -> BundleSequence {
+        self.head.as_ref().map_or(BundleSequence(0), Head::sequence)
     }
 
     /// The content of the version in force.
@@ -149,7 +149,7 @@
 
     /// The newest checkpoint that was read: its offset and its version.
     #[must_use]
-    pub fn newest(&self) -> Option<(Offset, Sequence)> {
+    pub fn newest(&self) -> Option<(Offset, BundleSequence)> {
         self.newest
     }
 
@@ -226,7 +226,7 @@
         let id = signed.id();
         let (sequence, parent) = match &self.head {
             Some(head) => (head.sequence(), head.signed.id()),
-            None => (Sequence(0), Hash::default()),
+            None => (BundleSequence(0), Hash::default()),
         };
         if header.sequence <= sequence {
             return self.late(&signed, id);
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use base::ids::Tier;
-use base::settings::Span;
+use base::settings::HumanDuration;
 use serde::{Deserialize, Serialize};
 
 /// Everything that operators declare, as one versioned unit. All maps are
@@ -47,11 +47,11 @@
 #[serde(deny_unknown_fields)]
 pub struct Targets {
     /// Until the first piece of the answer.
-    pub first_token: Span,
+    pub first_token: HumanDuration,
     /// Between two pieces of the answer, as a mean over the answer.
-    pub token_gap: Span,
+    pub token_gap: HumanDuration,
     /// Until the last piece of the answer.
-    pub whole: Span,
+    pub whole: HumanDuration,
 }
 
 /// One customer and what it may use.
--- a/crates/bundle/src/record.rs
+++ b/crates/bundle/src/record.rs
@@ -1,6 +1,6 @@
 //! Records of the bundle's stream in the platform's log.
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use serde::{Deserialize, Serialize};
 
 use crate::content::{Content, Entries, Patch};
@@ -18,7 +18,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Header {
     /// The new version's number: the parent's plus one.
-    pub sequence: Sequence,
+    pub sequence: BundleSequence,
     /// The parent's [`Signed::id`]; all zero for the first version.
     pub parent: Hash,
     /// Digest of the whole content after the step.
@@ -29,7 +29,7 @@
     pub operator: String,
     /// The earlier version whose content this one restores, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub restores: Option<Sequence>,
+    pub restores: Option<BundleSequence>,
 }
 
 /// A header with its signature.
--- a/crates/bundle/src/verdict.rs
+++ b/crates/bundle/src/verdict.rs
@@ -2,23 +2,23 @@
 
 use std::fmt::{self, Display, Formatter};
 
-use base::ids::Sequence;
+use base::ids::BundleSequence;
 use serde::{Deserialize, Serialize};
 
 /// What became of one record of the stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
     /// A change is in force from here on.
-    Accepted(Sequence),
+    Accepted(BundleSequence),
     /// Another record for the same parent stands earlier in the log.
     Beaten {
         /// The version that won.
-        by: Sequence,
+        by: BundleSequence,
         /// Who signed it.
         operator: String,
     },
     /// A checkpoint told this reader of a version that it had missed.
-    Adopted(Sequence),
+    Adopted(BundleSequence),
     /// A checkpoint of the version in force, or one written before its
     /// writer could know a later version.
     Known,
--- a/crates/bundle/tests/accept.rs
+++ b/crates/bundle/tests/accept.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use bundle::record::{RECORD_LIMIT, parts};
 use bundle::{Acceptor, Content, Fault, Payload, Record, Signed, Verdict};
 use common::{Memory, awa, change, content, id, luz, mallory, operators, step, trust};
@@ -11,7 +11,10 @@
 fn first_accepted() -> (Memory, Acceptor) {
     let (mut log, mut reader) = (Memory::default(), Acceptor::new(trust()));
     log.append(&change(&reader, &awa(), &content("v1", &trust())));
-    assert_eq!(log.read_all(&mut reader), [Verdict::Accepted(Sequence(1))]);
+    assert_eq!(
+        log.read_all(&mut reader),
+        [Verdict::Accepted(BundleSequence(1))]
+    );
     (log, reader)
 }
 
@@ -27,12 +30,12 @@
     log.append(&one);
 
     let beaten = Verdict::Beaten {
-        by: Sequence(2),
+        by: BundleSequence(2),
         operator: "luz".to_owned(),
     };
     assert_eq!(
         log.read_all(&mut reader),
-        [Verdict::Accepted(Sequence(2)), beaten]
+        [Verdict::Accepted(BundleSequence(2)), beaten]
     );
     assert!(reader.content().get("models", "v2b").is_some());
 }
@@ -49,9 +52,9 @@
     let replayed = Verdict::Refused(Fault::Replayed);
     assert_eq!(
         log.read_all(&mut reader),
-        [Verdict::Accepted(Sequence(2)), replayed]
+        [Verdict::Accepted(BundleSequence(2)), replayed]
     );
-    assert_eq!(reader.sequence(), Sequence(2));
+    assert_eq!(reader.sequence(), BundleSequence(2));
 }
 
 fn unknown(reader: &Acceptor) -> Vec<u8> {
@@ -134,7 +137,10 @@
 
     // The next good record is accepted as if nothing had been.
     log.append(&change(&reader, &luz(), &content("v2", &trust())));
-    assert_eq!(log.read_all(&mut reader), [Verdict::Accepted(Sequence(2))]);
+    assert_eq!(
+        log.read_all(&mut reader),
+        [Verdict::Accepted(BundleSequence(2))]
+    );
 }
 
 #[test]
@@ -206,13 +212,13 @@
         &content("v4", &operators(&[mallory()])),
     ));
     log.read_all(&mut reader);
-    assert_eq!(reader.sequence(), Sequence(4));
+    assert_eq!(reader.sequence(), BundleSequence(4));
 
     log.append(&reader.checkpoint_records()[0]);
     log.first = log.end() - 1;
     let mut fresh = Acceptor::new(operators(&[awa()]));
     // Having adopted it, the reader goes back to what its writer had judged.
-    let adopted = [Verdict::Adopted(Sequence(4)), Verdict::Known];
+    let adopted = [Verdict::Adopted(BundleSequence(4)), Verdict::Known];
     assert_eq!(log.read_all(&mut fresh), adopted);
 
     // Settings that never knew any of them take nothing.
@@ -243,7 +249,7 @@
     let signed = step(&reader, &awa(), &large);
     log.append(&Record::Change { signed, payload });
     let verdicts = log.read_all(&mut reader);
-    assert_eq!(verdicts.last(), Some(&Verdict::Accepted(Sequence(2))));
+    assert_eq!(verdicts.last(), Some(&Verdict::Accepted(BundleSequence(2))));
 
     log.first = log.end();
     for record in reader.checkpoint_records() {
@@ -251,7 +257,7 @@
     }
     let mut fresh = Acceptor::new(trust());
     let verdicts = log.read_all(&mut fresh);
-    assert!(verdicts.contains(&Verdict::Adopted(Sequence(2))));
+    assert!(verdicts.contains(&Verdict::Adopted(BundleSequence(2))));
     assert_eq!(fresh.content().digest(), large.digest());
 }
 
@@ -263,14 +269,14 @@
     log.append(&change(&reader, &awa(), &content("v2", &trust())));
     log.read_all(&mut reader);
     assert_eq!(reader.adopt(old), Ok(false));
-    assert_eq!(reader.sequence(), Sequence(2));
+    assert_eq!(reader.sequence(), BundleSequence(2));
 }
 
 #[test]
 fn adopt_forged() {
     let (_, reader) = first_accepted();
     let mut offered = reader.snapshot().expect("a head");
-    offered.signed.header.sequence = Sequence(9);
+    offered.signed.header.sequence = BundleSequence(9);
     let mut fresh = Acceptor::new(trust());
     assert_eq!(fresh.adopt(offered), Err(Fault::BadSignature));
     assert_eq!(fresh.next(), Offset(0));
--- a/crates/bundle/tests/common/mod.rs
+++ b/crates/bundle/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use bundle::hash::Hash;
 use bundle::record::{Header, operators_hash, operators_of};
 use bundle::{Acceptor, Content, Operators, Payload, Record, SecretKey, Signed, Verdict};
@@ -44,7 +44,7 @@
 pub(crate) fn step(reader: &Acceptor, key: &SecretKey, to: &Content) -> Signed {
     let parent = reader.head().map(|h| h.signed.id());
     let header = Header {
-        sequence: Sequence(reader.sequence().0 + 1),
+        sequence: BundleSequence(reader.sequence().0 + 1),
         parent: parent.unwrap_or_default(),
         digest: to.digest(),
         operators: operators_hash(&operators_of(to)),
--- a/crates/bundle/tests/convergence.rs
+++ b/crates/bundle/tests/convergence.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use bundle::{Acceptor, Hash, Verdict};
 use common::{Memory, awa, change, content, id, luz, trust};
 use proptest::prelude::*;
@@ -59,7 +59,7 @@
     /// long as no outage outlasts half the retention.
     covered: bool,
     /// Which record each version number meant, to whoever accepted it.
-    accepted: HashMap<Sequence, Hash>,
+    accepted: HashMap<BundleSequence, Hash>,
 }
 
 impl World {
@@ -74,7 +74,7 @@
     }
 
     fn run(&mut self, event: &Event) -> Result<(), TestCaseError> {
-        let before: Vec<Sequence> = self.readers.iter().map(Acceptor::sequence).collect();
+        let before: Vec<BundleSequence> = self.readers.iter().map(Acceptor::sequence).collect();
         match *event {
             Event::Publish { reader, luz } => self.publish(reader, luz),
             Event::Duplicate { pick } => self.duplicate(pick),
@@ -196,7 +196,7 @@
     for event in events {
         world.run(event)?;
     }
-    let before: Vec<Sequence> = world.readers.iter().map(Acceptor::sequence).collect();
+    let before: Vec<BundleSequence> = world.readers.iter().map(Acceptor::sequence).collect();
     world.settle();
     world.agree()?;
 
--- a/crates/claims/examples/claim_slopes.rs
+++ b/crates/claims/examples/claim_slopes.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use base::ids::{Offset, Ticket};
+use base::ids::{Offset, RequestId};
 use bundle::Hash;
 use claims::claims::key_hash;
 use claims::record::{Claimed, Ended, Mark, Record};
@@ -45,7 +45,7 @@
 /// A record with claims and the ends of as many.
 fn record(i: u64, batch: u64) -> String {
     let claim = |n: u64| {
-        let ticket = Mark(Ticket(u128::from(n) << 64));
+        let ticket = Mark(RequestId(u128::from(n) << 64));
         let key = key_hash("workspace", &n.to_string());
         let body = Hash::of(&[&n.to_be_bytes()]);
         Claimed { key, body, ticket }
--- a/crates/claims/src/claim.rs
+++ b/crates/claims/src/claim.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use base::ids::Ticket;
+use base::ids::RequestId;
 use bundle::Hash;
 
 use crate::claims::Claims;
@@ -15,7 +15,7 @@
 pub struct Claim {
     claims: Rc<Claims>,
     key: Hash,
-    ticket: Ticket,
+    ticket: RequestId,
     /// The call must not begin after this.
     until: Instant,
     begun: Cell<bool>,
@@ -23,7 +23,7 @@
 }
 
 impl Claim {
-    pub(crate) fn new(claims: Rc<Claims>, key: Hash, ticket: Ticket, until: Instant) -> Self {
+    pub(crate) fn new(claims: Rc<Claims>, key: Hash, ticket: RequestId, until: Instant) -> Self {
         Self {
             claims,
             key,
--- a/crates/claims/src/claims.rs
+++ b/crates/claims/src/claims.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use base::clock::Clock;
-use base::ids::{Offset, Ticket};
+use base::ids::{Offset, RequestId};
 use base::reason::Refusal;
-use base::settings::Span;
+use base::settings::HumanDuration;
 use bundle::Hash;
 use clients::log::{Error, Log};
 use spdlog::debug;
@@ -57,9 +57,9 @@
     /// The entry's name.
     pub entry: String,
     /// How long a key is owned.
-    pub window: Span,
+    pub window: HumanDuration,
     /// Least time between two appends; claims that come meanwhile share one.
-    pub gap: Span,
+    pub gap: HumanDuration,
 }
 
 /// Claims keys for one entry.
@@ -124,7 +124,7 @@
         workspace: &str,
         key: &str,
         body: Hash,
-        ticket: Ticket,
+        ticket: RequestId,
     ) -> Result<Claim, Denied> {
         let key = key_hash(workspace, key);
         // Known to be taken already: no need to append. The owner may have
@@ -158,7 +158,7 @@
     }
 
     /// Tells how a call with a key ended.
-    pub(crate) fn end(&self, key: Hash, ticket: Ticket, end: End) {
+    pub(crate) fn end(&self, key: Hash, ticket: RequestId, end: End) {
         let mut ends = self.ends.borrow_mut();
         if ends.len() < ENDS {
             ends.push(Ended {
@@ -195,7 +195,7 @@
             Some(_) => Duration::from_millis(left),
         };
         Denied {
-            reason: Refusal::KeyTaken,
+            reason: Refusal::KeyInUse,
             end: owner.end,
             after: Some(after),
         }
@@ -297,7 +297,7 @@
                 ticket: claimed.ticket,
                 end: End::NotRun,
             });
-            metrics::counter!("pimentocart_claims_total", "outcome" => Refusal::LogDown.as_str())
+            metrics::counter!("pimentocart_claims_total", "outcome" => Refusal::LogUnavailable.as_str())
                 .increment(1);
             let _ = reply.send(Err(down()));
         }
@@ -313,7 +313,7 @@
 
 fn down() -> Denied {
     Denied {
-        reason: Refusal::LogDown,
+        reason: Refusal::LogUnavailable,
         end: None,
         after: Some(Duration::from_secs(1)),
     }
--- a/crates/claims/src/record.rs
+++ b/crates/claims/src/record.rs
@@ -1,6 +1,6 @@
 //! What stands in the log: claims and how they ended, several to a record.
 
-use base::ids::Ticket;
+use base::ids::RequestId;
 use bundle::Hash;
 use serde::{Deserialize, Serialize};
 
@@ -58,7 +58,7 @@
 /// A ticket as text: JSON numbers end at 64 bits in many readers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Mark(pub Ticket);
+pub struct Mark(pub RequestId);
 
 impl From<Mark> for String {
     fn from(mark: Mark) -> Self {
@@ -70,6 +70,6 @@
     type Error = std::num::ParseIntError;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        u128::from_str_radix(&text, 16).map(|n| Self(Ticket(n)))
+        u128::from_str_radix(&text, 16).map(|n| Self(RequestId(n)))
     }
 }
--- a/crates/claims/src/table.rs
+++ b/crates/claims/src/table.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::ids::{Offset, Ticket};
+use base::ids::{Offset, RequestId};
 use bundle::Hash;
 
 use crate::record::{Claimed, End, Ended, Record};
@@ -16,7 +16,7 @@
     window_ms: u64,
     owners: HashMap<Hash, Owner>,
     /// When claims lapse, the first to lapse first.
-    lapses: VecDeque<(u64, Hash, Ticket)>,
+    lapses: VecDeque<(u64, Hash, RequestId)>,
     next: Offset,
 }
 
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Owner {
     /// The call.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// Hash of what it asks for.
     pub body: Hash,
     /// The entry that granted it.
--- a/crates/claims/tests/failures.rs
+++ b/crates/claims/tests/failures.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use base::clock::{Clock, ManualClock, SystemClock};
-use base::ids::{Offset, Ticket};
+use base::ids::{Offset, RequestId};
 use base::logging::{self, Level};
 use base::reason::Refusal;
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use bundle::Hash;
 use claims::{Claim, Claims, Denied, End, STREAM, Settings};
 use clients::log::Log;
@@ -33,22 +33,26 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         let faults = Control::new(Faults::default());
-        actix_rt::spawn(standin::log::serve(listener, faults.clone(), Stop::new()));
+        actix_rt::spawn(standin::log::serve(
+            listener,
+            faults.clone(),
+            StopSignal::new(),
+        ));
         test(World { addr, faults }).await;
     });
 }
 
 impl World {
-    fn entry(&self, name: &str, window: Span) -> Rc<Claims> {
+    fn entry(&self, name: &str, window: HumanDuration) -> Rc<Claims> {
         self.entry_with(name, window, Rc::new(SystemClock))
     }
 
-    fn entry_with(&self, name: &str, window: Span, clock: Rc<dyn Clock>) -> Rc<Claims> {
+    fn entry_with(&self, name: &str, window: HumanDuration, clock: Rc<dyn Clock>) -> Rc<Claims> {
         let settings = Settings {
             log: self.addr,
             entry: name.to_owned(),
             window,
-            gap: Span::ms(1),
+            gap: HumanDuration::ms(1),
         };
         Claims::start(settings, clock)
     }
@@ -67,7 +71,7 @@
 
 async fn claim(entry: &Claims, key: &str) -> Result<Claim, Denied> {
     entry
-        .claim("mairie", key, hash("letter"), Ticket::random())
+        .claim("mairie", key, hash("letter"), RequestId::random())
         .await
 }
 
@@ -88,14 +92,14 @@
     // entries at once, many times over. Whichever claim the log put first
     // owns the key at both; the other call hears that the key is taken.
     run(async |world| {
-        let one = world.entry("one", Span::secs(60));
-        let two = world.entry("two", Span::secs(60));
+        let one = world.entry("one", HumanDuration::secs(60));
+        let two = world.entry("two", HumanDuration::secs(60));
         for i in 0..20 {
             let key = format!("letter-{i}");
             let (a, b) = tokio::join!(claim(&one, &key), claim(&two, &key));
             assert_eq!(u8::from(a.is_ok()) + u8::from(b.is_ok()), 1, "one owner");
             let denied = a.as_ref().err().or(b.as_ref().err()).expect("one loser");
-            assert_eq!((denied.reason, denied.end), (Refusal::KeyTaken, None));
+            assert_eq!((denied.reason, denied.end), (Refusal::KeyInUse, None));
         }
     });
 }
@@ -105,7 +109,7 @@
     // Fifty calls come while one append is under way. They share the next
     // one, so that a burst does not exceed the log's appends a second.
     run(async |world| {
-        let entry = world.entry("one", Span::secs(60));
+        let entry = world.entry("one", HumanDuration::secs(60));
         let keys: Vec<String> = (0..50).map(|i| format!("letter-{i}")).collect();
         let claims = keys.iter().map(|key| claim(&entry, key));
         let claims = futures_util::future::join_all(claims).await;
@@ -120,7 +124,7 @@
     // record by its id, so the call goes on, and the key is claimed once.
     // The same again with the next call.
     run(async |world| {
-        let entry = world.entry("one", Span::secs(60));
+        let entry = world.entry("one", HumanDuration::secs(60));
         for key in ["a", "b"] {
             world.faults.change(|f| f.lose = 1);
             assert!(claim(&entry, key).await.is_ok());
@@ -136,12 +140,12 @@
     // outage the entry releases what it may own, and the caller's next try
     // gets the key, at another entry as well.
     run(async |world| {
-        let one = world.entry("one", Span::secs(60));
-        let two = world.entry("two", Span::secs(60));
+        let one = world.entry("one", HumanDuration::secs(60));
+        let two = world.entry("two", HumanDuration::secs(60));
         assert!(claim(&one, "first").await.is_ok());
         world.faults.change(|f| {
             f.lose = 1;
-            f.hold = Span::ms(100);
+            f.hold = HumanDuration::ms(100);
         });
         let faults = world.faults.clone();
         actix_rt::spawn(async move {
@@ -151,7 +155,7 @@
             faults.change(|f| f.down = true);
         });
         let denied = claim(&one, "letter").await.expect_err("the log is down");
-        assert_eq!(denied.reason, Refusal::LogDown);
+        assert_eq!(denied.reason, Refusal::LogUnavailable);
         assert!(world.faults.get().down);
 
         world.faults.change(|f| f.down = false);
@@ -164,11 +168,11 @@
     // The log is down: a call that must not be repeated is refused as not
     // run, twice. Once the log answers, the same key can be claimed.
     run(async |world| {
-        let entry = world.entry("one", Span::secs(60));
+        let entry = world.entry("one", HumanDuration::secs(60));
         world.faults.change(|f| f.down = true);
         for _ in 0..2 {
             let denied = claim(&entry, "letter").await.expect_err("the log is down");
-            assert_eq!(denied.reason, Refusal::LogDown);
+            assert_eq!(denied.reason, Refusal::LogUnavailable);
         }
         world.faults.change(|f| f.down = false);
         let _owned = claim_until(&entry, "letter").await;
@@ -183,7 +187,7 @@
     // begin; before the pause it could have.
     run(async |world| {
         let clock = ManualClock::new();
-        let window = Span::ms(400);
+        let window = HumanDuration::ms(400);
         let one = world.entry_with("one", window, Rc::new(clock.clone()));
         let claimed = claim_until(&one, "letter").await;
         let early = claim_until(&one, "other").await;
@@ -211,14 +215,14 @@
     // caller's second try at the new entry hears that the key is taken and
     // that nothing is known of the outcome: the call may have run.
     run(async |world| {
-        let one = world.entry("one", Span::secs(60));
+        let one = world.entry("one", HumanDuration::secs(60));
         let claimed = claim_until(&one, "letter").await;
         assert!(claimed.begin(SystemClock.now()));
         std::mem::forget(claimed);
 
-        let fresh = world.entry("one", Span::secs(60));
+        let fresh = world.entry("one", HumanDuration::secs(60));
         let denied = claim(&fresh, "letter").await.expect_err("taken");
-        assert_eq!((denied.reason, denied.end), (Refusal::KeyTaken, None));
+        assert_eq!((denied.reason, denied.end), (Refusal::KeyInUse, None));
         assert!(denied.after.is_some());
     });
 }
@@ -228,8 +232,8 @@
     // A call that ran to its end is known as such at other entries; one that
     // did not run leaves its key free.
     run(async |world| {
-        let one = world.entry("one", Span::secs(60));
-        let two = world.entry("two", Span::secs(60));
+        let one = world.entry("one", HumanDuration::secs(60));
+        let two = world.entry("two", HumanDuration::secs(60));
         let ran = claim_until(&one, "ran").await;
         assert!(ran.begin(SystemClock.now()));
         ran.end(End::Whole);
@@ -246,17 +250,17 @@
     // The same key comes with another letter. It is refused, at the entry
     // that owns the key and at another one.
     run(async |world| {
-        let one = world.entry("one", Span::secs(60));
-        let two = world.entry("two", Span::secs(60));
+        let one = world.entry("one", HumanDuration::secs(60));
+        let two = world.entry("two", HumanDuration::secs(60));
         let _owned = claim_until(&one, "letter").await;
         for entry in [&one, &two] {
-            let other = entry.claim("mairie", "letter", hash("other"), Ticket::random());
+            let other = entry.claim("mairie", "letter", hash("other"), RequestId::random());
             let denied = other.await.expect_err("another body");
             assert_eq!(denied.reason, Refusal::KeyReused);
         }
 
         // Another workspace's key of the same name is another key.
-        let other = two.claim("beta", "letter", hash("other"), Ticket::random());
+        let other = two.claim("beta", "letter", hash("other"), RequestId::random());
         assert!(other.await.is_ok());
     });
 }
--- a/crates/cli/src/commands/bundle.rs
+++ b/crates/cli/src/commands/bundle.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use base::ids::Sequence;
+use base::ids::BundleSequence;
 use base::settings;
 use bpaf::Bpaf;
 use bundle::approval::Approval;
@@ -119,10 +119,10 @@
                 file,
             } => with_log(async || publish(&key, &settings, &file).await),
             Action::Rollback { key, settings, to } => {
-                with_log(async || rollback(&key, &settings, Sequence(to)).await)
+                with_log(async || rollback(&key, &settings, BundleSequence(to)).await)
             }
             Action::Show { settings, version } => {
-                with_log(async || show(&settings, version.map(Sequence)).await)
+                with_log(async || show(&settings, version.map(BundleSequence)).await)
             }
         }
     }
@@ -177,7 +177,7 @@
     Ok(tell(publisher.publish(&key, &content, None).await?))
 }
 
-async fn rollback(key: &Path, settings: &Path, to: Sequence) -> Outcome {
+async fn rollback(key: &Path, settings: &Path, to: BundleSequence) -> Outcome {
     let key: SecretKey = settings::load(key)?;
     let Some(mut publisher) = read(settings).await? else {
         return Ok(unknown());
@@ -192,7 +192,7 @@
     Ok(tell(publisher.publish(&key, &content, Some(to)).await?))
 }
 
-async fn show(settings: &Path, version: Option<Sequence>) -> Outcome {
+async fn show(settings: &Path, version: Option<BundleSequence>) -> Outcome {
     let Some(publisher) = read(settings).await? else {
         return Ok(unknown());
     };
--- a/crates/cli/src/commands/compare.rs
+++ b/crates/cli/src/commands/compare.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use base::logging::{self, Level};
-use base::settings::Span;
+use base::settings::HumanDuration;
 use bpaf::Bpaf;
 use demo::faults::FaultPlan;
 use demo::{Arm, Fleet, Options, compare};
@@ -26,10 +26,10 @@
     #[bpaf(
         long("for"),
         argument("TIME"),
-        fallback(Span::secs(30)),
+        fallback(HumanDuration::secs(30)),
         display_fallback
     )]
-    time: Span,
+    time: HumanDuration,
     /// Seeds, as in 1,2,3
     #[bpaf(argument("N,M"))]
     seeds: List<u64>,
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use base::logging::{self, Level};
-use base::settings::{self, Span};
+use base::settings::{self, HumanDuration};
 use bpaf::Bpaf;
 use demo::faults::FaultPlan;
 use demo::{Arm, Fleet, Options};
@@ -21,10 +21,10 @@
     #[bpaf(
         long("for"),
         argument("TIME"),
-        fallback(Span::secs(10)),
+        fallback(HumanDuration::secs(10)),
         display_fallback
     )]
-    time: Span,
+    time: HumanDuration,
     /// Seed of all random numbers
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     seed: u64,
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use base::story::{Line, story};
+use base::timeline::{LogLine, request_timeline};
 use bpaf::Bpaf;
 use snafu::{ResultExt, Snafu};
 
@@ -36,7 +36,7 @@
         for log in &self.logs {
             lines.extend(read(log)?);
         }
-        let story = story(&self.id, &lines);
+        let story = request_timeline(&self.id, &lines);
         let Some(first) = story.first().map(|l| l.time) else {
             eprintln!(
                 "pimentocart: no line names id={} in {} lines of {} files (hint: the id is the \
@@ -59,7 +59,7 @@
     }
 }
 
-fn read(log: &Path) -> Result<Vec<Line>, Error> {
+fn read(log: &Path) -> Result<Vec<LogLine>, Error> {
     let file = log.display().to_string();
     let bytes = std::fs::read(log).context(ReadSnafu { file })?;
     let text = String::from_utf8_lossy(&bytes);
@@ -68,6 +68,6 @@
         .map_or_else(String::new, |s| s.to_string_lossy().into_owned());
     Ok(text
         .lines()
-        .filter_map(|l| Line::parse(&daemon, l))
+        .filter_map(|l| LogLine::parse(&daemon, l))
         .collect())
 }
--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::process::ExitCode;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::Outcome;
@@ -11,12 +11,12 @@
 /// Runs one daemon until it is told to stop by SIGTERM or SIGINT.
 pub(crate) fn run<F, Fut>(body: F) -> Outcome
 where
-    F: FnOnce(Stop) -> Fut,
+    F: FnOnce(StopSignal) -> Fut,
     Fut: Future<Output = io::Result<()>>,
 {
     let ended = base::telemetry::with_recorder(|| {
         actix_rt::System::new().block_on(async {
-            let stop = Stop::new();
+            let stop = StopSignal::new();
             actix_rt::spawn(signals(stop.clone()));
             body(stop).await
         })
@@ -26,7 +26,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn signals(stop: Stop) {
+async fn signals(stop: StopSignal) {
     let term = signal(SignalKind::terminate());
     let int = signal(SignalKind::interrupt());
     let hup = signal(SignalKind::hangup());
@@ -39,8 +39,8 @@
             _ = int.recv() => break,
             // Without a handler the signal would end the process and cut off
             // every call in progress.
-            _ = hup.recv() => stop.reload(),
+            _ = hup.recv() => stop.request_reload(),
         }
     }
-    stop.ask();
+    stop.trigger();
 }
--- a/crates/cli/tests/processes/bundles.rs
+++ b/crates/cli/tests/processes/bundles.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use demo::host::Host;
 use serde_json::{Value, json};
 use standin::log::Faults;
@@ -116,7 +116,7 @@
 /// chosen: a port that is given back in between may be taken by another test.
 fn start_log(listener: TcpListener, faults: &Control<Faults>) -> Host {
     let faults = faults.clone();
-    Host::start("log", move |stop: Stop| {
+    Host::start("log", move |stop: StopSignal| {
         let listener = listener.try_clone();
         let faults = faults.clone();
         async move {
--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -8,7 +8,7 @@
 
 use awc::error::{ConnectError, SendRequestError};
 use awc::http::StatusCode;
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 use bytes::Bytes;
 use eventsource_stream::Eventsource;
 use futures_util::{Stream, StreamExt};
@@ -227,7 +227,7 @@
     /// [`Error::not_run`] tells whether it may run all the same.
     pub async fn run(
         &self,
-        ticket: Ticket,
+        ticket: RequestId,
         tier: Tier,
         body: Bytes,
     ) -> Result<impl Stream<Item = Result<Event, Error>> + use<>, Error> {
@@ -250,7 +250,7 @@
     /// be reached.
     pub async fn resume(
         &self,
-        ticket: Ticket,
+        ticket: RequestId,
         from: u32,
     ) -> Result<impl Stream<Item = Result<Event, Error>> + use<>, Error> {
         let url = format!("http://{}/v1/streams/{ticket}?from={from}", self.addr);
@@ -263,7 +263,7 @@
     /// # Errors
     ///
     /// Returns [`Error`] when the engine cannot be reached.
-    pub async fn cancel(&self, ticket: Ticket) -> Result<(), Error> {
+    pub async fn cancel(&self, ticket: RequestId) -> Result<(), Error> {
         let url = format!("http://{}/v1/streams/{ticket}", self.addr);
         let sent = self.http.delete(url).force_close().send().await;
         sent.map(|_| ()).map_err(|e| self.failure("cancel", &e))
@@ -276,7 +276,7 @@
     ///
     /// Returns [`Error`] when the engine does not answer.
     pub async fn probe(&self) -> Result<(), Error> {
-        let url = format!("http://{}/v1/streams/{}", self.addr, Ticket(0));
+        let url = format!("http://{}/v1/streams/{}", self.addr, RequestId(0));
         let sent = self.http.get(url).force_close().send().await;
         sent.map(|_| ()).map_err(|e| self.failure("probe", &e))
     }
--- a/crates/clients/src/plain.rs
+++ b/crates/clients/src/plain.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use base::ids::Ticket;
+use base::ids::RequestId;
 use bytes::Bytes;
 
 use crate::engine::{Error, REQUEST_ID, never_sent};
@@ -78,7 +78,7 @@
     /// whether the call may have run all the same.
     pub async fn call(
         &self,
-        ticket: Ticket,
+        ticket: RequestId,
         method: &str,
         path: &str,
         content_type: &str,
--- a/crates/demo/src/changes.rs
+++ b/crates/demo/src/changes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use base::ids::Sequence;
+use base::ids::BundleSequence;
 use bundle::{Bundle, Content};
 use clients::log::Log;
 use follow::{Outcome, Publisher};
@@ -22,7 +22,7 @@
 /// What a daemon shows of the bundle that it goes by.
 #[derive(Debug, Deserialize)]
 struct Shown {
-    sequence: Sequence,
+    sequence: BundleSequence,
 }
 
 /// What an operator changes.
@@ -74,7 +74,7 @@
 pub fn caught_up(daemon: SocketAddr, others: &[SocketAddr]) -> String {
     actix_rt::System::new().block_on(async {
         let http = awc::Client::default();
-        let mut newest = Sequence::default();
+        let mut newest = BundleSequence::default();
         for other in others.iter().filter(|o| **o != daemon) {
             newest = newest.max(sequence(&http, *other).await.unwrap_or_default());
         }
@@ -118,7 +118,7 @@
 async fn rollback(rollout: &Rollout) -> Outcome {
     attempt(
         async |publisher| {
-            let first = Sequence(1);
+            let first = BundleSequence(1);
             let Ok(Some(content)) = publisher.content(first).await else {
                 return Outcome::Unknown;
             };
@@ -149,7 +149,7 @@
 }
 
 /// Time until every daemon that answers goes by the version or a later one.
-async fn in_force(sought: Sequence, daemons: &[SocketAddr]) -> Option<Duration> {
+async fn in_force(sought: BundleSequence, daemons: &[SocketAddr]) -> Option<Duration> {
     let began = Instant::now();
     let http = awc::Client::default();
     for daemon in daemons {
@@ -168,7 +168,7 @@
 }
 
 /// The version that a daemon goes by, if it answers.
-async fn sequence(http: &awc::Client, daemon: SocketAddr) -> Option<Sequence> {
+async fn sequence(http: &awc::Client, daemon: SocketAddr) -> Option<BundleSequence> {
     let url = format!("http://{daemon}/status");
     let mut answer = http.get(url).send().await.ok()?;
     let shown: Shown = answer.json().await.ok()?;
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use base::ids::Offset;
-use base::settings::Span;
+use base::settings::HumanDuration;
 use bundle::Bundle;
 use clients::hosts::{Host as Listed, Role as Kind, Standing};
 use entry::settings::{Drain, Keys, Known, Roster, Routing};
@@ -198,7 +198,7 @@
             extra: EXTRA,
             prefill: PREFILL,
             cache: 200_000,
-            keep: Span::secs(5),
+            keep: HumanDuration::secs(5),
             faults: engine::Faults::default(),
         };
         let faults = Control::new(settings.faults.clone());
@@ -212,7 +212,7 @@
     fn start_plain(&self, i: u8, ledger: Ledger) -> (Host, Faults) {
         let settings = plain::Settings {
             listen: self.addr(Role::Backend, i),
-            work: Span::ms(5),
+            work: HumanDuration::ms(5),
             faults: plain::Faults::default(),
         };
         let faults = Control::new(settings.faults.clone());
@@ -235,7 +235,7 @@
             false => Backend::Plain {
                 addr,
                 slots: PLAIN_SLOTS,
-                timeout: Span::secs(5),
+                timeout: HumanDuration::secs(5),
             },
         };
         let known = self.known(i);
@@ -246,12 +246,12 @@
             operators: Some(self.operators(Role::Sidecar, i)),
             follow: Some(self.follow()),
             backend,
-            hold: Span::ms(250),
-            keep: Span::secs(10),
-            drain_limit: Span::secs(600),
+            hold: HumanDuration::ms(250),
+            keep: HumanDuration::secs(10),
+            drain_limit: HumanDuration::secs(600),
             streams: sidecar::settings::Streams::default(),
             orders: None,
-            lease: Span::secs(5),
+            lease: HumanDuration::secs(5),
             kept_bytes: 16 << 20,
             queue: Rules::default(),
             log_level: base::logging::Level::Warn,
@@ -278,13 +278,13 @@
             },
             drain: Drain {
                 // The demo's callers go on to the next entry at once.
-                linger: Span::ms(100),
+                linger: HumanDuration::ms(100),
                 ..Drain::default()
             },
             fan: 2,
             routing: Routing::default(),
             keys: Keys::default(),
-            comment: Span::secs(5),
+            comment: HumanDuration::secs(5),
             body_limit: 4 << 20,
             seed: Some(self.seed + u64::from(i)),
             log_level: base::logging::Level::Warn,
--- a/crates/demo/src/faults.rs
+++ b/crates/demo/src/faults.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use base::settings::Span;
+use base::settings::HumanDuration;
 use serde::{Deserialize, Serialize};
 
 use crate::changes::Change;
@@ -25,7 +25,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Event {
     /// When, from the start of the load.
-    pub at: Span,
+    pub at: HumanDuration,
     /// What.
     pub fault: Fault,
 }
@@ -45,12 +45,12 @@
     /// All load reports lag.
     ReportLag {
         /// By how much.
-        lag: Span,
+        lag: HumanDuration,
     },
     /// Cache events of all engines come late and with gaps.
     CacheEvents {
         /// By how much.
-        lag: Span,
+        lag: HumanDuration,
         /// Share that never comes.
         gap: f64,
     },
@@ -59,21 +59,21 @@
         /// The backend server.
         server: usize,
         /// When it comes back, if it does.
-        back: Option<Span>,
+        back: Option<HumanDuration>,
     },
     /// A backend server's host crashes, with its sidecar.
     CrashHost {
         /// The backend server.
         server: usize,
         /// When it comes back, if it does.
-        back: Option<Span>,
+        back: Option<HumanDuration>,
     },
     /// A sidecar stands still.
     PauseSidecar {
         /// The backend server that it stands beside.
         server: usize,
         /// For how long.
-        time: Span,
+        time: HumanDuration,
     },
     /// Open connections to a sidecar go silent for good.
     SilenceSidecar {
@@ -98,7 +98,7 @@
     /// The log answers nobody.
     LogOutage {
         /// For how long.
-        time: Span,
+        time: HumanDuration,
     },
     /// Replies of the log are lost after the appends took effect.
     LogLosesReplies {
@@ -206,7 +206,7 @@
     }
 }
 
-fn crash(hosts: &[&crate::host::Host], back: Option<Span>) {
+fn crash(hosts: &[&crate::host::Host], back: Option<HumanDuration>) {
     hosts.iter().for_each(|host| host.crash());
     if let Some(back) = back {
         thread::sleep(back.0);
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -3,14 +3,14 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use base::settings::Span;
+use base::settings::HumanDuration;
 use serde::{Deserialize, Serialize};
 
 /// Requests that an engine runs at once.
 pub const SLOTS: usize = 8;
 
 /// Time that each further request adds to an engine's step.
-pub const EXTRA: Span = Span(Duration::from_micros(250));
+pub const EXTRA: HumanDuration = HumanDuration(Duration::from_micros(250));
 
 /// Prompt tokens that an engine computes in one step.
 pub const PREFILL: u32 = 1024;
@@ -106,10 +106,10 @@
 
     /// Time of an engine's step with one request.
     #[must_use]
-    pub fn step(self) -> Span {
+    pub fn step(self) -> HumanDuration {
         match self {
-            Self::Teranga => Span::ms(3),
-            Self::Tallerazul => Span::ms(4),
+            Self::Teranga => HumanDuration::ms(3),
+            Self::Tallerazul => HumanDuration::ms(4),
         }
     }
 
--- a/crates/demo/src/host.rs
+++ b/crates/demo/src/host.rs
@@ -7,13 +7,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use spdlog::error;
 
 /// How often a host looks whether it should pause.
 const PAUSE_POLL: Duration = Duration::from_millis(5);
 
-type Body = dyn Fn(Stop) -> Pin<Box<dyn Future<Output = io::Result<()>>>> + Send + Sync;
+type Body = dyn Fn(StopSignal) -> Pin<Box<dyn Future<Output = io::Result<()>>>> + Send + Sync;
 
 /// A daemon that can be stopped, started again, crashed and paused.
 pub struct Host {
@@ -25,9 +25,9 @@
 /// One life of a daemon.
 struct Life {
     /// Asks it to end when everything in progress has.
-    stop: Stop,
+    stop: StopSignal,
     /// Ends it at once.
-    kill: Stop,
+    kill: StopSignal,
     /// Time for which its thread should stand still, in milliseconds.
     pause: Arc<AtomicU64>,
     thread: JoinHandle<()>,
@@ -38,7 +38,7 @@
     /// a daemon's state never leaves its thread.
     pub fn start<F, Fut>(name: &str, body: F) -> Self
     where
-        F: Fn(Stop) -> Fut + Send + Sync + 'static,
+        F: Fn(StopSignal) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = io::Result<()>> + 'static,
     {
         let host = Self {
@@ -75,7 +75,7 @@
     pub fn ask(&self) {
         let life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(life) = life.as_ref() {
-            life.stop.ask();
+            life.stop.trigger();
         }
     }
 
@@ -90,7 +90,7 @@
     pub fn crash(&self) {
         let life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(life) = life.as_ref() {
-            life.kill.ask();
+            life.kill.trigger();
         }
         drop(life);
         self.join();
@@ -119,7 +119,7 @@
 }
 
 fn spawn(name: &str, body: Arc<Body>) -> Option<Life> {
-    let (stop, kill) = (Stop::new(), Stop::new());
+    let (stop, kill) = (StopSignal::new(), StopSignal::new());
     let pause = Arc::new(AtomicU64::new(0));
     let (thread_stop, thread_kill) = (stop.clone(), kill.clone());
     let (thread_pause, shown) = (Arc::clone(&pause), name.to_owned());
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -25,7 +25,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use base::settings::Span;
+use base::settings::HumanDuration;
 use load::{Mix, Run};
 
 pub use arm::Arm;
@@ -40,7 +40,7 @@
 const STRAGGLER_PACE: f64 = 4.0;
 
 /// How late load reports are while there is a straggler.
-const REPORT_LAG: Span = Span::ms(500);
+const REPORT_LAG: HumanDuration = HumanDuration::ms(500);
 
 /// What to run.
 #[derive(Debug, Clone)]
@@ -77,7 +77,7 @@
     pub fn fault_plan(&self) -> FaultPlan {
         let mut plan = self.faults.clone();
         let mut add = |at: f64, fault| {
-            let at = Span(Duration::from_secs_f64(at));
+            let at = HumanDuration(Duration::from_secs_f64(at));
             plan.events.push(Event { at, fault });
         };
         if self.straggler {
--- a/crates/demo/src/plan.rs
+++ b/crates/demo/src/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use base::ids::Tier;
-use base::settings::Span;
+use base::settings::HumanDuration;
 use bundle::{Bundle, Class, Pool, Service, Targets, Workspace};
 use load::Mix;
 use load::arrivals::{Burst, Flow, Kind, Sender};
@@ -35,9 +35,9 @@
         bundle.classes.insert(size.name.to_owned(), class);
     }
     let targets = Targets {
-        first_token: Span::ms(CALL_MS),
-        token_gap: Span::ms(CALL_MS),
-        whole: Span::ms(CALL_MS),
+        first_token: HumanDuration::ms(CALL_MS),
+        token_gap: HumanDuration::ms(CALL_MS),
+        whole: HumanDuration::ms(CALL_MS),
     };
     let calls = Class {
         tier: Tier(1),
@@ -96,9 +96,9 @@
 
 fn class(size: &ClassSize, model: &str) -> Class {
     let targets = Targets {
-        first_token: Span::ms(size.first_ms),
-        token_gap: Span::ms(size.gap_ms),
-        whole: Span::ms(size.whole_ms),
+        first_token: HumanDuration::ms(size.first_ms),
+        token_gap: HumanDuration::ms(size.gap_ms),
+        whole: HumanDuration::ms(size.whole_ms),
     };
     Class {
         tier: Tier(size.tier),
--- a/crates/demo/tests/failures/drain.rs
+++ b/crates/demo/tests/failures/drain.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use base::settings::Span;
+use base::settings::HumanDuration;
 use serde_json::json;
 use standin::hosts::Faults;
 
@@ -242,7 +242,7 @@
 async fn crash_during_drain() {
     let mut fleet = Fleet::with(2).await;
     let lag = Faults {
-        lag: Span::secs(30),
+        lag: HumanDuration::secs(30),
         ..Faults::default()
     };
     fleet.registry.control.change(|f| *f = lag);
--- a/crates/demo/tests/failures/fleet.rs
+++ b/crates/demo/tests/failures/fleet.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use awc::error::{ConnectError, SendRequestError};
-use base::stop::Stop;
+use base::stop::StopSignal;
 use bundle::Bundle;
 use clients::hosts::{Host as Listed, Role, Standing};
 use demo::host::Host;
@@ -84,7 +84,7 @@
     /// Starts a daemon of any kind.
     pub(crate) fn start<F, Fut>(&mut self, name: &str, run: F)
     where
-        F: Fn(Stop) -> Fut + Send + Sync + 'static,
+        F: Fn(StopSignal) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = std::io::Result<()>> + 'static,
     {
         self.daemons.insert(name.to_owned(), Host::start(name, run));
--- a/crates/demo/tests/failures/membership.rs
+++ b/crates/demo/tests/failures/membership.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use crate::fleet::{Answer, Fleet, PATIENCE, expected, text};
-use base::settings::Span;
+use base::settings::HumanDuration;
 use standin::hosts::Faults;
 
 /// Sends requests one by one until `count` were answered.
@@ -28,7 +28,7 @@
 async fn leave_while_list_lags() {
     let mut fleet = Fleet::with(2).await;
 
-    let lag = Span::secs(30);
+    let lag = HumanDuration::secs(30);
     fleet.registry.control.change(|f| {
         *f = Faults {
             lag,
--- a/crates/demo/tests/whole/common.rs
+++ b/crates/demo/tests/whole/common.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use base::logging::{self, Level};
-use base::settings::{self, Span};
+use base::settings::{self, HumanDuration};
 use bundle::Bundle;
 use demo::host::Host;
 use entry::settings::Known;
@@ -145,7 +145,7 @@
             _ => Backend::Plain {
                 addr: self.addr(PLAIN),
                 slots: 8,
-                timeout: Span::secs(5),
+                timeout: HumanDuration::secs(5),
             },
         };
         let backend = serde_json::to_value(backend).expect("a backend is JSON");
--- a/crates/entry/benches/relay.rs
+++ b/crates/entry/benches/relay.rs
@@ -11,8 +11,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use base::ids::{Incarnation, Sequence, Ticket};
-use base::stop::Stop;
+use base::ids::{BundleSequence, Incarnation, RequestId};
+use base::stop::StopSignal;
 use bundle::Bundle;
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -20,7 +20,8 @@
 use tarpc::context::Context;
 use tokio::net::TcpListener;
 use wire::{
-    Cancelled, Load, Piece, Pull, Pulled, Reply, Reserve, Reserved, Sidecar, Stamp, Start, Started,
+    CallHeader, CancelOutcome, Chunk, PullOutcome, PullRequest, Reply, ReserveOutcome,
+    ReserveRequest, ServerLoad, Sidecar, StartOutcome, StartRequest,
 };
 
 /// Time between two pieces of one stream.
@@ -58,7 +59,7 @@
 fn measure(streams: usize) {
     let (sidecar, entry) = (free_addr(), free_addr());
     let counts = Arc::new(Counts::default());
-    let stop = Stop::new();
+    let stop = StopSignal::new();
 
     let asked = stop.clone();
     let making = thread::spawn(move || {
@@ -83,7 +84,7 @@
     let before = sample(&counts);
     thread::sleep(WINDOW);
     let after = sample(&counts);
-    stop.ask();
+    stop.trigger();
     for reader in readers {
         reader.join().unwrap();
     }
@@ -113,7 +114,7 @@
     listener.local_addr().unwrap()
 }
 
-fn run_entry(listen: SocketAddr, sidecar: SocketAddr, counts: &Arc<Counts>, stop: Stop) {
+fn run_entry(listen: SocketAddr, sidecar: SocketAddr, counts: &Arc<Counts>, stop: StopSignal) {
     let settings = json!({
         "name": "entry", "zone": "a", "listen": listen,
         "sidecars": [{"name": "sidecar", "addr": sidecar, "zone": "a", "serves": "model"}],
@@ -147,7 +148,7 @@
     stat.split(' ').next().unwrap().parse().unwrap()
 }
 
-fn read(entry: SocketAddr, streams: usize, counts: &Arc<Counts>, stop: &Stop) {
+fn read(entry: SocketAddr, streams: usize, counts: &Arc<Counts>, stop: &StopSignal) {
     let body = json!({"model": "class", "stream": true, "messages": [{"role": "user", "content": "hello"}]}).to_string();
     actix_rt::System::new().block_on(async {
         let connector = awc::Connector::new().limit(0);
@@ -179,66 +180,66 @@
 /// Makes a piece every gap for each started ticket.
 #[derive(Clone, Default)]
 struct Maker {
-    started: Rc<RefCell<HashMap<Ticket, Instant>>>,
+    started: Rc<RefCell<HashMap<RequestId, Instant>>>,
 }
 
 fn reply<T>(body: T) -> Reply<T> {
     Reply {
-        sequence: Sequence(0),
+        sequence: BundleSequence(0),
         incarnation: Incarnation(1),
-        load: Load {
+        load: ServerLoad {
             slots: 10_000,
-            ..Load::default()
+            ..ServerLoad::default()
         },
         body,
     }
 }
 
 impl Sidecar for Maker {
-    async fn reserve(self, _: Context, _: Stamp, _: Reserve) -> Reply<Reserved> {
-        reply(Reserved::Ready {
+    async fn reserve(self, _: Context, _: CallHeader, _: ReserveRequest) -> Reply<ReserveOutcome> {
+        reply(ReserveOutcome::Ready {
             hold_ms: 250,
-            first_us: 0,
+            ttft_us: 0,
             token_us: 0,
-            cached: 0,
+            cached_tokens: 0,
         })
     }
 
-    async fn start(self, _: Context, _: Stamp, order: Start) -> Reply<Started> {
+    async fn start(self, _: Context, _: CallHeader, order: StartRequest) -> Reply<StartOutcome> {
         let mut started = self.started.borrow_mut();
         started.insert(order.ticket, Instant::now());
-        reply(Started::Running)
+        reply(StartOutcome::Running)
     }
 
-    async fn pull(self, _: Context, _: Stamp, ask: Pull) -> Reply<Pulled> {
+    async fn pull(self, _: Context, _: CallHeader, ask: PullRequest) -> Reply<PullOutcome> {
         let began = self.started.borrow().get(&ask.ticket).copied();
         let Some(began) = began else {
-            return reply(Pulled::Unknown);
+            return reply(PullOutcome::Unknown);
         };
         let due = began + GAP * (ask.from + 1);
         tokio::time::sleep_until(due.into()).await;
         let made = (began.elapsed().as_micros() / GAP.as_micros()) as u32;
-        let piece = Piece {
+        let piece = Chunk {
             tokens: 1,
             data: Bytes::from_static(b" token"),
         };
-        reply(Pulled::Pieces {
+        reply(PullOutcome::Chunks {
             first: ask.from,
-            pieces: vec![piece; made.saturating_sub(ask.from) as usize],
+            chunks: vec![piece; made.saturating_sub(ask.from) as usize],
             end: None,
         })
     }
 
-    async fn cancel(self, _: Context, _: Stamp, ticket: Ticket) -> Reply<Cancelled> {
+    async fn cancel(self, _: Context, _: CallHeader, ticket: RequestId) -> Reply<CancelOutcome> {
         self.started.borrow_mut().remove(&ticket);
-        reply(Cancelled::Started)
+        reply(CancelOutcome::Started)
     }
 
-    async fn fetch_bundle(self, _: Context, _: Stamp) -> Reply<Option<Bytes>> {
+    async fn fetch_bundle(self, _: Context, _: CallHeader) -> Reply<Option<Bytes>> {
         reply(None)
     }
 
-    async fn offer_bundle(self, _: Context, _: Stamp, _: Bytes) -> Reply<bool> {
+    async fn offer_bundle(self, _: Context, _: CallHeader, _: Bytes) -> Reply<bool> {
         reply(false)
     }
 }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::ids::Ticket;
-use base::reason::{Ran, Refusal, Retry};
+use base::ids::RequestId;
+use base::reason::{Executed, Refusal, RetryReason};
 use policy::placement::{ServerIndex, Want};
 use policy::retry::{Failure, Verdict};
 
@@ -41,13 +41,13 @@
     /// Whether any answer was begun; its first token is late by then.
     begun: bool,
     /// Whether any of them ran, as far as known.
-    ran: Option<Ran>,
+    ran: Option<Executed>,
 }
 
 impl Tries {
     /// Notes that a try ran or may have run.
-    pub fn note(&mut self, ran: Ran) {
-        if ran != Ran::No && self.ran != Some(Ran::Partial) {
+    pub fn note(&mut self, ran: Executed) {
+        if ran != Executed::No && self.ran != Some(Executed::Partial) {
             self.ran = Some(ran);
         }
     }
@@ -58,7 +58,7 @@
     #[must_use]
     pub fn tell(&self, refused: Refused) -> Refused {
         let ran = match refused.ran {
-            Ran::No => self.ran.unwrap_or(Ran::No),
+            Executed::No => self.ran.unwrap_or(Executed::No),
             ran => ran,
         };
         Refused { ran, ..refused }
@@ -119,7 +119,7 @@
         if let Some(last) = failed.take() {
             admit(state, request, tries, last, chosen.is_empty())?;
             // The last try's ticket is cancelled wherever it was.
-            ticket = Ticket::random();
+            ticket = RequestId::random();
         } else if chosen.is_empty() {
             return Err(no_server());
         }
@@ -187,7 +187,10 @@
 
     // A draining sidecar is not asked again, and a request is preempted once
     // at the most, so neither kind of retry can multiply.
-    let free = matches!(failure.cause, Retry::Draining | Retry::Preempted);
+    let free = matches!(
+        failure.cause,
+        RetryReason::Draining | RetryReason::Preempted
+    );
     if !free && !state.budget.borrow_mut().take(&request.class) {
         return Err(match refused.reason {
             Refusal::NoServer => Refused {
@@ -233,10 +236,10 @@
 fn rejected(rejections: &[Rejection]) -> Failed {
     let telling = rejections
         .iter()
-        .filter(|r| r.cause == Retry::Refused)
+        .filter(|r| r.cause == RetryReason::Refused)
         .find(|r| r.refusal.is_some())
         .or(rejections.first());
-    let cause = telling.map_or(Retry::Unreachable, |r| r.cause);
+    let cause = telling.map_or(RetryReason::Unreachable, |r| r.cause);
     let after = rejections.iter().filter_map(|r| r.after).min();
 
     let reason = telling.and_then(|r| r.refusal);
@@ -247,7 +250,7 @@
     Failed {
         failure: Failure {
             cause,
-            ran: Ran::No,
+            ran: Executed::No,
             delivered: false,
         },
         refused: refused.after(after.unwrap_or(RETRY_AFTER)),
@@ -257,8 +260,8 @@
 /// A start after which the request does not run, or may not.
 fn not_started(outcome: Outcome) -> Failed {
     let (cause, ran, refused) = match outcome {
-        Outcome::NotRun(cause) => (cause, Ran::No, no_server()),
-        Outcome::Running | Outcome::Unknown => (Retry::Unknown, Ran::Unknown, unknown()),
+        Outcome::NotRun(cause) => (cause, Executed::No, no_server()),
+        Outcome::Running | Outcome::Unknown => (RetryReason::Unknown, Executed::Unknown, unknown()),
     };
     Failed {
         failure: Failure {
@@ -274,7 +277,7 @@
 pub(crate) fn unknown() -> Refused {
     Refused {
         reason: Refusal::OutcomeUnknown,
-        ran: Ran::Unknown,
+        ran: Executed::Unknown,
         after: None,
         hint: "the backend server's host became unreachable".to_owned(),
     }
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::reason::{Ran, Refusal};
-use base::stop::Stop;
+use base::reason::{Executed, Refusal};
+use base::stop::StopSignal;
 use metrics::counter;
 use spdlog::{info, warn};
 
@@ -26,7 +26,7 @@
 /// A balancer notices some time after readiness went off, and sends requests
 /// until then. Refusing these at once would fail callers on every planned
 /// stop, so they are taken for the time that the settings call `linger`.
-pub async fn drain(state: Rc<State>, stop: Stop, drained: Stop) {
+pub async fn drain(state: Rc<State>, stop: StopSignal, drained: StopSignal) {
     stop.wait().await;
     let settings = state.settings.drain;
     state.draining.set(true);
@@ -39,14 +39,14 @@
         Ok(()) => "whole",
         Err(_) => {
             warn!("entry cuts off", kv: { name = state.settings.name.as_str(), open = state.in_progress() });
-            state.cutoff.ask();
+            state.cutoff.trigger();
             let _ = tokio::time::timeout(CUTOFF_LIMIT, idle(&state)).await;
             "cut_off"
         }
     };
     counter!("pimentocart_drains_total", "outcome" => outcome).increment(1);
     info!("entry drained", kv: { name = state.settings.name.as_str(), outcome = outcome });
-    drained.ask();
+    drained.trigger();
 }
 
 /// The refusal of a request that comes too late.
@@ -59,7 +59,11 @@
 /// How a request ends that the cut-off meets; it may have run.
 #[must_use]
 pub fn cut_off(begun: bool) -> Refused {
-    let ran = if begun { Ran::Partial } else { Ran::Unknown };
+    let ran = if begun {
+        Executed::Partial
+    } else {
+        Executed::Unknown
+    };
     Refused { ran, ..refused() }
 }
 
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -191,10 +191,10 @@
         let (pieces, end) = match answer.part().await? {
             Part::Pieces(pieces) => (pieces, None),
             Part::Whole {
-                pieces,
+                chunks,
                 status,
-                finish,
-            } => (pieces, Some((status, finish))),
+                finish_reason,
+            } => (chunks, Some((status, finish_reason))),
         };
         for piece in pieces {
             body.extend_from_slice(&piece.data);
@@ -245,9 +245,13 @@
                 shape.pieces(&mut out, &pieces);
                 true
             }
-            Ok(Part::Whole { pieces, finish, .. }) => {
-                shape.pieces(&mut out, &pieces);
-                shape.end(&mut out, &finish);
+            Ok(Part::Whole {
+                chunks,
+                finish_reason,
+                ..
+            }) => {
+                shape.pieces(&mut out, &chunks);
+                shape.end(&mut out, &finish_reason);
                 false
             }
             Err(refused) => {
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -17,14 +17,14 @@
 use actix_web::body::{BodySize, BoxBody, MessageBody};
 use actix_web::http::StatusCode;
 use actix_web::http::header::CONTENT_TYPE;
-use base::reason::{Ran, Refusal};
+use base::reason::{Executed, Refusal};
 use bundle::Hash;
 use bytes::Bytes;
 use claims::claims::key_hash;
 use claims::{Claim, Denied, End};
 use futures_util::stream;
 use tokio::sync::Notify;
-use wire::Work;
+use wire::BackendRequest;
 
 use crate::refuse::Refused;
 use crate::request::Request;
@@ -124,10 +124,15 @@
 /// What a caller is told whose key is not its own.
 fn refusal(denied: Denied) -> Refused {
     let (ran, hint) = match (denied.reason, denied.end) {
-        (Refusal::KeyReused, _) => (Ran::No, "the key was used with another request"),
-        (Refusal::KeyTaken, Some(End::Whole)) => (Ran::Unknown, "the first call ran to its end"),
-        (Refusal::KeyTaken, _) => (Ran::Unknown, "another entry took a call with this key"),
-        _ => (Ran::No, "the platform's log is needed and does not answer"),
+        (Refusal::KeyReused, _) => (Executed::No, "the key was used with another request"),
+        (Refusal::KeyInUse, Some(End::Whole)) => {
+            (Executed::Unknown, "the first call ran to its end")
+        }
+        (Refusal::KeyInUse, _) => (Executed::Unknown, "another entry took a call with this key"),
+        _ => (
+            Executed::No,
+            "the platform's log is needed and does not answer",
+        ),
     };
     Refused {
         reason: denied.reason,
@@ -147,11 +152,11 @@
 /// Hash of what a call asks for.
 fn asks(request: &Request) -> Hash {
     match &request.work {
-        Work::Completion { body, chat } => {
+        BackendRequest::Completion { body, chat } => {
             let shape: &[u8] = if *chat { b"chat" } else { b"text" };
             Hash::of(&[shape, request.class.as_bytes(), body])
         }
-        Work::Call {
+        BackendRequest::Call {
             method, path, body, ..
         } => {
             let target = request.target.as_bytes();
@@ -160,10 +165,10 @@
     }
 }
 
-fn end_of(ran: Ran) -> End {
+fn end_of(ran: Executed) -> End {
     match ran {
-        Ran::No => End::NotRun,
-        Ran::Unknown | Ran::Partial => End::Unknown,
+        Executed::No => End::NotRun,
+        Executed::Unknown | Executed::Partial => End::Unknown,
     }
 }
 
@@ -199,7 +204,7 @@
     fn refuse(&self, refused: &Refused) {
         self.settled.set(true);
         self.call.finish(Err(refused.clone()));
-        if refused.ran == Ran::No || refused.reason == Refusal::KeyTaken {
+        if refused.ran == Executed::No || refused.reason == Refusal::KeyInUse {
             self.state.calls.remove(&self.key);
         }
     }
@@ -305,7 +310,7 @@
 fn gone() -> Refused {
     Refused {
         reason: Refusal::OutcomeUnknown,
-        ran: Ran::Unknown,
+        ran: Executed::Unknown,
         after: None,
         hint: "the first call with this key was broken off by its caller".to_owned(),
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -41,8 +41,8 @@
 
 use actix::Actor;
 use base::clock::{Clock, SystemClock};
-use base::stop::Stop;
-use base::{listen, operators};
+use base::stop::StopSignal;
+use base::{admin, listen};
 use bundle::Bundle;
 use spdlog::info;
 
@@ -64,7 +64,7 @@
 ///
 /// Returns the error when the settings are impossible or the entry cannot
 /// listen.
-pub async fn run(settings: Settings, bundle: Option<Bundle>, stop: Stop) -> io::Result<()> {
+pub async fn run(settings: Settings, bundle: Option<Bundle>, stop: StopSignal) -> io::Result<()> {
     settings.check().map_err(io::Error::other)?;
     let spread = match (bundle, settings.follow.clone()) {
         (Some(bundle), _) => Spread::fixed(bundle),
@@ -80,10 +80,10 @@
 
     // The operators' address goes on until the process ends, so that a drain
     // can be watched.
-    let end = Stop::new();
+    let end = StopSignal::new();
     if let Some(addr) = operators {
         let listener = listen("operators", addr).await?;
-        actix_rt::spawn(operators::serve(listener, Rc::clone(&state), end.clone()));
+        actix_rt::spawn(admin::serve(listener, Rc::clone(&state), end.clone()));
     }
 
     info!("entry ready", kv: {
@@ -98,10 +98,10 @@
         let _ = tokio::time::timeout(LIST_WAIT, state.listed.wait()).await;
     }
 
-    let drained = Stop::new();
+    let drained = StopSignal::new();
     actix_rt::spawn(drain::drain(Rc::clone(&state), stop, drained.clone()));
     let app = http::app(Rc::clone(&state));
-    base::http::serve_whole(listener, app, drained, drain::CLOSE_LIMIT).await?;
-    end.ask();
+    base::http::serve_and_drain(listener, app, drained, drain::CLOSE_LIMIT).await?;
+    end.trigger();
     Ok(())
 }
--- a/crates/entry/src/refuse.rs
+++ b/crates/entry/src/refuse.rs
@@ -5,7 +5,7 @@
 use actix_web::HttpResponse;
 use actix_web::http::StatusCode;
 use actix_web::http::header::RETRY_AFTER;
-use base::reason::{Ran, Refusal};
+use base::reason::{Executed, Refusal};
 use serde::Serialize;
 
 /// A refusal with everything that its caller is told.
@@ -14,7 +14,7 @@
     /// Why.
     pub reason: Refusal,
     /// Whether the request ran.
-    pub ran: Ran,
+    pub ran: Executed,
     /// When to come back, if that may help.
     pub after: Option<Duration>,
     /// What would help, in words.
@@ -45,7 +45,7 @@
     pub fn not_run(reason: Refusal, hint: &str) -> Self {
         Self {
             reason,
-            ran: Ran::No,
+            ran: Executed::No,
             after: None,
             hint: hint.to_owned(),
         }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::reason::{Ran, Refusal, Retry};
+use base::reason::{Executed, Refusal, RetryReason};
 use policy::retry::Failure;
 use spdlog::warn;
 use tokio::time::Instant;
-use wire::{End, Piece, Pull, Pulled};
+use wire::{Chunk, PullOutcome, PullRequest, ResponseEnd};
 
 use crate::counters;
 use crate::dispatch::{self, Failed, Granted, Tries};
@@ -37,21 +37,21 @@
     /// Tokens in this run's pieces so far.
     tokens: u32,
     /// Pieces held back for a caller that takes the answer whole.
-    kept: Vec<Piece>,
+    kept: Vec<Chunk>,
 }
 
 /// What came in.
 pub enum Part {
     /// Pieces, in order.
-    Pieces(Vec<Piece>),
+    Pieces(Vec<Chunk>),
     /// The end of a whole answer, after its last pieces.
     Whole {
         /// The last pieces.
-        pieces: Vec<Piece>,
+        chunks: Vec<Chunk>,
         /// HTTP status of a plain service's answer.
         status: u16,
         /// Why the answer ended, or its content type.
-        finish: String,
+        finish_reason: String,
     },
 }
 
@@ -100,18 +100,18 @@
                 }
                 Ok(Part::Pieces(pieces)) => self.kept.extend(pieces),
                 Ok(Part::Whole {
-                    mut pieces,
+                    mut chunks,
                     status,
-                    finish,
+                    finish_reason,
                 }) => {
                     if !self.kept.is_empty() {
-                        self.kept.append(&mut pieces);
-                        pieces = std::mem::take(&mut self.kept);
+                        self.kept.append(&mut chunks);
+                        chunks = std::mem::take(&mut self.kept);
                     }
                     return Ok(Part::Whole {
-                        pieces,
+                        chunks,
                         status,
-                        finish,
+                        finish_reason,
                     });
                 }
                 Err(failed) => self.again(failed).await?,
@@ -122,7 +122,7 @@
     /// Runs the request again after its run failed.
     async fn again(&mut self, mut failed: Failed) -> Result<(), Refused> {
         failed.failure.delivered = self.delivered();
-        if failed.failure.cause == Retry::Preempted {
+        if failed.failure.cause == RetryReason::Preempted {
             self.request.preempted += 1;
         }
         let tries = std::mem::take(&mut self.tries);
@@ -149,7 +149,7 @@
         let hold = self.state.settings.routing.poll.0;
         let mut failing: Option<(Instant, u32)> = None;
         loop {
-            let ask = Pull {
+            let ask = PullRequest {
                 ticket: self.run.ticket,
                 from: self.next,
                 wait_ms: u32::try_from(hold.as_millis()).unwrap_or(u32::MAX),
@@ -166,7 +166,7 @@
                     failing = Some((since, pulls + 1));
                     if self.gives_up(since, pulls + 1) {
                         warn!("answer lost", kv: { ticket = self.run.ticket.to_string().as_str(), error = e.to_string().as_str() });
-                        return Err(self.lost(Retry::Unknown));
+                        return Err(self.lost(RetryReason::Unknown));
                     }
                     tokio::time::sleep(PAUSE).await;
                     continue;
@@ -177,7 +177,7 @@
             if reply.incarnation != self.run.incarnation {
                 // The life that ran it is gone with all it knew.
                 self.run.over();
-                return Err(self.lost(Retry::Incarnation));
+                return Err(self.lost(RetryReason::SidecarRestarted));
             }
             if let Some(part) = self.take(reply.body)? {
                 return Ok(part);
@@ -195,43 +195,43 @@
     }
 
     /// Checks what was pulled and counts it.
-    fn take(&mut self, pulled: Pulled) -> Result<Option<Part>, Failed> {
-        let Pulled::Pieces {
+    fn take(&mut self, pulled: PullOutcome) -> Result<Option<Part>, Failed> {
+        let PullOutcome::Chunks {
             first,
-            mut pieces,
+            mut chunks,
             end,
         } = pulled
         else {
             self.run.over();
-            return Err(self.lost(Retry::Unknown));
+            return Err(self.lost(RetryReason::Unknown));
         };
         // A piece missing between would give the caller another answer than
         // the one that was made.
         let Some(skip) = self.next.checked_sub(first) else {
-            return Err(self.lost(Retry::Unknown));
+            return Err(self.lost(RetryReason::Unknown));
         };
-        pieces.drain(..pieces.len().min(skip as usize));
-        self.next += u32::try_from(pieces.len()).unwrap_or(u32::MAX);
-        self.tokens += pieces.iter().map(|p| p.tokens).sum::<u32>();
+        chunks.drain(..chunks.len().min(skip as usize));
+        self.next += u32::try_from(chunks.len()).unwrap_or(u32::MAX);
+        self.tokens += chunks.iter().map(|p| p.tokens).sum::<u32>();
 
         match end {
-            None if pieces.is_empty() => Ok(None),
-            None => Ok(Some(Part::Pieces(pieces))),
-            Some(End::Whole {
-                count,
+            None if chunks.is_empty() => Ok(None),
+            None => Ok(Some(Part::Pieces(chunks))),
+            Some(ResponseEnd::Complete {
+                chunk_count,
                 status,
-                finish,
+                finish_reason,
                 ..
-            }) if count == self.next => {
+            }) if chunk_count == self.next => {
                 self.whole();
                 Ok(Some(Part::Whole {
-                    pieces,
+                    chunks,
                     status,
-                    finish,
+                    finish_reason,
                 }))
             }
-            Some(End::Whole { .. }) => Err(self.lost(Retry::Unknown)),
-            Some(End::Broken { reason, ran }) => Err(self.broken(reason, ran)),
+            Some(ResponseEnd::Complete { .. }) => Err(self.lost(RetryReason::Unknown)),
+            Some(ResponseEnd::Interrupted { reason, ran }) => Err(self.broken(reason, ran)),
         }
     }
 
@@ -243,15 +243,19 @@
     }
 
     /// The sidecar says that the run broke off.
-    fn broken(&self, reason: Refusal, ran: Ran) -> Failed {
+    fn broken(&self, reason: Refusal, ran: Executed) -> Failed {
         self.run.over();
         if reason == Refusal::BackendFailed {
             self.state.ran(&self.run.server, false);
         }
-        let ran = if self.delivered() { Ran::Partial } else { ran };
+        let ran = if self.delivered() {
+            Executed::Partial
+        } else {
+            ran
+        };
         let cause = match reason {
-            Refusal::Preempted => Retry::Preempted,
-            _ => Retry::BackendFailed,
+            Refusal::Preempted => RetryReason::Preempted,
+            _ => RetryReason::BackendFailed,
         };
         Failed {
             failure: Failure {
@@ -269,11 +273,11 @@
     }
 
     /// The answer can no longer be had from the sidecar.
-    fn lost(&self, cause: Retry) -> Failed {
+    fn lost(&self, cause: RetryReason) -> Failed {
         let mut refused = dispatch::unknown();
         if self.delivered() {
-            refused.reason = Refusal::BrokenOff;
-            refused.ran = Ran::Partial;
+            refused.reason = Refusal::Truncated;
+            refused.ran = Executed::Partial;
         }
         Failed {
             failure: Failure {
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -11,12 +11,12 @@
 
 use actix_web::HttpRequest;
 use actix_web::http::header::CONTENT_TYPE;
-use base::ids::Ticket;
+use base::ids::RequestId;
 use base::reason::Refusal;
 use bundle::{Class, Lookup};
 use bytes::Bytes;
 use claims::Claim;
-use wire::{Reserve, Work};
+use wire::{BackendRequest, ReserveRequest};
 
 use crate::refuse::Refused;
 use body::Body;
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 pub struct Request {
     /// The request's identity.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// Who asks.
     pub workspace: String,
     /// The workspace's weight in the fair share.
@@ -64,7 +64,7 @@
     /// Hash of the prompt's prefix.
     pub prefix: u64,
     /// What to run.
-    pub work: Work,
+    pub work: BackendRequest,
 }
 
 impl Request {
@@ -89,7 +89,7 @@
         let key = key(http)?;
 
         Ok(Self {
-            ticket: Ticket::random(),
+            ticket: RequestId::random(),
             workspace: workspace.to_owned(),
             weight: rights::weight(bundle, workspace),
             class: class.to_owned(),
@@ -104,7 +104,7 @@
             prompt: body.tokens(),
             max_tokens: body.max_tokens.unwrap_or(u32::MAX),
             prefix: body.prefix(),
-            work: Work::Completion { body: raw, chat },
+            work: BackendRequest::Completion { body: raw, chat },
         })
     }
 
@@ -137,7 +137,7 @@
             .get(CONTENT_TYPE)
             .and_then(|v| v.to_str().ok());
         Ok(Self {
-            ticket: Ticket::random(),
+            ticket: RequestId::random(),
             workspace: workspace.to_owned(),
             weight: rights::weight(bundle, workspace),
             class: class.to_owned(),
@@ -152,7 +152,7 @@
             prompt: 0,
             max_tokens: 0,
             prefix: 0,
-            work: Work::Call {
+            work: BackendRequest::Call {
                 method: http.method().to_string(),
                 path,
                 content_type: kind.unwrap_or("").to_owned(),
@@ -169,12 +169,12 @@
 
     /// The request as sidecars are asked for a slot.
     #[must_use]
-    pub fn ask(&self, now: Instant, wait: Duration) -> Reserve {
+    pub fn ask(&self, now: Instant, wait: Duration) -> ReserveRequest {
         let waited = now.saturating_duration_since(self.arrived);
         let left = |target: Duration| {
             u64::try_from(target.saturating_sub(waited).as_micros()).unwrap_or(u64::MAX)
         };
-        Reserve {
+        ReserveRequest {
             ticket: self.ticket,
             class: self.class.clone(),
             workspace: self.workspace.clone(),
@@ -182,11 +182,11 @@
             tier: self.promise.tier,
             first_left_us: left(self.promise.targets.first_token.0),
             whole_left_us: left(self.promise.targets.whole.0),
-            prompt: self.prompt,
+            prompt_tokens: self.prompt,
             max_tokens: self.max_tokens,
-            prefix: self.prefix,
+            prefix_hash: self.prefix,
             repeatable: self.repeatable,
-            preempted: self.preempted,
+            preemptions: self.preempted,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         }
     }
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::ids::{Incarnation, Ticket};
-use base::reason::{Refusal, Retry};
+use base::ids::{Incarnation, RequestId};
+use base::reason::{Refusal, RetryReason};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use policy::offer::{self, Offer, Size};
@@ -15,7 +15,7 @@
 use spdlog::debug;
 use tokio::time::Instant;
 use wire::peer::Error;
-use wire::{Reserve, Reserved};
+use wire::{ReserveOutcome, ReserveRequest};
 
 use crate::counters;
 use crate::request::Request;
@@ -32,7 +32,7 @@
     /// The sidecar.
     pub index: ServerIndex,
     /// Why another one would be asked.
-    pub cause: Retry,
+    pub cause: RetryReason,
     /// Its reason, if it answered.
     pub refusal: Option<Refusal>,
     /// When asking there again may help.
@@ -43,7 +43,7 @@
 pub struct Round<'a> {
     state: &'a Rc<State>,
     request: &'a Request,
-    ticket: Ticket,
+    ticket: RequestId,
     size: Size,
     usual: Pace,
     bids: Vec<Bid>,
@@ -55,7 +55,7 @@
 struct Bid {
     state: Rc<State>,
     server: Rc<Server>,
-    ticket: Ticket,
+    ticket: RequestId,
     /// Whether the sidecar may hold or queue the ticket.
     open: Cell<bool>,
     /// The last estimate of the wait there.
@@ -75,7 +75,7 @@
     pub fn new(
         state: &'a Rc<State>,
         request: &'a Request,
-        ticket: Ticket,
+        ticket: RequestId,
         chosen: &[ServerIndex],
     ) -> Self {
         let now = state.clock.now();
@@ -223,21 +223,23 @@
             };
 
             match reply.body {
-                Reserved::Ready {
-                    first_us,
+                ReserveOutcome::Ready {
+                    ttft_us,
                     token_us,
-                    cached,
+                    cached_tokens,
                     ..
                 } => {
-                    let offer = bid.offer(first_us, token_us, cached);
+                    let offer = bid.offer(ttft_us, token_us, cached_tokens);
                     return Ok((offer, reply.incarnation));
                 }
-                Reserved::AlreadyStarted => return Ok((bid.offer(0, 0, 0), reply.incarnation)),
-                Reserved::Waiting { estimate_us } => {
+                ReserveOutcome::AlreadyStarted => {
+                    return Ok((bid.offer(0, 0, 0), reply.incarnation));
+                }
+                ReserveOutcome::Waiting { estimate_us } => {
                     bid.wait.set(Some(Duration::from_micros(estimate_us)));
                     hold = self.state.settings.routing.poll.0;
                 }
-                Reserved::Refused {
+                ReserveOutcome::Refused {
                     reason,
                     retry_after_ms,
                 } => {
@@ -248,7 +250,7 @@
         }
     }
 
-    fn message(&self, hold: Duration, first_left: Option<Duration>) -> Reserve {
+    fn message(&self, hold: Duration, first_left: Option<Duration>) -> ReserveRequest {
         let mut ask = self.request.ask(self.state.clock.now(), hold);
         ask.ticket = self.ticket;
         if let Some(left) = first_left {
@@ -259,7 +261,7 @@
 }
 
 impl Bid {
-    fn rejection(&self, cause: Retry) -> Rejection {
+    fn rejection(&self, cause: RetryReason) -> Rejection {
         Rejection {
             index: self.server.index,
             cause,
@@ -272,8 +274,8 @@
         let cause = match reason {
             // A sidecar whose backend server cannot be reached takes nothing
             // new either, and says so on every answer.
-            Refusal::Draining | Refusal::BackendFailed => Retry::Draining,
-            _ => Retry::Refused,
+            Refusal::Draining | Refusal::BackendFailed => RetryReason::Draining,
+            _ => RetryReason::Refused,
         };
         let after = Duration::from_millis(u64::from(retry_after_ms));
         Rejection {
@@ -333,9 +335,9 @@
 }
 
 /// Why a call without an answer is made again.
-pub(crate) fn cause(error: &Error) -> Retry {
+pub(crate) fn cause(error: &Error) -> RetryReason {
     match error {
-        Error::Dial { .. } => Retry::Unreachable,
-        Error::Call { .. } | Error::Silent { .. } => Retry::Silent,
+        Error::Dial { .. } => RetryReason::Unreachable,
+        Error::Call { .. } | Error::Silent { .. } => RetryReason::Silent,
     }
 }
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, WrapFuture};
-use base::ids::Ticket;
+use base::ids::RequestId;
 use clients::hosts::{Error, Host as Listed, Hosts, Role, Standing};
 use metrics::{counter, gauge};
 use policy::membership::{Applied, Host, Kind, Limits, Membership};
 use policy::subset::Size;
 use spdlog::{info, warn};
-use wire::Pull;
+use wire::PullRequest;
 
 use crate::settings::Known;
 use crate::state::{Server, State};
@@ -25,7 +25,7 @@
 
 /// A ticket that no request ever has. Pulling it changes nothing at the
 /// sidecar and brings its life and load back.
-const NOBODY: Ticket = Ticket(0);
+const NOBODY: RequestId = RequestId(0);
 
 /// Follows the host list, and asks after sidecars that the list or their own
 /// word calls gone.
@@ -115,7 +115,7 @@
         self.readable = readable;
         if outcome == "taken" {
             self.apply();
-            self.state.listed.ask();
+            self.state.listed.trigger();
         }
     }
 
@@ -156,7 +156,7 @@
         let (state, asking) = (Rc::clone(&self.state), Rc::clone(&self.asking));
         asking.set(asking.get() + 1);
         actix_rt::spawn(async move {
-            let ask = Pull {
+            let ask = PullRequest {
                 ticket: NOBODY,
                 from: 0,
                 wait_ms: 0,
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use base::logging::Level;
-use base::settings::{Error, Span, check};
+use base::settings::{Error, HumanDuration, check};
 use policy::placement::Mode;
 use serde::{Deserialize, Serialize};
 
@@ -48,7 +48,7 @@
     /// How long a stream to a caller may bring nothing until a comment is
     /// written, by which a caller that vanished is found.
     #[serde(default = "default_comment")]
-    pub comment: Span,
+    pub comment: HumanDuration,
     /// Largest request body, in bytes.
     #[serde(default = "default_body")]
     pub body_limit: usize,
@@ -67,22 +67,22 @@
     /// How servers are chosen; all but late binding are baselines.
     pub mode: Mode,
     /// Age of the load reports that the baselines go by.
-    pub lag: Span,
+    pub lag: HumanDuration,
     /// Whether a class's retries are limited by its budget.
     pub budget: bool,
     /// Longest time that a held slot is left waiting for a better one.
-    pub grace: Span,
+    pub grace: HumanDuration,
     /// How long one call may be held at a sidecar.
-    pub poll: Span,
+    pub poll: HumanDuration,
     /// Time allowed for an answer beyond that.
-    pub margin: Span,
+    pub margin: HumanDuration,
     /// Time allowed for dialling.
-    pub dial: Span,
+    pub dial: HumanDuration,
     /// A connection idle for so long is replaced before it is used again.
-    pub idle: Span,
+    pub idle: HumanDuration,
     /// How long an answer in delivery is tried for when its sidecar cannot be
     /// reached.
-    pub patience: Span,
+    pub patience: HumanDuration,
 }
 
 /// How idempotency keys are claimed.
@@ -91,17 +91,17 @@
 pub struct Keys {
     /// How long a key names its first call. Half of the log's retention at
     /// the most.
-    pub window: Span,
+    pub window: HumanDuration,
     /// Least time between two appends of one entry; claims that come
     /// meanwhile share one.
-    pub gap: Span,
+    pub gap: HumanDuration,
 }
 
 impl Default for Keys {
     fn default() -> Self {
         Self {
-            window: Span::secs(600),
-            gap: Span::ms(10),
+            window: HumanDuration::secs(600),
+            gap: HumanDuration::ms(10),
         }
     }
 }
@@ -110,14 +110,14 @@
     fn default() -> Self {
         Self {
             mode: Mode::default(),
-            lag: Span::ms(500),
+            lag: HumanDuration::ms(500),
             budget: true,
-            grace: Span::ms(100),
-            poll: Span::ms(250),
-            margin: Span::ms(500),
-            dial: Span::ms(500),
-            idle: Span::secs(15),
-            patience: Span::secs(3),
+            grace: HumanDuration::ms(100),
+            poll: HumanDuration::ms(250),
+            margin: HumanDuration::ms(500),
+            dial: HumanDuration::ms(500),
+            idle: HumanDuration::secs(15),
+            patience: HumanDuration::secs(3),
         }
     }
 }
@@ -132,13 +132,13 @@
     /// The region whose hosts are known.
     pub region: String,
     /// How often the list is read, on average.
-    pub poll: Span,
+    pub poll: HumanDuration,
     /// Sidecars of one service that are known, on average.
     pub subset: usize,
     /// How many of these stand in other availability zones, at the least.
     pub far: usize,
     /// How long a host stays that is not listed and does not answer.
-    pub forget: Span,
+    pub forget: HumanDuration,
 }
 
 impl Default for Roster {
@@ -146,10 +146,10 @@
         Self {
             hosts: None,
             region: String::new(),
-            poll: Span::secs(2),
+            poll: HumanDuration::secs(2),
             subset: 128,
             far: 16,
-            forget: Span::secs(30),
+            forget: HumanDuration::secs(30),
         }
     }
 }
@@ -160,16 +160,16 @@
 pub struct Drain {
     /// How long new requests are still taken after readiness went off, until
     /// the balancer has seen it.
-    pub linger: Span,
+    pub linger: HumanDuration,
     /// How long requests in progress may take; what is left then is ended.
-    pub limit: Span,
+    pub limit: HumanDuration,
 }
 
 impl Default for Drain {
     fn default() -> Self {
         Self {
-            linger: Span::secs(5),
-            limit: Span::secs(600),
+            linger: HumanDuration::secs(5),
+            limit: HumanDuration::secs(600),
         }
     }
 }
@@ -244,8 +244,8 @@
     2
 }
 
-fn default_comment() -> Span {
-    Span::secs(5)
+fn default_comment() -> HumanDuration {
+    HumanDuration::secs(5)
 }
 
 fn default_body() -> usize {
--- a/crates/entry/src/shape.rs
+++ b/crates/entry/src/shape.rs
@@ -1,8 +1,8 @@
 //! How answers are written, in the usual shape of completions.
 
-use base::ids::Ticket;
+use base::ids::RequestId;
 use serde::Serialize;
-use wire::Piece;
+use wire::Chunk;
 
 use crate::refuse::Refused;
 
@@ -56,7 +56,7 @@
 impl Shape {
     /// Prepares to write the answer to one request.
     #[must_use]
-    pub fn new(ticket: Ticket, model: &str, chat: bool, prompt: u32) -> Self {
+    pub fn new(ticket: RequestId, model: &str, chat: bool, prompt: u32) -> Self {
         Self {
             id: ticket.to_string(),
             model: model.to_owned(),
@@ -96,7 +96,7 @@
     }
 
     /// Appends an event for each piece.
-    pub fn pieces(&self, out: &mut Vec<u8>, pieces: &[Piece]) {
+    pub fn pieces(&self, out: &mut Vec<u8>, pieces: &[Chunk]) {
         for piece in pieces {
             let text = String::from_utf8_lossy(&piece.data);
             self.event(out, &text, None);
--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/spread.rs
@@ -12,13 +12,13 @@
 
 use actix::{Actor, Addr};
 use base::clock::Clock;
-use base::ids::Sequence;
+use base::ids::BundleSequence;
 use base::reason::Refusal;
 use bundle::{Bundle, Lookup};
 use follow::{Follower, Held, Take};
 use policy::placement::ServerIndex;
 use spdlog::debug;
-use wire::Stamp;
+use wire::CallHeader;
 
 use crate::refuse::Refused;
 use crate::state::{Server, State};
@@ -43,7 +43,7 @@
     /// Who may change it; none when the bundle came from a file.
     follower: Option<Addr<Follower>>,
     /// The latest version that any sidecar told of.
-    ahead: Cell<Sequence>,
+    ahead: Cell<BundleSequence>,
     /// When the last transfer with a sidecar began.
     last: RefCell<HashMap<ServerIndex, Instant>>,
 }
@@ -74,7 +74,7 @@
 
     /// Takes in the version that a sidecar told of, and starts a transfer in
     /// whichever direction one is behind.
-    pub fn compare(&self, now: Instant, server: &Rc<Server>, told: Sequence) {
+    pub fn compare(&self, now: Instant, server: &Rc<Server>, told: BundleSequence) {
         let Some(follower) = &self.follower else {
             return;
         };
@@ -122,7 +122,7 @@
         if self.held.behind(ahead) {
             let reached = tokio::time::timeout(CATCH_UP, self.held.reached(ahead)).await;
             if reached.is_err() {
-                self.ahead.set(Sequence(0));
+                self.ahead.set(BundleSequence(0));
             }
         }
         self.held.bundle().ok_or_else(|| {
@@ -157,7 +157,7 @@
 /// Gets a later version from a sidecar.
 async fn fetch(held: &Held, server: &Server, follower: &Addr<Follower>) {
     let sequence = held.sequence();
-    match server.peer.fetch_bundle(Stamp { sequence }).await {
+    match server.peer.fetch_bundle(CallHeader { sequence }).await {
         Ok(reply) => {
             if let Some(bytes) = reply.body {
                 // The follower counts and logs what it refuses.
@@ -169,12 +169,16 @@
 }
 
 /// Gives a sidecar at version `told` what it lacks.
-async fn offer(held: &Held, server: &Server, told: Sequence) {
+async fn offer(held: &Held, server: &Server, told: BundleSequence) {
     let sequence = held.sequence();
     let Some(bytes) = held.transfer(told) else {
         return;
     };
-    if let Err(e) = server.peer.offer_bundle(Stamp { sequence }, bytes).await {
+    if let Err(e) = server
+        .peer
+        .offer_bundle(CallHeader { sequence }, bytes)
+        .await
+    {
         debug!("offer failed", kv: { error = e.to_string().as_str() });
     }
 }
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::ids::{Incarnation, Ticket};
-use base::reason::Retry;
+use base::ids::{Incarnation, RequestId};
+use base::reason::RetryReason;
 use spdlog::warn;
-use wire::{Cancelled, Start, Started};
+use wire::{CancelOutcome, StartOutcome, StartRequest};
 
 use crate::request::Request;
 use crate::reserve::cause;
@@ -32,7 +32,7 @@
     /// Where it runs.
     pub server: Rc<Server>,
     /// The identity of this run.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// The sidecar's life in which it runs.
     pub incarnation: Incarnation,
     /// Whether nothing is left to cancel.
@@ -45,7 +45,7 @@
     /// It runs.
     Running,
     /// It did not run and never will.
-    NotRun(Retry),
+    NotRun(RetryReason),
     /// Nobody can tell.
     Unknown,
 }
@@ -56,7 +56,7 @@
     pub fn new(
         state: Rc<State>,
         server: Rc<Server>,
-        ticket: Ticket,
+        ticket: RequestId,
         incarnation: Incarnation,
     ) -> Self {
         Self {
@@ -89,7 +89,7 @@
             if sent && !request.may_start(self.state.clock.now()) {
                 break;
             }
-            let order = Start {
+            let order = StartRequest {
                 ticket: self.ticket,
                 incarnation: self.incarnation,
                 work: request.work.clone(),
@@ -106,7 +106,7 @@
             }
         }
         if !sent {
-            return Outcome::NotRun(Retry::Unreachable);
+            return Outcome::NotRun(RetryReason::Unreachable);
         }
         // The caller of a repeatable request waits for its answer elsewhere;
         // this run, if there is one, is cancelled when it is dropped.
@@ -116,14 +116,16 @@
         self.cancel().await
     }
 
-    fn judge(&self, started: Started, sent: bool) -> Outcome {
+    fn judge(&self, started: StartOutcome, sent: bool) -> Outcome {
         let outcome = match started {
-            Started::Running => return Outcome::Running,
-            Started::Lapsed | Started::Cancelled => Outcome::NotRun(Retry::Lapsed),
-            Started::Refused(_) => Outcome::NotRun(Retry::Refused),
+            StartOutcome::Running => return Outcome::Running,
+            StartOutcome::ReservationExpired | StartOutcome::Cancelled => {
+                Outcome::NotRun(RetryReason::ReservationExpired)
+            }
+            StartOutcome::Refused(_) => Outcome::NotRun(RetryReason::Refused),
             // An earlier start may have run in the life that is gone.
-            Started::OtherIncarnation if sent => Outcome::Unknown,
-            Started::OtherIncarnation => Outcome::NotRun(Retry::Incarnation),
+            StartOutcome::StaleIncarnation if sent => Outcome::Unknown,
+            StartOutcome::StaleIncarnation => Outcome::NotRun(RetryReason::SidecarRestarted),
         };
         self.over();
         outcome
@@ -142,8 +144,8 @@
         };
         self.over();
         match reply.body {
-            Cancelled::NeverStarted if reply.incarnation == self.incarnation => {
-                Outcome::NotRun(Retry::Unreachable)
+            CancelOutcome::NeverStarted if reply.incarnation == self.incarnation => {
+                Outcome::NotRun(RetryReason::Unreachable)
             }
             _ => Outcome::Unknown,
         }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -7,7 +7,7 @@
 
 use base::clock::Clock;
 use base::ids::Incarnation;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use bundle::Shares;
 use claims::Claims;
 use policy::Placement;
@@ -16,8 +16,8 @@
 use policy::pace::{Load, Pace};
 use policy::placement::{Options, ServerIndex};
 use policy::retry::Budget;
-use wire::peer::{Error, Timing};
-use wire::{Peer, Reply, Stamp};
+use wire::peer::{Error, Timeouts};
+use wire::{CallHeader, Peer, Reply};
 
 use crate::counters;
 use crate::idempotency::Calls;
@@ -48,11 +48,11 @@
     /// Whether readiness is off: the balancer should send nothing more.
     pub draining: Cell<bool>,
     /// Asked once the sidecars are known from the host list.
-    pub listed: Stop,
+    pub listed: StopSignal,
     /// Whether new requests are refused.
     pub refusing: Cell<bool>,
     /// Asked when requests in progress must end now, whole or not.
-    pub cutoff: Stop,
+    pub cutoff: StopSignal,
     /// Requests in progress.
     open: Cell<usize>,
 }
@@ -89,9 +89,9 @@
             budget: RefCell::new(Budget::new(!settings.routing.budget)),
             lengths: RefCell::default(),
             draining: Cell::new(false),
-            listed: Stop::new(),
+            listed: StopSignal::new(),
             refusing: Cell::new(false),
-            cutoff: Stop::new(),
+            cutoff: StopSignal::new(),
             open: Cell::new(0),
             settings,
         });
@@ -102,8 +102,8 @@
     }
 
     /// What every call tells about this entry.
-    pub fn stamp(&self) -> Stamp {
-        Stamp {
+    pub fn stamp(&self) -> CallHeader {
+        CallHeader {
             sequence: self.spread.held.sequence(),
         }
     }
@@ -119,9 +119,9 @@
     /// Takes a sidecar as known from now on.
     pub fn join(&self, known: &Known) {
         let routing = &self.settings.routing;
-        let timing = Timing {
+        let timing = Timeouts {
             margin: routing.margin.0,
-            dial: routing.dial.0,
+            connect: routing.dial.0,
             idle: routing.idle.0,
         };
         let mut servers = self.servers.borrow_mut();
@@ -251,7 +251,7 @@
 }
 
 /// The load as the policy sees it.
-fn load(told: &wire::Load) -> Load {
+fn load(told: &wire::ServerLoad) -> Load {
     let us = |us: u32| Duration::from_micros(u64::from(us));
     Load {
         running: told.running,
@@ -259,7 +259,7 @@
         waiting: told.waiting,
         wait: us(told.wait_us),
         pace: Pace {
-            first: us(told.first_us),
+            first: us(told.ttft_us),
             token: us(told.token_us),
         },
         draining: told.draining,
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use base::ids::Sequence;
-use base::operators::Shown;
+use base::admin::DaemonStatus;
+use base::ids::BundleSequence;
 use serde::Serialize;
 
 use crate::state::{Server, State};
@@ -20,7 +20,7 @@
     /// Whether new requests are taken.
     pub ready: bool,
     /// The bundle in force.
-    pub sequence: Sequence,
+    pub sequence: BundleSequence,
     /// Requests in progress.
     pub open: usize,
     /// The known sidecars.
@@ -50,7 +50,7 @@
     pub draining: bool,
 }
 
-impl Shown for State {
+impl DaemonStatus for State {
     type Status = Status;
 
     fn status(&self) -> Status {
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 use base::clock::SystemClock;
-use base::ids::{Incarnation, Ticket, Tier};
-use base::reason::{Ran, Refusal};
-use base::settings::Span;
-use base::stop::Stop;
+use base::ids::{Incarnation, RequestId, Tier};
+use base::reason::{Executed, Refusal};
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use bundle::{Bundle, Class, Targets};
 use bytes::Bytes;
 use entry::refuse::Refused;
@@ -20,8 +20,8 @@
 use policy::placement::Mode;
 use tarpc::context::Context;
 use wire::{
-    Cancelled, End, Load, Piece, Pull, Pulled, Reply, Reserve, Reserved, Sidecar, Stamp, Start,
-    Started, Work,
+    BackendRequest, CallHeader, CancelOutcome, Chunk, PullOutcome, PullRequest, Reply,
+    ReserveOutcome, ReserveRequest, ResponseEnd, ServerLoad, Sidecar, StartOutcome, StartRequest,
 };
 
 /// Longest time that a test waits for anything.
@@ -62,7 +62,7 @@
     /// Two pieces and the end.
     Whole,
     /// Breaks off after so many pieces.
-    Broken(u32, Ran),
+    Broken(u32, Executed),
     /// The first pull gets no answer.
     PullLost,
 }
@@ -99,7 +99,7 @@
     pub(crate) busy: RefCell<Option<(Rc<Fake>, u32)>>,
     /// A reservation is answered once the other fake was asked so often.
     pub(crate) after: RefCell<Option<(Rc<Fake>, u32)>>,
-    pub(crate) cancels: RefCell<Vec<Ticket>>,
+    pub(crate) cancels: RefCell<Vec<RequestId>>,
     incarnation: Cell<u64>,
     /// The word that marks this fake's pieces.
     pub(crate) name: &'static str,
@@ -129,25 +129,25 @@
             Reserving::Busy { wait_us } => Some(wait_us),
             _ => self.busy.borrow().as_ref().map(|_| 2_000_000),
         };
-        let load = Load {
+        let load = ServerLoad {
             slots: 8,
             running: if busy.is_some() { 8 } else { 0 },
             wait_us: busy.unwrap_or(0),
             token_us: 3000,
-            first_us: 3000,
+            ttft_us: 3000,
             draining: self.script.get().draining,
-            ..Load::default()
+            ..ServerLoad::default()
         };
         Reply {
-            sequence: base::ids::Sequence::default(),
+            sequence: base::ids::BundleSequence::default(),
             incarnation: Incarnation(self.incarnation.get()),
             load,
             body,
         }
     }
 
-    fn piece(&self, number: u32) -> Piece {
-        Piece {
+    fn piece(&self, number: u32) -> Chunk {
+        Chunk {
             tokens: 1,
             data: Bytes::from(format!("{}{number} ", self.name)),
         }
@@ -170,12 +170,12 @@
 }
 
 impl Sidecar for Service {
-    async fn reserve(self, _: Context, _: Stamp, _: Reserve) -> Reply<Reserved> {
+    async fn reserve(self, _: Context, _: CallHeader, _: ReserveRequest) -> Reply<ReserveOutcome> {
         let fake = self.0;
         let nth = count(&fake.reserves);
         asked(&fake.after).await;
         if fake.busy.borrow().is_some() && nth == 1 {
-            return fake.reply(Reserved::Waiting {
+            return fake.reply(ReserveOutcome::Waiting {
                 estimate_us: 2_000_000,
             });
         }
@@ -193,44 +193,44 @@
                 if nth > 1 {
                     std::future::pending::<()>().await;
                 }
-                fake.reply(Reserved::Waiting {
+                fake.reply(ReserveOutcome::Waiting {
                     estimate_us: u64::from(wait_us),
                 })
             }
             Reserving::Silent => std::future::pending().await,
-            Reserving::Refuse(reason) => fake.reply(Reserved::Refused {
+            Reserving::Refuse(reason) => fake.reply(ReserveOutcome::Refused {
                 reason,
                 retry_after_ms: 7000,
             }),
             Reserving::Ready { token_us } => {
                 count(&fake.offers);
-                fake.reply(Reserved::Ready {
+                fake.reply(ReserveOutcome::Ready {
                     hold_ms: 250,
-                    first_us: token_us,
+                    ttft_us: token_us,
                     token_us,
-                    cached: 0,
+                    cached_tokens: 0,
                 })
             }
         }
     }
 
-    async fn start(self, _: Context, _: Stamp, _: Start) -> Reply<Started> {
+    async fn start(self, _: Context, _: CallHeader, _: StartRequest) -> Reply<StartOutcome> {
         let fake = self.0;
         let nth = count(&fake.starts);
         match (fake.script.get().starting, nth) {
             (Starting::Silent, _) | (Starting::ReplyLost | Starting::Reborn, 1) => {
                 std::future::pending().await
             }
-            (Starting::Run | Starting::ReplyLost, _) => fake.reply(Started::Running),
-            (Starting::Lapsed, _) => fake.reply(Started::Lapsed),
+            (Starting::Run | Starting::ReplyLost, _) => fake.reply(StartOutcome::Running),
+            (Starting::Lapsed, _) => fake.reply(StartOutcome::ReservationExpired),
             (Starting::Reborn | Starting::RebornBefore, _) => {
                 fake.incarnation.set(2);
-                fake.reply(Started::OtherIncarnation)
+                fake.reply(StartOutcome::StaleIncarnation)
             }
         }
     }
 
-    async fn pull(self, _: Context, _: Stamp, ask: Pull) -> Reply<Pulled> {
+    async fn pull(self, _: Context, _: CallHeader, ask: PullRequest) -> Reply<PullOutcome> {
         let fake = self.0;
         let nth = count(&fake.pulls);
         let running = fake.script.get().running;
@@ -239,41 +239,41 @@
         }
         let (pieces, end) = match running {
             Running::Whole | Running::PullLost => {
-                let end = End::Whole {
-                    count: 2,
+                let end = ResponseEnd::Complete {
+                    chunk_count: 2,
                     status: 200,
-                    finish: "stop".to_owned(),
-                    cached: 0,
+                    finish_reason: "stop".to_owned(),
+                    cached_tokens: 0,
                 };
                 (ask.from..2, end)
             }
             Running::Broken(after, ran) => {
                 let reason = Refusal::BackendFailed;
-                (ask.from..after, End::Broken { reason, ran })
+                (ask.from..after, ResponseEnd::Interrupted { reason, ran })
             }
         };
         // The pieces come before the end, as they would from an engine.
         let end = pieces.is_empty().then_some(end);
-        fake.reply(Pulled::Pieces {
+        fake.reply(PullOutcome::Chunks {
             first: ask.from,
-            pieces: pieces.map(|n| fake.piece(n)).collect(),
+            chunks: pieces.map(|n| fake.piece(n)).collect(),
             end,
         })
     }
 
-    async fn cancel(self, _: Context, _: Stamp, ticket: Ticket) -> Reply<Cancelled> {
+    async fn cancel(self, _: Context, _: CallHeader, ticket: RequestId) -> Reply<CancelOutcome> {
         self.0.cancels.borrow_mut().push(ticket);
         if self.0.script.get().starting == Starting::Silent {
             return std::future::pending().await;
         }
-        self.0.reply(Cancelled::NeverStarted)
+        self.0.reply(CancelOutcome::NeverStarted)
     }
 
-    async fn offer_bundle(self, _: Context, _: Stamp, _: Bytes) -> Reply<bool> {
+    async fn offer_bundle(self, _: Context, _: CallHeader, _: Bytes) -> Reply<bool> {
         self.0.reply(false)
     }
 
-    async fn fetch_bundle(self, _: Context, _: Stamp) -> Reply<Option<Bytes>> {
+    async fn fetch_bundle(self, _: Context, _: CallHeader) -> Reply<Option<Bytes>> {
         self.0.reply(None)
     }
 }
@@ -288,8 +288,8 @@
 /// them, and places by the given mode. For tests in which none falls silent.
 pub(crate) async fn unhurried(fakes: &[Rc<Fake>], fan: usize, mode: Mode) -> Rc<State> {
     let routing = Routing {
-        margin: Span::secs(10),
-        dial: Span::secs(10),
+        margin: HumanDuration::secs(10),
+        dial: HumanDuration::secs(10),
         ..quick(mode)
     };
     entry_by(fakes, fan, routing).await
@@ -307,7 +307,7 @@
             serves: "model".to_owned(),
         });
         let service = Service(Rc::clone(fake));
-        actix_rt::spawn(wire::serve::serve(listener, service, Stop::new()));
+        actix_rt::spawn(wire::serve::serve(listener, service, StopSignal::new()));
     }
     state_by(sidecars, fan, routing)
 }
@@ -335,10 +335,10 @@
 /// Timing under which a silent connection shows soon.
 fn quick(mode: Mode) -> Routing {
     Routing {
-        poll: Span::ms(100),
-        margin: Span::ms(300),
-        patience: Span::secs(1),
-        grace: Span::secs(5),
+        poll: HumanDuration::ms(100),
+        margin: HumanDuration::ms(300),
+        patience: HumanDuration::secs(1),
+        grace: HumanDuration::secs(5),
         mode,
         ..Routing::default()
     }
@@ -346,12 +346,12 @@
 
 pub(crate) fn request(stream: bool, repeatable: bool) -> Request {
     let targets = Targets {
-        first_token: Span::secs(10),
-        token_gap: Span::ms(43),
-        whole: Span::secs(20),
+        first_token: HumanDuration::secs(10),
+        token_gap: HumanDuration::ms(43),
+        whole: HumanDuration::secs(20),
     };
     Request {
-        ticket: Ticket::random(),
+        ticket: RequestId::random(),
         workspace: "w".to_owned(),
         weight: 1,
         class: "class".to_owned(),
@@ -370,7 +370,7 @@
         prompt: 10,
         max_tokens: 2,
         prefix: 0,
-        work: Work::Completion {
+        work: BackendRequest::Completion {
             body: Bytes::from_static(b"{}"),
             chat: true,
         },
@@ -381,7 +381,7 @@
 #[derive(Debug, PartialEq)]
 pub(crate) struct Got {
     pub(crate) text: String,
-    pub(crate) end: Result<(), (Refusal, Ran)>,
+    pub(crate) end: Result<(), (Refusal, Executed)>,
 }
 
 impl Got {
@@ -392,7 +392,7 @@
         }
     }
 
-    pub(crate) fn refused(text: &str, reason: Refusal, ran: Ran) -> Self {
+    pub(crate) fn refused(text: &str, reason: Refusal, ran: Executed) -> Self {
         Self {
             text: text.to_owned(),
             end: Err((reason, ran)),
@@ -416,7 +416,7 @@
     loop {
         let (pieces, whole) = match answer.part().await? {
             Part::Pieces(pieces) => (pieces, false),
-            Part::Whole { pieces, .. } => (pieces, true),
+            Part::Whole { chunks, .. } => (chunks, true),
         };
         for piece in pieces {
             text.push_str(std::str::from_utf8(&piece.data).unwrap());
--- a/crates/entry/tests/routing/retries.rs
+++ b/crates/entry/tests/routing/retries.rs
@@ -6,7 +6,7 @@
 use crate::fake::{
     Fake, Got, Reserving, Running, Script, Starting, call, entry, request, state, unhurried,
 };
-use base::reason::{Ran, Refusal};
+use base::reason::{Executed, Refusal};
 use entry::settings::Known;
 use policy::placement::Mode;
 use rstest::rstest;
@@ -65,7 +65,7 @@
 }
 
 fn unknown() -> Got {
-    Got::refused("", Refusal::OutcomeUnknown, Ran::Unknown)
+    Got::refused("", Refusal::OutcomeUnknown, Executed::Unknown)
 }
 
 // The caller gets its whole answer from the other server. The first sidecar
@@ -125,17 +125,17 @@
 // request goes elsewhere; if it may have run, only a repeatable one does, and
 // the other's caller is told that this is not known.
 #[rstest]
-#[case::not_run(Ran::No, false, good(), 1)]
-#[case::repeatable(Ran::Unknown, true, good(), 1)]
+#[case::not_run(Executed::No, false, good(), 1)]
+#[case::repeatable(Executed::Unknown, true, good(), 1)]
 #[case::once(
-    Ran::Unknown,
+    Executed::Unknown,
     false,
-    Got::refused("", Refusal::BackendFailed, Ran::Unknown),
+    Got::refused("", Refusal::BackendFailed, Executed::Unknown),
     0
 )]
 #[actix_rt::test]
 async fn answer_failed_early(
-    #[case] ran: Ran,
+    #[case] ran: Executed,
     #[case] repeatable: bool,
     #[case] expected: Got,
     #[case] starts: u32,
@@ -151,14 +151,14 @@
 #[case::streaming(
     true,
     true,
-    Got::refused("bad0 ", Refusal::BackendFailed, Ran::Partial),
+    Got::refused("bad0 ", Refusal::BackendFailed, Executed::Partial),
     0
 )]
 #[case::whole(false, true, good(), 1)]
 #[case::whole_once(
     false,
     false,
-    Got::refused("", Refusal::BackendFailed, Ran::Partial),
+    Got::refused("", Refusal::BackendFailed, Executed::Partial),
     0
 )]
 #[actix_rt::test]
@@ -168,7 +168,7 @@
     #[case] expected: Got,
     #[case] starts: u32,
 ) {
-    let script = running(Running::Broken(1, Ran::Partial));
+    let script = running(Running::Broken(1, Executed::Partial));
     let got = try_both(script, stream, repeatable).await;
     assert_eq!(got, (expected, starts));
 }
@@ -198,7 +198,7 @@
 
     for _ in 0..1000 {
         let got = call(&state, request(true, true)).await;
-        assert_eq!(got, Got::refused("", Refusal::Shed, Ran::No));
+        assert_eq!(got, Got::refused("", Refusal::Shed, Executed::No));
     }
     let asked: u32 = fakes.iter().map(|f| f.reserves.get()).sum();
     assert_eq!(asked, 1000 + 5 * 4);
@@ -213,13 +213,13 @@
 // no more than a tenth more runs than requests.
 #[actix_rt::test]
 async fn grant_all_fail() {
-    let script = running(Running::Broken(0, Ran::No));
+    let script = running(Running::Broken(0, Executed::No));
     let fakes = ["f0", "f1", "f2", "f3", "f4"].map(|name| Fake::new(name, script));
     let state = unhurried(&fakes, 1, Mode::LateBinding).await;
 
     for _ in 0..100 {
         let got = call(&state, request(true, true)).await;
-        assert_eq!(got.end.map_err(|(_, ran)| ran), Err(Ran::No));
+        assert_eq!(got.end.map_err(|(_, ran)| ran), Err(Executed::No));
     }
     let started: u32 = fakes.iter().map(|f| f.starts.get()).sum();
     assert!(started <= 100 + 10 + 12, "{started} runs");
@@ -248,7 +248,7 @@
         Mode::LateBinding,
     );
     let got = call(&state, request(true, true)).await;
-    assert_eq!(got, Got::refused("", Refusal::NoServer, Ran::No));
+    assert_eq!(got, Got::refused("", Refusal::NoServer, Executed::No));
 }
 
 // A draining sidecar is asked once and then left alone: its load says that it
@@ -263,7 +263,7 @@
     let state = entry(std::slice::from_ref(&fake), 2).await;
     for _ in 0..2 {
         let got = call(&state, request(true, true)).await;
-        assert_eq!(got, Got::refused("", Refusal::NoServer, Ran::No));
+        assert_eq!(got, Got::refused("", Refusal::NoServer, Executed::No));
     }
     assert_eq!(fake.reserves.get(), 1);
 }
--- a/crates/entry/tests/told.rs
+++ b/crates/entry/tests/told.rs
@@ -1,6 +1,6 @@
 //! What a caller is told about having run, after several tries.
 
-use base::reason::{Ran, Refusal};
+use base::reason::{Executed, Refusal};
 use entry::dispatch::Tries;
 use entry::refuse::Refused;
 use rstest::rstest;
@@ -11,13 +11,13 @@
 /// truly that it did not run there. Only all tries together tell the truth.
 /// Found by the demo with a burst and a straggler, teranga, seed 1: 2 of 3,325.
 #[rstest]
-#[case::never_ran(&[], Ran::No, Ran::No)]
-#[case::preempted_then_refused(&[Ran::Partial], Ran::No, Ran::Partial)]
-#[case::unknown_then_refused(&[Ran::Unknown], Ran::No, Ran::Unknown)]
-#[case::refused_then_refused(&[Ran::No], Ran::No, Ran::No)]
-#[case::partial_outlives_unknown(&[Ran::Partial, Ran::Unknown], Ran::No, Ran::Partial)]
-#[case::last_try_tells_more(&[Ran::Unknown], Ran::Partial, Ran::Partial)]
-fn tell_all_tries(#[case] earlier: &[Ran], #[case] last: Ran, #[case] told: Ran) {
+#[case::never_ran(&[], Executed::No, Executed::No)]
+#[case::preempted_then_refused(&[Executed::Partial], Executed::No, Executed::Partial)]
+#[case::unknown_then_refused(&[Executed::Unknown], Executed::No, Executed::Unknown)]
+#[case::refused_then_refused(&[Executed::No], Executed::No, Executed::No)]
+#[case::partial_outlives_unknown(&[Executed::Partial, Executed::Unknown], Executed::No, Executed::Partial)]
+#[case::last_try_tells_more(&[Executed::Unknown], Executed::Partial, Executed::Partial)]
+fn tell_all_tries(#[case] earlier: &[Executed], #[case] last: Executed, #[case] told: Executed) {
     let mut tries = Tries::default();
     earlier.iter().for_each(|ran| tries.note(*ran));
     let mut refused = Refused::not_run(Refusal::TargetUnreachable, "no time");
--- a/crates/follow/examples/bundle_slopes.rs
+++ b/crates/follow/examples/bundle_slopes.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use bundle::record::{Header, operators_hash, operators_of};
 use bundle::{
     Acceptor, Bundle, Class, Content, Operators, Payload, Pool, Record, SecretKey, Signed, Targets,
@@ -91,9 +91,9 @@
     for i in 0..12 {
         let model = format!("model-{i}");
         let targets = Targets {
-            first_token: base::settings::Span::ms(990),
-            token_gap: base::settings::Span::ms(43),
-            whole: base::settings::Span::secs(60),
+            first_token: base::settings::HumanDuration::ms(990),
+            token_gap: base::settings::HumanDuration::ms(43),
+            whole: base::settings::HumanDuration::secs(60),
         };
         let class = Class {
             tier: base::ids::Tier(i % 3),
@@ -126,7 +126,7 @@
 
 fn change(reader: &Acceptor, key: &SecretKey, to: &Content, payload: Payload) -> Record {
     let header = Header {
-        sequence: Sequence(reader.sequence().0 + 1),
+        sequence: BundleSequence(reader.sequence().0 + 1),
         parent: reader.head().map(|h| h.signed.id()).unwrap_or_default(),
         digest: to.digest(),
         operators: operators_hash(&operators_of(to)),
--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -5,7 +5,7 @@
 
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, Handler, Message, WrapFuture};
 use base::clock::Clock;
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use bundle::{Fault, Verdict};
 use bytes::Bytes;
 use clients::log::{Error, Log, Page};
@@ -51,7 +51,7 @@
 
 /// Hands the follower what a peer sent; see [`Held::transfer`].
 #[derive(Debug, Message)]
-#[rtype(result = "Result<Sequence, transfer::Error>")]
+#[rtype(result = "Result<BundleSequence, transfer::Error>")]
 pub struct Take(pub Bytes);
 
 impl Follower {
@@ -255,7 +255,7 @@
 }
 
 impl Handler<Take> for Follower {
-    type Result = Result<Sequence, transfer::Error>;
+    type Result = Result<BundleSequence, transfer::Error>;
 
     fn handle(&mut self, Take(bytes): Take, _: &mut Self::Context) -> Self::Result {
         let taken = self.held.take(&bytes);
--- a/crates/follow/src/held.rs
+++ b/crates/follow/src/held.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use bundle::accept::Touched;
 use bundle::content;
 use bundle::{Acceptor, Bundle, Content, Hash, Lookup, Operators, Verdict};
@@ -38,14 +38,14 @@
 #[derive(Debug, Clone)]
 pub struct InForce {
     /// Its number.
-    pub sequence: Sequence,
+    pub sequence: BundleSequence,
     /// What it declares.
     pub bundle: Rc<Lookup>,
 }
 
 /// A change as it stands in the log.
 struct Change {
-    sequence: Sequence,
+    sequence: BundleSequence,
     at: Offset,
     body: String,
 }
@@ -70,7 +70,7 @@
     pub fn fixed(bundle: Bundle) -> Rc<Self> {
         let held = Self::new(Operators::new());
         *held.current.borrow_mut() = Some(Rc::new(InForce {
-            sequence: Sequence(0),
+            sequence: BundleSequence(0),
             bundle: Rc::new(Lookup::new(bundle)),
         }));
         held
@@ -91,9 +91,9 @@
 
     /// The number of the version in force; 0 when there is none.
     #[must_use]
-    pub fn sequence(&self) -> Sequence {
+    pub fn sequence(&self) -> BundleSequence {
         let current = self.current.borrow();
-        current.as_ref().map_or(Sequence(0), |c| c.sequence)
+        current.as_ref().map_or(BundleSequence(0), |c| c.sequence)
     }
 
     /// Whether the log answered its last call.
@@ -117,12 +117,12 @@
     /// that was accepted and not understood here counts as known, since
     /// waiting for it would not help.
     #[must_use]
-    pub fn behind(&self, sequence: Sequence) -> bool {
+    pub fn behind(&self, sequence: BundleSequence) -> bool {
         sequence > self.sequence() && sequence > self.acceptor.borrow().sequence()
     }
 
     /// Waits until this daemon is no longer behind `sequence`.
-    pub async fn reached(&self, sequence: Sequence) {
+    pub async fn reached(&self, sequence: BundleSequence) {
         loop {
             let changed = self.changed.notified();
             if !self.behind(sequence) {
@@ -135,7 +135,7 @@
     /// What a daemon at version `since` needs to get to the one in force;
     /// `None` when there is nothing newer here.
     #[must_use]
-    pub fn transfer(&self, since: Sequence) -> Option<Bytes> {
+    pub fn transfer(&self, since: BundleSequence) -> Option<Bytes> {
         if since >= self.sequence() {
             return None;
         }
--- a/crates/follow/src/publish.rs
+++ b/crates/follow/src/publish.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use bundle::record::{Header, PART_LIMIT, RECORD_LIMIT, operators_hash, operators_of, parts};
 use bundle::{Acceptor, Content, Hash, Operators, Payload, Record, SecretKey, Signed, Verdict};
 use clients::log::{Error, Log, Page};
@@ -28,24 +28,24 @@
 #[derive(Debug, Clone)]
 pub struct Version {
     /// Its number.
-    pub sequence: Sequence,
+    pub sequence: BundleSequence,
     /// Where it was accepted.
     pub at: Offset,
     /// Who signed it.
     pub operator: String,
     /// The earlier version whose content it restores, if any.
-    pub restores: Option<Sequence>,
+    pub restores: Option<BundleSequence>,
 }
 
 /// What became of a publication. Nothing here is a guess.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// It is the version with this number.
-    Accepted(Sequence),
+    Accepted(BundleSequence),
     /// Another version won.
     Beaten {
         /// The version that won.
-        by: Sequence,
+        by: BundleSequence,
         /// Who signed it.
         operator: String,
     },
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Returns [`Error`] when the log does not answer.
-    pub async fn content(&self, sequence: Sequence) -> Result<Option<Content>, Error> {
+    pub async fn content(&self, sequence: BundleSequence) -> Result<Option<Content>, Error> {
         if sequence == self.acceptor.sequence() {
             return Ok(Some(self.acceptor.content().clone()));
         }
@@ -139,7 +139,7 @@
         &mut self,
         key: &SecretKey,
         content: &Content,
-        restores: Option<Sequence>,
+        restores: Option<BundleSequence>,
     ) -> Result<Outcome, bundle::keys::Error> {
         // What follows on nothing, no reader could judge.
         if !self.acceptor.anchored() {
@@ -167,11 +167,11 @@
         &self,
         key: &SecretKey,
         content: &Content,
-        restores: Option<Sequence>,
+        restores: Option<BundleSequence>,
     ) -> Result<Vec<Record>, bundle::keys::Error> {
         let parent = self.acceptor.head().map(|h| h.signed.id());
         let header = Header {
-            sequence: Sequence(self.acceptor.sequence().0 + 1),
+            sequence: BundleSequence(self.acceptor.sequence().0 + 1),
             parent: parent.unwrap_or_default(),
             digest: content.digest(),
             operators: operators_hash(&operators_of(content)),
@@ -200,7 +200,7 @@
     }
 
     /// Reads on until the record was judged.
-    async fn outcome(&mut self, id: Hash, sequence: Sequence) -> Outcome {
+    async fn outcome(&mut self, id: Hash, sequence: BundleSequence) -> Outcome {
         loop {
             let Ok(page) = self.page().await else {
                 return Outcome::Unknown;
--- a/crates/follow/src/settings.rs
+++ b/crates/follow/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use base::settings::Span;
+use base::settings::HumanDuration;
 use bundle::Operators;
 use serde::{Deserialize, Serialize};
 
@@ -17,14 +17,14 @@
     pub trust: Operators,
     /// How long one read is held while there is nothing new.
     #[serde(default = "default_wait")]
-    pub wait: Span,
+    pub wait: HumanDuration,
     /// Longest pause between two tries while the log is down.
     #[serde(default = "default_backoff")]
-    pub backoff: Span,
+    pub backoff: HumanDuration,
     /// Longest random delay before a checkpoint is appended, so that not all
     /// daemons append one at once.
     #[serde(default = "default_delay")]
-    pub delay: Span,
+    pub delay: HumanDuration,
 }
 
 impl Settings {
@@ -41,14 +41,14 @@
     }
 }
 
-fn default_wait() -> Span {
-    Span::secs(5)
+fn default_wait() -> HumanDuration {
+    HumanDuration::secs(5)
 }
 
-fn default_backoff() -> Span {
-    Span::secs(2)
+fn default_backoff() -> HumanDuration {
+    HumanDuration::secs(2)
 }
 
-fn default_delay() -> Span {
-    Span::secs(5)
+fn default_delay() -> HumanDuration {
+    HumanDuration::secs(5)
 }
--- a/crates/follow/src/transfer.rs
+++ b/crates/follow/src/transfer.rs
@@ -4,7 +4,7 @@
 //! The receiver verifies every signature against what it trusts; the sender
 //! is believed only for the offsets.
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use bundle::{Checkpoint, Verdict};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -58,7 +58,7 @@
     /// # Errors
     ///
     /// Returns [`Error`] when it does not hold; what was held stays then.
-    pub(crate) fn take(&self, bytes: &[u8]) -> Result<Sequence, Error> {
+    pub(crate) fn take(&self, bytes: &[u8]) -> Result<BundleSequence, Error> {
         match serde_json::from_slice(bytes).context(UnreadableSnafu)? {
             Transfer::Changes { changes, judged } => self.take_changes(&changes, judged)?,
             Transfer::Checkpoint(checkpoint) => {
--- a/crates/follow/tests/failures/common.rs
+++ b/crates/follow/tests/failures/common.rs
@@ -9,8 +9,8 @@
 use base::clock::SystemClock;
 use base::ids::Offset;
 use base::logging::{self, Level};
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use bundle::{Content, Operators, SecretKey};
 use clients::log::{Log, Page};
 use follow::{Follower, Held, Publisher, STREAM, Settings};
@@ -43,7 +43,11 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         let faults = Control::new(Faults::default());
-        actix_rt::spawn(standin::log::serve(listener, faults.clone(), Stop::new()));
+        actix_rt::spawn(standin::log::serve(
+            listener,
+            faults.clone(),
+            StopSignal::new(),
+        ));
         let log = Log::new(addr);
         test(World { addr, faults, log }).await;
     });
@@ -53,9 +57,9 @@
     /// Starts a daemon that follows the log.
     pub(crate) fn daemon(&self) -> Daemon {
         let mut settings = Settings::new(self.addr, trust());
-        settings.wait = Span::ms(50);
-        settings.backoff = Span::ms(50);
-        settings.delay = Span::ms(50);
+        settings.wait = HumanDuration::ms(50);
+        settings.backoff = HumanDuration::ms(50);
+        settings.delay = HumanDuration::ms(50);
         let held = Held::new(trust());
         let follower = Follower::new(settings, Rc::clone(&held), Rc::new(SystemClock)).start();
         Daemon { held, follower }
--- a/crates/follow/tests/failures/daemons.rs
+++ b/crates/follow/tests/failures/daemons.rs
@@ -1,7 +1,7 @@
 //! What daemons go by.
 
-use base::ids::{Offset, Sequence};
-use base::settings::Span;
+use base::ids::{BundleSequence, Offset};
+use base::settings::HumanDuration;
 use follow::{Outcome, STREAM, Take};
 
 use crate::common::{Daemon, World, awa, content, goes_by, luz, run, until, until_log};
@@ -12,7 +12,7 @@
     for n in from..=to {
         let mark = format!("v{n}");
         let told = publisher.publish(&awa(), &content(&mark), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(Sequence(n))));
+        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(n))));
     }
 }
 
@@ -42,7 +42,7 @@
         }
         publish(&world, 7, 7).await;
 
-        world.faults.change(|f| f.slow = Span::ms(20));
+        world.faults.change(|f| f.slow = HumanDuration::ms(20));
         let daemon = world.daemon();
         for _ in 0..2 {
             tokio::time::sleep(std::time::Duration::from_millis(30)).await;
@@ -52,7 +52,7 @@
             world.down(false);
         }
         until("version 7 is in force", || goes_by(&daemon, "v7")).await;
-        assert_eq!(daemon.held.sequence(), Sequence(7));
+        assert_eq!(daemon.held.sequence(), BundleSequence(7));
     });
 }
 
@@ -95,11 +95,11 @@
         publish(&world, 1, 1).await;
         let old = world.daemon();
         until("the old peer goes by 1", || goes_by(&old, "v1")).await;
-        let first = old.held.transfer(Sequence(0)).expect("a version");
+        let first = old.held.transfer(BundleSequence(0)).expect("a version");
         publish(&world, 2, 3).await;
         let new = world.daemon();
         until("the new peer goes by 3", || goes_by(&new, "v3")).await;
-        let third = new.held.transfer(Sequence(0)).expect("a version");
+        let third = new.held.transfer(BundleSequence(0)).expect("a version");
         world.down(true);
 
         for order in [[&first, &third], [&third, &first]] {
@@ -109,7 +109,7 @@
                 let _ = taken.expect("the follower lives");
             }
             assert!(goes_by(&fresh, "v3"));
-            assert_eq!(fresh.held.sequence(), Sequence(3));
+            assert_eq!(fresh.held.sequence(), BundleSequence(3));
         }
     });
 }
@@ -122,12 +122,12 @@
         publish(&world, 1, 1).await;
         let daemon = world.daemon();
         until("version 1 is in force", || goes_by(&daemon, "v1")).await;
-        let offered = daemon.held.transfer(Sequence(0)).expect("a version");
+        let offered = daemon.held.transfer(BundleSequence(0)).expect("a version");
         let text = String::from_utf8(offered.to_vec()).expect("JSON");
         let text = text.replace("\\\"sequence\\\":1", "\\\"sequence\\\":2");
         let taken = daemon.follower.send(Take(text.into())).await;
         assert!(taken.expect("the follower lives").is_err());
-        assert_eq!(daemon.held.sequence(), Sequence(1));
+        assert_eq!(daemon.held.sequence(), BundleSequence(1));
     });
 }
 
@@ -141,13 +141,15 @@
         publish(&world, 1, 1).await;
         let (mut one, mut two) = (world.publisher().await, world.publisher().await);
         let told = one.publish(&luz(), &content("luz"), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(Sequence(2))));
+        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(2))));
         let told = two.publish(&awa(), &content("awa"), None).await;
         assert!(matches!(told, Ok(Outcome::Beaten { .. })));
         let beaten = world.page().await.records[2].clone();
         assert_eq!(beaten.offset, Offset(2));
 
-        world.faults.change(|f| f.retention = Span::ms(800));
+        world
+            .faults
+            .change(|f| f.retention = HumanDuration::ms(800));
         let daemons = [world.daemon(), world.daemon(), world.daemon()];
         let records = "the records of both versions have expired";
         until_log(&world, records, |p| {
@@ -176,7 +178,9 @@
         publish(&world, 1, 2).await;
         let daemon = world.daemon();
         until("version 2 is in force", || goes_by(&daemon, "v2")).await;
-        world.faults.change(|f| f.retention = Span::ms(400));
+        world
+            .faults
+            .change(|f| f.retention = HumanDuration::ms(400));
         world.down(true);
         tokio::time::sleep(std::time::Duration::from_millis(500)).await;
         world.down(false);
@@ -207,9 +211,9 @@
         let later = bundle::Content::from_json(&json).expect("an object of objects");
         let mut publisher = world.publisher().await;
         let told = publisher.publish(&awa(), &later, None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(Sequence(2))));
+        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(2))));
         let told = publisher.publish(&awa(), &content("v3"), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(Sequence(3))));
+        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(3))));
         until("version 3 is in force", || goes_by(&daemon, "v3")).await;
     });
 }
--- a/crates/follow/tests/failures/publishing.rs
+++ b/crates/follow/tests/failures/publishing.rs
@@ -1,6 +1,6 @@
 //! What an operator is told.
 
-use base::ids::{Offset, Sequence};
+use base::ids::{BundleSequence, Offset};
 use follow::{Outcome, STREAM};
 
 use crate::common::{awa, content, goes_by, luz, run, until};
@@ -14,7 +14,7 @@
         let mut publisher = world.publisher().await;
         world.faults.change(|f| f.lose = 1);
         let told = publisher.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(Sequence(1))));
+        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(1))));
         assert_eq!(world.page().await.end, Offset(1));
     });
 }
@@ -28,7 +28,7 @@
         let mut publisher = world.publisher().await;
         world.faults.change(|f| {
             f.lose = 1;
-            f.hold = base::settings::Span::ms(100);
+            f.hold = base::settings::HumanDuration::ms(100);
         });
         let faults = world.faults.clone();
         actix_rt::spawn(async move {
@@ -42,7 +42,7 @@
         for _ in 0..2 {
             let mut again = world.publisher().await;
             let told = again.publish(&awa(), &content("v1"), None).await;
-            assert_eq!(told, Ok(Outcome::Accepted(Sequence(1))));
+            assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(1))));
         }
         assert_eq!(world.page().await.end, Offset(1));
     });
@@ -59,22 +59,22 @@
         let daemon = world.daemon();
         let mut first = world.publisher().await;
         let told = first.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(Sequence(1))));
+        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(1))));
 
         for (sequence, winner, loser) in [(2, awa(), luz()), (3, luz(), awa())] {
             let (mut one, mut two) = (world.publisher().await, world.publisher().await);
             world.faults.change(|f| f.lose = 1);
             let mark = format!("{}-{sequence}", winner.operator);
             let told = one.publish(&winner, &content(&mark), None).await;
-            assert_eq!(told, Ok(Outcome::Accepted(Sequence(sequence))));
+            assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(sequence))));
 
             let told = two.publish(&loser, &content("lost"), None).await;
-            let by = Sequence(sequence);
+            let by = BundleSequence(sequence);
             let operator = winner.operator.clone();
             assert_eq!(told, Ok(Outcome::Beaten { by, operator }));
             until("the winner is in force", || goes_by(&daemon, &mark)).await;
         }
-        assert_eq!(daemon.held.sequence(), Sequence(3));
+        assert_eq!(daemon.held.sequence(), BundleSequence(3));
     });
 }
 
@@ -90,15 +90,17 @@
             assert!(matches!(told, Ok(Outcome::Accepted(_))));
         }
         let old = publisher
-            .content(Sequence(1))
+            .content(BundleSequence(1))
             .await
             .expect("the log answers");
         let old = old.expect("the log still has version 1");
-        let told = publisher.publish(&luz(), &old, Some(Sequence(1))).await;
-        assert_eq!(told, Ok(Outcome::Accepted(Sequence(3))));
+        let told = publisher
+            .publish(&luz(), &old, Some(BundleSequence(1)))
+            .await;
+        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(3))));
 
         until("version 3 is in force", || {
-            daemon.held.sequence() == Sequence(3)
+            daemon.held.sequence() == BundleSequence(3)
         })
         .await;
         assert!(goes_by(&daemon, "v1"));
--- a/crates/forward/src/call/place.rs
+++ b/crates/forward/src/call/place.rs
@@ -285,23 +285,23 @@
         let left = self.until.saturating_duration_since(now);
         let allowed = self.caller(begin).allowed(age, left);
         let ms = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
-        let want = grants::Want {
-            name: self.name().to_owned(),
+        let want = grants::AdmissionRequest {
+            request_id: self.name().to_owned(),
             server: server.id.to_string(),
-            born: server.born,
-            parts: self.parts(),
-            allowed_ms: ms(allowed),
-            left_ms: ms(left),
-            gap_ms: self
+            started_ms: server.born,
+            prompt_parts: self.parts(),
+            first_event_ms: ms(allowed),
+            timeout_ms: ms(left),
+            max_gap_ms: self
                 .route
                 .gap
                 .filter(|_| self.work == Some(Work::Writing))
                 .map(ms),
             slots: server.slots,
-            rank: self.rank(),
-            home: terms == Terms::Home,
-            must: terms == Terms::Must,
-            source: holder.tokens,
+            priority: self.rank(),
+            is_home: terms == Terms::Home,
+            forced: terms == Terms::Must,
+            remote_tokens: holder.tokens,
             copy_ns: self.copy_ns(),
         };
         sidecars.ask(now, server, want).await
@@ -313,7 +313,7 @@
             return vec![(rand::rng().random(), self.ask.prompt)];
         }
         let parts = self.ask.parts.iter().map(|p| (p.id, p.tokens));
-        parts.take(grants::PARTS).collect()
+        parts.take(grants::MAX_PROMPT_PARTS).collect()
     }
 
     /// Nanoseconds for copying a token between engines, as declared.
--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::balance::Listed;
 use policy::rendezvous;
 use policy::replica::Records;
@@ -110,7 +110,7 @@
     }
 
     /// What the other entries are told, as the store has not taken it.
-    pub(crate) fn untold(&self, wall_ms: u64) -> Vec<gossip::Crash> {
+    pub(crate) fn untold(&self, wall_ms: u64) -> Vec<gossip::CrashReport> {
         let unwritten = self.unwritten.borrow();
         let held = unwritten
             .iter()
@@ -122,9 +122,9 @@
         let from = self.told.get() % count;
         self.told.set(from + TOLD);
         let told = held.cycle().skip(from).take(count.min(TOLD));
-        let told = told.map(|(crash, at)| gossip::Crash {
+        let told = told.map(|(crash, at)| gossip::CrashReport {
             fingerprint: crash.fingerprint.0,
-            life: crash.life,
+            incarnation: crash.life,
             age_ms: u32::try_from(wall_ms.saturating_sub(at)).unwrap_or(u32::MAX),
         });
         told.collect()
@@ -247,11 +247,11 @@
 }
 
 /// Holds crashes that another entry tells of.
-pub(crate) fn hear(state: &State, now: Instant, crashes: &[gossip::Crash]) {
+pub(crate) fn hear(state: &State, now: Instant, crashes: &[gossip::CrashReport]) {
     for said in crashes {
         let crash = Crash {
             fingerprint: Fingerprint(said.fingerprint),
-            life: said.life,
+            life: said.incarnation,
         };
         let age = Duration::from_millis(u64::from(said.age_ms));
         if state.crashes.suspects.borrow_mut().hold(now, crash, age) {
@@ -302,9 +302,9 @@
 }
 
 /// Tells the store until `end`.
-pub async fn write<E: edge::Crashes>(state: Rc<State>, table: E, end: Stop) {
+pub async fn write<E: edge::Crashes>(state: Rc<State>, table: E, end: StopSignal) {
     let mut failures = 0;
-    while !end.asked() {
+    while !end.is_triggered() {
         let batch = state.crashes.batch();
         if batch.is_empty() {
             // Either way it is looked again.
--- a/crates/forward/src/drain.rs
+++ b/crates/forward/src/drain.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use spdlog::info;
 
 use crate::state::State;
@@ -12,11 +12,11 @@
 /// The balancer goes on sending connections until it has asked twice. An
 /// entry that closed its listener at once would reset callers that have done
 /// nothing wrong; serving them until the balancer knows is enough.
-pub async fn drain(state: Rc<State>, stop: Stop, closed: Stop) {
+pub async fn drain(state: Rc<State>, stop: StopSignal, closed: StopSignal) {
     stop.wait().await;
-    state.stopping.ask();
+    state.stopping.trigger();
     info!("entry drains", kv: { name = state.settings.name.as_str(), open = state.open.get() });
     tokio::time::sleep(state.settings.notice()).await;
     info!("entry closes", kv: { name = state.settings.name.as_str(), open = state.open.get() });
-    closed.ask();
+    closed.trigger();
 }
--- a/crates/forward/src/duties.rs
+++ b/crates/forward/src/duties.rs
@@ -96,7 +96,7 @@
         };
         let addr = own.duty_addr();
         let socket = UdpSocket::bind(addr).await?;
-        let now = clock.lasting();
+        let now = clock.now_boottime();
         let life = Incarnation::random();
         let host = addr.ip().to_string();
         let away = Duration::from_millis(settings.lease_ms);
@@ -138,14 +138,14 @@
             return;
         }
         let time = self.time();
-        let now = self.clock.lasting();
+        let now = self.clock.now_boottime();
         self.books.borrow_mut().began(now, time, workspace);
     }
 
     /// Notes another entry, which speaks again `within` that time, and what its
     /// host takes for the time of day.
     pub fn hear(&self, from: SocketAddr, rank: Rank, within: Duration, wall_ms: u64) {
-        let now = self.clock.lasting();
+        let now = self.clock.now_boottime();
         let addr = SocketAddr::new(from.ip(), self.addr.port());
         let until = now + within;
         let mut peers = self.peers.borrow_mut();
@@ -160,7 +160,7 @@
     /// The fencing token while this entry holds the duties.
     #[must_use]
     pub fn token(&self) -> Option<u64> {
-        self.candidate.borrow().token(self.clock.lasting())
+        self.candidate.borrow().token(self.clock.now_boottime())
     }
 
     /// This life's number among the counts.
@@ -195,12 +195,12 @@
     /// The time of day that the hosts agree on, from the Unix epoch.
     fn time(&self) -> Duration {
         let wall = Duration::from_millis(self.clock.wall_ms());
-        self.time.borrow_mut().now(self.clock.lasting(), wall)
+        self.time.borrow_mut().now(self.clock.now_boottime(), wall)
     }
 
     /// The other entries that are there, in the order of all.
     fn peers(&self) -> Vec<(Rank, SocketAddr)> {
-        let now = self.clock.lasting();
+        let now = self.clock.now_boottime();
         let mut peers = self.peers.borrow_mut();
         peers.retain(|_, peer| now < peer.until);
         let mut peers: Vec<_> = peers.iter().map(|(a, p)| (p.rank, *a)).collect();
--- a/crates/forward/src/duties/hold.rs
+++ b/crates/forward/src/duties/hold.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::duty::{Step, Term, Written};
 use policy::usage::Account;
 use spdlog::{info, warn};
@@ -20,14 +20,14 @@
 const AWAY: Duration = Duration::from_secs(10);
 
 /// Holds the duties while it is this entry's turn, until `end`.
-pub async fn run<R: Records>(state: Rc<State>, duties: Rc<Duties>, records: R, end: Stop) {
+pub async fn run<R: Records>(state: Rc<State>, duties: Rc<Duties>, records: R, end: StopSignal) {
     let mut leaving = false;
     for tick in 0u32.. {
         tokio::time::sleep(TICK).await;
-        if end.asked() {
+        if end.is_triggered() {
             return;
         }
-        if state.stopping.asked() && !leaving {
+        if state.stopping.is_triggered() && !leaving {
             leaving = true;
             duties.give_up(&records, None).await;
         } else if duties.unheard.take() {
@@ -45,7 +45,7 @@
 impl Duties {
     /// One look at what is due.
     async fn round<R: Records>(&self, records: &R) {
-        let now = self.clock.lasting();
+        let now = self.clock.now_boottime();
         let step = self.candidate.borrow().next(now, self.place());
         let step = match step {
             Step::Read => self.read(records).await,
@@ -70,7 +70,7 @@
     /// taken.
     async fn read<R: Records>(&self, records: &R) -> Step {
         let read = records.read().await;
-        let now = self.clock.lasting();
+        let now = self.clock.now_boottime();
         let mut candidate = self.candidate.borrow_mut();
         let (kept, end) = match read {
             Ok(read) => read,
@@ -111,9 +111,9 @@
             term: term.clone(),
             usage,
         };
-        let (at, sent) = (self.candidate.borrow().end(), self.clock.lasting());
+        let (at, sent) = (self.candidate.borrow().end(), self.clock.now_boottime());
         let written = records.write(at, &kept).await;
-        let now = self.clock.lasting();
+        let now = self.clock.now_boottime();
         let (token, released) = (term.token, term.released);
         self.candidate.borrow_mut().wrote(now, sent, term, written);
         if !matches!(written, Written::At(_)) || released {
@@ -138,7 +138,7 @@
         if !self.settings.report() {
             return false;
         }
-        let now = self.clock.lasting();
+        let now = self.clock.now_boottime();
         let (Some(since), Some(token)) = (self.since.get(), self.token()) else {
             return false;
         };
@@ -159,7 +159,7 @@
 
     /// Gives the duties up, so that another entry takes them at once.
     async fn give_up<R: Records>(&self, records: &R, pause: Option<Duration>) {
-        let now = self.clock.lasting();
+        let now = self.clock.now_boottime();
         let term = self.candidate.borrow_mut().resign(now, pause);
         let Some(term) = term else { return };
         let token = term.token;
--- a/crates/forward/src/duties/report.rs
+++ b/crates/forward/src/duties/report.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::usage::Counts;
 use spdlog::{info, warn};
 
@@ -26,12 +26,12 @@
 pub(super) const UNHEARD: u32 = 3;
 
 /// Reports what is recorded until `end`.
-pub async fn run<B: DutyApi>(duties: Rc<Duties>, duty_api: B, end: Stop) {
+pub async fn run<B: DutyApi>(duties: Rc<Duties>, duty_api: B, end: StopSignal) {
     if !duties.settings.report() {
         return;
     }
     let mut failures = 0;
-    while !end.asked() {
+    while !end.is_triggered() {
         tokio::time::sleep(duties.pause(failures)).await;
         let Some((window, counts)) = duties.due() else {
             continue;
@@ -93,14 +93,14 @@
             Outcome::Accepted => {
                 info!("usage reported", kv: {
                     window = window, requests = requests, workspaces = counts.len(),
-                    missing = self.books.borrow().missing(self.clock.lasting(), window),
+                    missing = self.books.borrow().missing(self.clock.now_boottime(), window),
                     after_ms = late_ms
                 });
                 self.recorded.borrow_mut().remove(&window);
                 self.account.borrow_mut().fixed.remove(&window);
             }
             Outcome::Fenced(token) => {
-                let now = self.clock.lasting();
+                let now = self.clock.now_boottime();
                 self.candidate.borrow_mut().refused(now, *token);
             }
             Outcome::Refused(_) | Outcome::Lost(_) | Outcome::NotHeld => {}
--- a/crates/forward/src/duties/scale.rs
+++ b/crates/forward/src/duties/scale.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use futures_util::future::join_all;
 use policy::balance::Listed;
 use policy::routes::Service;
@@ -23,13 +23,13 @@
 type Scalers = HashMap<Rc<str>, Scaler>;
 
 /// Orders servers where operators leave their number open, until `end`.
-pub async fn run<B: DutyApi>(state: Rc<State>, duties: Rc<Duties>, duty_api: B, end: Stop) {
+pub async fn run<B: DutyApi>(state: Rc<State>, duties: Rc<Duties>, duty_api: B, end: StopSignal) {
     if !duties.settings.scale() {
         return;
     }
     let mut scalers = Scalers::new();
     let mut failures = 0;
-    while !end.asked() {
+    while !end.is_triggered() {
         tokio::time::sleep(LOOK).await;
         if duties.token().is_none() {
             // Others may have ordered since, by loads that are not known here.
@@ -129,7 +129,7 @@
                 self.ordered.borrow_mut().insert(key, order.count);
             }
             Outcome::Fenced(token) => {
-                let now = self.clock.lasting();
+                let now = self.clock.now_boottime();
                 self.candidate.borrow_mut().refused(now, *token);
             }
             Outcome::Refused(_) | Outcome::Lost(_) | Outcome::NotHeld => {
--- a/crates/forward/src/duties/tell.rs
+++ b/crates/forward/src/duties/tell.rs
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::usage::Told;
 use spdlog::{info, warn};
-use wire::duties::{self, Counts, Held, Message};
+use wire::duties::{self, HolderNotice, Message, UsageCounts};
 
 use super::Duties;
 
@@ -28,8 +28,8 @@
 const RETRY: Duration = Duration::from_millis(100);
 
 /// Tells what this entry has counted until `end`.
-pub async fn counts(duties: Rc<Duties>, end: Stop) {
-    while !end.asked() {
+pub async fn counts(duties: Rc<Duties>, end: StopSignal) {
+    while !end.is_triggered() {
         tokio::time::sleep(EVERY).await;
         duties.tell_counts();
     }
@@ -37,7 +37,7 @@
 
 /// Hears the others.
 pub async fn hear(duties: Rc<Duties>) {
-    let mut buffer = vec![0; duties::LARGEST + 1];
+    let mut buffer = vec![0; duties::MAX_DATAGRAM_BYTES + 1];
     loop {
         let (length, from) = match duties.socket.recv_from(&mut buffer).await {
             Ok(got) => got,
@@ -53,7 +53,7 @@
         };
         match duties::decode(&buffer[..length]) {
             Ok(Message::Counts(counts)) => duties.take_counts(from, counts),
-            Ok(Message::Held(held)) => duties.take_held(from, held),
+            Ok(Message::Holder(held)) => duties.take_held(from, held),
             Err(e) => warn!("duties not understood", kv: {
                 peer = from.to_string().as_str(), cause = e.to_string().as_str()
             }),
@@ -64,7 +64,7 @@
 impl Duties {
     /// Tells what this entry has counted.
     fn tell_counts(&self) {
-        let (now, time) = (self.clock.lasting(), self.time());
+        let (now, time) = (self.clock.now_boottime(), self.time());
         let told = self.books.borrow_mut().told(now, time, self.next.get());
         let mut targets: Vec<SocketAddr> = self.peers().iter().take(TOLD).map(|p| p.1).collect();
         targets.extend(self.holder.get().filter(|holder| !targets.contains(holder)));
@@ -74,17 +74,17 @@
     }
 
     /// Tells everybody that this entry holds the duties, or has given them up.
-    pub(super) fn tell_held(&self, token: u64, released: bool) {
-        let held = Held {
-            token,
-            end: self.candidate.borrow().end(),
+    pub(super) fn tell_held(&self, fencing_token: u64, released: bool) {
+        let held = HolderNotice {
+            fencing_token,
+            log_end: self.candidate.borrow().end(),
             // What the store does not keep yet may be fixed anew by a
             // successor, who needs the counts of all for it.
-            next: self.next.get(),
+            next_window: self.next.get(),
             released,
         };
         let peers: Vec<SocketAddr> = self.peers().into_iter().map(|p| p.1).collect();
-        self.send(&peers, &Message::Held(held));
+        self.send(&peers, &Message::Holder(held));
     }
 
     fn send(&self, targets: &[SocketAddr], message: &Message) {
@@ -96,14 +96,14 @@
         }
     }
 
-    fn take_counts(&self, from: SocketAddr, counts: Counts) {
-        let now = self.clock.lasting();
+    fn take_counts(&self, from: SocketAddr, counts: UsageCounts) {
+        let now = self.clock.now_boottime();
         if let Some(peer) = self.peers.borrow_mut().get_mut(&from) {
             peer.told = Some(now);
         }
         let told = Told {
-            life: counts.life,
-            closed: counts.closed,
+            life: counts.incarnation,
+            closed: counts.closed_before,
             window: counts.window,
             total: counts.total,
             counts: counts.counts.into_iter().collect(),
@@ -111,27 +111,27 @@
         self.books.borrow_mut().hear(now, told);
     }
 
-    fn take_held(&self, from: SocketAddr, held: Held) {
-        let now = self.clock.lasting();
+    fn take_held(&self, from: SocketAddr, held: HolderNotice) {
+        let now = self.clock.now_boottime();
         let mut candidate = self.candidate.borrow_mut();
-        if held.end < candidate.end() {
+        if held.log_end < candidate.end() {
             return;
         }
-        candidate.heard(now, held.end, held.released);
+        candidate.heard(now, held.log_end, held.released);
         let holder = (!held.released).then_some(from);
         if self.holder.replace(holder) != holder {
             info!("duties held elsewhere", kv: {
-                peer = from.to_string().as_str(), token = held.token, released = held.released
+                peer = from.to_string().as_str(), token = held.fencing_token, released = held.released
             });
         }
-        self.next.set(self.next.get().max(held.next));
+        self.next.set(self.next.get().max(held.next_window));
     }
 }
 
-fn counts_message(told: Told) -> Counts {
-    Counts {
-        life: told.life,
-        closed: told.closed,
+fn counts_message(told: Told) -> UsageCounts {
+    UsageCounts {
+        incarnation: told.life,
+        closed_before: told.closed,
         window: told.window,
         total: told.total,
         counts: told.counts.into_iter().collect(),
--- a/crates/forward/src/finding.rs
+++ b/crates/forward/src/finding.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::finding::Step;
 use spdlog::warn;
 
@@ -15,11 +15,11 @@
 const WITHIN: Duration = Duration::from_secs(1);
 
 /// Finds other entries until `end`.
-pub async fn run<D: Directory>(state: Rc<State>, voice: Rc<Voice>, directory: D, end: Stop) {
+pub async fn run<D: Directory>(state: Rc<State>, voice: Rc<Voice>, directory: D, end: StopSignal) {
     let addr = state.settings.gossip;
     let mut rewinds = 0;
     let mut lost = false;
-    while !end.asked() {
+    while !end.is_triggered() {
         let now = state.clock.now();
         // A store that came back from an old copy may lack the address.
         let seen = state.tables.rewinds.get();
