--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -12,14 +12,14 @@
 use std::time::{Duration, Instant};
 
 use base::ids::Incarnation;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::balance::Turns;
 use policy::others::{BELIEVED, Intervals};
 use policy::pools::Told;
 use policy::roster::{Count, Named, Seat, Targets};
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
-use wire::gossip::{self, Answer, Asks, Message, Saying, Scope};
+use wire::gossip::{self, EntryLoad, LoadScope, Membership, Message, WantedReply};
 use words::{calls_at, millis, number, read, service, write};
 
 use crate::crashes;
@@ -51,7 +51,7 @@
     life: u64,
     seq: Cell<u32>,
     /// What all entries have, as it was worked out last.
-    sums: RefCell<Option<(Instant, Saying)>>,
+    sums: RefCell<Option<(Instant, EntryLoad)>>,
 }
 
 impl std::fmt::Debug for Voice {
@@ -76,10 +76,10 @@
     }
 
     /// Tells and hears until `end`.
-    pub async fn run(self: Rc<Self>, end: Stop) {
+    pub async fn run(self: Rc<Self>, end: StopSignal) {
         actix_rt::spawn(Rc::clone(&self).hear());
         let mut far_due = self.state.clock.now();
-        while !end.asked() {
+        while !end.is_triggered() {
             let now = self.state.clock.now();
             self.state.roster.borrow_mut().forget(now);
             let targets = self.state.roster.borrow_mut().targets();
@@ -98,12 +98,12 @@
     /// Asks the entry at `addr` which others there are; it hears by that that
     /// this one is there, which asks again `within` that time.
     pub fn ask(&self, addr: SocketAddr, within: Duration) {
-        let saying = Saying {
-            every_ms: millis(within),
-            asks: Asks::Entries,
+        let saying = EntryLoad {
+            interval_ms: millis(within),
+            wanted_reply: WantedReply::Entries,
             ..self.saying(self.state.clock.now())
         };
-        self.send(&[addr], Message::Saying(saying));
+        self.send(&[addr], Message::Load(saying));
     }
 
     /// Tells all others; returns when to speak again.
@@ -115,12 +115,18 @@
         far_due: &mut Instant,
     ) -> Duration {
         let said = self.saying(now);
-        let bytes = gossip::encode(Message::Saying(said.clone())).len() + FRAME;
+        let bytes = gossip::encode(Message::Load(said.clone())).len() + FRAME;
         let every = Intervals::new(bytes * near.len(), bytes * far.len());
         let tell = |targets: &[SocketAddr], every: Duration| {
-            let every_ms = millis(every);
+            let interval_ms = millis(every);
             let said = said.clone();
-            self.send(targets, Message::Saying(Saying { every_ms, ..said }));
+            self.send(
+                targets,
+                Message::Load(EntryLoad {
+                    interval_ms,
+                    ..said
+                }),
+            );
         };
         tell(near, every.near);
         if now >= *far_due {
@@ -141,17 +147,17 @@
         members: usize,
     ) -> Duration {
         let every = Intervals::relayed(members).near;
-        let said = Saying {
-            every_ms: millis(every),
-            asks: Asks::Sums,
+        let said = EntryLoad {
+            interval_ms: millis(every),
+            wanted_reply: WantedReply::Totals,
             ..self.saying(now)
         };
         if !far.is_empty() {
             let own = read(&said);
             let sum = self.state.others.borrow().sum_zone(now, &own);
-            self.send(far, Message::Saying(write(&said, sum)));
+            self.send(far, Message::Load(write(&said, sum)));
         }
-        self.send(near, Message::Saying(said));
+        self.send(near, Message::Load(said));
         every
     }
 
@@ -164,23 +170,23 @@
     }
 
     /// What this entry has in progress.
-    fn saying(&self, now: Instant) -> Saying {
+    fn saying(&self, now: Instant) -> EntryLoad {
         let state = &self.state;
         self.seq.set(self.seq.get() + 1);
         let services = state.pools.borrow_mut().told(now);
         let mut calls = state.balance.borrow().told();
         calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
         let service = |(name, told): &(Rc<str>, Told)| service(number(name), told);
-        Saying {
-            life: self.life,
+        EntryLoad {
+            incarnation: self.life,
             seq: self.seq.get(),
-            every_ms: 0,
+            interval_ms: 0,
             wall_ms: state.clock.wall_ms(),
             zone: zone_number(&state.settings.zone),
             link_mbps: link_mbps(&state.settings),
-            age_ms: state.tables.age(now).map(millis),
-            asks: Asks::Nothing,
-            scope: Scope::Own,
+            staleness_ms: state.tables.age(now).map(millis),
+            wanted_reply: WantedReply::Nothing,
+            scope: LoadScope::Own,
             entries: 1,
             services: services.iter().map(service).collect(),
             calls: calls.into_iter().map(calls_at).collect(),
@@ -189,7 +195,7 @@
     }
 
     async fn hear(self: Rc<Self>) {
-        let mut buffer = vec![0; gossip::LARGEST];
+        let mut buffer = vec![0; gossip::MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
                 Ok(got) => got,
@@ -204,8 +210,8 @@
                 }
             };
             match gossip::decode(&buffer[..length]) {
-                Ok(Message::Saying(said)) => self.take_saying(from, &said),
-                Ok(Message::Answer(answer)) => self.take_answer(from, &answer),
+                Ok(Message::Load(said)) => self.take_saying(from, &said),
+                Ok(Message::Membership(answer)) => self.take_answer(from, &answer),
                 Err(e) => warn!("gossip not understood", kv: {
                     peer = from.to_string().as_str(), cause = e.to_string().as_str()
                 }),
@@ -213,7 +219,7 @@
         }
     }
 
-    fn take_saying(&self, from: SocketAddr, said: &Saying) {
+    fn take_saying(&self, from: SocketAddr, said: &EntryLoad) {
         let state = &self.state;
         let now = state.clock.now();
         let seat = Seat {
@@ -221,62 +227,62 @@
             zone: said.zone,
             link_mbps: said.link_mbps,
         };
-        let within = Duration::from_millis(u64::from(said.every_ms)) * BELIEVED;
+        let within = Duration::from_millis(u64::from(said.interval_ms)) * BELIEVED;
         let silent = match state.roster.borrow().relayed() {
             true => SILENT_RELAYED,
             false => SILENT,
         };
         self.note(now, seat, within.max(silent), within, "gossip");
         state.roster.borrow_mut().heard(from);
-        self.note_age(now, from, said.age_ms);
+        self.note_age(now, from, said.staleness_ms);
         if let Some(duties) = &*state.duties.borrow() {
             duties.hear(from, seat.rank(), within, said.wall_ms);
         }
         crashes::hear(state, now, &said.crashes);
         state.others.borrow_mut().hear(now, read(said));
-        match said.asks {
-            Asks::Nothing => {}
-            Asks::Entries => self.answer(now, &seat, None),
-            Asks::Sums => self.answer(now, &seat, Some(self.sums(now))),
+        match said.wanted_reply {
+            WantedReply::Nothing => {}
+            WantedReply::Entries => self.answer(now, &seat, None),
+            WantedReply::Totals => self.answer(now, &seat, Some(self.sums(now))),
         }
     }
 
     /// Tells `asker` what this entry knows of others.
-    fn answer(&self, now: Instant, asker: &Seat, sums: Option<Saying>) {
+    fn answer(&self, now: Instant, asker: &Seat, sums: Option<EntryLoad>) {
         let roster = self.state.roster.borrow();
         let zones = self.state.others.borrow().zones();
         let count = roster.count_for(asker, &zones);
         let named = roster.named(now, asker, self.state.tables.age(now));
         drop(roster);
-        let seat = |named: Named| gossip::Seat {
+        let seat = |named: Named| gossip::Member {
             addr: named.seat.addr,
             zone: named.seat.zone,
             link_mbps: named.seat.link_mbps,
-            left_ms: millis(named.left),
-            age_ms: named.age.map(millis),
+            ttl_ms: millis(named.left),
+            staleness_ms: named.age.map(millis),
         };
-        let mut seats: Vec<gossip::Seat> = named.into_iter().map(seat).collect();
+        let mut members: Vec<gossip::Member> = named.into_iter().map(seat).collect();
         let small = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let mut sums = sums;
         loop {
-            let rest = seats.split_off(seats.len().min(NAMED));
-            let answer = Answer {
-                all: small(count.all),
-                near: small(count.near),
-                place: small(count.place),
-                seats,
-                sums: sums.take(),
+            let rest = members.split_off(members.len().min(NAMED));
+            let answer = Membership {
+                entry_count: small(count.all),
+                zone_count: small(count.near),
+                position: small(count.place),
+                members,
+                totals: sums.take(),
             };
-            self.send(&[asker.addr], Message::Answer(answer));
+            self.send(&[asker.addr], Message::Membership(answer));
             if rest.is_empty() {
                 return;
             }
-            seats = rest;
+            members = rest;
         }
     }
 
     /// What all entries have in progress, for those of the own zone.
-    fn sums(&self, now: Instant) -> Saying {
+    fn sums(&self, now: Instant) -> EntryLoad {
         let held = self.sums.borrow().clone();
         if let Some((_, sums)) = held.filter(|(at, _)| now < *at + SUMS_KEPT) {
             return sums;
@@ -285,28 +291,28 @@
         let own = read(&said);
         let sum = self.state.others.borrow().sum_all(now, &own);
         let members = self.state.roster.borrow().count().near;
-        let sums = Saying {
-            every_ms: millis(Intervals::relayed(members).near),
+        let sums = EntryLoad {
+            interval_ms: millis(Intervals::relayed(members).near),
             ..write(&said, sum)
         };
         *self.sums.borrow_mut() = Some((now, sums.clone()));
         sums
     }
 
-    fn take_answer(&self, from: SocketAddr, answer: &Answer) {
+    fn take_answer(&self, from: SocketAddr, answer: &Membership) {
         let state = &self.state;
         let now = state.clock.now();
         let large = |count: u32| usize::try_from(count).unwrap_or(usize::MAX);
         let count = Count {
-            all: large(answer.all),
-            near: large(answer.near),
-            place: large(answer.place),
+            all: large(answer.entry_count),
+            near: large(answer.zone_count),
+            place: large(answer.position),
         };
         state.finder.borrow_mut().answered(now);
         state.roster.borrow_mut().counted(now, count);
-        for seat in &answer.seats {
-            let left = Duration::from_millis(u64::from(seat.left_ms));
-            let age_ms = seat.age_ms;
+        for seat in &answer.members {
+            let left = Duration::from_millis(u64::from(seat.ttl_ms));
+            let age_ms = seat.staleness_ms;
             let seat = Seat {
                 addr: seat.addr,
                 zone: seat.zone,
@@ -318,7 +324,7 @@
             }
         }
         state.roster.borrow_mut().heard(from);
-        let Some(sums) = &answer.sums else {
+        let Some(sums) = &answer.totals else {
             return;
         };
         crashes::hear(state, now, &sums.crashes);
--- a/crates/forward/src/grants.rs
+++ b/crates/forward/src/grants.rs
@@ -15,7 +15,7 @@
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
-use wire::grants::{self, Answer, Look, Verdict, Want, What};
+use wire::grants::{self, AdmissionRequest, GrantResponse, PrefixLookup, RequestKind, Verdict};
 
 /// How long an answer is waited for before the question is sent again. It
 /// takes a millisecond or two each way and some of a thin host's processor.
@@ -54,7 +54,7 @@
     life: u64,
     next: Cell<u32>,
     /// Calls that wait for an answer, by their numbers.
-    asked: RefCell<HashMap<u32, UnboundedSender<Answer>>>,
+    asked: RefCell<HashMap<u32, UnboundedSender<GrantResponse>>>,
     /// Sidecars that said nothing, by their hosts.
     silent: RefCell<HashMap<IpAddr, Silence>>,
 }
@@ -103,22 +103,23 @@
 impl Grant {
     /// Tells the sidecar that the call has its first event.
     pub fn begun(&self) {
-        self.sidecars.tell(self.to, self.number, What::Begun);
+        self.sidecars
+            .tell(self.to, self.number, RequestKind::FirstEvent);
     }
 
     /// Tells the sidecar that the call fetches what another engine holds of
     /// the first `source` tokens of its prompt.
     pub fn fetches(&self, source: u32) {
         self.sidecars
-            .tell(self.to, self.number, What::Fetches(source));
+            .tell(self.to, self.number, RequestKind::Fetching(source));
     }
 
     /// Tells the sidecar that the engine has refused the call as meant for
     /// another life than `server`.
     pub fn gone(&self, server: &Listed) {
-        let gone = What::Gone {
+        let gone = RequestKind::ServerGone {
             server: server.id.to_string(),
-            born: server.born,
+            started_ms: server.born,
         };
         self.sidecars.tell(self.to, self.number, gone);
     }
@@ -135,7 +136,7 @@
         let pause = self.pause.get().as_millis();
         let pause_ms = u32::try_from(pause).unwrap_or(u32::MAX);
         self.sidecars
-            .tell(self.to, self.number, What::Ended { pause_ms });
+            .tell(self.to, self.number, RequestKind::Ended { pause_ms });
     }
 }
 
@@ -172,7 +173,12 @@
     }
 
     /// Asks the sidecar beside `server` and waits until it has decided.
-    pub async fn ask(self: &Rc<Self>, now: Instant, server: &Listed, want: Want) -> Decided {
+    pub async fn ask(
+        self: &Rc<Self>,
+        now: Instant,
+        server: &Listed,
+        want: AdmissionRequest,
+    ) -> Decided {
         let host = server.addr.ip();
         if self
             .silent
@@ -196,36 +202,36 @@
         };
         self.silent.borrow_mut().remove(&host);
         let held = Held {
-            tokens: answer.held,
-            fetch: answer.fetch,
+            tokens: answer.cached_tokens,
+            fetch: answer.prefer_fetch,
         };
         match answer.verdict {
             Verdict::Granted => Decided::Granted(grant, held),
             Verdict::Refused(ms) | Verdict::Queued(ms) => {
                 Decided::Refused(Duration::from_millis(u64::from(ms)), held)
             }
-            Verdict::Gone => Decided::Gone,
+            Verdict::ServerGone => Decided::Gone,
             Verdict::Leaving => Decided::Leaving,
-            Verdict::Told | Verdict::Busy(_) => Decided::Silent,
+            Verdict::Acknowledged | Verdict::Utilization(_) => Decided::Silent,
         }
     }
 
     /// How many tokens from the start of a prompt the engine beside a sidecar
     /// holds; 0 when the sidecar does not say so at once.
-    pub async fn look(&self, server: &Listed, parts: Vec<(u64, u32)>) -> u32 {
+    pub async fn look(&self, server: &Listed, prompt_parts: Vec<(u64, u32)>) -> u32 {
         let (number, mut answers) = self.asking();
         let _open = Looking {
             sidecars: self,
             number,
         };
-        let look = Look {
+        let look = PrefixLookup {
             server: server.id.to_string(),
-            parts,
+            prompt_parts,
         };
         let to = SocketAddr::new(server.addr.ip(), self.port);
-        self.tell(to, number, What::Look(look));
+        self.tell(to, number, RequestKind::Lookup(look));
         let answer = tokio::time::timeout(LOOK, answers.recv()).await;
-        answer.ok().flatten().map_or(0, |a| a.held)
+        answer.ok().flatten().map_or(0, |a| a.cached_tokens)
     }
 
     /// The part of its time, slots or memory that calls take of the engine
@@ -236,16 +242,20 @@
             sidecars: self,
             number,
         };
-        self.tell(SocketAddr::new(host, self.port), number, What::Busy);
+        self.tell(
+            SocketAddr::new(host, self.port),
+            number,
+            RequestKind::Utilization,
+        );
         let answer = tokio::time::timeout(BUSY, answers.recv()).await;
         match answer.ok().flatten()?.verdict {
-            Verdict::Busy(thousandths) => Some(f64::from(thousandths) / 1e3),
+            Verdict::Utilization(thousandths) => Some(f64::from(thousandths) / 1e3),
             _ => None,
         }
     }
 
     /// The number of a new question, and where its answers come.
-    fn asking(&self) -> (u32, UnboundedReceiver<Answer>) {
+    fn asking(&self) -> (u32, UnboundedReceiver<GrantResponse>) {
         let number = self.next.get();
         self.next.set(number.wrapping_add(1));
         let (sender, answers) = unbounded_channel();
@@ -257,13 +267,13 @@
     async fn decide(
         &self,
         grant: &Grant,
-        want: &Want,
-        answers: &mut UnboundedReceiver<Answer>,
-    ) -> Option<Answer> {
+        want: &AdmissionRequest,
+        answers: &mut UnboundedReceiver<GrantResponse>,
+    ) -> Option<GrantResponse> {
         let mut wait = ANSWER;
         let mut tries = 0;
         while tries < TRIES {
-            self.tell(grant.to, grant.number, What::Want(want.clone()));
+            self.tell(grant.to, grant.number, RequestKind::Admission(want.clone()));
             tries += 1;
             match tokio::time::timeout(wait, answers.recv()).await {
                 Err(_) => {}
@@ -299,18 +309,18 @@
         info!("sidecar silent", kv: { host = host.to_string().as_str(), times = times + 1 });
     }
 
-    fn tell(&self, to: SocketAddr, number: u32, what: What) {
-        let ask = grants::Ask {
-            life: self.life,
-            number,
-            what,
+    fn tell(&self, to: SocketAddr, call_number: u32, kind: RequestKind) {
+        let ask = grants::GrantRequest {
+            incarnation: self.life,
+            call_number,
+            kind,
         };
         // One that cannot be sent is like one that is lost.
         let _ = self.socket.try_send_to(&grants::encode(&ask), to);
     }
 
     async fn listen(self: Rc<Self>) {
-        let mut buffer = vec![0; grants::LARGEST];
+        let mut buffer = vec![0; grants::MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
                 Ok(got) => got,
@@ -324,9 +334,9 @@
                     continue;
                 }
             };
-            match grants::decode::<Answer>(&buffer[..length]) {
+            match grants::decode::<GrantResponse>(&buffer[..length]) {
                 Ok(answer) => {
-                    if let Some(asker) = self.asked.borrow().get(&answer.number) {
+                    if let Some(asker) = self.asked.borrow().get(&answer.call_number) {
                         // A call that is answered already waits no more.
                         let _ = asker.send(answer);
                     }
@@ -339,6 +349,6 @@
     }
 }
 
-fn queued(answer: &Answer) -> bool {
+fn queued(answer: &GrantResponse) -> bool {
     matches!(answer.verdict, Verdict::Queued(_))
 }
--- a/crates/forward/src/http.rs
+++ b/crates/forward/src/http.rs
@@ -9,7 +9,7 @@
 use actix_web::web::{self, Data, Payload};
 use actix_web::{App, Error, HttpRequest, HttpResponse};
 use base::reason::Refusal;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Uri};
@@ -51,7 +51,7 @@
     };
     // A caller that is told so opens its next connection elsewhere, before
     // this entry closes.
-    reply.write(state.stopping.asked() || state.crowded())
+    reply.write(state.stopping.is_triggered() || state.crowded())
 }
 
 async fn answer(state: &Rc<State>, incoming: Incoming) -> Reply {
@@ -143,13 +143,13 @@
 /// # Errors
 ///
 /// Returns the error when the application cannot be set up.
-pub async fn operators(listener: TcpListener, state: Rc<State>, end: Stop) -> io::Result<()> {
+pub async fn operators(listener: TcpListener, state: Rc<State>, end: StopSignal) -> io::Result<()> {
     let path = state.settings.ready_path.clone();
     let app = App::new()
         .app_data(Data::new(state))
         .route(&path, web::get().to(ready))
         .route("/status", web::get().to(status))
-        .route("/metrics", web::get().to(base::operators::metrics));
+        .route("/metrics", web::get().to(base::admin::metrics));
     base::http::serve(listener, app, end).await
 }
 
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -50,7 +50,7 @@
 
 use base::clock::{Clock, SystemClock};
 use base::listen;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use duties::Duties;
 use edge::{Dialect, Platform};
 use gossip::Voice;
@@ -70,7 +70,7 @@
     settings: Settings,
     dialect: Rc<dyn Dialect>,
     platform: P,
-    stop: Stop,
+    stop: StopSignal,
 ) -> io::Result<()> {
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     let listener = listen("listen", settings.listen).await?;
@@ -97,7 +97,7 @@
         *state.sidecars.borrow_mut() = Some(sidecars);
     }
 
-    let end = Stop::new();
+    let end = StopSignal::new();
     if let Some(duties) = duties {
         start_duties(&state, duties, &platform, &end);
     }
@@ -129,18 +129,23 @@
         listen = state.settings.listen.to_string().as_str()
     });
 
-    let closed = Stop::new();
+    let closed = StopSignal::new();
     actix_rt::spawn(drain::drain(Rc::clone(&state), stop, closed.clone()));
     let app = http::app(Rc::clone(&state));
     let limit = state.settings.last_wait();
-    base::http::serve_whole(listener, app, closed, limit).await?;
+    base::http::serve_and_drain(listener, app, closed, limit).await?;
     info!("entry stopped", kv: { name = state.settings.name.as_str(), open = state.open.get() });
-    end.ask();
+    end.trigger();
     Ok(())
 }
 
 /// Starts what counts, holds and performs the duties, until `end`.
-fn start_duties<P: Platform>(state: &Rc<State>, duties: Rc<Duties>, platform: &P, end: &Stop) {
+fn start_duties<P: Platform>(
+    state: &Rc<State>,
+    duties: Rc<Duties>,
+    platform: &P,
+    end: &StopSignal,
+) {
     *state.duties.borrow_mut() = Some(Rc::clone(&duties));
     let (records, duty_api) = (platform.records(), platform.duty_api(duties.platform()));
     actix_rt::spawn(duties::scale::run(
--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::readers::TURN;
 use policy::replica::{Records, Replica, Scope, Update};
 use serde::Serialize;
@@ -13,7 +13,7 @@
 use spdlog::{info, warn};
 use tarpc::context::Context;
 use tokio::net::TcpListener;
-use wire::tables::{self, Error, Follow, Followed, Neighbour, Part};
+use wire::tables::{self, ChangesRequest, Error, NeighbourClient, TableChanges, TableDelta};
 
 use crate::crashes;
 use crate::state::State;
@@ -50,10 +50,10 @@
 const LOOK_FIRST: Duration = Duration::from_millis(20);
 
 /// Asks neighbours until `end`.
-pub async fn follow(state: Rc<State>, end: Stop) {
+pub async fn follow(state: Rc<State>, end: StopSignal) {
     let mut link = None;
     let mut before = None;
-    while !end.asked() {
+    while !end.is_triggered() {
         let now = state.clock.now();
         let age = state.tables.age(now);
         let addr = state.readers.borrow_mut().source(now, age);
@@ -78,7 +78,11 @@
 
 /// Asks the neighbour at `addr`, over the connection of before if that leads
 /// there; returns the connection unless it failed.
-async fn ask(state: &State, addr: SocketAddr, link: Option<Neighbour>) -> Option<Neighbour> {
+async fn ask(
+    state: &State,
+    addr: SocketAddr,
+    link: Option<NeighbourClient>,
+) -> Option<NeighbourClient> {
     let asked = exchange(state, addr, link).await;
     let now = state.clock.now();
     forget(state, now);
@@ -106,13 +110,13 @@
 async fn exchange(
     state: &State,
     addr: SocketAddr,
-    link: Option<Neighbour>,
-) -> Result<(Neighbour, Option<Duration>), Error> {
+    link: Option<NeighbourClient>,
+) -> Result<(NeighbourClient, Option<Duration>), Error> {
     let link = match link.filter(|l| l.addr() == addr) {
         Some(link) => link,
-        None => Neighbour::dial(addr, DIAL).await?,
+        None => NeighbourClient::dial(addr, DIAL).await?,
     };
-    let told = link.follow(question(state), MARGIN).await?;
+    let told = link.fetch_changes(question(state), MARGIN).await?;
     let age = take(state, &link, told)?;
     Ok((link, age))
 }
@@ -124,13 +128,13 @@
     metrics::gauge!("pimentocart_reads_store").set(if neighbour.is_none() { 1.0 } else { 0.0 });
 }
 
-fn question(state: &State) -> Follow {
+fn question(state: &State) -> ChangesRequest {
     let hold = match state.tables.age(state.clock.now()) {
         Some(_) => HOLD,
         None => HOLD_FIRST,
     };
-    Follow {
-        version: tables::VERSION,
+    ChangesRequest {
+        version: tables::FORMAT_VERSION,
         catalog: state.tables.catalog.borrow().next(),
         servers: state.tables.servers.borrow().next(),
         crashes: state.tables.crashes.borrow().next(),
@@ -140,12 +144,17 @@
 
 /// Puts what a neighbour told to use; returns how old its older copy is, or
 /// none when it lacks one.
-fn take(state: &State, from: &Neighbour, told: Followed) -> Result<Option<Duration>, Error> {
+fn take(
+    state: &State,
+    from: &NeighbourClient,
+    told: TableChanges,
+) -> Result<Option<Duration>, Error> {
     let now = state.clock.now();
     let settling = Duration::from_millis(u64::from(told.settling_ms));
     state.tables.settle(now, settling);
     let ages = told.catalog.as_ref().zip(told.servers.as_ref());
-    let age = ages.map(|(c, s)| Duration::from_millis(u64::from(c.age_ms.max(s.age_ms))));
+    let age =
+        ages.map(|(c, s)| Duration::from_millis(u64::from(c.staleness_ms.max(s.staleness_ms))));
     if let Some(part) = told.catalog {
         let news = merge(&mut state.tables.catalog.borrow_mut(), now, from, &part)?;
         use_catalogs(state, news);
@@ -156,7 +165,7 @@
     }
     if let Some(part) = told.crashes {
         let news = merge(&mut state.tables.crashes.borrow_mut(), now, from, &part)?;
-        crashes::take(state, now, news, part.whole);
+        crashes::take(state, now, news, part.snapshot);
     }
     Ok(age)
 }
@@ -164,21 +173,21 @@
 fn merge<T>(
     replica: &mut Replica<T>,
     now: Instant,
-    from: &Neighbour,
-    part: &Part,
+    from: &NeighbourClient,
+    part: &TableDelta,
 ) -> Result<Records<T>, Error>
 where
     T: Clone + PartialEq + DeserializeOwned,
 {
-    let age = Duration::from_millis(u64::from(part.age_ms));
+    let age = Duration::from_millis(u64::from(part.staleness_ms));
     Ok(replica.take(Update {
-        records: tables::read(from.addr(), &part.records)?,
-        scope: if part.whole {
+        records: tables::decode_records(from.addr(), &part.records)?,
+        scope: if part.snapshot {
             Scope::Whole
         } else {
             Scope::Changes
         },
-        next: part.next,
+        next: part.position,
         at: now.checked_sub(age).unwrap_or(now),
     }))
 }
@@ -188,8 +197,8 @@
 struct Desk(Rc<State>);
 
 /// Answers neighbours on `listener` until `end`.
-pub async fn answer(listener: TcpListener, state: Rc<State>, end: Stop) {
-    tables::answer(listener, Desk(state), end).await;
+pub async fn answer(listener: TcpListener, state: Rc<State>, end: StopSignal) {
+    tables::serve_tables(listener, Desk(state), end).await;
 }
 
 /// Opens the port at which neighbours ask, which is that of their datagrams,
@@ -198,9 +207,9 @@
 /// Another process may have the port. An entry that ended for it would serve
 /// no caller for as long; without it, it serves them all, and its neighbours
 /// pass it over and ask the next one.
-pub(crate) async fn serve(state: Rc<State>, end: Stop) {
+pub(crate) async fn serve(state: Rc<State>, end: StopSignal) {
     let mut warned = false;
-    while !end.asked() {
+    while !end.is_triggered() {
         match base::listen("tables", state.settings.gossip).await {
             Ok(listener) => return answer(listener, state, end).await,
             Err(e) if !warned => {
@@ -213,10 +222,10 @@
     }
 }
 
-impl tables::Tables for Desk {
-    async fn follow(self, _: Context, ask: Follow) -> Followed {
+impl tables::TableSync for Desk {
+    async fn fetch_changes(self, _: Context, ask: ChangesRequest) -> TableChanges {
         let Self(state) = self;
-        if ask.version != tables::VERSION {
+        if ask.version != tables::FORMAT_VERSION {
             warn!("neighbour of another version", kv: { found = ask.version });
             return nothing();
         }
@@ -230,7 +239,7 @@
         let _ = tokio::time::timeout(hold, news).await;
         let now = state.clock.now();
         let tables = &state.tables;
-        Followed {
+        TableChanges {
             catalog: part(&tables.catalog.borrow(), now, ask.catalog),
             servers: part(&tables.servers.borrow(), now, ask.servers),
             crashes: part(&tables.crashes.borrow(), now, ask.crashes),
@@ -239,8 +248,8 @@
     }
 }
 
-fn nothing() -> Followed {
-    Followed {
+fn nothing() -> TableChanges {
+    TableChanges {
         catalog: None,
         servers: None,
         crashes: None,
@@ -249,16 +258,16 @@
 }
 
 /// What one that is complete up to `from` has to be told of a table.
-fn part<T>(replica: &Replica<T>, now: Instant, from: Option<u64>) -> Option<Part>
+fn part<T>(replica: &Replica<T>, now: Instant, from: Option<u64>) -> Option<TableDelta>
 where
     T: Clone + PartialEq + Serialize,
 {
     let (scope, records) = replica.since(from)?;
-    Some(Part {
-        whole: scope == Scope::Whole,
-        next: replica.next()?,
-        age_ms: millis(replica.age(now)?),
-        records: tables::write(&records),
+    Some(TableDelta {
+        snapshot: scope == Scope::Whole,
+        position: replica.next()?,
+        staleness_ms: millis(replica.age(now)?),
+        records: tables::encode_records(&records),
     })
 }
 
--- a/crates/forward/src/reload.rs
+++ b/crates/forward/src/reload.rs
@@ -7,7 +7,7 @@
 
 use base::logging;
 use base::settings;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use spdlog::{info, warn};
 
 use crate::Settings;
@@ -30,9 +30,9 @@
     }
 
     /// Reads the settings each time that `stop` says so.
-    pub async fn watch(mut self, stop: Stop) {
+    pub async fn watch(mut self, stop: StopSignal) {
         loop {
-            stop.reloaded().await;
+            stop.wait_reload().await;
             self.read();
         }
     }
--- a/crates/forward/src/reply.rs
+++ b/crates/forward/src/reply.rs
@@ -6,7 +6,7 @@
 use actix_web::body::{BoxBody, MessageBody};
 use actix_web::http::StatusCode;
 use actix_web::http::header::{HeaderName, HeaderValue};
-use base::reason::{Ran, Refusal};
+use base::reason::{Executed, Refusal};
 use bytes::Bytes;
 use http::HeaderMap;
 
@@ -56,7 +56,7 @@
     /// Why.
     pub reason: Refusal,
     /// What is known about the call having run.
-    pub ran: Ran,
+    pub ran: Executed,
     /// When asking again may help.
     pub after: Option<Duration>,
 }
@@ -68,7 +68,7 @@
         Self {
             status,
             reason,
-            ran: Ran::Unknown,
+            ran: Executed::Unknown,
             after: None,
         }
     }
@@ -79,7 +79,7 @@
         Self {
             status,
             reason,
-            ran: Ran::No,
+            ran: Executed::No,
             after: None,
         }
     }
@@ -90,7 +90,7 @@
         Self {
             status: 503,
             reason,
-            ran: Ran::No,
+            ran: Executed::No,
             after: Some(after),
         }
     }
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use base::logging::Level;
-use base::settings::Span;
+use base::settings::HumanDuration;
 use policy::budget;
 use serde::{Deserialize, Serialize};
 
@@ -62,7 +62,7 @@
     pub repeat_slack: f64,
     /// How often the balancer asks; two answers in a row decide.
     #[serde(default = "ask_every")]
-    pub ask_every: Span,
+    pub ask_every: HumanDuration,
     /// Duties that one entry performs for all, where the platform has any.
     #[serde(default)]
     pub duties: Option<Duties>,
@@ -145,8 +145,8 @@
     3000
 }
 
-fn ask_every() -> Span {
-    Span::secs(1)
+fn ask_every() -> HumanDuration {
+    HumanDuration::secs(1)
 }
 
 impl Settings {
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use base::clock::Clock;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::balance::Balance;
 use policy::budget::Budget;
 use policy::finding::Finder;
@@ -84,7 +84,7 @@
     /// Whether the servers are known.
     pub listed: Cell<bool>,
     /// Set when the entry is about to stop.
-    pub stopping: Stop,
+    pub stopping: StopSignal,
     /// Calls whose answers have not left whole.
     pub open: Cell<usize>,
 }
@@ -129,7 +129,7 @@
             lost: Cell::new(false),
             link: RefCell::new(settings.link_mbps.map(Link::new)),
             listed: Cell::new(false),
-            stopping: Stop::new(),
+            stopping: StopSignal::new(),
             open: Cell::new(0),
             settings,
         })
@@ -139,7 +139,7 @@
     #[must_use]
     pub fn ready(&self) -> bool {
         let known = self.listed.get() && self.catalog.borrow().is_some();
-        known && !self.stopping.asked() && !self.crowded()
+        known && !self.stopping.is_triggered() && !self.crowded()
     }
 
     /// Waits until the catalog and the servers are known, for a while. An entry
@@ -227,8 +227,8 @@
 }
 
 /// Closes connections whose time is over, and tidies up, until `end`.
-pub async fn sweep(state: Rc<State>, end: Stop) {
-    while !end.asked() {
+pub async fn sweep(state: Rc<State>, end: StopSignal) {
+    while !end.is_triggered() {
         tokio::time::sleep(SWEEP).await;
         state.pool.sweep(state.clock.now());
         crashes::expire(&state, state.clock.now());
--- a/crates/forward/src/tables.rs
+++ b/crates/forward/src/tables.rs
@@ -10,7 +10,7 @@
 use policy::routes::Catalog;
 use spdlog::info;
 use tokio::sync::Notify;
-use wire::tables::Follow;
+use wire::tables::ChangesRequest;
 
 use crate::state::State;
 
@@ -69,7 +69,7 @@
     }
 
     /// Whether there is news for one who asks.
-    pub(crate) fn newer(&self, ask: &Follow) -> bool {
+    pub(crate) fn newer(&self, ask: &ChangesRequest) -> bool {
         let catalog = self.catalog.borrow().newer(ask.catalog);
         let servers = self.servers.borrow().newer(ask.servers);
         catalog || servers || self.crashes.borrow().newer(ask.crashes)
--- a/crates/forward/tests/calls/callers.rs
+++ b/crates/forward/tests/calls/callers.rs
@@ -99,7 +99,7 @@
     let entry = Entry::start(Plan::new(Kind::Once, 1, &[])).await;
     entry.state.listed.set(true);
     assert!(entry.state.ready());
-    entry.state.stopping.ask();
+    entry.state.stopping.trigger();
     assert!(!entry.state.ready());
     let mut stream = entry.connect().await;
     stream
@@ -112,5 +112,5 @@
     let answer = String::from_utf8_lossy(&answer).into_owned();
     assert_eq!(status(&answer), "200");
     assert_eq!(field(&answer, "connection").as_deref(), Some("close"));
-    entry.stop.ask();
+    entry.stop.trigger();
 }
--- a/crates/forward/tests/calls/common.rs
+++ b/crates/forward/tests/calls/common.rs
@@ -8,7 +8,7 @@
 
 use base::clock::SystemClock;
 use base::ids::Tier;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use forward::edge::{Ask, Dialect, Order, Part, Signs};
 use forward::settings::Settings;
 use forward::state::State;
@@ -281,7 +281,7 @@
 pub(crate) struct Entry {
     pub(crate) state: Rc<State>,
     pub(crate) servers: Servers,
-    pub(crate) stop: Stop,
+    pub(crate) stop: StopSignal,
     addr: SocketAddr,
 }
 
@@ -336,7 +336,7 @@
         *state.catalog.borrow_mut() = Some(Rc::new(catalog(&plan)));
         *servers.inner.acts.borrow_mut() = plan.acts;
 
-        let stop = Stop::new();
+        let stop = StopSignal::new();
         let app = forward::http::app(Rc::clone(&state));
         actix_rt::spawn(base::http::serve(listener, app, stop.clone()));
         Self {
--- a/crates/forward/tests/calls/grants.rs
+++ b/crates/forward/tests/calls/grants.rs
@@ -8,7 +8,9 @@
 use policy::routes::Kind;
 use tokio::io::AsyncWriteExt;
 use tokio::net::UdpSocket;
-use wire::grants::{Answer, Ask, LARGEST, Verdict, What, decode, encode};
+use wire::grants::{
+    GrantRequest, GrantResponse, MAX_DATAGRAM_BYTES, RequestKind, Verdict, decode, encode,
+};
 
 use rstest::rstest;
 
@@ -18,12 +20,12 @@
 const READS: &str = "call-id: 1\r\nprompt: 3000\r\noutput: 50\r\n";
 
 /// An answer of a sidecar whose engine holds nothing.
-fn answer(number: u32, verdict: Verdict) -> Answer {
-    Answer {
-        number,
+fn answer(call_number: u32, verdict: Verdict) -> GrantResponse {
+    GrantResponse {
+        call_number,
         verdict,
-        held: 0,
-        fetch: false,
+        cached_tokens: 0,
+        prefer_fetch: false,
     }
 }
 
@@ -54,28 +56,28 @@
     }
 
     /// The next message, and where it came from.
-    async fn next(&self) -> (Ask, SocketAddr) {
-        let mut buffer = [0; LARGEST];
+    async fn next(&self) -> (GrantRequest, SocketAddr) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         let (length, from) = self.0.recv_from(&mut buffer).await.expect("a message");
         (decode(&buffer[..length]).expect("understood"), from)
     }
 
     /// Answers the next wish or look, of which it returns the server.
-    async fn say(&self, verdict: Verdict, held: u32) -> (What, String) {
+    async fn say(&self, verdict: Verdict, cached_tokens: u32) -> (RequestKind, String) {
         loop {
             let (ask, from) = self.next().await;
-            let server = match &ask.what {
-                What::Want(want) => want.server.clone(),
-                What::Look(look) => look.server.clone(),
+            let server = match &ask.kind {
+                RequestKind::Admission(want) => want.server.clone(),
+                RequestKind::Lookup(look) => look.server.clone(),
                 _ => continue,
             };
-            let said = Answer {
-                held,
-                fetch: true,
-                ..answer(ask.number, verdict)
+            let said = GrantResponse {
+                cached_tokens,
+                prefer_fetch: true,
+                ..answer(ask.call_number, verdict)
             };
             self.0.send_to(&encode(&said), from).await.expect("sent");
-            return (ask.what, server);
+            return (ask.kind, server);
         }
     }
 
@@ -83,8 +85,8 @@
     async fn answer(&self, verdict: Verdict) -> u32 {
         loop {
             let (ask, from) = self.next().await;
-            if matches!(ask.what, What::Want(_)) {
-                let number = ask.number;
+            if matches!(ask.kind, RequestKind::Admission(_)) {
+                let number = ask.call_number;
                 let bytes = encode(&answer(number, verdict));
                 self.0.send_to(&bytes, from).await.expect("sent");
                 return number;
@@ -96,7 +98,7 @@
     async fn ended(&self, number: u32) {
         loop {
             let (ask, _) = self.next().await;
-            if ask.number == number && matches!(ask.what, What::Ended { .. }) {
+            if ask.call_number == number && matches!(ask.kind, RequestKind::Ended { .. }) {
                 return;
             }
         }
@@ -119,10 +121,14 @@
     let mut begun = false;
     loop {
         let (ask, _) = sidecar.next().await;
-        match ask.what {
-            What::Begun => begun = true,
-            What::Ended { .. } => break,
-            What::Want(_) | What::Look(_) | What::Fetches(_) | What::Gone { .. } | What::Busy => {}
+        match ask.kind {
+            RequestKind::FirstEvent => begun = true,
+            RequestKind::Ended { .. } => break,
+            RequestKind::Admission(_)
+            | RequestKind::Lookup(_)
+            | RequestKind::Fetching(_)
+            | RequestKind::ServerGone { .. }
+            | RequestKind::Utilization => {}
         }
     }
     assert!(begun);
@@ -161,14 +167,14 @@
     let (sidecar, entry) = Sidecar::start().await;
     assert_eq!(status(&entry.call(READS).await), "200");
     let asked = std::iter::from_fn(|| {
-        let mut buffer = [0; LARGEST];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         let (length, _) = sidecar.0.try_recv_from(&mut buffer).ok()?;
-        decode::<Ask>(&buffer[..length]).ok()
+        decode::<GrantRequest>(&buffer[..length]).ok()
     });
-    let wanted = |a: &Ask| matches!(a.what, What::Want(_));
+    let wanted = |a: &GrantRequest| matches!(a.kind, RequestKind::Admission(_));
     assert_eq!(asked.filter(wanted).count(), 3);
     assert_eq!(status(&entry.call(READS).await), "200");
-    let mut buffer = [0; LARGEST];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     assert!(sidecar.0.try_recv_from(&mut buffer).is_err());
 }
 
@@ -195,11 +201,11 @@
     let caller = Rc::clone(&entry);
     let call = actix_rt::spawn(async move { caller.call(READS).await });
     let (ask, from) = sidecar.next().await;
-    let What::Want(want) = ask.what else {
+    let RequestKind::Admission(want) = ask.kind else {
         panic!("not a wish: {ask:?}");
     };
     entry.leave(&want.server);
-    let granted = answer(ask.number, Verdict::Granted);
+    let granted = answer(ask.call_number, Verdict::Granted);
     sidecar
         .0
         .send_to(&encode(&granted), from)
@@ -242,7 +248,7 @@
     let call = actix_rt::spawn(async move { caller.call(SHARES).await });
     let (_, first) = sidecar.say(Verdict::Refused(4_000), 13_300).await;
     let (what, second) = sidecar.say(Verdict::Granted, 0).await;
-    assert!(matches!(what, What::Want(want) if want.source == 13_300));
+    assert!(matches!(what, RequestKind::Admission(want) if want.remote_tokens == 13_300));
     assert_eq!(status(&call.await.expect("an answer")), "200");
     let requests = entry.servers.requests();
     assert_eq!(field(&requests[0], "server"), Some(second));
@@ -264,13 +270,13 @@
     let caller = Rc::clone(&entry);
     let call = actix_rt::spawn(async move { caller.call(SHARES).await });
     let (_, first) = sidecar.say(Verdict::Granted, 0).await;
-    let (what, second) = sidecar.say(Verdict::Told, held).await;
-    assert!(matches!(what, What::Look(_)));
+    let (what, second) = sidecar.say(Verdict::Acknowledged, held).await;
+    assert!(matches!(what, RequestKind::Lookup(_)));
     assert_ne!(first, second);
     let told = loop {
-        match sidecar.next().await.0.what {
-            What::Fetches(source) => break Some(source),
-            What::Ended { .. } => break None,
+        match sidecar.next().await.0.kind {
+            RequestKind::Fetching(source) => break Some(source),
+            RequestKind::Ended { .. } => break None,
             _ => {}
         }
     };
@@ -308,13 +314,13 @@
     let mut meant = None;
     let gone = loop {
         let (ask, from) = sidecar.next().await;
-        match ask.what {
-            What::Want(want) => {
+        match ask.kind {
+            RequestKind::Admission(want) => {
                 meant = meant.or(Some(want.server));
-                let bytes = encode(&answer(ask.number, Verdict::Granted));
+                let bytes = encode(&answer(ask.call_number, Verdict::Granted));
                 sidecar.0.send_to(&bytes, from).await.expect("sent");
             }
-            What::Gone { server, .. } => break server,
+            RequestKind::ServerGone { server, .. } => break server,
             _ => {}
         }
     };
@@ -334,7 +340,7 @@
     entry.repeats_left();
     let caller = Rc::clone(&entry);
     let call = actix_rt::spawn(async move { caller.call(READS).await });
-    sidecar.answer(Verdict::Gone).await;
+    sidecar.answer(Verdict::ServerGone).await;
     sidecar.answer(Verdict::Granted).await;
     assert_eq!(status(&call.await.expect("an answer")), "200");
     assert_eq!(entry.servers.requests().len(), 1);
@@ -363,13 +369,18 @@
     let headers = format!("{READS}patience-ms: {patience_ms}\r\n");
     let call = actix_rt::spawn(async move { caller.call(&headers).await });
     let (ask, from) = sidecar.next().await;
-    let What::Want(want) = ask.what else {
+    let RequestKind::Admission(want) = ask.kind else {
         panic!("not a wish: {ask:?}");
     };
     // Half of the target less the call's age, or three tenths of the target.
     let late_ms = u32::try_from((TARGET * 3 / 10).as_millis()).expect("small");
-    assert_eq!(want.allowed_ms > late_ms, fresh, "{}", want.allowed_ms);
-    let bytes = encode(&answer(ask.number, Verdict::Granted));
+    assert_eq!(
+        want.first_event_ms > late_ms,
+        fresh,
+        "{}",
+        want.first_event_ms
+    );
+    let bytes = encode(&answer(ask.call_number, Verdict::Granted));
     sidecar.0.send_to(&bytes, from).await.expect("sent");
     assert_eq!(status(&call.await.expect("an answer")), "200");
 }
--- a/crates/forward/tests/duties/common.rs
+++ b/crates/forward/tests/duties/common.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use base::clock::{Clock, SystemClock};
-use base::stop::Stop;
+use base::stop::StopSignal;
 use forward::duties::{Duties, hold, report, scale, tell};
 use forward::edge::{Ask, Dialect, Signs};
 use forward::edge::{DutyApi, Kept, Outcome, Records, SourceError};
@@ -212,7 +212,7 @@
     state: Rc<State>,
     duties: Rc<Duties>,
     /// Ends all that the entry does, without a word.
-    end: Stop,
+    end: StopSignal,
     tasks: Vec<actix_rt::task::JoinHandle<()>>,
 }
 
@@ -240,12 +240,12 @@
             let others = (0..count).filter(|other| usize::from(*other) != n);
             let others: Vec<_> = others.map(|other| settings(net, other, kinds)).collect();
             let (duties, end) = (Rc::clone(&entry.duties), entry.end.clone());
-            let lives: Vec<Stop> = fleet.entries.iter().map(|e| e.end.clone()).collect();
+            let lives: Vec<StopSignal> = fleet.entries.iter().map(|e| e.end.clone()).collect();
             actix_rt::spawn(async move {
-                while !end.asked() {
+                while !end.is_triggered() {
                     for settings in &others {
                         let number = usize::from(last(settings) - 1);
-                        if !lives[number].asked() {
+                        if !lives[number].is_triggered() {
                             let rank = Rank::new(1, settings.gossip, u32::from(last(settings)));
                             duties.hear(settings.gossip, rank, HEARD, SystemClock.wall_ms());
                         }
@@ -260,7 +260,7 @@
     /// The entry that holds the duty, with its token.
     pub(crate) fn holder(&self) -> Option<(usize, u64)> {
         let entries = self.entries.iter().enumerate();
-        let live = entries.filter(|(_, e)| !e.end.asked());
+        let live = entries.filter(|(_, e)| !e.end.is_triggered());
         let mut held = live.filter_map(|(n, e)| Some((n, e.duties.token()?)));
         held.next()
     }
@@ -310,7 +310,7 @@
     /// Ends an entry without a word.
     pub(crate) fn kill(&self, entry: usize) {
         let entry = &self.entries[entry];
-        entry.end.ask();
+        entry.end.trigger();
         for task in &entry.tasks {
             task.abort();
         }
@@ -318,7 +318,7 @@
 
     /// Asks an entry to stop.
     pub(crate) fn stop(&self, entry: usize) {
-        self.entries[entry].state.stopping.ask();
+        self.entries[entry].state.stopping.trigger();
     }
 }
 
@@ -335,7 +335,7 @@
     let duties = Duties::bind(&settings, Rc::clone(&clock)).await;
     let duties = duties.expect("the port is free").expect("a duty");
     let state = State::new(settings, Rc::new(Mute), clock);
-    let end = Stop::new();
+    let end = StopSignal::new();
     let (log, office) = (Log(Rc::clone(store)), Office(Rc::clone(platform)));
     let tasks = vec![
         actix_rt::spawn(tell::hear(Rc::clone(&duties))),
--- a/crates/forward/tests/tables/crashes.rs
+++ b/crates/forward/tests/tables/crashes.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use base::clock::{Clock, SystemClock};
-use base::stop::Stop;
+use base::stop::StopSignal;
 use forward::edge::{self, Changes, Source, SourceError};
 use forward::settings::Settings;
 use forward::state::State;
@@ -125,9 +125,13 @@
     let state = State::new(settings, Rc::new(Mute), Rc::new(SystemClock));
     let (follows, writes) = (Rc::clone(&state), Rc::clone(&state));
     actix_rt::spawn(follow::crashes(follows, table.clone()));
-    actix_rt::spawn(crashes::write(writes, table.clone(), Stop::new()));
-    actix_rt::spawn(neighbours::answer(listener, Rc::clone(&state), Stop::new()));
-    actix_rt::spawn(neighbours::follow(Rc::clone(&state), Stop::new()));
+    actix_rt::spawn(crashes::write(writes, table.clone(), StopSignal::new()));
+    actix_rt::spawn(neighbours::answer(
+        listener,
+        Rc::clone(&state),
+        StopSignal::new(),
+    ));
+    actix_rt::spawn(neighbours::follow(Rc::clone(&state), StopSignal::new()));
     state
 }
 
--- a/crates/forward/tests/tables/neighbours.rs
+++ b/crates/forward/tests/tables/neighbours.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use base::clock::{Clock, ManualClock, SystemClock};
-use base::stop::Stop;
+use base::stop::StopSignal;
 use forward::edge::{Changes, Source, SourceError};
 use forward::settings::Settings;
 use forward::state::State;
@@ -157,7 +157,7 @@
         actix_rt::spawn(follow::servers(Rc::clone(&state), servers.clone()));
         match answers {
             true => {
-                let answer = neighbours::answer(listener, Rc::clone(&state), Stop::new());
+                let answer = neighbours::answer(listener, Rc::clone(&state), StopSignal::new());
                 actix_rt::spawn(answer);
             }
             false => drop(actix_rt::spawn(async move {
@@ -167,7 +167,7 @@
                 }
             })),
         }
-        actix_rt::spawn(neighbours::follow(Rc::clone(&state), Stop::new()));
+        actix_rt::spawn(neighbours::follow(Rc::clone(&state), StopSignal::new()));
         Self {
             state,
             addr,
--- a/crates/policy/benches/queue.rs
+++ b/crates/policy/benches/queue.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 use hdrhistogram::Histogram;
 use policy::queue::{Ask, Queue, QueuePolicy, Rules};
 
@@ -90,7 +90,7 @@
     let mixed = ticket.wrapping_mul(2_654_435_761);
     let target = Duration::from_secs(600) + Duration::from_micros(u64::from(mixed >> 8));
     Ask {
-        ticket: Ticket(u128::from(ticket)),
+        ticket: RequestId(u128::from(ticket)),
         class: Rc::from(format!("class-{}", mixed % 3)),
         workspace: Rc::from(format!("workspace-{}", (mixed >> 4) % 64)),
         weight: 1 + (mixed >> 4) % 4,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 
 use crate::estimate::Estimator;
 use crate::estimate::fit::Share;
@@ -59,7 +59,7 @@
     /// Waiting requests by their number.
     items: HashMap<u64, Item>,
     /// Numbers of waiting requests.
-    numbers: HashMap<Ticket, u64>,
+    numbers: HashMap<RequestId, u64>,
     /// Waiting requests by tier.
     tiers: BTreeMap<Tier, Backlog>,
     /// Waiting requests by their latest start.
@@ -77,7 +77,7 @@
     /// Slots freed by preemption that are not granted again yet.
     reclaimed: usize,
     /// Requests taken out whose callers were not told yet.
-    given_up: Vec<(Ticket, Verdict)>,
+    given_up: Vec<(RequestId, Verdict)>,
     /// The waiting request that the last review ended with.
     cursor: Option<(Tier, Key)>,
 }
@@ -86,7 +86,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Granted {
     /// The request.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// Its tier.
     pub tier: Tier,
     /// Whether it goes before a higher tier by the guaranteed share.
@@ -240,7 +240,7 @@
     /// Takes a request out that waits or holds a slot without having started.
     /// A hold that lapses is taken out by `lapsed`: it keeps the turn that it
     /// was given, or one that never starts could take turn after turn.
-    pub fn cancel(&mut self, now: Instant, ticket: Ticket, lapsed: bool) -> bool {
+    pub fn cancel(&mut self, now: Instant, ticket: RequestId, lapsed: bool) -> bool {
         if let Some(seq) = self.numbers.get(&ticket).copied() {
             self.staying.add(false);
             return self.take(seq, false).is_some();
@@ -262,7 +262,7 @@
     }
 
     /// Starts a request that holds a slot.
-    pub fn start(&mut self, now: Instant, ticket: Ticket) -> bool {
+    pub fn start(&mut self, now: Instant, ticket: RequestId) -> bool {
         let started = self.slots.start(now, ticket);
         if started {
             self.staying.add(true);
@@ -271,7 +271,7 @@
     }
 
     /// Notes that a run made a piece of `tokens` tokens.
-    pub fn piece(&mut self, now: Instant, ticket: Ticket, tokens: u32) {
+    pub fn piece(&mut self, now: Instant, ticket: RequestId, tokens: u32) {
         let Some(grant) = self.slots.run(ticket) else {
             return;
         };
@@ -291,7 +291,7 @@
     }
 
     /// Notes that pieces of a run have left the sidecar.
-    pub fn delivered(&mut self, ticket: Ticket) {
+    pub fn delivered(&mut self, ticket: RequestId) {
         if let Some(grant) = self.slots.run(ticket) {
             grant.delivered = true;
         }
@@ -299,7 +299,7 @@
 
     /// Ends a run and gives its slot back. Only a `whole` answer teaches how
     /// long one takes.
-    pub fn finish(&mut self, now: Instant, ticket: Ticket, whole: bool) {
+    pub fn finish(&mut self, now: Instant, ticket: RequestId, whole: bool) {
         let Some(grant) = self.slots.end(ticket) else {
             return;
         };
@@ -314,7 +314,7 @@
     /// Chooses a run to stop for the top tier, when a request of it would
     /// miss its target before a slot falls free. The caller stops the run and
     /// then calls [`Self::finish`]. One at a time, as each frees a slot.
-    pub fn preempt(&mut self, now: Instant) -> Option<Ticket> {
+    pub fn preempt(&mut self, now: Instant) -> Option<RequestId> {
         let full = self.rules.policy != QueuePolicy::Fifo && self.rules.preempt;
         let top = self.first_waiting()?;
         if !full || self.headroom.top(now) != Some(top) || self.slots.free() > 0 {
@@ -366,7 +366,7 @@
     /// Estimated time until a waiting request gets a slot; zero when it does
     /// not wait or nothing was seen.
     #[must_use]
-    pub fn estimate(&self, now: Instant, ticket: Ticket) -> Duration {
+    pub fn estimate(&self, now: Instant, ticket: RequestId) -> Duration {
         let item = self.numbers.get(&ticket).and_then(|n| self.items.get(n));
         let wait = item.and_then(|i| self.wait(now, i.tier, &i.ask.class, &i.flow, i.bucket));
         wait.unwrap_or_default()
--- a/crates/policy/src/queue/admission.rs
+++ b/crates/policy/src/queue/admission.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 use base::reason::Refusal;
 
 use super::Queue;
@@ -41,7 +41,7 @@
     ///
     /// A request that is given up gets its answer now and not at its
     /// deadline, so that its caller has the time left to do something else.
-    pub fn review(&mut self, now: Instant) -> Vec<(Ticket, Verdict)> {
+    pub fn review(&mut self, now: Instant) -> Vec<(RequestId, Verdict)> {
         self.sample(now);
         self.expire(now);
         if self.rules.policy == QueuePolicy::Full {
--- a/crates/policy/src/queue/item.rs
+++ b/crates/policy/src/queue/item.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 use base::reason::Refusal;
 
 use super::ranks::Bucket;
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone)]
 pub struct Ask {
     /// The request.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// Its class.
     pub class: Rc<str>,
     /// Its workspace, for the fair share.
--- a/crates/policy/src/queue/slots.rs
+++ b/crates/policy/src/queue/slots.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 
 use super::item::Ask;
 
@@ -14,8 +14,8 @@
 #[derive(Debug)]
 pub(super) struct Slots {
     total: usize,
-    held: HashMap<Ticket, Grant>,
-    running: HashMap<Ticket, Grant>,
+    held: HashMap<RequestId, Grant>,
+    running: HashMap<RequestId, Grant>,
     /// Slots in use by tier.
     tiers: BTreeMap<Tier, usize>,
     /// Sum of the running requests' starts, as time since `epoch`, so that
@@ -99,14 +99,14 @@
     }
 
     /// Gives the slot of a request back that holds it and has not started.
-    pub(super) fn unhold(&mut self, ticket: Ticket) -> Option<Grant> {
+    pub(super) fn unhold(&mut self, ticket: RequestId) -> Option<Grant> {
         let grant = self.held.remove(&ticket)?;
         self.vacate(grant.tier);
         Some(grant)
     }
 
     /// Turns a hold into a run.
-    pub(super) fn start(&mut self, now: Instant, ticket: Ticket) -> bool {
+    pub(super) fn start(&mut self, now: Instant, ticket: RequestId) -> bool {
         let Some(mut grant) = self.held.remove(&ticket) else {
             return false;
         };
@@ -116,12 +116,12 @@
         true
     }
 
-    pub(super) fn run(&mut self, ticket: Ticket) -> Option<&mut Grant> {
+    pub(super) fn run(&mut self, ticket: RequestId) -> Option<&mut Grant> {
         self.running.get_mut(&ticket)
     }
 
     /// Gives the slot of a run back.
-    pub(super) fn end(&mut self, ticket: Ticket) -> Option<Grant> {
+    pub(super) fn end(&mut self, ticket: RequestId) -> Option<Grant> {
         let grant = self.running.remove(&ticket)?;
         let start = grant.since.saturating_duration_since(self.epoch);
         self.starts = self.starts.saturating_sub(start);
@@ -137,7 +137,7 @@
     /// The run to stop for a request of tier `above`: of the lowest tier, the
     /// one with the least done. Only one whose caller has seen nothing, which
     /// may run again, and which was not stopped before; so each ends.
-    pub(super) fn victim(&self, above: Tier) -> Option<Ticket> {
+    pub(super) fn victim(&self, above: Tier) -> Option<RequestId> {
         let fit = |g: &&Grant| {
             let fresh = g.ask.preempted == 0 && !g.delivered && !g.stopping;
             g.tier > above && g.ask.repeatable && fresh
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use base::reason::{Ran, Retry};
+use base::reason::{Executed, RetryReason};
 
 /// Retries that a class may save up. Enough for the requests that one server
 /// loses when it crashes, too few to add to an overload.
@@ -69,9 +69,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
     /// Why it would be tried again.
-    pub cause: Retry,
+    pub cause: RetryReason,
     /// Whether the request may have run.
-    pub ran: Ran,
+    pub ran: Executed,
     /// Whether a part of the answer reached the caller.
     pub delivered: bool,
 }
@@ -97,7 +97,7 @@
         if self.delivered {
             return Verdict::Delivered;
         }
-        if self.ran != Ran::No && !repeatable {
+        if self.ran != Executed::No && !repeatable {
             return Verdict::NotRepeatable;
         }
         if left <= need {
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 use base::reason::Refusal;
 use policy::queue::{Ask, Offered, Queue, QueuePolicy, Rules, Verdict};
 use rstest::rstest;
@@ -12,7 +12,7 @@
 
 fn ask(ticket: u128, tier: u8, workspace: &str, due: Instant) -> Ask {
     Ask {
-        ticket: Ticket(ticket),
+        ticket: RequestId(ticket),
         class: Rc::from(format!("class-{tier}")),
         workspace: Rc::from(workspace),
         weight: 1,
@@ -46,7 +46,7 @@
     Some(granted.ticket.0)
 }
 
-fn refused(reason: Refusal, given_up: &[(Ticket, Verdict)]) -> Vec<u128> {
+fn refused(reason: Refusal, given_up: &[(RequestId, Verdict)]) -> Vec<u128> {
     let of = given_up.iter().filter(|(_, v)| v.reason == reason);
     of.map(|(ticket, _)| ticket.0).collect()
 }
@@ -298,7 +298,7 @@
         now += 10 * MS;
         queue.review(now);
         for ticket in tops {
-            queue.finish(now, Ticket(ticket), false);
+            queue.finish(now, RequestId(ticket), false);
         }
     }
 
@@ -340,7 +340,7 @@
         }
     }
     if let Some(ticket) = delivered {
-        queue.delivered(Ticket(ticket));
+        queue.delivered(RequestId(ticket));
     }
 
     queue.offer(now, ask(99, 0, "a", now + 50 * MS));
--- a/crates/policy/tests/queue_props.rs
+++ b/crates/policy/tests/queue_props.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 use base::reason::Refusal;
 use policy::queue::{Ask, Offered, Queue, QueuePolicy, Rules, Verdict};
 use proptest::prelude::*;
@@ -84,14 +84,14 @@
     queue: Queue,
     now: Instant,
     last: u128,
-    asks: HashMap<Ticket, Ask>,
-    waiting: HashSet<Ticket>,
-    held: Vec<Ticket>,
-    running: Vec<Ticket>,
+    asks: HashMap<RequestId, Ask>,
+    waiting: HashSet<RequestId>,
+    held: Vec<RequestId>,
+    running: Vec<RequestId>,
     /// Higher-tier work passed over since a start in order.
     passed_over: u32,
     starts: u32,
-    guaranteed: HashSet<Ticket>,
+    guaranteed: HashSet<RequestId>,
 }
 
 impl Model {
@@ -111,7 +111,7 @@
         }
     }
 
-    fn tier(&self, ticket: Ticket) -> Tier {
+    fn tier(&self, ticket: RequestId) -> Tier {
         self.asks[&ticket].tier
     }
 
@@ -159,7 +159,7 @@
     ) -> Result<(), TestCaseError> {
         self.last += 1;
         let ask = Ask {
-            ticket: Ticket(self.last),
+            ticket: RequestId(self.last),
             class: Rc::from(format!("class-{tier}")),
             workspace: Rc::from(format!("workspace-{workspace}")),
             weight: u32::from(workspace),
@@ -187,9 +187,9 @@
     /// its own tier or a higher one before it, or is late in any case.
     fn refused(
         &self,
-        ticket: Ticket,
+        ticket: RequestId,
         verdict: Verdict,
-        others: &HashSet<Ticket>,
+        others: &HashSet<RequestId>,
     ) -> Result<(), TestCaseError> {
         let tier = self.tier(ticket);
         if verdict.reason == Refusal::Shed {
@@ -199,7 +199,7 @@
         Ok(())
     }
 
-    fn give_up(&mut self, given_up: &[(Ticket, Verdict)]) -> Result<(), TestCaseError> {
+    fn give_up(&mut self, given_up: &[(RequestId, Verdict)]) -> Result<(), TestCaseError> {
         for (ticket, _) in given_up {
             prop_assert!(self.waiting.remove(ticket), "given up but not waiting");
         }
@@ -280,7 +280,7 @@
         Ok(())
     }
 
-    fn finish(&mut self, ticket: Ticket, whole: bool) {
+    fn finish(&mut self, ticket: RequestId, whole: bool) {
         self.running.retain(|t| *t != ticket);
         self.queue.finish(self.now, ticket, whole);
         // A repeated call changes nothing.
@@ -295,7 +295,7 @@
     }
 }
 
-fn nth(of: &[Ticket], which: usize) -> Option<Ticket> {
+fn nth(of: &[RequestId], which: usize) -> Option<RequestId> {
     of.get(which % of.len().max(1)).copied()
 }
 
@@ -388,7 +388,7 @@
             let which: u128 = rng.random_range(0..10);
             let workspace = which.saturating_sub(6) as u32;
             let ask = Ask {
-                ticket: Ticket(ticket),
+                ticket: RequestId(ticket),
                 class: Rc::from("class"),
                 workspace: Rc::from(format!("workspace-{workspace}")),
                 weight: workspace + 1,
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use base::reason::{Ran, Retry};
+use base::reason::{Executed, RetryReason};
 use policy::retry::{Budget, Failure, Verdict};
 use rstest::rstest;
 
@@ -32,21 +32,21 @@
 }
 
 #[rstest]
-#[case::not_run(Ran::No, false, false, 100, Verdict::Again)]
-#[case::unknown_repeatable(Ran::Unknown, false, true, 100, Verdict::Again)]
-#[case::unknown_once(Ran::Unknown, false, false, 100, Verdict::NotRepeatable)]
-#[case::partial_once(Ran::Partial, false, false, 100, Verdict::NotRepeatable)]
-#[case::delivered(Ran::Partial, true, true, 100, Verdict::Delivered)]
-#[case::late(Ran::No, false, true, 20, Verdict::TooLate)]
+#[case::not_run(Executed::No, false, false, 100, Verdict::Again)]
+#[case::unknown_repeatable(Executed::Unknown, false, true, 100, Verdict::Again)]
+#[case::unknown_once(Executed::Unknown, false, false, 100, Verdict::NotRepeatable)]
+#[case::partial_once(Executed::Partial, false, false, 100, Verdict::NotRepeatable)]
+#[case::delivered(Executed::Partial, true, true, 100, Verdict::Delivered)]
+#[case::late(Executed::No, false, true, 20, Verdict::TooLate)]
 fn judge_cases(
-    #[case] ran: Ran,
+    #[case] ran: Executed,
     #[case] delivered: bool,
     #[case] repeatable: bool,
     #[case] left_ms: u64,
     #[case] expected: Verdict,
 ) {
     let failure = Failure {
-        cause: Retry::Unknown,
+        cause: RetryReason::Unknown,
         ran,
         delivered,
     };
--- a/crates/scenario/tests/run/hosts.rs
+++ b/crates/scenario/tests/run/hosts.rs
@@ -6,7 +6,7 @@
 
 use base::clock::{Clock, ManualClock};
 use base::ids::{Incarnation, Offset};
-use base::settings::Span;
+use base::settings::HumanDuration;
 use policy::lease::{Claim, Lease, in_force};
 use policy::membership::{Host, Kind, Limits, Membership};
 use policy::subset::Size;
@@ -46,7 +46,7 @@
         };
         let limits = Limits {
             size,
-            forget: words.get("forget", Span::secs(60))?.0,
+            forget: words.get("forget", HumanDuration::secs(60))?.0,
         };
         let zone = words.key("zone").unwrap_or("z");
         self.member = Some(Membership::new("entry", zone, limits));
@@ -99,7 +99,7 @@
 
     /// A sidecar claims the lease of the backend server: `lease s1 ttl=10s`.
     fn lease(&mut self, clock: &ManualClock, words: &Words) -> Said {
-        let (holder, ttl) = (words.at(0)?, words.get("ttl", Span::secs(10))?.0);
+        let (holder, ttl) = (words.at(0)?, words.get("ttl", HumanDuration::secs(10))?.0);
         let ttl_ms = u64::try_from(ttl.as_millis())?;
         self.claims
             .push((clock.wall_ms(), holder.to_owned(), ttl_ms));
--- a/crates/scenario/tests/run/records.rs
+++ b/crates/scenario/tests/run/records.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 
 use base::clock::{Clock, ManualClock};
-use base::ids::{Offset, Sequence, Ticket};
+use base::ids::{BundleSequence, Offset, RequestId};
 use bundle::record::{Header, operators_hash, operators_of};
 use bundle::{Acceptor, Content, Hash, Operators, Payload, Record, SecretKey, Signed, Verdict};
 use claims::record::{Claimed, Mark};
@@ -65,7 +65,7 @@
         let content = content(words.key("mark").unwrap_or("one"))?;
         let parent = reader.head().map(|h| h.signed.id());
         let header = Header {
-            sequence: Sequence(reader.sequence().0 + 1),
+            sequence: BundleSequence(reader.sequence().0 + 1),
             parent: parent.unwrap_or_default(),
             digest: content.digest(),
             operators: operators_hash(&operators_of(&content)),
@@ -167,7 +167,7 @@
             words.key("key").unwrap_or("k"),
             words.key("body").unwrap_or("b"),
         );
-        let ticket = Ticket(self.claims.len() as u128 + 1);
+        let ticket = RequestId(self.claims.len() as u128 + 1);
         let record = claims::record::Record {
             entry: entry.to_owned(),
             claims: vec![Claimed {
--- a/crates/scenario/tests/run/route.rs
+++ b/crates/scenario/tests/run/route.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use base::clock::{Clock, ManualClock};
-use base::reason::{Ran, Retry};
-use base::settings::Span;
+use base::reason::{Executed, RetryReason};
+use base::settings::HumanDuration;
 use policy::outlier::{Fault, Good};
 use policy::pace::{Load, Pace};
 use policy::placement::{Mode, Options, Placement, ServerIndex, Want};
@@ -48,7 +48,7 @@
         let mode = words.key("mode").unwrap_or("late_binding");
         self.placement = Some(Placement::new(Options {
             mode: word::<Mode>(mode)?,
-            lag: words.get("lag", Span::ms(500))?.0,
+            lag: words.get("lag", HumanDuration::ms(500))?.0,
             zone: words.key("zone").unwrap_or("z").to_owned(),
             seed: words.get("seed", 1)?,
         }));
@@ -75,10 +75,10 @@
             running: words.get("running", 0)?,
             slots: words.get("slots", 8)?,
             waiting: words.get("waiting", 0)?,
-            wait: words.get("wait", Span::ms(0))?.0,
+            wait: words.get("wait", HumanDuration::ms(0))?.0,
             pace: Pace {
-                first: words.get("first", Span::ms(20))?.0,
-                token: words.get("token", Span::ms(4))?.0,
+                first: words.get("first", HumanDuration::ms(20))?.0,
+                token: words.get("token", HumanDuration::ms(4))?.0,
             },
             draining: words.get("draining", false)?,
         };
@@ -90,7 +90,7 @@
                     writeln!(out, "{name} ejected")?;
                 }
             }
-            clock.advance(words.get("every", Span::ms(0))?.0);
+            clock.advance(words.get("every", HumanDuration::ms(0))?.0);
         }
         Ok(out)
     }
@@ -104,7 +104,7 @@
         };
         let index = self.index(words.at(0)?)?;
         let share = words.get("share", 0.3)?;
-        let every = words.get("every", Span::ms(200))?.0;
+        let every = words.get("every", HumanDuration::ms(200))?.0;
         for _ in 0..words.get("times", 1)? {
             clock.advance(every);
             if self.placement()?.fault(clock.now(), index, fault, share) {
@@ -188,12 +188,12 @@
 /// repeatable=true left=1s need=100ms`.
 fn judge(words: &Words) -> Said {
     let failure = Failure {
-        cause: word::<Retry>(words.key("cause").unwrap_or("unknown"))?,
-        ran: word::<Ran>(words.key("ran").unwrap_or("no"))?,
+        cause: word::<RetryReason>(words.key("cause").unwrap_or("unknown"))?,
+        ran: word::<Executed>(words.key("ran").unwrap_or("no"))?,
         delivered: words.get("delivered", false)?,
     };
-    let left: Duration = words.get("left", Span::secs(1))?.0;
-    let need: Duration = words.get("need", Span::ms(100))?.0;
+    let left: Duration = words.get("left", HumanDuration::secs(1))?.0;
+    let need: Duration = words.get("need", HumanDuration::ms(100))?.0;
     Ok(format!(
         "{:?}\n",
         failure.judge(words.get("repeatable", true)?, left, need)
--- a/crates/scenario/tests/run/server.rs
+++ b/crates/scenario/tests/run/server.rs
@@ -10,14 +10,17 @@
 use std::time::Duration;
 
 use base::clock::ManualClock;
-use base::ids::{Incarnation, Ticket, Tier};
-use base::reason::{Ran, Refusal};
-use base::settings::Span;
+use base::ids::{Incarnation, RequestId, Tier};
+use base::reason::{Executed, Refusal};
+use base::settings::HumanDuration;
 use bytes::Bytes;
 use serde_json::json;
 use sidecar::Settings;
 use sidecar::state::{Entry, State};
-use wire::{End, Piece, Pulled, Reserve, Reserved, Start, Started, Work};
+use wire::{
+    BackendRequest, Chunk, PullOutcome, ReserveOutcome, ReserveRequest, ResponseEnd, StartOutcome,
+    StartRequest,
+};
 
 use crate::Said;
 use crate::words::Words;
@@ -61,7 +64,7 @@
 /// A caller's request, with its entry's part.
 struct Call {
     name: String,
-    ask: Reserve,
+    ask: ReserveRequest,
     length: u32,
     arrives: Duration,
     /// When its targets were set, so that time left can be counted down.
@@ -106,13 +109,13 @@
 
     /// Lets time pass; says what happened to the loud calls.
     pub(crate) fn pass(&mut self, clock: &ManualClock, step: Duration) -> String {
-        let end = clock.passed() + step;
-        while clock.passed() < end {
-            clock.advance(TICK.min(end - clock.passed()));
+        let end = clock.elapsed() + step;
+        while clock.elapsed() < end {
+            clock.advance(TICK.min(end - clock.elapsed()));
             for server in self.servers.values() {
                 server.state.sweep();
             }
-            self.work(clock.passed());
+            self.work(clock.elapsed());
             self.ask(clock);
         }
         std::mem::take(&mut self.events)
@@ -137,7 +140,7 @@
         let server = Server {
             state: State::new(settings.clone(), Rc::new(clock.clone())),
             settings,
-            step: words.get("step", Span::ms(10))?.0,
+            step: words.get("step", HumanDuration::ms(10))?.0,
             earlier: None,
             runs: Vec::new(),
         };
@@ -151,18 +154,18 @@
     fn call(&mut self, clock: &ManualClock, words: &Words) -> Said {
         let servers: Vec<String> = words.at(0)?.split(',').map(str::to_owned).collect();
         let count: u32 = words.get("count", 1)?;
-        let every = words.get("every", Span::ms(0))?.0;
+        let every = words.get("every", HumanDuration::ms(0))?.0;
         let tier: u8 = words.get("tier", 0)?;
         for i in 0..count {
             let name = match count {
                 1 => words.at(1)?.to_owned(),
                 _ => format!("{}-{i}", words.at(1)?),
             };
-            let ticket = Ticket(self.calls.len() as u128 + 1);
-            let first = words.get("first", Span::secs(10))?.0;
-            let whole = words.get("whole", Span::secs(60))?.0;
+            let ticket = RequestId(self.calls.len() as u128 + 1);
+            let first = words.get("first", HumanDuration::secs(10))?.0;
+            let whole = words.get("whole", HumanDuration::secs(60))?.0;
             self.calls.push(Call {
-                ask: Reserve {
+                ask: ReserveRequest {
                     ticket,
                     class: words.key("class").unwrap_or("class").to_owned(),
                     workspace: words.key("workspace").unwrap_or("workspace").to_owned(),
@@ -170,16 +173,16 @@
                     tier: Tier(tier),
                     first_left_us: 0,
                     whole_left_us: 0,
-                    prompt: words.get("prompt", 10)?,
+                    prompt_tokens: words.get("prompt", 10)?,
                     max_tokens: 4096,
-                    prefix: 0,
+                    prefix_hash: 0,
                     repeatable: words.get("repeatable", true)?,
-                    preempted: 0,
+                    preemptions: 0,
                     wait_ms: POLL_MS,
                 },
                 name,
                 length: words.get("length", 20)?,
-                arrives: clock.passed() + every * i,
+                arrives: clock.elapsed() + every * i,
                 first,
                 whole,
                 servers: servers.clone(),
@@ -202,7 +205,7 @@
             _ => server.state.incarnation,
         };
         let started = start(&server.state, self.calls[call].ask.ticket, life);
-        if started == Started::Running {
+        if started == StartOutcome::Running {
             self.begin(words.at(0)?, call, Duration::ZERO);
         }
         Ok(format!("{started:?}\n"))
@@ -253,14 +256,18 @@
             return Ok("unknown\n".to_owned());
         };
         match server.state.pull(&entry, words.get("from", 0)?) {
-            Pulled::Unknown => Ok("unknown\n".to_owned()),
-            Pulled::Pieces { first, pieces, end } => {
+            PullOutcome::Unknown => Ok("unknown\n".to_owned()),
+            PullOutcome::Chunks { first, chunks, end } => {
                 let end = match end {
-                    Some(End::Whole { count, .. }) => format!("whole with {count}"),
-                    Some(End::Broken { reason, ran }) => format!("broken/{reason}/{ran}"),
+                    Some(ResponseEnd::Complete { chunk_count, .. }) => {
+                        format!("whole with {chunk_count}")
+                    }
+                    Some(ResponseEnd::Interrupted { reason, ran }) => {
+                        format!("broken/{reason}/{ran}")
+                    }
                     None => "more to come".to_owned(),
                 };
-                Ok(format!("from {first}: {} pieces, {end}\n", pieces.len()))
+                Ok(format!("from {first}: {} pieces, {end}\n", chunks.len()))
             }
         }
     }
@@ -304,20 +311,20 @@
         for server in self.servers.values_mut() {
             let (state, step) = (&server.state, server.step);
             server.runs.retain_mut(|run| {
-                while run.next <= now && run.left > 0 && !run.entry.stop.asked() {
+                while run.next <= now && run.left > 0 && !run.entry.stop.is_triggered() {
                     let data = Bytes::from_static(b"word ");
-                    state.push(&run.entry, Piece { tokens: 1, data });
+                    state.push(&run.entry, Chunk { tokens: 1, data });
                     run.left -= 1;
                     run.made += 1;
                     run.next += step;
                 }
-                let end = match (run.left, run.entry.stop.asked()) {
+                let end = match (run.left, run.entry.stop.is_triggered()) {
                     (_, true) => state.stopped(&run.entry),
-                    (0, _) => End::Whole {
-                        count: run.made,
+                    (0, _) => ResponseEnd::Complete {
+                        chunk_count: run.made,
                         status: 200,
-                        finish: "stop".to_owned(),
-                        cached: 0,
+                        finish_reason: "stop".to_owned(),
+                        cached_tokens: 0,
                     },
                     _ => return true,
                 };
@@ -328,8 +335,8 @@
         }
         for (call, end) in ended {
             let stand = match end {
-                End::Whole { .. } => Stand::Whole,
-                End::Broken { reason, .. } => Stand::Broken(reason),
+                ResponseEnd::Complete { .. } => Stand::Whole,
+                ResponseEnd::Interrupted { reason, .. } => Stand::Broken(reason),
             };
             self.set(now, call, stand);
         }
@@ -337,7 +344,7 @@
 
     /// Has the calls' entries ask, start and pull.
     fn ask(&mut self, clock: &ManualClock) {
-        let now = clock.passed();
+        let now = clock.elapsed();
         for i in 0..self.calls.len() {
             let call = &mut self.calls[i];
             if !call.alive || call.arrives > now {
@@ -365,14 +372,14 @@
         for name in &names {
             let state = Rc::clone(&self.servers[name].state);
             match state.reserve(&ask).1 {
-                Reserved::Ready { .. } if self.calls[i].auto => {
-                    if start(&state, ask.ticket, state.incarnation) == Started::Running {
+                ReserveOutcome::Ready { .. } if self.calls[i].auto => {
+                    if start(&state, ask.ticket, state.incarnation) == StartOutcome::Running {
                         self.begin(name, i, now);
                         self.cancel_others(i, name);
                         return;
                     }
                 }
-                Reserved::Refused { reason, .. } => refused = Some(reason),
+                ReserveOutcome::Refused { reason, .. } => refused = Some(reason),
                 _ => open = true,
             }
         }
@@ -429,7 +436,7 @@
             };
             state.renew(&entry, POLL_MS);
             let made = state.made(&entry);
-            let _: Pulled = state.pull(&entry, made);
+            let _: PullOutcome = state.pull(&entry, made);
         }
     }
 
@@ -448,12 +455,12 @@
     }
 }
 
-fn start(state: &Rc<State>, ticket: Ticket, incarnation: Incarnation) -> Started {
-    let work = Work::Completion {
+fn start(state: &Rc<State>, ticket: RequestId, incarnation: Incarnation) -> StartOutcome {
+    let work = BackendRequest::Completion {
         body: Bytes::new(),
         chat: true,
     };
-    state.start(Start {
+    state.start(StartRequest {
         ticket,
         incarnation,
         work,
@@ -466,7 +473,7 @@
         Stand::Waiting => "waits".to_owned(),
         Stand::Running => "runs".to_owned(),
         Stand::Whole => "whole".to_owned(),
-        Stand::Refused(reason) => format!("refused/{reason}/{}", Ran::No),
+        Stand::Refused(reason) => format!("refused/{reason}/{}", Executed::No),
         Stand::Broken(reason) => format!("broken/{reason}"),
     }
 }
--- a/crates/scenario/tests/run/words.rs
+++ b/crates/scenario/tests/run/words.rs
@@ -3,13 +3,13 @@
 use std::error::Error;
 use std::str::FromStr;
 
-use base::settings::Span;
+use base::settings::HumanDuration;
 
 /// One command, by the part of the world that it goes to.
 #[derive(Debug)]
 pub(crate) enum Command {
     /// Lets time pass.
-    Clock(Span),
+    Clock(HumanDuration),
     /// For the sidecars.
     Server(Words),
     /// For an entry's decisions.
--- a/crates/sidecar/src/caches.rs
+++ b/crates/sidecar/src/caches.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use clients::engine::{CacheChange, CacheEvents, Engine};
 use policy::caches::{CacheMap, Change};
 use spdlog::debug;
@@ -15,11 +15,11 @@
 const EVERY: Duration = Duration::from_secs(1);
 
 /// Follows the events until `stop` is asked. A plain service has none.
-pub async fn follow(state: Rc<State>, stop: Stop) {
+pub async fn follow(state: Rc<State>, stop: StopSignal) {
     let Client::Engine(engine) = &state.backend else {
         return;
     };
-    while !stop.asked() {
+    while !stop.is_triggered() {
         fetch(&state, engine).await;
         tokio::select! {
             () = tokio::time::sleep(EVERY) => {}
--- a/crates/sidecar/src/health.rs
+++ b/crates/sidecar/src/health.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use clients::engine::Error;
 use spdlog::{info, warn};
 
@@ -32,7 +32,7 @@
 }
 
 /// Probes the backend server whenever it failed, until `end`.
-pub(crate) async fn watch(state: Rc<State>, end: Stop) {
+pub(crate) async fn watch(state: Rc<State>, end: StopSignal) {
     loop {
         tokio::select! {
             () = state.failure.notified() => {}
@@ -43,7 +43,7 @@
 
         let mut pause = PROBE_FIRST;
         while !answers(&state).await {
-            if end.asked() {
+            if end.is_triggered() {
                 return;
             }
             tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -29,8 +29,8 @@
 
 use actix::Actor;
 use base::clock::{Clock, SystemClock};
-use base::stop::Stop;
-use base::{listen, operators};
+use base::stop::StopSignal;
+use base::{admin, listen};
 use spdlog::info;
 
 pub use settings::Settings;
@@ -45,7 +45,7 @@
 ///
 /// Returns the error when the settings are impossible or the sidecar cannot
 /// listen.
-pub async fn run(settings: Settings, stop: Stop) -> io::Result<()> {
+pub async fn run(settings: Settings, stop: StopSignal) -> io::Result<()> {
     settings.check().map_err(io::Error::other)?;
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     let listener = listen("listen", settings.listen).await?;
@@ -55,10 +55,10 @@
     let state = State::new(settings, clock);
     // The operators' address goes on until the process ends, so that a drain
     // can be watched.
-    let end = Stop::new();
+    let end = StopSignal::new();
     if let Some(addr) = operators {
         let listener = listen("operators", addr).await?;
-        actix_rt::spawn(operators::serve(listener, Rc::clone(&state), end.clone()));
+        actix_rt::spawn(admin::serve(listener, Rc::clone(&state), end.clone()));
     }
     actix_rt::spawn(sweep(Rc::clone(&state), end.clone()));
     if let Some(orders) = state.settings.orders.clone() {
@@ -76,12 +76,12 @@
     let drained = state.drain(state.settings.drain_limit.0).await;
     meter::drained(drained);
     info!("sidecar drained", kv: { name = state.settings.name.as_str() });
-    end.ask();
+    end.trigger();
     Ok(())
 }
 
-async fn sweep(state: Rc<State>, end: Stop) {
-    while !end.asked() {
+async fn sweep(state: Rc<State>, end: StopSignal) {
+    while !end.is_triggered() {
         state.sweep();
         tokio::time::sleep(SWEEP).await;
     }
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -8,7 +8,7 @@
 use actix::{Actor, AsyncContext, Context, WrapFuture};
 use base::clock::Clock;
 use base::ids::Offset;
-use base::settings::Span;
+use base::settings::HumanDuration;
 use clients::log::{self, Log};
 use clients::orders::{Order, Orders};
 use clients::weights::{Permit, Weights};
@@ -44,25 +44,25 @@
     pub model: String,
     /// How long a lease on the engine lasts.
     #[serde(default = "default_lease")]
-    pub lease: Span,
+    pub lease: HumanDuration,
     /// How often what is loaded is compared with the bundle.
     #[serde(default = "default_every")]
-    pub every: Span,
+    pub every: HumanDuration,
     /// The longest wait for a permit before what is loaded is compared anew.
     #[serde(default = "default_wait")]
-    pub wait: Span,
+    pub wait: HumanDuration,
 }
 
-fn default_lease() -> Span {
-    Span::secs(15)
+fn default_lease() -> HumanDuration {
+    HumanDuration::secs(15)
 }
 
-fn default_every() -> Span {
-    Span::secs(1)
+fn default_every() -> HumanDuration {
+    HumanDuration::secs(1)
 }
 
-fn default_wait() -> Span {
-    Span::secs(60)
+fn default_wait() -> HumanDuration {
+    HumanDuration::secs(60)
 }
 
 /// Gives one engine its orders, at most one sidecar at a time.
--- a/crates/sidecar/src/run/engine.rs
+++ b/crates/sidecar/src/run/engine.rs
@@ -5,12 +5,12 @@
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-use base::reason::{Ran, Refusal};
+use base::reason::{Executed, Refusal};
 use bytes::Bytes;
 use clients::engine::{Engine, Error, Event};
 use futures_util::{Stream, StreamExt};
 use spdlog::warn;
-use wire::{End, Piece};
+use wire::{Chunk, ResponseEnd};
 
 use crate::settings::Streams;
 use crate::state::{Entry, State, broken};
@@ -29,7 +29,12 @@
 const PAUSE: Duration = Duration::from_millis(25);
 
 /// Runs a completion to its end and passes its tokens on.
-pub(super) async fn complete(state: &State, entry: &Entry, engine: &Engine, body: Bytes) -> End {
+pub(super) async fn complete(
+    state: &State,
+    entry: &Entry,
+    engine: &Engine,
+    body: Bytes,
+) -> ResponseEnd {
     let mut run = Run {
         state,
         entry,
@@ -90,7 +95,7 @@
 }
 
 impl Run<'_> {
-    async fn run(&mut self, body: Bytes) -> End {
+    async fn run(&mut self, body: Bytes) -> ResponseEnd {
         let (ticket, tier) = (self.entry.ticket, self.entry.tier);
         let begun = self.engine.run(ticket, tier, body);
         let mut fault = match tokio::time::timeout(self.limits.silence.0 * HEADER_BOUNDS, begun)
@@ -135,7 +140,7 @@
     async fn take(
         &mut self,
         events: impl Stream<Item = Result<Event, Error>>,
-    ) -> Result<End, Fault> {
+    ) -> Result<ResponseEnd, Fault> {
         let mut events = pin!(events);
         loop {
             let event = tokio::time::timeout(self.limits.silence.0, events.next()).await;
@@ -146,11 +151,11 @@
                     finish,
                     cached,
                 }))) if count == self.next => {
-                    return Ok(End::Whole {
-                        count,
+                    return Ok(ResponseEnd::Complete {
+                        chunk_count: count,
                         status: 200,
-                        finish,
-                        cached,
+                        finish_reason: finish,
+                        cached_tokens: cached,
                     });
                 }
                 Ok(Some(Ok(Event::End { .. }))) => return Err(Fault::Gap),
@@ -174,7 +179,7 @@
                 self.moved = self.state.clock.now();
                 self.attempts = 0;
                 let data = Bytes::from(text);
-                self.state.push(self.entry, Piece { tokens: 1, data });
+                self.state.push(self.entry, Chunk { tokens: 1, data });
             }
         }
         Ok(())
@@ -200,7 +205,7 @@
         }
     }
 
-    async fn give_up(&self, fault: Fault) -> End {
+    async fn give_up(&self, fault: Fault) -> ResponseEnd {
         let ticket = self.entry.ticket.to_string();
         warn!("stream given up", kv: { ticket = ticket.as_str(), next = self.next, fault = fault.as_str() });
         // The engine may go on with it for nobody.
@@ -212,10 +217,10 @@
 
     /// The end of an answer that cannot be had any more. What the engine did
     /// with it is not known, beyond the tokens that came.
-    fn lost(&self) -> End {
+    fn lost(&self) -> ResponseEnd {
         let ran = match self.next {
-            0 => Ran::Unknown,
-            _ => Ran::Partial,
+            0 => Executed::Unknown,
+            _ => Executed::Partial,
         };
         broken(Refusal::BackendFailed, ran)
     }
--- a/crates/sidecar/src/run/mod.rs
+++ b/crates/sidecar/src/run/mod.rs
@@ -8,31 +8,31 @@
 
 use std::rc::Rc;
 
-use base::reason::{Ran, Refusal};
+use base::reason::{Executed, Refusal};
 use bytes::Bytes;
 use clients::engine::Error;
 use clients::plain::Plain;
-use wire::{End, Piece, Work};
+use wire::{BackendRequest, Chunk, ResponseEnd};
 
 use crate::health;
 use crate::state::{Client, Entry, State, broken};
 
 /// Runs one ticket to its end.
-pub async fn run(state: Rc<State>, entry: Rc<Entry>, work: Work) {
+pub async fn run(state: Rc<State>, entry: Rc<Entry>, work: BackendRequest) {
     let end = match (&state.backend, work) {
-        (Client::Engine(engine), Work::Completion { body, .. }) => {
+        (Client::Engine(engine), BackendRequest::Completion { body, .. }) => {
             engine::complete(&state, &entry, engine, body).await
         }
         (
             Client::Plain(plain),
-            Work::Call {
+            BackendRequest::Call {
                 method,
                 path,
                 content_type,
                 body,
             },
         ) => call(&state, &entry, plain, (&method, &path, &content_type), body).await,
-        _ => broken(Refusal::UnknownTarget, Ran::No),
+        _ => broken(Refusal::UnknownTarget, Executed::No),
     };
     state.finish(&entry, end);
 }
@@ -44,7 +44,7 @@
     plain: &Plain,
     (method, path, content_type): (&str, &str, &str),
     body: Bytes,
-) -> End {
+) -> ResponseEnd {
     match plain
         .call(entry.ticket, method, path, content_type, body)
         .await
@@ -52,16 +52,16 @@
         Ok(answer) => {
             state.push(
                 entry,
-                Piece {
+                Chunk {
                     tokens: 0,
                     data: answer.body,
                 },
             );
-            End::Whole {
-                count: 1,
+            ResponseEnd::Complete {
+                chunk_count: 1,
                 status: answer.status,
-                finish: answer.content_type,
-                cached: 0,
+                finish_reason: answer.content_type,
+                cached_tokens: 0,
             }
         }
         Err(e) => {
@@ -72,7 +72,7 @@
 }
 
 /// The end of a request that the backend server did not take.
-fn failed(error: &Error) -> End {
+fn failed(error: &Error) -> ResponseEnd {
     // A body that one engine finds faulty is faulty for all: told as the
     // engine's failure, it would be tried at each of them in turn.
     if matches!(
@@ -82,12 +82,12 @@
             ..
         }
     ) {
-        return broken(Refusal::BadRequest, Ran::No);
+        return broken(Refusal::BadRequest, Executed::No);
     }
     let ran = if error.not_run() {
-        Ran::No
+        Executed::No
     } else {
-        Ran::Unknown
+        Executed::Unknown
     };
     broken(Refusal::BackendFailed, ran)
 }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -3,9 +3,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::ids::Ticket;
+use base::ids::RequestId;
 use tarpc::context::Context;
-use wire::{Cancelled, Pull, Pulled, Reply, Reserve, Reserved, Sidecar, Stamp, Start, Started};
+use wire::{
+    CallHeader, CancelOutcome, PullOutcome, PullRequest, Reply, ReserveOutcome, ReserveRequest,
+    Sidecar, StartOutcome, StartRequest,
+};
 
 use crate::spread::Level;
 use crate::state::{HOLD_LIMIT, State};
@@ -28,13 +31,18 @@
 }
 
 impl Sidecar for Service {
-    async fn reserve(self, _: Context, stamp: Stamp, ask: Reserve) -> Reply<Reserved> {
+    async fn reserve(
+        self,
+        _: Context,
+        stamp: CallHeader,
+        ask: ReserveRequest,
+    ) -> Reply<ReserveOutcome> {
         let level = self.state.spread.level(stamp.sequence, hold(ask.wait_ms));
         match level.await {
             Level::Decide => {}
-            Level::Behind => return self.state.reply(Reserved::Waiting { estimate_us: 0 }),
+            Level::Behind => return self.state.reply(ReserveOutcome::Waiting { estimate_us: 0 }),
             Level::Refuse(reason) => {
-                return self.state.reply(Reserved::Refused {
+                return self.state.reply(ReserveOutcome::Refused {
                     reason,
                     retry_after_ms: NO_BUNDLE_MS,
                 });
@@ -42,34 +50,39 @@
         }
 
         let (entry, mut stands) = self.state.reserve(&ask);
-        if let (Some(entry), Reserved::Waiting { .. }) = (entry, stands) {
+        if let (Some(entry), ReserveOutcome::Waiting { .. }) = (entry, stands) {
             let changed = entry.changed.notified();
             let _ = tokio::time::timeout(hold(ask.wait_ms), changed).await;
-            stands = self.state.stands(&entry, ask.prompt);
+            stands = self.state.stands(&entry, ask.prompt_tokens);
         }
-        if let Reserved::Ready { cached, .. } = &mut stands {
-            *cached = self
+        if let ReserveOutcome::Ready { cached_tokens, .. } = &mut stands {
+            *cached_tokens = self
                 .state
                 .caches
                 .borrow()
-                .cached(ask.prefix)
-                .min(ask.prompt);
+                .cached(ask.prefix_hash)
+                .min(ask.prompt_tokens);
         }
         self.state.reply(stands)
     }
 
-    async fn start(self, _: Context, _stamp: Stamp, order: Start) -> Reply<Started> {
+    async fn start(
+        self,
+        _: Context,
+        _stamp: CallHeader,
+        order: StartRequest,
+    ) -> Reply<StartOutcome> {
         let started = self.state.start(order);
         self.state.reply(started)
     }
 
-    async fn pull(self, _: Context, _stamp: Stamp, ask: Pull) -> Reply<Pulled> {
+    async fn pull(self, _: Context, _stamp: CallHeader, ask: PullRequest) -> Reply<PullOutcome> {
         let Some(entry) = self.state.find(ask.ticket) else {
-            return self.state.reply(Pulled::Unknown);
+            return self.state.reply(PullOutcome::Unknown);
         };
         self.state.renew(&entry, ask.wait_ms);
         let mut pulled = self.state.pull(&entry, ask.from);
-        if matches!(&pulled, Pulled::Pieces { pieces, end: None, .. } if pieces.is_empty()) {
+        if matches!(&pulled, PullOutcome::Chunks { chunks, end: None, .. } if chunks.is_empty()) {
             let changed = entry.changed.notified();
             let _ = tokio::time::timeout(hold(ask.wait_ms), changed).await;
             pulled = self.state.pull(&entry, ask.from);
@@ -77,17 +90,22 @@
         self.state.reply(pulled)
     }
 
-    async fn cancel(self, _: Context, _stamp: Stamp, ticket: Ticket) -> Reply<Cancelled> {
+    async fn cancel(
+        self,
+        _: Context,
+        _stamp: CallHeader,
+        ticket: RequestId,
+    ) -> Reply<CancelOutcome> {
         let cancelled = self.state.cancel(ticket);
         self.state.reply(cancelled)
     }
 
-    async fn fetch_bundle(self, _: Context, stamp: Stamp) -> Reply<Option<bytes::Bytes>> {
+    async fn fetch_bundle(self, _: Context, stamp: CallHeader) -> Reply<Option<bytes::Bytes>> {
         let transfer = self.state.spread.held.transfer(stamp.sequence);
         self.state.reply(transfer)
     }
 
-    async fn offer_bundle(self, _: Context, _: Stamp, transfer: bytes::Bytes) -> Reply<bool> {
+    async fn offer_bundle(self, _: Context, _: CallHeader, transfer: bytes::Bytes) -> Reply<bool> {
         let taken = self.state.spread.take(transfer).await;
         self.state.reply(taken)
     }
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -3,15 +3,15 @@
 use std::net::SocketAddr;
 
 use base::logging::Level;
-use base::settings::{Error, Span, check};
+use base::settings::{Error, HumanDuration, check};
 use policy::queue::Rules;
 use serde::{Deserialize, Serialize};
 
 /// Shortest hold: a start must be able to arrive within it.
-const HOLD_LEAST: Span = Span::ms(10);
+const HOLD_LEAST: HumanDuration = HumanDuration::ms(10);
 
 /// Shortest lease: an entry must be able to replace a silent connection.
-const LEASE_LEAST: Span = Span::secs(1);
+const LEASE_LEAST: HumanDuration = HumanDuration::secs(1);
 
 /// Fewest bytes kept: some hundred tokens for each of many slots.
 const KEPT_LEAST: usize = 64 << 10;
@@ -37,18 +37,18 @@
     pub backend: Backend,
     /// How long a slot is held for a ticket that is ready.
     #[serde(default = "default_hold")]
-    pub hold: Span,
+    pub hold: HumanDuration,
     /// How long an ended answer is kept for entries that still pull it.
     #[serde(default = "default_keep")]
-    pub keep: Span,
+    pub keep: HumanDuration,
     /// How long requests in progress may take when the sidecar stops; what is
     /// left then is ended.
     #[serde(default = "default_drain")]
-    pub drain_limit: Span,
+    pub drain_limit: HumanDuration,
     /// An entry that asked nothing about a ticket for so long is gone: its
     /// request is not started, and its run is stopped.
     #[serde(default = "default_lease")]
-    pub lease: Span,
+    pub lease: HumanDuration,
     /// How the engine is ordered to load what the bundle wants, if at all.
     #[serde(default)]
     pub orders: Option<crate::orders::Settings>,
@@ -150,19 +150,19 @@
 pub struct Streams {
     /// A stream that brings nothing for so long is resumed over a new
     /// connection.
-    pub silence: Span,
+    pub silence: HumanDuration,
     /// Attempts to resume after a broken connection until one brings a token.
     pub attempts: u32,
     /// A stream that brings no token for so long is given up.
-    pub patience: Span,
+    pub patience: HumanDuration,
 }
 
 impl Default for Streams {
     fn default() -> Self {
         Self {
-            silence: Span::secs(1),
+            silence: HumanDuration::secs(1),
             attempts: 5,
-            patience: Span::secs(30),
+            patience: HumanDuration::secs(30),
         }
     }
 }
@@ -185,7 +185,7 @@
         /// Calls that the service takes at once.
         slots: usize,
         /// Longest time for one call.
-        timeout: Span,
+        timeout: HumanDuration,
     },
 }
 
@@ -199,20 +199,20 @@
     }
 }
 
-fn default_hold() -> Span {
-    Span::ms(250)
+fn default_hold() -> HumanDuration {
+    HumanDuration::ms(250)
 }
 
-fn default_keep() -> Span {
-    Span::secs(10)
+fn default_keep() -> HumanDuration {
+    HumanDuration::secs(10)
 }
 
-fn default_drain() -> Span {
-    Span::secs(600)
+fn default_drain() -> HumanDuration {
+    HumanDuration::secs(600)
 }
 
-fn default_lease() -> Span {
-    Span::secs(5)
+fn default_lease() -> HumanDuration {
+    HumanDuration::secs(5)
 }
 
 fn default_kept() -> usize {
--- a/crates/sidecar/src/spread.rs
+++ b/crates/sidecar/src/spread.rs
@@ -5,7 +5,7 @@
 
 use actix::{Actor, Addr};
 use base::clock::Clock;
-use base::ids::Sequence;
+use base::ids::BundleSequence;
 use base::reason::Refusal;
 use bytes::Bytes;
 use follow::{Follower, Held, Take};
@@ -57,7 +57,7 @@
     /// the first call, which may not be held, only tells the sender. The wait
     /// of the next one is bounded, because the sender may not be able to hand
     /// the version over.
-    pub async fn level(&self, told: Sequence, hold: Duration) -> Level {
+    pub async fn level(&self, told: BundleSequence, hold: Duration) -> Level {
         if self.follower.is_none() {
             return Level::Decide;
         }
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -21,15 +21,18 @@
 use std::time::{Duration, Instant};
 
 use base::clock::Clock;
-use base::ids::{Incarnation, Ticket};
-use base::reason::{Ran, Refusal};
+use base::ids::{Incarnation, RequestId};
+use base::reason::{Executed, Refusal};
 use clients::engine::Engine;
 use clients::plain::Plain;
 use policy::Queue;
 use policy::caches::CacheMap;
 use policy::queue::{Ask, Offered, Verdict};
 use tokio::sync::Notify;
-use wire::{Cancelled, End, Load, Reply, Reserve, Reserved, Start, Started};
+use wire::{
+    CancelOutcome, Reply, ReserveOutcome, ReserveRequest, ResponseEnd, ServerLoad, StartOutcome,
+    StartRequest,
+};
 
 use crate::settings::{Backend, Settings};
 use crate::spread::Spread;
@@ -60,13 +63,13 @@
     /// Who waits for a slot, holds one or runs.
     queue: RefCell<Queue>,
     /// Tickets that wait, hold a slot or started.
-    tickets: RefCell<HashMap<Ticket, Rc<Entry>>>,
+    tickets: RefCell<HashMap<RequestId, Rc<Entry>>>,
     /// Tickets that left without having started.
     tombs: RefCell<Tombs>,
     /// When to look at a ticket again: holds that lapse, answers to forget.
-    timers: RefCell<BinaryHeap<Reverse<(Instant, Ticket)>>>,
+    timers: RefCell<BinaryHeap<Reverse<(Instant, RequestId)>>>,
     /// Tickets whose answers ended, the first to end first.
-    ended: RefCell<VecDeque<Ticket>>,
+    ended: RefCell<VecDeque<RequestId>>,
     /// Bytes of all kept answers.
     kept: Cell<usize>,
     /// Ended answers whose entry has not got the end yet.
@@ -130,30 +133,30 @@
     }
 
     /// How busy the backend server is.
-    pub fn load(&self) -> Load {
+    pub fn load(&self) -> ServerLoad {
         let standing = self.queue.borrow().standing(self.clock.now());
-        Load {
+        ServerLoad {
             running: number(standing.busy as u64),
             slots: number(standing.slots as u64),
             waiting: number(standing.waiting as u64),
             token_us: number(standing.token_us),
-            first_us: number(standing.first_us),
+            ttft_us: number(standing.first_us),
             wait_us: number(standing.wait_us),
             draining: self.closed().is_some(),
         }
     }
 
     /// Finds a ticket that waits, holds a slot or started.
-    pub fn find(&self, ticket: Ticket) -> Option<Rc<Entry>> {
+    pub fn find(&self, ticket: RequestId) -> Option<Rc<Entry>> {
         self.tickets.borrow().get(&ticket).cloned()
     }
 
     /// Queues a request that is not known yet, and tells where it stands; the
     /// entry is there while that may change.
-    pub fn reserve(&self, ask: &Reserve) -> (Option<Rc<Entry>>, Reserved) {
+    pub fn reserve(&self, ask: &ReserveRequest) -> (Option<Rc<Entry>>, ReserveOutcome) {
         if let Some(entry) = self.find(ask.ticket) {
             self.renew(&entry, ask.wait_ms);
-            let stands = self.stands(&entry, ask.prompt);
+            let stands = self.stands(&entry, ask.prompt_tokens);
             return (Some(entry), stands);
         }
         let now = self.clock.now();
@@ -175,57 +178,57 @@
         let known = Rc::clone(&entry);
         self.tickets.borrow_mut().insert(ask.ticket, known);
         self.advance();
-        let stands = self.stands(&entry, ask.prompt);
+        let stands = self.stands(&entry, ask.prompt_tokens);
         (Some(entry), stands)
     }
 
     /// Where a ticket stands, as an answer to `reserve`.
-    pub fn stands(&self, entry: &Entry, prompt: u32) -> Reserved {
+    pub fn stands(&self, entry: &Entry, prompt: u32) -> ReserveOutcome {
         let now = self.clock.now();
         match &*entry.phase.borrow() {
             Phase::Queued => {
                 let estimate = self.queue.borrow().estimate(now, entry.ticket);
                 let estimate_us = u64::try_from(estimate.as_micros()).unwrap_or(u64::MAX);
-                Reserved::Waiting { estimate_us }
+                ReserveOutcome::Waiting { estimate_us }
             }
             Phase::Held { until, .. } => {
                 let left = until.saturating_duration_since(now);
                 let queue = self.queue.borrow();
-                Reserved::Ready {
+                ReserveOutcome::Ready {
                     hold_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
-                    first_us: number(queue.first_us(prompt)),
+                    ttft_us: number(queue.first_us(prompt)),
                     token_us: number(queue.standing(now).token_us),
-                    cached: 0,
+                    cached_tokens: 0,
                 }
             }
-            Phase::Started(_) => Reserved::AlreadyStarted,
+            Phase::Started(_) => ReserveOutcome::AlreadyStarted,
             Phase::Gone(Left::Refused(verdict)) => refused(*verdict),
             Phase::Gone(Left::Cancelled) => refused(gone()),
             // Asking again queues it anew.
-            Phase::Gone(Left::Lapsed) => Reserved::Waiting { estimate_us: 0 },
+            Phase::Gone(Left::Lapsed) => ReserveOutcome::Waiting { estimate_us: 0 },
         }
     }
 
     /// Starts a ticket that holds a slot.
-    pub fn start(self: &Rc<Self>, order: Start) -> Started {
+    pub fn start(self: &Rc<Self>, order: StartRequest) -> StartOutcome {
         // A start meant for an earlier life could run a request a second
         // time: what that life did with it is not known here.
         if order.incarnation != self.incarnation {
-            return Started::OtherIncarnation;
+            return StartOutcome::StaleIncarnation;
         }
         let Some(entry) = self.find(order.ticket) else {
             let left = self.tombs.borrow().get(order.ticket);
             return match left {
-                Some((Left::Cancelled, _)) => Started::Cancelled,
+                Some((Left::Cancelled, _)) => StartOutcome::Cancelled,
                 // A slot that lapsed may be another's by now. Its entry asks
                 // again, here or elsewhere; nothing has run.
-                _ => Started::Lapsed,
+                _ => StartOutcome::ReservationExpired,
             };
         };
 
         let guaranteed = match &*entry.phase.borrow() {
-            Phase::Started(_) => return Started::Running,
-            Phase::Queued | Phase::Gone(_) => return Started::Lapsed,
+            Phase::Started(_) => return StartOutcome::Running,
+            Phase::Queued | Phase::Gone(_) => return StartOutcome::ReservationExpired,
             Phase::Held { guaranteed, .. } => *guaranteed,
         };
         let now = self.clock.now();
@@ -236,22 +239,22 @@
         meter::started(entry.tier, guaranteed);
 
         actix_rt::spawn(run::run(Rc::clone(self), entry, order.work));
-        Started::Running
+        StartOutcome::Running
     }
 
     /// Ends a ticket whatever its state. One that never started never will.
-    pub fn cancel(&self, ticket: Ticket) -> Cancelled {
+    pub fn cancel(&self, ticket: RequestId) -> CancelOutcome {
         let now = self.clock.now();
         let Some(entry) = self.find(ticket) else {
             // Its reserve or start may still be on the way.
             self.tombs.borrow_mut().insert(now, ticket, Left::Cancelled);
-            return Cancelled::NeverStarted;
+            return CancelOutcome::NeverStarted;
         };
         match &*entry.phase.borrow() {
-            Phase::Started(Answer { end: Some(_), .. }) => return Cancelled::Ended,
+            Phase::Started(Answer { end: Some(_), .. }) => return CancelOutcome::Ended,
             Phase::Started(_) => {
                 entry.halt(Refusal::CallerGone);
-                return Cancelled::Started;
+                return CancelOutcome::Started;
             }
             Phase::Queued | Phase::Held { .. } | Phase::Gone(_) => {}
         }
@@ -259,7 +262,7 @@
         self.queue.borrow_mut().cancel(now, ticket, false);
         self.leave(now, &entry, Left::Cancelled);
         self.advance();
-        Cancelled::NeverStarted
+        CancelOutcome::NeverStarted
     }
 
     /// Whether nothing waits or runs and every answer has been handed out.
@@ -275,7 +278,7 @@
     }
 
     /// Why a ticket that left is not queued again; `None` when it may be.
-    fn left(&self, now: Instant, ticket: Ticket) -> Option<Verdict> {
+    fn left(&self, now: Instant, ticket: RequestId) -> Option<Verdict> {
         let (left, at) = self.tombs.borrow().get(ticket)?;
         match left {
             Left::Cancelled => return Some(gone()),
@@ -302,7 +305,7 @@
     }
 }
 
-fn queue_ask(ask: &Reserve, now: Instant) -> Ask {
+fn queue_ask(ask: &ReserveRequest, now: Instant) -> Ask {
     Ask {
         ticket: ask.ticket,
         class: Rc::from(ask.class.as_str()),
@@ -311,10 +314,10 @@
         tier: ask.tier,
         first_due: now + Duration::from_micros(ask.first_left_us),
         whole_due: now + Duration::from_micros(ask.whole_left_us),
-        prompt: ask.prompt,
+        prompt: ask.prompt_tokens,
         tokens: ask.max_tokens,
         repeatable: ask.repeatable,
-        preempted: ask.preempted,
+        preempted: ask.preemptions,
     }
 }
 
@@ -326,8 +329,8 @@
     }
 }
 
-fn refused(verdict: Verdict) -> Reserved {
-    Reserved::Refused {
+fn refused(verdict: Verdict) -> ReserveOutcome {
+    ReserveOutcome::Refused {
         reason: verdict.reason,
         retry_after_ms: u32::try_from(verdict.after.as_millis()).unwrap_or(u32::MAX),
     }
@@ -335,8 +338,8 @@
 
 /// An end of an answer that is not whole.
 #[must_use]
-pub fn broken(reason: Refusal, ran: Ran) -> End {
-    End::Broken { reason, ran }
+pub fn broken(reason: Refusal, ran: Executed) -> ResponseEnd {
+    ResponseEnd::Interrupted { reason, ran }
 }
 
 fn number(n: u64) -> u32 {
--- a/crates/sidecar/src/state/answer.rs
+++ b/crates/sidecar/src/state/answer.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use wire::{End, Piece};
+use wire::{Chunk, ResponseEnd};
 
 /// Bytes handed out by one pull. A pull that is repeated gets the same pieces
 /// again, so this bounds what each repetition costs.
@@ -15,11 +15,11 @@
     /// The number of the first piece that is still kept.
     first: u32,
     /// The pieces that are kept.
-    pieces: VecDeque<Piece>,
+    pieces: VecDeque<Chunk>,
     /// Their size.
     bytes: usize,
     /// How the answer ended, and when.
-    pub(super) end: Option<(End, Instant)>,
+    pub(super) end: Option<(ResponseEnd, Instant)>,
     /// Whether any piece was handed out.
     pub(super) delivered: bool,
     /// Whether the end was handed out, or nobody waits for it.
@@ -28,7 +28,7 @@
 
 impl Answer {
     /// Adds a piece.
-    pub(super) fn push(&mut self, piece: Piece) {
+    pub(super) fn push(&mut self, piece: Chunk) {
         self.bytes += piece.data.len();
         self.pieces.push_back(piece);
     }
@@ -60,14 +60,14 @@
 
     /// Hands out the kept pieces, as many as fit into one batch, and the end
     /// if it follows them.
-    pub(super) fn batch(&mut self) -> (u32, Vec<Piece>, Option<End>) {
+    pub(super) fn batch(&mut self) -> (u32, Vec<Chunk>, Option<ResponseEnd>) {
         let mut size = 0;
-        let fits = |piece: &&Piece| {
+        let fits = |piece: &&Chunk| {
             let first = size == 0;
             size += piece.data.len().max(1);
             first || size <= BATCH
         };
-        let pieces: Vec<Piece> = self.pieces.iter().take_while(fits).cloned().collect();
+        let pieces: Vec<Chunk> = self.pieces.iter().take_while(fits).cloned().collect();
         self.delivered |= !pieces.is_empty();
 
         let all = pieces.len() == self.pieces.len();
--- a/crates/sidecar/src/state/delivery.rs
+++ b/crates/sidecar/src/state/delivery.rs
@@ -1,26 +1,26 @@
 //! Answers in the making: taken from the backend server, kept, handed out.
 
-use base::ids::Ticket;
-use base::reason::{Ran, Refusal};
-use wire::{End, Piece, Pulled};
+use base::ids::RequestId;
+use base::reason::{Executed, Refusal};
+use wire::{Chunk, PullOutcome, ResponseEnd};
 
 use super::ticket::{Entry, Left, Phase};
 use super::{State, broken};
 
 impl State {
     /// Takes pieces from `from` on, and forgets those before.
-    pub fn pull(&self, entry: &Entry, from: u32) -> Pulled {
+    pub fn pull(&self, entry: &Entry, from: u32) -> PullOutcome {
         let mut phase = entry.phase.borrow_mut();
         let Phase::Started(answer) = &mut *phase else {
-            return Pulled::Unknown;
+            return PullOutcome::Unknown;
         };
 
         // A run that is being preempted runs again elsewhere. Were a piece of
         // it handed out now, its caller would get two beginnings.
         if entry.why.get() == Some(Refusal::Preempted) && answer.end.is_none() {
-            return Pulled::Pieces {
+            return PullOutcome::Chunks {
                 first: from,
-                pieces: Vec::new(),
+                chunks: Vec::new(),
                 end: None,
             };
         }
@@ -28,7 +28,7 @@
         let (bytes, told) = (answer.bytes(), answer.told);
         answer.acknowledge(from);
         self.kept.set(self.kept.get() + answer.bytes() - bytes);
-        let (first, pieces, end) = answer.batch();
+        let (first, chunks, end) = answer.batch();
         if answer.told && !told {
             self.untold.set(self.untold.get() - 1);
             self.told_at.set(Some(self.clock.now()));
@@ -39,11 +39,11 @@
         if delivered {
             self.queue.borrow_mut().delivered(entry.ticket);
         }
-        Pulled::Pieces { first, pieces, end }
+        PullOutcome::Chunks { first, chunks, end }
     }
 
     /// Adds a piece to an answer.
-    pub fn push(&self, entry: &Entry, piece: Piece) {
+    pub fn push(&self, entry: &Entry, piece: Chunk) {
         let (now, tokens) = (self.clock.now(), piece.tokens);
         self.queue.borrow_mut().piece(now, entry.ticket, tokens);
 
@@ -60,7 +60,7 @@
         drop(phase);
 
         if over {
-            entry.halt(Refusal::BrokenOff);
+            entry.halt(Refusal::Truncated);
         }
         entry.changed.notify_waiters();
     }
@@ -75,21 +75,21 @@
 
     /// The end of a run that was asked to stop.
     #[must_use]
-    pub fn stopped(&self, entry: &Entry) -> End {
-        broken(entry.stopped(), Ran::Partial)
+    pub fn stopped(&self, entry: &Entry) -> ResponseEnd {
+        broken(entry.stopped(), Executed::Partial)
     }
 
     /// Ends an answer and gives its slot back.
-    pub fn finish(&self, entry: &Entry, end: End) {
+    pub fn finish(&self, entry: &Entry, end: ResponseEnd) {
         let now = self.clock.now();
-        let whole = matches!(end, End::Whole { .. });
+        let whole = matches!(end, ResponseEnd::Complete { .. });
         self.queue.borrow_mut().finish(now, entry.ticket, whole);
 
         if let Phase::Started(answer) = &mut *entry.phase.borrow_mut() {
             // The caller gets the other run's pieces and none of this one's.
             if matches!(
                 &end,
-                End::Broken {
+                ResponseEnd::Interrupted {
                     reason: Refusal::Preempted,
                     ..
                 }
@@ -129,7 +129,7 @@
         }
     }
 
-    fn told(&self, ticket: Ticket) -> bool {
+    fn told(&self, ticket: RequestId) -> bool {
         let Some(entry) = self.find(ticket) else {
             return true;
         };
@@ -148,7 +148,7 @@
     }
 
     /// Forgets an answer that ended. Whoever still waits for it finds it gone.
-    pub(super) fn forget(&self, ticket: Ticket) {
+    pub(super) fn forget(&self, ticket: RequestId) {
         let Some(entry) = self.find(ticket) else {
             return;
         };
--- a/crates/sidecar/src/state/ticket.rs
+++ b/crates/sidecar/src/state/ticket.rs
@@ -3,9 +3,9 @@
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 use base::reason::Refusal;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::queue::Verdict;
 use tokio::sync::Notify;
 
@@ -14,7 +14,7 @@
 /// One ticket that waits, holds a slot or started.
 pub struct Entry {
     /// The request.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// Its tier.
     pub tier: Tier,
     /// Where it stands.
@@ -24,7 +24,7 @@
     /// Wakes who waits for a change.
     pub changed: Notify,
     /// Asks its run to stop.
-    pub stop: Stop,
+    pub stop: StopSignal,
     /// Why its run was asked to stop.
     pub(super) why: Cell<Option<Refusal>>,
 }
@@ -58,14 +58,14 @@
 }
 
 impl Entry {
-    pub(super) fn new(ticket: Ticket, tier: Tier, lease: Instant) -> Self {
+    pub(super) fn new(ticket: RequestId, tier: Tier, lease: Instant) -> Self {
         Self {
             ticket,
             tier,
             phase: RefCell::new(Phase::Queued),
             lease: Cell::new(lease),
             changed: Notify::new(),
-            stop: Stop::new(),
+            stop: StopSignal::new(),
             why: Cell::new(None),
         }
     }
@@ -75,7 +75,7 @@
         if self.why.get().is_none() {
             self.why.set(Some(why));
         }
-        self.stop.ask();
+        self.stop.trigger();
     }
 
     /// Why the run was asked to stop.
--- a/crates/sidecar/src/state/tombs.rs
+++ b/crates/sidecar/src/state/tombs.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use base::ids::Ticket;
+use base::ids::RequestId;
 
 use super::ticket::Left;
 
@@ -21,12 +21,12 @@
 /// start needs a hold and the entry that cancelled sends no other start.
 #[derive(Default)]
 pub(super) struct Tombs {
-    by_ticket: HashMap<Ticket, (Left, Instant)>,
-    by_age: VecDeque<(Instant, Ticket)>,
+    by_ticket: HashMap<RequestId, (Left, Instant)>,
+    by_age: VecDeque<(Instant, RequestId)>,
 }
 
 impl Tombs {
-    pub(super) fn insert(&mut self, now: Instant, ticket: Ticket, left: Left) {
+    pub(super) fn insert(&mut self, now: Instant, ticket: RequestId, left: Left) {
         self.by_ticket.insert(ticket, (left, now));
         self.by_age.push_back((now, ticket));
         while self.by_age.len() > MOST {
@@ -35,12 +35,12 @@
     }
 
     /// How a ticket left, and when.
-    pub(super) fn get(&self, ticket: Ticket) -> Option<(Left, Instant)> {
+    pub(super) fn get(&self, ticket: RequestId) -> Option<(Left, Instant)> {
         self.by_ticket.get(&ticket).copied()
     }
 
     /// Lets a ticket come back.
-    pub(super) fn remove(&mut self, ticket: Ticket) {
+    pub(super) fn remove(&mut self, ticket: RequestId) {
         self.by_ticket.remove(&ticket);
     }
 
--- a/crates/sidecar/src/state/upkeep.rs
+++ b/crates/sidecar/src/state/upkeep.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
 
-use base::ids::Ticket;
+use base::ids::RequestId;
 use base::reason::Refusal;
 
 use super::answer::Answer;
@@ -72,7 +72,7 @@
     }
 
     /// Looks at a ticket whose time may have come.
-    fn look(&self, now: Instant, ticket: Ticket) {
+    fn look(&self, now: Instant, ticket: RequestId) {
         let Some(entry) = self.find(ticket) else {
             return;
         };
@@ -123,12 +123,12 @@
     }
 
     /// Has a ticket looked at again at a time.
-    pub(super) fn remind(&self, at: Instant, ticket: Ticket) {
+    pub(super) fn remind(&self, at: Instant, ticket: RequestId) {
         self.timers.borrow_mut().push(Reverse((at, ticket)));
     }
 
     /// The next ticket whose time has come.
-    fn due(&self, now: Instant) -> Option<Ticket> {
+    fn due(&self, now: Instant) -> Option<RequestId> {
         let mut timers = self.timers.borrow_mut();
         let Reverse((at, _)) = timers.peek()?;
         if *at > now {
--- a/crates/sidecar/src/status.rs
+++ b/crates/sidecar/src/status.rs
@@ -1,9 +1,9 @@
 //! What a sidecar shows its operators.
 
-use base::ids::{Incarnation, Sequence};
-use base::operators::Shown;
+use base::admin::DaemonStatus;
+use base::ids::{BundleSequence, Incarnation};
 use serde::Serialize;
-use wire::Load;
+use wire::ServerLoad;
 
 use crate::state::State;
 
@@ -19,14 +19,14 @@
     /// Whether new requests are taken.
     pub ready: bool,
     /// The bundle in force.
-    pub sequence: Sequence,
+    pub sequence: BundleSequence,
     /// This life of the sidecar.
     pub incarnation: Incarnation,
     /// How busy the backend server is.
-    pub load: Load,
+    pub load: ServerLoad,
 }
 
-impl Shown for State {
+impl DaemonStatus for State {
     type Status = Status;
 
     fn status(&self) -> Status {
--- a/crates/sidecar/tests/caches.rs
+++ b/crates/sidecar/tests/caches.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use actix_web::{App, HttpRequest, HttpResponse, web};
-use base::ids::{Sequence, Ticket, Tier};
-use base::stop::Stop;
+use base::ids::{BundleSequence, RequestId, Tier};
+use base::stop::StopSignal;
 use clients::engine::{CacheChange, CacheEvent, CacheEvents};
 use serde_json::json;
 use tokio::net::TcpListener;
-use wire::{Peer, Reserve, Reserved, Stamp, Timing};
+use wire::{CallHeader, Peer, ReserveOutcome, ReserveRequest, Timeouts};
 
 const PREFIX: u64 = 7;
 
@@ -28,33 +28,33 @@
 
 /// Asks for slots until an offer tells of so many cached tokens.
 async fn offered(peer: &Peer, tickets: &mut u128, expected: u32) {
-    let stamp = Stamp {
-        sequence: Sequence(0),
+    let stamp = CallHeader {
+        sequence: BundleSequence(0),
     };
     loop {
         *tickets += 1;
-        let ask = Reserve {
-            ticket: Ticket(*tickets),
+        let ask = ReserveRequest {
+            ticket: RequestId(*tickets),
             class: "counter".to_owned(),
             workspace: "cantine".to_owned(),
             weight: 1,
             tier: Tier(0),
             first_left_us: 60_000_000,
             whole_left_us: 60_000_000,
-            prompt: 1000,
+            prompt_tokens: 1000,
             max_tokens: 100,
-            prefix: PREFIX,
+            prefix_hash: PREFIX,
             repeatable: true,
-            preempted: 0,
+            preemptions: 0,
             wait_ms: 1000,
         };
         let answer = peer.reserve(stamp, ask).await;
         if let Ok(reply) = answer
-            && matches!(reply.body, Reserved::Ready { cached, .. } if cached == expected)
+            && matches!(reply.body, ReserveOutcome::Ready { cached_tokens, .. } if cached_tokens == expected)
         {
             return;
         }
-        let _ = peer.cancel(stamp, Ticket(*tickets)).await;
+        let _ = peer.cancel(stamp, RequestId(*tickets)).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -70,7 +70,7 @@
     let app = App::new()
         .app_data(Rc::clone(&given))
         .route("/v1/cache/events", web::get().to(events));
-    actix_rt::spawn(base::http::serve(listener, app, Stop::new()));
+    actix_rt::spawn(base::http::serve(listener, app, StopSignal::new()));
 
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = free.local_addr().unwrap();
@@ -80,9 +80,9 @@
         "backend": { "engine": { "addr": engine, "slots": 1 } },
     });
     let settings: sidecar::Settings = serde_json::from_value(settings).unwrap();
-    actix_rt::spawn(sidecar::run(settings, Stop::new()));
+    actix_rt::spawn(sidecar::run(settings, StopSignal::new()));
 
-    let peer = Peer::new(addr, Timing::default());
+    let peer = Peer::new(addr, Timeouts::default());
     let mut tickets = 0;
     let told = async {
         offered(&peer, &mut tickets, 0).await;
--- a/crates/sidecar/tests/orders.rs
+++ b/crates/sidecar/tests/orders.rs
@@ -8,8 +8,8 @@
 
 use base::clock::SystemClock;
 use base::ids::Offset;
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use clients::orders::{Error, Order, Orders};
 use policy::wish::Loaded;
 use rstest::rstest;
@@ -21,7 +21,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Short, so that a test can wait for it to lapse.
-const LEASE: Span = Span::ms(300);
+const LEASE: HumanDuration = HumanDuration::ms(300);
 
 /// An address that nobody else has: a part of loopback for each process, and
 /// below the ports that the system gives to outgoing connections.
@@ -43,7 +43,7 @@
 }
 
 impl Platform {
-    fn start(checks_fencing: bool, every: Span) -> Self {
+    fn start(checks_fencing: bool, every: HumanDuration) -> Self {
         let platform = Self {
             engine: free(),
             log: free(),
@@ -55,9 +55,13 @@
         let settings = orders::Settings {
             listen: platform.engine,
             checks_fencing,
-            load: Span::ms(0),
+            load: HumanDuration::ms(0),
         };
-        actix_rt::spawn(orders::run(settings, platform.record.clone(), Stop::new()));
+        actix_rt::spawn(orders::run(
+            settings,
+            platform.record.clone(),
+            StopSignal::new(),
+        ));
         let settings = weights::Settings {
             listen: platform.store,
             every,
@@ -66,14 +70,14 @@
         actix_rt::spawn(weights::run(
             settings,
             platform.weights.clone(),
-            Stop::new(),
+            StopSignal::new(),
         ));
         let settings = standin::log::Settings {
             listen: platform.log,
             faults: LogFaults::default(),
         };
         let faults = platform.faults.clone();
-        actix_rt::spawn(standin::log::run(settings, faults, Stop::new()));
+        actix_rt::spawn(standin::log::run(settings, faults, StopSignal::new()));
         platform
     }
 
@@ -83,10 +87,15 @@
 
     /// A keeper that needs no permits and whose lease outlasts the test.
     fn keeper_without(&self, holder: &str) -> Keeper {
-        self.keeper_with(holder, None, Span::secs(600))
+        self.keeper_with(holder, None, HumanDuration::secs(600))
     }
 
-    fn keeper_with(&self, holder: &str, weights: Option<SocketAddr>, lease: Span) -> Keeper {
+    fn keeper_with(
+        &self,
+        holder: &str,
+        weights: Option<SocketAddr>,
+        lease: HumanDuration,
+    ) -> Keeper {
         let settings = Settings {
             addr: self.engine,
             log: self.log,
@@ -94,8 +103,8 @@
             server: "engine-0".to_owned(),
             model: "dossier-8b".to_owned(),
             lease,
-            every: Span::ms(10),
-            wait: Span::secs(10),
+            every: HumanDuration::ms(10),
+            wait: HumanDuration::secs(10),
         };
         Keeper::new(settings, holder.to_owned(), Rc::new(SystemClock))
     }
@@ -131,7 +140,7 @@
 
 #[actix_rt::test]
 async fn round_loads_and_rests() {
-    let platform = Platform::start(true, Span::ms(1));
+    let platform = Platform::start(true, HumanDuration::ms(1));
     let mut keeper = platform.keeper("a");
     rounds(&mut keeper, "v1", Round::Given).await;
     rounds(&mut keeper, "v1", Round::Idle).await;
@@ -144,7 +153,7 @@
 // lapsed by the log's clock, and then takes over.
 #[actix_rt::test]
 async fn round_after_lapse() {
-    let platform = Platform::start(true, Span::ms(1));
+    let platform = Platform::start(true, HumanDuration::ms(1));
     let (mut old, mut new) = (platform.keeper("old"), platform.keeper("new"));
     rounds(&mut old, "v1", Round::Given).await;
     assert_eq!(new.round(&loaded("v2")).await, Round::NotHolder);
@@ -165,7 +174,7 @@
 #[case::ignores(false)]
 #[actix_rt::test]
 async fn round_outlasts_lease(#[case] checks: bool) {
-    let platform = Platform::start(checks, Span::ms(1));
+    let platform = Platform::start(checks, HumanDuration::ms(1));
     let (mut old, mut new) = (platform.keeper("old"), platform.keeper_without("new"));
     rounds(&mut old, "v0", Round::Given).await;
     rounds(&mut old, "v0", Round::Idle).await;
@@ -187,7 +196,7 @@
 #[case::ignores(false)]
 #[actix_rt::test]
 async fn give_old_number(#[case] checks: bool) {
-    let platform = Platform::start(checks, Span::ms(1));
+    let platform = Platform::start(checks, HumanDuration::ms(1));
     let mut keeper = platform.keeper("a");
     rounds(&mut keeper, "v1", Round::Given).await;
 
@@ -205,7 +214,7 @@
 // once the log is back, it is.
 #[actix_rt::test]
 async fn round_log_down() {
-    let platform = Platform::start(true, Span::ms(1));
+    let platform = Platform::start(true, HumanDuration::ms(1));
     let mut keeper = platform.keeper("a");
     rounds(&mut keeper, "v1", Round::Given).await;
     rounds(&mut keeper, "v1", Round::Idle).await;
@@ -223,14 +232,15 @@
 // exactly one permit in the end, and its engine one order.
 #[actix_rt::test]
 async fn permits_shared() {
-    let first = Platform::start(true, Span::ms(30));
-    let others = (1..8).map(|_| Platform::start(true, Span::ms(30)));
+    let first = Platform::start(true, HumanDuration::ms(30));
+    let others = (1..8).map(|_| Platform::start(true, HumanDuration::ms(30)));
     let engines: Vec<Platform> = std::iter::once(first).chain(others).collect();
     let store = engines[0].store;
     engines[0].weights.control.change(|f| f.outage = true);
 
     let keepers = engines.iter().enumerate().map(|(i, platform)| {
-        let mut keeper = platform.keeper_with(&format!("k{i}"), Some(store), Span::secs(600));
+        let mut keeper =
+            platform.keeper_with(&format!("k{i}"), Some(store), HumanDuration::secs(600));
         actix_rt::spawn(async move { rounds(&mut keeper, "v1", Round::Given).await })
     });
     let keepers: Vec<_> = keepers.collect();
--- a/crates/sidecar/tests/resume.rs
+++ b/crates/sidecar/tests/resume.rs
@@ -10,16 +10,19 @@
 use std::time::Duration;
 
 use actix_web::{App, HttpRequest, HttpResponse, web};
-use base::ids::{Sequence, Ticket, Tier};
-use base::reason::{Ran, Refusal};
-use base::stop::Stop;
+use base::ids::{BundleSequence, RequestId, Tier};
+use base::reason::{Executed, Refusal};
+use base::stop::StopSignal;
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
 use rstest::rstest;
 use serde_json::json;
 use tokio::net::TcpListener;
-use wire::peer::{Peer, Timing};
-use wire::{End, Pull, Pulled, Reserve, Reserved, Stamp, Start, Work};
+use wire::peer::{Peer, Timeouts};
+use wire::{
+    BackendRequest, CallHeader, PullOutcome, PullRequest, ReserveOutcome, ReserveRequest,
+    ResponseEnd, StartRequest,
+};
 
 /// What the engine answers to one call, the run first and then each resume.
 #[derive(Debug, Clone, Copy)]
@@ -111,7 +114,7 @@
         .app_data(script.clone())
         .route("/v1/completions", web::post().to(play))
         .route("/v1/streams/{id}", web::get().to(play));
-    actix_rt::spawn(base::http::serve(listener, app, Stop::new()));
+    actix_rt::spawn(base::http::serve(listener, app, StopSignal::new()));
 
     let addr = free();
     let settings = json!({
@@ -120,23 +123,23 @@
         "streams": { "silence": "100ms", "patience": "1s", "attempts": 3 },
     });
     let settings: sidecar::Settings = serde_json::from_value(settings).unwrap();
-    actix_rt::spawn(sidecar::run(settings, Stop::new()));
-    let timing = Timing {
+    actix_rt::spawn(sidecar::run(settings, StopSignal::new()));
+    let timing = Timeouts {
         margin: Duration::from_secs(10),
-        dial: Duration::from_secs(10),
+        connect: Duration::from_secs(10),
         idle: Duration::from_secs(60),
     };
     (Peer::new(addr, timing), script)
 }
 
-const STAMP: Stamp = Stamp {
-    sequence: Sequence(0),
+const STAMP: CallHeader = CallHeader {
+    sequence: BundleSequence(0),
 };
 
 /// Runs one request and takes in its pieces and its end.
-async fn run(peer: &Peer) -> (String, End) {
-    let ticket = Ticket(7);
-    let ask = Reserve {
+async fn run(peer: &Peer) -> (String, ResponseEnd) {
+    let ticket = RequestId(7);
+    let ask = ReserveRequest {
         ticket,
         class: "counter".to_owned(),
         workspace: "cantine".to_owned(),
@@ -144,11 +147,11 @@
         tier: Tier(0),
         first_left_us: 60_000_000,
         whole_left_us: 60_000_000,
-        prompt: 1,
+        prompt_tokens: 1,
         max_tokens: 100,
-        prefix: 0,
+        prefix_hash: 0,
         repeatable: true,
-        preempted: 0,
+        preemptions: 0,
         wait_ms: 1000,
     };
     let held = loop {
@@ -158,11 +161,14 @@
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
     };
-    assert!(matches!(held.body, Reserved::Ready { .. }), "{held:?}");
-    let order = Start {
+    assert!(
+        matches!(held.body, ReserveOutcome::Ready { .. }),
+        "{held:?}"
+    );
+    let order = StartRequest {
         ticket,
         incarnation: held.incarnation,
-        work: Work::Completion {
+        work: BackendRequest::Completion {
             body: Bytes::from_static(b"{}"),
             chat: false,
         },
@@ -171,18 +177,18 @@
 
     let (mut text, mut from) = (String::new(), 0);
     loop {
-        let ask = Pull {
+        let ask = PullRequest {
             ticket,
             from,
             wait_ms: 1000,
         };
         let reply = peer.pull(STAMP, ask).await.unwrap();
-        let Pulled::Pieces { first, pieces, end } = reply.body else {
+        let PullOutcome::Chunks { first, chunks, end } = reply.body else {
             panic!("the ticket is gone");
         };
         assert_eq!(first, from);
-        from += u32::try_from(pieces.len()).unwrap();
-        for piece in pieces {
+        from += u32::try_from(chunks.len()).unwrap();
+        for piece in chunks {
             text += std::str::from_utf8(&piece.data).unwrap();
         }
         if let Some(end) = end {
@@ -212,7 +218,10 @@
     let (peer, script) = start(plays).await;
     let (text, end) = run(&peer).await;
     assert_eq!(text, "0 1 2 3 ");
-    assert!(matches!(end, End::Whole { count: 4, .. }), "{end:?}");
+    assert!(
+        matches!(end, ResponseEnd::Complete { chunk_count: 4, .. }),
+        "{end:?}"
+    );
     assert_eq!(*script.asked.borrow(), asked);
 }
 
@@ -220,20 +229,20 @@
 // caller hears that the answer is partial, or unknown before its first token,
 // and never gets a token out of order.
 #[rstest]
-#[case::lost(&[Play::Break(&[0, 1]), Play::Unknown], "0 1 ", Ran::Partial)]
-#[case::lost_before_first(&[Play::Break(&[]), Play::Unknown], "", Ran::Unknown)]
-#[case::lost_before_header(&[Play::Drop, Play::Unknown], "", Ran::Unknown)]
+#[case::lost(&[Play::Break(&[0, 1]), Play::Unknown], "0 1 ", Executed::Partial)]
+#[case::lost_before_first(&[Play::Break(&[]), Play::Unknown], "", Executed::Unknown)]
+#[case::lost_before_header(&[Play::Drop, Play::Unknown], "", Executed::Unknown)]
 #[case::gap_stays(
     &[Play::Break(&[0, 2]), Play::Break(&[2]), Play::Break(&[2]), Play::Break(&[2])],
     "0 ",
-    Ran::Partial,
+    Executed::Partial,
 )]
-#[case::silent_for_good(&[Play::Mute(&[0]); 20], "0 ", Ran::Partial)]
+#[case::silent_for_good(&[Play::Mute(&[0]); 20], "0 ", Executed::Partial)]
 #[actix_rt::test]
-async fn resume_in_vain(#[case] plays: &[Play], #[case] made: &str, #[case] ran: Ran) {
+async fn resume_in_vain(#[case] plays: &[Play], #[case] made: &str, #[case] ran: Executed) {
     let (peer, _script) = start(plays).await;
     let (text, end) = run(&peer).await;
     assert_eq!(text, made);
     let reason = Refusal::BackendFailed;
-    assert_eq!(end, End::Broken { reason, ran });
+    assert_eq!(end, ResponseEnd::Interrupted { reason, ran });
 }
--- a/crates/sidecar/tests/state.rs
+++ b/crates/sidecar/tests/state.rs
@@ -6,17 +6,20 @@
 use std::time::Duration;
 
 use base::clock::ManualClock;
-use base::ids::{Incarnation, Ticket, Tier};
+use base::ids::{Incarnation, RequestId, Tier};
 use base::logging::Level;
-use base::reason::{Ran, Refusal};
-use base::settings::Span;
+use base::reason::{Executed, Refusal};
+use base::settings::HumanDuration;
 use bytes::Bytes;
 use policy::queue::Rules;
 use rstest::rstest;
 use sidecar::Settings;
 use sidecar::settings::{Backend, Streams};
 use sidecar::state::{Entry, State, broken};
-use wire::{Cancelled, End, Piece, Pulled, Reserve, Reserved, Start, Started, Work};
+use wire::{
+    BackendRequest, CancelOutcome, Chunk, PullOutcome, ReserveOutcome, ReserveRequest, ResponseEnd,
+    StartOutcome, StartRequest,
+};
 
 const HOLD: Duration = Duration::from_millis(250);
 
@@ -37,10 +40,10 @@
             addr: ([127, 0, 0, 1], 2).into(),
             slots: 1,
         },
-        hold: Span(HOLD),
-        keep: Span(KEEP),
-        lease: Span(LEASE),
-        drain_limit: Span(LEASE),
+        hold: HumanDuration(HOLD),
+        keep: HumanDuration(KEEP),
+        lease: HumanDuration(LEASE),
+        drain_limit: HumanDuration(LEASE),
         orders: None,
         streams: Streams::default(),
         follow: None,
@@ -54,37 +57,37 @@
     (State::new(settings, Rc::new(clock.clone())), clock)
 }
 
-fn ask(ticket: u128, tier: u8) -> Reserve {
-    Reserve {
-        ticket: Ticket(ticket),
+fn ask(ticket: u128, tier: u8) -> ReserveRequest {
+    ReserveRequest {
+        ticket: RequestId(ticket),
         class: format!("class-{tier}"),
         workspace: "workspace".to_owned(),
         weight: 1,
         tier: Tier(tier),
         first_left_us: 2_000_000,
         whole_left_us: 20_000_000,
-        prompt: 10,
+        prompt_tokens: 10,
         max_tokens: 100,
-        prefix: 0,
+        prefix_hash: 0,
         repeatable: true,
-        preempted: 0,
+        preemptions: 0,
         wait_ms: 0,
     }
 }
 
-fn reserve(state: &State, ask: &Reserve) -> Reserved {
+fn reserve(state: &State, ask: &ReserveRequest) -> ReserveOutcome {
     state.reserve(ask).1
 }
 
-fn start(state: &Rc<State>, ticket: u128) -> Started {
+fn start(state: &Rc<State>, ticket: u128) -> StartOutcome {
     start_in(state, ticket, state.incarnation)
 }
 
-fn start_in(state: &Rc<State>, ticket: u128, incarnation: Incarnation) -> Started {
-    state.start(Start {
-        ticket: Ticket(ticket),
+fn start_in(state: &Rc<State>, ticket: u128, incarnation: Incarnation) -> StartOutcome {
+    state.start(StartRequest {
+        ticket: RequestId(ticket),
         incarnation,
-        work: Work::Completion {
+        work: BackendRequest::Completion {
             body: Bytes::new(),
             chat: true,
         },
@@ -92,33 +95,33 @@
 }
 
 /// Reserves and starts a ticket.
-fn running(state: &Rc<State>, ask: &Reserve) -> Rc<Entry> {
-    assert!(matches!(reserve(state, ask), Reserved::Ready { .. }));
-    assert_eq!(start(state, ask.ticket.0), Started::Running);
+fn running(state: &Rc<State>, ask: &ReserveRequest) -> Rc<Entry> {
+    assert!(matches!(reserve(state, ask), ReserveOutcome::Ready { .. }));
+    assert_eq!(start(state, ask.ticket.0), StartOutcome::Running);
     state.find(ask.ticket).expect("it runs")
 }
 
-fn piece(size: usize) -> Piece {
-    Piece {
+fn piece(size: usize) -> Chunk {
+    Chunk {
         tokens: 1,
         data: Bytes::from(vec![b'x'; size]),
     }
 }
 
-fn whole(count: u32) -> End {
-    End::Whole {
-        count,
+fn whole(chunk_count: u32) -> ResponseEnd {
+    ResponseEnd::Complete {
+        chunk_count,
         status: 200,
-        finish: "stop".to_owned(),
-        cached: 0,
+        finish_reason: "stop".to_owned(),
+        cached_tokens: 0,
     }
 }
 
 /// Number of the first piece, how many there are, and whether they end.
 fn pulled(state: &State, entry: &Entry, from: u32) -> (u32, usize, bool) {
     match state.pull(entry, from) {
-        Pulled::Pieces { first, pieces, end } => (first, pieces.len(), end.is_some()),
-        Pulled::Unknown => panic!("unknown"),
+        PullOutcome::Chunks { first, chunks, end } => (first, chunks.len(), end.is_some()),
+        PullOutcome::Unknown => panic!("unknown"),
     }
 }
 
@@ -130,19 +133,19 @@
     let (state, clock) = sidecar();
     assert!(matches!(
         reserve(&state, &ask(1, 0)),
-        Reserved::Ready { .. }
+        ReserveOutcome::Ready { .. }
     ));
     clock.advance(HOLD);
     state.sweep();
     assert_eq!(state.load().running, 0);
-    assert_eq!(start(&state, 1), Started::Lapsed);
+    assert_eq!(start(&state, 1), StartOutcome::ReservationExpired);
 
     assert!(matches!(
         reserve(&state, &ask(1, 0)),
-        Reserved::Ready { .. }
+        ReserveOutcome::Ready { .. }
     ));
-    assert_eq!(start(&state, 1), Started::Running);
-    assert_eq!(start(&state, 1), Started::Running, "a repeated start");
+    assert_eq!(start(&state, 1), StartOutcome::Running);
+    assert_eq!(start(&state, 1), StartOutcome::Running, "a repeated start");
 }
 
 // A hold runs out while another caller waits. The slot goes to that one, and
@@ -153,17 +156,17 @@
     reserve(&state, &ask(1, 0));
     assert!(matches!(
         reserve(&state, &ask(2, 0)),
-        Reserved::Waiting { .. }
+        ReserveOutcome::Waiting { .. }
     ));
     clock.advance(HOLD);
     state.sweep();
 
     assert!(matches!(
         reserve(&state, &ask(1, 0)),
-        Reserved::Waiting { .. }
+        ReserveOutcome::Waiting { .. }
     ));
-    assert_eq!(start(&state, 1), Started::Lapsed);
-    assert_eq!(start(&state, 2), Started::Running);
+    assert_eq!(start(&state, 1), StartOutcome::ReservationExpired);
+    assert_eq!(start(&state, 2), StartOutcome::Running);
 }
 
 // A caller goes away. The cancel overtakes the reserve on another connection;
@@ -171,16 +174,16 @@
 #[actix_rt::test]
 async fn cancel_before_reserve() {
     let (state, _clock) = sidecar();
-    assert_eq!(state.cancel(Ticket(1)), Cancelled::NeverStarted);
+    assert_eq!(state.cancel(RequestId(1)), CancelOutcome::NeverStarted);
     let stands = reserve(&state, &ask(1, 0));
     assert!(matches!(
         stands,
-        Reserved::Refused {
+        ReserveOutcome::Refused {
             reason: Refusal::CallerGone,
             ..
         }
     ));
-    assert_eq!(start(&state, 1), Started::Cancelled);
+    assert_eq!(start(&state, 1), StartOutcome::Cancelled);
     assert_eq!(state.load().running, 0);
 }
 
@@ -190,12 +193,12 @@
 async fn cancel_many_unknown() {
     let (state, clock) = sidecar();
     for ticket in 0..70_000 {
-        state.cancel(Ticket(ticket));
+        state.cancel(RequestId(ticket));
     }
     assert_eq!(state.sizes().1, 65_536);
-    assert_eq!(start(&state, 69_999), Started::Cancelled);
+    assert_eq!(start(&state, 69_999), StartOutcome::Cancelled);
     // The oldest is forgotten; without a hold it cannot start all the same.
-    assert_eq!(start(&state, 0), Started::Lapsed);
+    assert_eq!(start(&state, 0), StartOutcome::ReservationExpired);
 
     clock.advance(Duration::from_secs(60));
     state.sweep();
@@ -210,19 +213,19 @@
     let (state, clock) = sidecar();
     let first = running(&state, &ask(1, 0));
     reserve(&state, &ask(2, 0));
-    let shed = Reserved::Refused {
+    let shed = ReserveOutcome::Refused {
         reason: Refusal::Shed,
         retry_after_ms: 1000,
     };
     assert_eq!(reserve(&state, &ask(3, 1)), shed);
     state.finish(&first, whole(0));
-    assert_eq!(start(&state, 2), Started::Running);
+    assert_eq!(start(&state, 2), StartOutcome::Running);
 
     assert_eq!(reserve(&state, &ask(3, 1)), shed);
     clock.advance(Duration::from_secs(1));
     assert!(matches!(
         reserve(&state, &ask(3, 1)),
-        Reserved::Waiting { .. }
+        ReserveOutcome::Waiting { .. }
     ));
 }
 
@@ -239,12 +242,12 @@
     let stands = state.stands(&entry.expect("it waits"), 10);
     assert!(matches!(
         stands,
-        Reserved::Refused {
+        ReserveOutcome::Refused {
             reason: Refusal::Shed,
             ..
         }
     ));
-    assert_eq!(start(&state, 2), Started::Lapsed);
+    assert_eq!(start(&state, 2), StartOutcome::ReservationExpired);
 }
 
 // A start comes that was meant for the sidecar's life before. What that life
@@ -254,7 +257,7 @@
     let (state, _clock) = sidecar();
     reserve(&state, &ask(1, 0));
     let other = Incarnation(state.incarnation.0 ^ 1);
-    assert_eq!(start_in(&state, 1, other), Started::OtherIncarnation);
+    assert_eq!(start_in(&state, 1, other), StartOutcome::StaleIncarnation);
     assert_eq!(state.load().running, 1, "still held");
 }
 
@@ -300,12 +303,12 @@
     for _ in 0..8 {
         state.push(&entry, piece(8 << 10));
     }
-    assert!(!entry.stop.asked());
+    assert!(!entry.stop.is_triggered());
     state.push(&entry, piece(8 << 10));
-    assert!(entry.stop.asked());
+    assert!(entry.stop.is_triggered());
     assert_eq!(
         state.stopped(&entry),
-        broken(Refusal::BrokenOff, Ran::Partial)
+        broken(Refusal::Truncated, Executed::Partial)
     );
 }
 
@@ -322,7 +325,9 @@
             pulled(&state, &entry, 0);
         }
     }
-    let kept: Vec<_> = (1..=3).map(|t| state.find(Ticket(t)).is_some()).collect();
+    let kept: Vec<_> = (1..=3)
+        .map(|t| state.find(RequestId(t)).is_some())
+        .collect();
     assert_eq!(kept, [true, false, true]);
     assert_eq!(state.sizes().2, 60 << 10);
 }
@@ -339,7 +344,7 @@
     state.push(&second, piece(60 << 10));
     state.finish(&second, whole(1));
 
-    assert_eq!(state.pull(&first, 1), Pulled::Unknown);
+    assert_eq!(state.pull(&first, 1), PullOutcome::Unknown);
     assert_eq!(state.sizes(), (1, 0, 60 << 10));
 }
 
@@ -372,18 +377,18 @@
     state.push(&lower, piece(10));
     clock.advance(Duration::from_millis(29));
     state.sweep();
-    assert!(!lower.stop.asked());
+    assert!(!lower.stop.is_triggered());
     clock.advance(Duration::from_millis(1));
     state.sweep();
-    assert!(lower.stop.asked());
+    assert!(lower.stop.is_triggered());
 
     assert_eq!(pulled(&state, &lower, 0), (0, 0, false));
     state.push(&lower, piece(10));
     let end = state.stopped(&lower);
-    assert_eq!(end, broken(Refusal::Preempted, Ran::Partial));
+    assert_eq!(end, broken(Refusal::Preempted, Executed::Partial));
     state.finish(&lower, end);
     assert_eq!(pulled(&state, &lower, 0), (0, 0, true));
-    assert_eq!(start(&state, 2), Started::Running);
+    assert_eq!(start(&state, 2), StartOutcome::Running);
 }
 
 // The sidecar is to stop. It waits for the run and then for its entry to have
@@ -414,9 +419,9 @@
     reserve(&state, &ask(1, 0));
     for step in steps {
         match *step {
-            "cancel" => drop(state.cancel(Ticket(1))),
+            "cancel" => drop(state.cancel(RequestId(1))),
             "start" => drop(start(&state, 1)),
-            "finish" => state.finish(&state.find(Ticket(1)).expect("it runs"), whole(0)),
+            "finish" => state.finish(&state.find(RequestId(1)).expect("it runs"), whole(0)),
             _ => {
                 clock.advance(HOLD);
                 state.sweep();
@@ -426,6 +431,6 @@
     assert_eq!(state.load().running, 0);
     assert!(matches!(
         reserve(&state, &ask(2, 0)),
-        Reserved::Ready { .. }
+        ReserveOutcome::Ready { .. }
     ));
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -20,8 +20,8 @@
 use std::time::Duration;
 
 use actix_web::{App, HttpRequest, HttpResponse, web};
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use bytes::Bytes;
 use clients::engine::{PRIORITY, REQUEST_ID};
 use serde::{Deserialize, Serialize};
@@ -50,10 +50,10 @@
     pub slots: usize,
     /// Time of one step with one request.
     #[serde(default = "default_step")]
-    pub step: Span,
+    pub step: HumanDuration,
     /// Time that each further request adds to a step.
     #[serde(default = "default_extra")]
-    pub extra: Span,
+    pub extra: HumanDuration,
     /// Prompt tokens computed in one step, over the whole batch.
     #[serde(default = "default_prefill")]
     pub prefill: u32,
@@ -62,7 +62,7 @@
     pub cache: u32,
     /// How long an ended stream can still be resumed.
     #[serde(default = "default_keep")]
-    pub keep: Span,
+    pub keep: HumanDuration,
     /// Faults from the start on; changed by `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
@@ -73,9 +73,9 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// How old a load report is when it is given out.
-    pub report_lag: Span,
+    pub report_lag: HumanDuration,
     /// How old a cache event is when it is given out.
-    pub event_lag: Span,
+    pub event_lag: HumanDuration,
     /// Share of cache events that are never given out.
     pub event_gap: f64,
     /// By how much each step takes longer; 4 makes it four times slower.
@@ -91,8 +91,8 @@
 impl Default for Faults {
     fn default() -> Self {
         Self {
-            report_lag: Span::default(),
-            event_lag: Span::default(),
+            report_lag: HumanDuration::default(),
+            event_lag: HumanDuration::default(),
             event_gap: 0.0,
             pace: 1.0,
             crashed: false,
@@ -105,12 +105,12 @@
     8
 }
 
-fn default_step() -> Span {
-    Span::ms(3)
+fn default_step() -> HumanDuration {
+    HumanDuration::ms(3)
 }
 
-fn default_extra() -> Span {
-    Span(Duration::from_micros(50))
+fn default_extra() -> HumanDuration {
+    HumanDuration(Duration::from_micros(50))
 }
 
 fn default_prefill() -> u32 {
@@ -121,8 +121,8 @@
     200_000
 }
 
-fn default_keep() -> Span {
-    Span::secs(5)
+fn default_keep() -> HumanDuration {
+    HumanDuration::secs(5)
 }
 
 /// Runs an engine until `stop` is asked.
@@ -130,7 +130,7 @@
 /// # Errors
 ///
 /// Returns the error when the engine cannot listen.
-pub async fn run(settings: Settings, ledger: Ledger, stop: Stop) -> io::Result<()> {
+pub async fn run(settings: Settings, ledger: Ledger, stop: StopSignal) -> io::Result<()> {
     let faults = Control::new(settings.faults.clone());
     run_with(settings, faults, ledger, stop).await
 }
@@ -144,7 +144,7 @@
     settings: Settings,
     faults: Control<Faults>,
     ledger: Ledger,
-    stop: Stop,
+    stop: StopSignal,
 ) -> io::Result<()> {
     loop {
         let lived = live(&settings, &faults, &ledger, &stop);
@@ -176,7 +176,7 @@
     settings: &Settings,
     faults: &Control<Faults>,
     ledger: &Ledger,
-    stop: &Stop,
+    stop: &StopSignal,
 ) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     let batch = Batch::new(settings.clone(), faults.clone(), ledger.clone());
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use clients::engine::{CacheEvents, LoadReport};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -88,9 +88,9 @@
 }
 
 /// Steps the batch for as long as there is work.
-pub async fn step(batch: Rc<Batch>, stop: Stop) {
+pub async fn step(batch: Rc<Batch>, stop: StopSignal) {
     let mut due = tokio::time::Instant::now();
-    while !stop.asked() || !batch.idle() {
+    while !stop.is_triggered() || !batch.idle() {
         batch.fill();
         if batch.idle() {
             tokio::select! {
@@ -117,8 +117,8 @@
 }
 
 /// Notes the load again and again, for reports that lag.
-pub async fn observe(batch: Rc<Batch>, stop: Stop) {
-    while !stop.asked() {
+pub async fn observe(batch: Rc<Batch>, stop: StopSignal) {
+    while !stop.is_triggered() {
         batch.note_load();
         tokio::time::sleep(OBSERVE).await;
     }
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -7,8 +7,8 @@
 
 use actix_web::http::header::{ETAG, IF_NONE_MATCH};
 use actix_web::{App, HttpRequest, HttpResponse, web};
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use clients::hosts::{Host, List, Standing};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -34,7 +34,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// How far the list is behind.
-    pub lag: Span,
+    pub lag: HumanDuration,
     /// Whether changes stop showing; what was last served stays.
     pub frozen: bool,
     /// Whether the list has no hosts in it.
@@ -128,7 +128,7 @@
 /// # Errors
 ///
 /// Returns the error when the list cannot be served.
-pub async fn run(settings: Settings, registry: Registry, stop: Stop) -> io::Result<()> {
+pub async fn run(settings: Settings, registry: Registry, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     registry.control.change(|faults| *faults = settings.faults);
     let app = App::new()
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -13,8 +13,8 @@
 use actix_web::http::StatusCode;
 use actix_web::{App, HttpRequest, HttpResponse, web};
 use base::ids::Offset;
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use clients::log::{Append, Entry, Page, Place};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -46,13 +46,13 @@
     /// Every call fails, without effect.
     pub down: bool,
     /// Every call takes this much longer.
-    pub slow: Span,
+    pub slow: HumanDuration,
     /// So many of the next appends take effect and lose their reply.
     pub lose: u32,
     /// How long a lost reply holds its caller before it fails.
-    pub hold: Span,
+    pub hold: HumanDuration,
     /// How long records are kept; for ever when zero.
-    pub retention: Span,
+    pub retention: HumanDuration,
     /// Appends allowed each second; no limit when zero.
     pub rate: u32,
 }
@@ -95,7 +95,7 @@
 /// # Errors
 ///
 /// Returns the error when the log cannot listen.
-pub async fn run(settings: Settings, control: Control<Faults>, stop: Stop) -> io::Result<()> {
+pub async fn run(settings: Settings, control: Control<Faults>, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     serve(listener, control, stop).await
 }
@@ -105,7 +105,11 @@
 /// # Errors
 ///
 /// Returns the error when the log cannot be set up.
-pub async fn serve(listener: TcpListener, control: Control<Faults>, stop: Stop) -> io::Result<()> {
+pub async fn serve(
+    listener: TcpListener,
+    control: Control<Faults>,
+    stop: StopSignal,
+) -> io::Result<()> {
     let log = Rc::new(Log {
         streams: RefCell::default(),
         control,
--- a/crates/standin/src/orders.rs
+++ b/crates/standin/src/orders.rs
@@ -7,8 +7,8 @@
 
 use actix_web::{App, HttpRequest, HttpResponse, web};
 use base::ids::Offset;
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use clients::orders::{FENCE, Order, Standing};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -24,7 +24,7 @@
     pub checks_fencing: bool,
     /// How long one load takes.
     #[serde(default)]
-    pub load: Span,
+    pub load: HumanDuration,
 }
 
 /// What an engine was ordered; clones share it.
@@ -108,7 +108,7 @@
 /// # Errors
 ///
 /// Returns the error when the stand-in cannot listen.
-pub async fn run(settings: Settings, record: Record, stop: Stop) -> io::Result<()> {
+pub async fn run(settings: Settings, record: Record, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     let app = App::new()
         .app_data((settings, record))
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use actix_web::{App, HttpRequest, HttpResponse, web};
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -27,7 +27,7 @@
     pub listen: SocketAddr,
     /// How long one call takes.
     #[serde(default = "default_work")]
-    pub work: Span,
+    pub work: HumanDuration,
     /// Faults from the start on; changed by `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
@@ -38,15 +38,15 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// Time that each call takes beyond its work.
-    pub delay: Span,
+    pub delay: HumanDuration,
     /// Whether it is down: connections are dropped and refused.
     pub crashed: bool,
     /// Whether calls take effect while their answers never come.
     pub silent: bool,
 }
 
-fn default_work() -> Span {
-    Span::ms(5)
+fn default_work() -> HumanDuration {
+    HumanDuration::ms(5)
 }
 
 /// What the stand-in reads of a call.
@@ -67,7 +67,7 @@
 /// # Errors
 ///
 /// Returns the error when the service cannot listen.
-pub async fn run(settings: Settings, ledger: Ledger, stop: Stop) -> io::Result<()> {
+pub async fn run(settings: Settings, ledger: Ledger, stop: StopSignal) -> io::Result<()> {
     let faults = Control::new(settings.faults.clone());
     run_with(settings, faults, ledger, stop).await
 }
@@ -82,7 +82,7 @@
     settings: Settings,
     faults: Control<Faults>,
     ledger: Ledger,
-    stop: Stop,
+    stop: StopSignal,
 ) -> io::Result<()> {
     loop {
         let listener = TcpListener::bind(settings.listen).await?;
--- a/crates/standin/src/silence.rs
+++ b/crates/standin/src/silence.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -48,7 +48,7 @@
     listen: SocketAddr,
     target: SocketAddr,
     faults: Control<Faults>,
-    stop: Stop,
+    stop: StopSignal,
 ) -> io::Result<()> {
     let listener = TcpListener::bind(listen).await?;
     loop {
@@ -62,7 +62,7 @@
     }
 }
 
-async fn forward(near: TcpStream, target: SocketAddr, faults: Control<Faults>, stop: Stop) {
+async fn forward(near: TcpStream, target: SocketAddr, faults: Control<Faults>, stop: StopSignal) {
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -7,8 +7,8 @@
 
 use actix_web::http::header::RETRY_AFTER;
 use actix_web::{App, HttpRequest, HttpResponse, web};
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
@@ -21,7 +21,7 @@
     /// Where it listens.
     pub listen: SocketAddr,
     /// Time between two permits.
-    pub every: Span,
+    pub every: HumanDuration,
     /// What is wrong from the start.
     #[serde(default)]
     pub faults: Faults,
@@ -32,7 +32,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// How long each answer takes.
-    pub slow: Span,
+    pub slow: HumanDuration,
     /// Whether every call fails.
     pub outage: bool,
 }
@@ -59,7 +59,7 @@
 /// # Errors
 ///
 /// Returns the error when the store cannot listen.
-pub async fn run(settings: Settings, store: Store, stop: Stop) -> io::Result<()> {
+pub async fn run(settings: Settings, store: Store, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     store.control.change(|faults| *faults = settings.faults);
     let app = App::new()
--- a/crates/standin/tests/faults.rs
+++ b/crates/standin/tests/faults.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use base::settings;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use standin::{Control, Ledger, engine, silence};
 
 /// Longest wait for what must come, and the wait for what must not.
@@ -61,7 +61,7 @@
 /// and after the engine has come back a new one works again.
 #[test]
 fn engine_crash_drops_and_refuses() {
-    let (listen, stop) = (addr(), Stop::new());
+    let (listen, stop) = (addr(), StopSignal::new());
     let settings: engine::Settings =
         settings::parse("engine", &format!(r#"{{ "listen": "{listen}" }}"#)).expect("sound");
     let faults = Control::new(engine::Faults::default());
@@ -80,7 +80,7 @@
 
     faults.change(|f| f.crashed = false);
     assert!(ask(&mut connect(listen)).expect("an answer") > 0);
-    stop.ask();
+    stop.trigger();
     running.join().expect("no panic");
 }
 
@@ -88,7 +88,7 @@
 /// one to the same address works.
 #[test]
 fn silence_mutes_open_connections_only() {
-    let (listen, stop) = (addr(), Stop::new());
+    let (listen, stop) = (addr(), StopSignal::new());
     let echo = TcpListener::bind(addr()).expect("a free address");
     let target = echo.local_addr().expect("an address");
     thread::spawn(move || {
@@ -126,6 +126,6 @@
     let mut new = connect(listen);
     new.write_all(b"new").expect("open");
     assert_eq!(new.read(&mut buffer).expect("an echo"), 3);
-    stop.ask();
+    stop.trigger();
     running.join().expect("no panic");
 }
--- a/crates/standin/tests/hosts.rs
+++ b/crates/standin/tests/hosts.rs
@@ -3,8 +3,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-use base::settings::Span;
-use base::stop::Stop;
+use base::settings::HumanDuration;
+use base::stop::StopSignal;
 use clients::hosts::{Error, Host, Hosts, Role, Standing};
 use rstest::rstest;
 use standin::hosts::{Faults, Registry, Settings, run};
@@ -38,7 +38,7 @@
         faults: Faults::default(),
     };
     let hosts = Hosts::new(settings.listen, "dakar");
-    actix_rt::spawn(run(settings, registry.clone(), Stop::new()));
+    actix_rt::spawn(run(settings, registry.clone(), StopSignal::new()));
     while hosts.read().await.is_err() {
         tokio::task::yield_now().await;
     }
@@ -68,7 +68,7 @@
 }
 
 #[rstest]
-#[case::lag(Faults { lag: Span::secs(30), ..Faults::default() }, None)]
+#[case::lag(Faults { lag: HumanDuration::secs(30), ..Faults::default() }, None)]
 #[case::frozen(Faults { frozen: true, ..Faults::default() }, None)]
 #[case::empty(Faults { empty: true, ..Faults::default() }, Some(vec![]))]
 #[actix_rt::test]
--- a/crates/wire/src/duties.rs
+++ b/crates/wire/src/duties.rs
@@ -12,24 +12,27 @@
 const VERSION: u8 = 1;
 
 /// Largest datagram, in bytes; it must fit one packet.
-pub const LARGEST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// One datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// What an entry has counted.
-    Counts(Counts),
+    Counts(UsageCounts),
     /// That the sender holds the duty.
-    Held(Held),
+    #[serde(rename = "Held")]
+    Holder(HolderNotice),
 }
 
 /// What one life has counted in one window so far.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct UsageCounts {
     /// Who counted.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// All windows before this one are closed there.
-    pub closed: u64,
+    #[serde(rename = "closed")]
+    pub closed_before: u64,
     /// The window that was counted.
     pub window: u64,
     /// All its counts together, also those in other datagrams.
@@ -40,13 +43,16 @@
 
 /// The holder of a duty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HolderNotice {
     /// Its fencing token.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub fencing_token: u64,
     /// Where the duty's log ends after its last record.
-    pub end: u64,
+    #[serde(rename = "end")]
+    pub log_end: u64,
     /// The first window whose counts are still wanted.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_window: u64,
     /// Whether it has just given the duty up.
     pub released: bool,
 }
@@ -73,10 +79,10 @@
 pub fn encode(message: &Message) -> Vec<Vec<u8>> {
     let bytes = postcard::to_allocvec(&(VERSION, message)).unwrap_or_default();
     match message {
-        Message::Counts(all) if bytes.len() > LARGEST && all.counts.len() > 1 => {
+        Message::Counts(all) if bytes.len() > MAX_DATAGRAM_BYTES && all.counts.len() > 1 => {
             let (first, second) = all.counts.split_at(all.counts.len() / 2);
             let half = |counts: &[(String, u64)]| {
-                encode(&Message::Counts(Counts {
+                encode(&Message::Counts(UsageCounts {
                     counts: counts.to_vec(),
                     ..all.clone()
                 }))
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -12,26 +12,30 @@
 const VERSION: u8 = 6;
 
 /// Largest datagram, in bytes; it must fit one packet.
-pub const LARGEST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// What one entry tells another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// What the sender has in progress, or several entries have.
-    Saying(Saying),
+    #[serde(rename = "Saying")]
+    Load(EntryLoad),
     /// What the sender knows of other entries.
-    Answer(Answer),
+    #[serde(rename = "Answer")]
+    Membership(Membership),
 }
 
 /// Calls of one entry, or of several.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Saying {
+pub struct EntryLoad {
     /// The life of the entry.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Grows with each datagram of that life.
     pub seq: u32,
     /// How often the entry speaks, in milliseconds.
-    pub every_ms: u32,
+    #[serde(rename = "every_ms")]
+    pub interval_ms: u32,
     /// Its host's time of day, in milliseconds from the Unix epoch.
     pub wall_ms: u64,
     /// The availability zone that it stands in, by number.
@@ -40,36 +44,39 @@
     pub link_mbps: u32,
     /// How long its copies of the store's tables have not been known to be
     /// complete, in milliseconds; none while it has none.
-    pub age_ms: Option<u32>,
+    #[serde(rename = "age_ms")]
+    pub staleness_ms: Option<u32>,
     /// What it wants to be answered.
-    pub asks: Asks,
+    #[serde(rename = "asks")]
+    pub wanted_reply: WantedReply,
     /// Whose calls these are.
-    pub scope: Scope,
+    pub scope: LoadScope,
     /// How many entries these are.
     pub entries: u32,
     /// What there is for each service.
-    pub services: Vec<Service>,
+    pub services: Vec<ServiceLoad>,
     /// Servers by short number, with the open calls at each and those of them
     /// that wait for their first event.
     pub calls: Vec<(u16, u16, u16)>,
     /// Crashes of servers under calls that the store has not taken yet.
-    pub crashes: Vec<Crash>,
+    pub crashes: Vec<CrashReport>,
 }
 
 /// What an entry wants to be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Asks {
+pub enum WantedReply {
     /// Nothing.
     Nothing,
     /// Which entries there are.
     Entries,
     /// That, and what all of them have in progress.
-    Sums,
+    #[serde(rename = "Sums")]
+    Totals,
 }
 
 /// Whose calls a saying tells of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Scope {
+pub enum LoadScope {
     /// The sender's.
     Own,
     /// Those of its availability zone.
@@ -80,23 +87,28 @@
 
 /// What an entry knows of others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct Membership {
     /// How many entries it knows of, with itself and the one that asks.
-    pub all: u32,
+    #[serde(rename = "all")]
+    pub entry_count: u32,
     /// Those of them in the zone of the one that asks.
-    pub near: u32,
+    #[serde(rename = "near")]
+    pub zone_count: u32,
     /// Those that stand before the one that asks, in the order by zone and
     /// address.
-    pub place: u32,
+    #[serde(rename = "place")]
+    pub position: u32,
     /// Some of them, or all.
-    pub seats: Vec<Seat>,
+    #[serde(rename = "seats")]
+    pub members: Vec<Member>,
     /// What all of them have in progress.
-    pub sums: Option<Saying>,
+    #[serde(rename = "sums")]
+    pub totals: Option<EntryLoad>,
 }
 
 /// An entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
+pub struct Member {
     /// Where it hears others.
     pub addr: SocketAddr,
     /// The availability zone that it stands in, by number.
@@ -104,37 +116,45 @@
     /// What its link carries, in million bits a second.
     pub link_mbps: u32,
     /// How much longer it counts as there, in milliseconds.
-    pub left_ms: u32,
+    #[serde(rename = "left_ms")]
+    pub ttl_ms: u32,
     /// How long its copies of the store's tables have not been known to be
     /// complete, in milliseconds; none while it has none.
-    pub age_ms: Option<u32>,
+    #[serde(rename = "age_ms")]
+    pub staleness_ms: Option<u32>,
 }
 
 /// A server that has crashed under a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Crash {
+pub struct CrashReport {
     /// The call's fingerprint.
     pub fingerprint: [u8; 16],
     /// The server's life, by number.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// How long ago it was seen, in milliseconds.
     pub age_ms: u32,
 }
 
 /// Calls of one entry, or of several, for one service.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Service {
+pub struct ServiceLoad {
     /// The service, by number.
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub service_number: u32,
     /// Prompt tokens a second of calls that read.
-    pub reading: f32,
+    #[serde(rename = "reading")]
+    pub prefill_rate: f32,
     /// Calls in progress that write.
-    pub writing: f32,
+    #[serde(rename = "writing")]
+    pub decoding_calls: f32,
     /// Seconds that an engine takes to read a token, on the mean of those who
     /// know.
-    pub pace: f32,
+    #[serde(rename = "pace")]
+    pub prefill_pace: f32,
     /// How many entries know it.
-    pub paced: u32,
+    #[serde(rename = "paced")]
+    pub pace_sources: u32,
     /// The pause that streams meet beside reading, in seconds.
     pub pause: f32,
 }
@@ -163,7 +183,7 @@
 pub fn encode(mut message: Message) -> Vec<u8> {
     loop {
         let bytes = postcard::to_allocvec(&(VERSION, &message)).unwrap_or_default();
-        if bytes.len() <= LARGEST || !shorten(&mut message) {
+        if bytes.len() <= MAX_DATAGRAM_BYTES || !shorten(&mut message) {
             return bytes;
         }
     }
@@ -172,13 +192,13 @@
 /// Leaves something out; returns whether there was anything.
 fn shorten(message: &mut Message) -> bool {
     let calls = match message {
-        Message::Saying(saying) => &mut saying.calls,
-        Message::Answer(answer) => match &mut answer.sums {
+        Message::Load(saying) => &mut saying.calls,
+        Message::Membership(answer) => match &mut answer.totals {
             Some(sums) if !sums.calls.is_empty() => &mut sums.calls,
             _ => {
-                let kept = answer.seats.len() * 3 / 4;
-                let some = !answer.seats.is_empty();
-                answer.seats.truncate(kept);
+                let kept = answer.members.len() * 3 / 4;
+                let some = !answer.members.is_empty();
+                answer.members.truncate(kept);
                 return some;
             }
         },
--- a/crates/wire/src/grants.rs
+++ b/crates/wire/src/grants.rs
@@ -11,40 +11,49 @@
 const VERSION: u8 = 3;
 
 /// Largest datagram, in bytes; it must fit one packet.
-pub const LARGEST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// Most prompt parts that are told; a prompt has about three.
-pub const PARTS: usize = 64;
+pub const MAX_PROMPT_PARTS: usize = 64;
 
 /// What an entry says about one of its calls.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct GrantRequest {
     /// The life of the entry.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The call's number in that life.
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub call_number: u32,
     /// What it says.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: RequestKind,
 }
 
 /// What an entry may say or ask.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum RequestKind {
     /// It wants to be sent.
-    Want(Want),
+    #[serde(rename = "Want")]
+    Admission(AdmissionRequest),
     /// It asks nothing but how much of its prompt the engine holds.
-    Look(Look),
+    #[serde(rename = "Look")]
+    Lookup(PrefixLookup),
     /// It was let in, and fetches what another engine holds of the first so
     /// many tokens of its prompt.
-    Fetches(u32),
+    #[serde(rename = "Fetches")]
+    Fetching(u32),
     /// It has its first event.
-    Begun,
+    #[serde(rename = "Begun")]
+    FirstEvent,
     /// The engine has refused it as meant for another life.
-    Gone {
+    #[serde(rename = "Gone")]
+    ServerGone {
         /// The life that was meant.
         server: String,
         /// Unix millisecond at which that life began, if it says.
-        born: Option<u64>,
+        #[serde(rename = "born")]
+        started_ms: Option<u64>,
     },
     /// It has ended, or will not be sent.
     Ended {
@@ -52,61 +61,76 @@
         pause_ms: u32,
     },
     /// Nothing about a call: the sender asks how busy the engine is.
-    Busy,
+    #[serde(rename = "Busy")]
+    Utilization,
 }
 
 /// A call that wants to be sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct AdmissionRequest {
     /// The caller's identity of the call, for logs.
-    pub name: String,
+    #[serde(rename = "name")]
+    pub request_id: String,
     /// The server that is meant.
     pub server: String,
     /// Unix millisecond at which its life began, if it says.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_ms: Option<u64>,
     /// The prompt's parts with their tokens.
-    pub parts: Vec<(u64, u32)>,
+    #[serde(rename = "parts")]
+    pub prompt_parts: Vec<(u64, u32)>,
     /// How long the first event may take, in milliseconds.
-    pub allowed_ms: u32,
+    #[serde(rename = "allowed_ms")]
+    pub first_event_ms: u32,
     /// How long the caller waits, in milliseconds.
-    pub left_ms: u32,
+    #[serde(rename = "left_ms")]
+    pub timeout_ms: u32,
     /// The longest pause that the stream bears, in milliseconds, if its time
     /// goes into writing.
-    pub gap_ms: Option<u32>,
+    #[serde(rename = "gap_ms")]
+    pub max_gap_ms: Option<u32>,
     /// Calls that the engine runs at once.
     pub slots: u32,
     /// Its rank inside the engine; 0 is the most urgent.
-    pub rank: u8,
+    #[serde(rename = "rank")]
+    pub priority: u8,
     /// Whether the engine is the home of the prompt's shared parts.
-    pub home: bool,
+    #[serde(rename = "home")]
+    pub is_home: bool,
     /// Whether the call must be let in.
-    pub must: bool,
+    #[serde(rename = "must")]
+    pub forced: bool,
     /// Tokens from the prompt's start that another engine is known to hold.
-    pub source: u32,
+    #[serde(rename = "source")]
+    pub remote_tokens: u32,
     /// Nanoseconds for copying a token between engines, as declared.
     pub copy_ns: Option<u32>,
 }
 
 /// A question about a prompt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Look {
+pub struct PrefixLookup {
     /// The server that is meant.
     pub server: String,
     /// The prompt's parts with their tokens.
-    pub parts: Vec<(u64, u32)>,
+    #[serde(rename = "parts")]
+    pub prompt_parts: Vec<(u64, u32)>,
 }
 
 /// What a sidecar answers about a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct GrantResponse {
     /// The call's number.
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub call_number: u32,
     /// What is decided.
     pub verdict: Verdict,
     /// Tokens from the prompt's start that the engine holds.
-    pub held: u32,
+    #[serde(rename = "held")]
+    pub cached_tokens: u32,
     /// Whether the engine should rather fetch a prompt than read it.
-    pub fetch: bool,
+    #[serde(rename = "fetch")]
+    pub prefer_fetch: bool,
 }
 
 /// What is decided about a call.
@@ -120,11 +144,14 @@
     /// Its first event would take so many milliseconds.
     Refused(u32),
     /// The engine's life that is meant has ended.
-    Gone,
+    #[serde(rename = "Gone")]
+    ServerGone,
     /// Nothing was to be decided.
-    Told,
+    #[serde(rename = "Told")]
+    Acknowledged,
     /// Calls take so many thousandths of the engine's time, slots or memory.
-    Busy(u32),
+    #[serde(rename = "Busy")]
+    Utilization(u32),
     /// The engine is about to end and takes no new calls.
     Leaving,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod tables;
 
 pub use message::*;
-pub use peer::{Peer, Timing};
+pub use peer::{Peer, Timeouts};
 
 /// The calls that a sidecar answers. Each carries a [`Stamp`], so that
 /// whoever is behind on the bundle finds out before it decides.
@@ -29,24 +29,24 @@
 pub trait Sidecar {
     /// Asks for a slot for a ticket, without the prompt. A long poll, bounded
     /// by `wait_ms`; asking again with the same ticket goes on waiting.
-    async fn reserve(stamp: Stamp, ask: Reserve) -> Reply<Reserved>;
+    async fn reserve(stamp: CallHeader, ask: ReserveRequest) -> Reply<ReserveOutcome>;
 
     /// Starts a ticket that holds a slot in this incarnation.
-    async fn start(stamp: Stamp, order: Start) -> Reply<Started>;
+    async fn start(stamp: CallHeader, order: StartRequest) -> Reply<StartOutcome>;
 
     /// Asks for the answer's pieces from a number on. A bounded long poll;
     /// asking from N acknowledges all pieces before N.
-    async fn pull(stamp: Stamp, ask: Pull) -> Reply<Pulled>;
+    async fn pull(stamp: CallHeader, ask: PullRequest) -> Reply<PullOutcome>;
 
     /// Ends a ticket, whatever its state, and tells whether it ever started.
-    async fn cancel(stamp: Stamp, ticket: base::ids::Ticket) -> Reply<Cancelled>;
+    async fn cancel(stamp: CallHeader, ticket: base::ids::RequestId) -> Reply<CancelOutcome>;
 
     /// Fetches what leads from the bundle in the stamp to the newest one that
     /// the other side holds; the `follow` package reads it. `None` when there
     /// is nothing newer.
-    async fn fetch_bundle(stamp: Stamp) -> Reply<Option<bytes::Bytes>>;
+    async fn fetch_bundle(stamp: CallHeader) -> Reply<Option<bytes::Bytes>>;
 
     /// Hands over what leads to the bundle in the stamp, to a sidecar that
     /// told of an earlier one. Answers whether it was taken.
-    async fn offer_bundle(stamp: Stamp, transfer: bytes::Bytes) -> Reply<bool>;
+    async fn offer_bundle(stamp: CallHeader, transfer: bytes::Bytes) -> Reply<bool>;
 }
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,33 +1,33 @@
 //! What the calls of the inner protocol carry.
 
-use base::ids::{Incarnation, Sequence, Ticket, Tier};
+use base::ids::{BundleSequence, Incarnation, RequestId, Tier};
 use base::reason::Refusal;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
 /// What every call tells about its sender.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct CallHeader {
     /// The bundle that the sender goes by.
-    pub sequence: Sequence,
+    pub sequence: BundleSequence,
 }
 
 /// What every answer tells about its sender, beside the answer itself.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Reply<T> {
     /// The bundle that the sender goes by.
-    pub sequence: Sequence,
+    pub sequence: BundleSequence,
     /// The sender's life; a change means that its state is gone.
     pub incarnation: Incarnation,
     /// The sender's load, so that no message of its own has to carry it.
-    pub load: Load,
+    pub load: ServerLoad,
     /// The answer.
     pub body: T,
 }
 
 /// How busy a backend server is, as its sidecar sees it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
+pub struct ServerLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that the backend server can run at once.
@@ -37,7 +37,8 @@
     /// Recent time between two tokens of one answer, in microseconds.
     pub token_us: u32,
     /// Recent time from a start to the first token, in microseconds.
-    pub first_us: u32,
+    #[serde(rename = "first_us")]
+    pub ttft_us: u32,
     /// Estimated wait of a request that came now, in microseconds; 0 when a
     /// slot is free or nothing was observed yet.
     pub wait_us: u32,
@@ -47,9 +48,9 @@
 
 /// Asks for a slot.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Reserve {
+pub struct ReserveRequest {
     /// The request.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// Its class, by name.
     pub class: String,
     /// Its workspace, by name, for the fair share.
@@ -63,36 +64,41 @@
     /// Time left until the whole answer is due, in microseconds.
     pub whole_left_us: u64,
     /// Size of the prompt, in tokens.
-    pub prompt: u32,
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: u32,
     /// Most tokens that the answer may have.
     pub max_tokens: u32,
     /// Hash of the prompt's prefix, for cache affinity.
-    pub prefix: u64,
+    #[serde(rename = "prefix")]
+    pub prefix_hash: u64,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// How often the request was preempted before; one that was is not
     /// preempted again.
-    pub preempted: u32,
+    #[serde(rename = "preempted")]
+    pub preemptions: u32,
     /// Longest time that the call may be held, in milliseconds.
     pub wait_ms: u32,
 }
 
 /// What became of a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reserved {
+pub enum ReserveOutcome {
     /// A slot is held for the ticket.
     Ready {
         /// How long the slot is held, in milliseconds.
         hold_ms: u32,
         /// Expected time from a start to the first piece, in microseconds;
         /// 0 when nothing was observed yet.
-        first_us: u32,
+        #[serde(rename = "first_us")]
+        ttft_us: u32,
         /// Expected time between two tokens, in microseconds; 0 when nothing
         /// was observed yet.
         token_us: u32,
         /// Tokens of the prompt that the backend server's cache is believed
         /// to hold.
-        cached: u32,
+        #[serde(rename = "cached")]
+        cached_tokens: u32,
     },
     /// The ticket is queued.
     Waiting {
@@ -113,18 +119,18 @@
 
 /// Starts a ticket.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Start {
+pub struct StartRequest {
     /// The request.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// The life of the sidecar that held the slot.
     pub incarnation: Incarnation,
     /// What to run.
-    pub work: Work,
+    pub work: BackendRequest,
 }
 
 /// What a backend server is asked to run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Work {
+pub enum BackendRequest {
     /// A completion by a model engine: the caller's body as JSON bytes.
     Completion {
         /// The body, in the shape of chat completions or completions.
@@ -147,14 +153,16 @@
 
 /// What became of a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Started {
+pub enum StartOutcome {
     /// The ticket runs; also the answer to a repeated start.
     Running,
     /// The slot is no longer held; the ticket did not run.
-    Lapsed,
+    #[serde(rename = "Lapsed")]
+    ReservationExpired,
     /// The start was meant for an earlier life; the ticket did not run here
     /// in this life.
-    OtherIncarnation,
+    #[serde(rename = "OtherIncarnation")]
+    StaleIncarnation,
     /// The ticket was cancelled before; it did not run.
     Cancelled,
     /// The ticket did not run, for the given reason.
@@ -163,9 +171,9 @@
 
 /// Asks for pieces of an answer.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Pull {
+pub struct PullRequest {
     /// The request.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// The number of the first piece wanted.
     pub from: u32,
     /// Longest time that the call may be held, in milliseconds.
@@ -174,15 +182,17 @@
 
 /// Pieces of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Pulled {
+pub enum PullOutcome {
     /// Consecutive pieces, possibly none yet.
-    Pieces {
+    #[serde(rename = "Pieces")]
+    Chunks {
         /// The number of the first piece.
         first: u32,
         /// The pieces.
-        pieces: Vec<Piece>,
+        #[serde(rename = "pieces")]
+        chunks: Vec<Chunk>,
         /// Set when the answer is complete or broken after these pieces.
-        end: Option<End>,
+        end: Option<ResponseEnd>,
     },
     /// The ticket is not known here in this life.
     Unknown,
@@ -190,7 +200,7 @@
 
 /// One piece of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Chunk {
     /// Tokens in the piece.
     pub tokens: u32,
     /// The text, or the bytes of a plain service's answer.
@@ -199,31 +209,36 @@
 
 /// How an answer ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum ResponseEnd {
     /// The answer is whole.
-    Whole {
+    #[serde(rename = "Whole")]
+    Complete {
         /// How many pieces it has in all.
-        count: u32,
+        #[serde(rename = "count")]
+        chunk_count: u32,
         /// HTTP status of a plain service's answer; 200 for an engine's.
         status: u16,
         /// Why the answer ended, in the engine's word, or the content type
         /// of a plain service's answer.
-        finish: String,
+        #[serde(rename = "finish")]
+        finish_reason: String,
         /// Tokens of the prompt that the engine found in its cache.
-        cached: u32,
+        #[serde(rename = "cached")]
+        cached_tokens: u32,
     },
     /// The answer broke off.
-    Broken {
+    #[serde(rename = "Broken")]
+    Interrupted {
         /// Why.
         reason: Refusal,
         /// Whether the backend server may have run the request.
-        ran: base::reason::Ran,
+        ran: base::reason::Executed,
     },
 }
 
 /// What a cancel found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cancelled {
+pub enum CancelOutcome {
     /// The ticket never started and never will in this life.
     NeverStarted,
     /// The ticket had started; it is being stopped.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -15,11 +15,12 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use base::ids::Ticket;
-use base::stop::Stop;
+use base::ids::RequestId;
+use base::stop::StopSignal;
 
 use crate::{
-    Cancelled, Pull, Pulled, Reply, Reserve, Reserved, SidecarClient, Stamp, Start, Started,
+    CallHeader, CancelOutcome, PullOutcome, PullRequest, Reply, ReserveOutcome, ReserveRequest,
+    SidecarClient, StartOutcome, StartRequest,
 };
 
 /// Largest frame of the inner protocol, in bytes.
@@ -42,21 +43,21 @@
 
 /// How long to wait for whom.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Timing {
+pub struct Timeouts {
     /// Time allowed for an answer beyond what the call itself may be held.
     pub margin: Duration,
     /// Time allowed for dialling.
-    pub dial: Duration,
+    pub connect: Duration,
     /// A connection on which nothing came for so long is replaced before it
     /// is used again.
     pub idle: Duration,
 }
 
-impl Default for Timing {
+impl Default for Timeouts {
     fn default() -> Self {
         Self {
             margin: Duration::from_millis(500),
-            dial: Duration::from_millis(500),
+            connect: Duration::from_millis(500),
             idle: Duration::from_secs(15),
         }
     }
@@ -69,7 +70,7 @@
     /// Where the sidecar listens.
     addr: SocketAddr,
     /// How long to wait for it.
-    timing: Timing,
+    timing: Timeouts,
     /// The connection in use, if any.
     link: RefCell<Option<Rc<Link>>>,
     /// Lets one caller dial while the others wait for what it gets.
@@ -89,7 +90,7 @@
     /// Whether any answer ever came.
     proven: Cell<bool>,
     /// Tells the calls in flight that the connection is given up.
-    dead: Stop,
+    dead: StopSignal,
 }
 
 impl std::fmt::Debug for Link {
@@ -149,7 +150,7 @@
 impl Peer {
     /// Makes a peer that is not connected yet.
     #[must_use]
-    pub fn new(addr: SocketAddr, timing: Timing) -> Self {
+    pub fn new(addr: SocketAddr, timing: Timeouts) -> Self {
         Self {
             addr,
             timing,
@@ -171,7 +172,11 @@
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
-    pub async fn reserve(&self, stamp: Stamp, ask: Reserve) -> Result<Reply<Reserved>, Error> {
+    pub async fn reserve(
+        &self,
+        stamp: CallHeader,
+        ask: ReserveRequest,
+    ) -> Result<Reply<ReserveOutcome>, Error> {
         let hold = Duration::from_millis(u64::from(ask.wait_ms));
         self.call("reserve", hold, async |client, ctx| {
             client.reserve(ctx, stamp, ask).await
@@ -184,7 +189,11 @@
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
-    pub async fn start(&self, stamp: Stamp, order: Start) -> Result<Reply<Started>, Error> {
+    pub async fn start(
+        &self,
+        stamp: CallHeader,
+        order: StartRequest,
+    ) -> Result<Reply<StartOutcome>, Error> {
         self.call("start", Duration::ZERO, async |client, ctx| {
             client.start(ctx, stamp, order).await
         })
@@ -196,7 +205,11 @@
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
-    pub async fn pull(&self, stamp: Stamp, ask: Pull) -> Result<Reply<Pulled>, Error> {
+    pub async fn pull(
+        &self,
+        stamp: CallHeader,
+        ask: PullRequest,
+    ) -> Result<Reply<PullOutcome>, Error> {
         let hold = Duration::from_millis(u64::from(ask.wait_ms));
         self.call("pull", hold, async |client, ctx| {
             client.pull(ctx, stamp, ask).await
@@ -209,7 +222,11 @@
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
-    pub async fn cancel(&self, stamp: Stamp, ticket: Ticket) -> Result<Reply<Cancelled>, Error> {
+    pub async fn cancel(
+        &self,
+        stamp: CallHeader,
+        ticket: RequestId,
+    ) -> Result<Reply<CancelOutcome>, Error> {
         self.call("cancel", Duration::ZERO, async |client, ctx| {
             client.cancel(ctx, stamp, ticket).await
         })
@@ -221,7 +238,10 @@
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
-    pub async fn fetch_bundle(&self, stamp: Stamp) -> Result<Reply<Option<bytes::Bytes>>, Error> {
+    pub async fn fetch_bundle(
+        &self,
+        stamp: CallHeader,
+    ) -> Result<Reply<Option<bytes::Bytes>>, Error> {
         self.call("fetch_bundle", Duration::ZERO, async |client, ctx| {
             client.fetch_bundle(ctx, stamp).await
         })
@@ -235,7 +255,7 @@
     /// Returns [`Error`] when no answer came.
     pub async fn offer_bundle(
         &self,
-        stamp: Stamp,
+        stamp: CallHeader,
         transfer: bytes::Bytes,
     ) -> Result<Reply<bool>, Error> {
         self.call("offer_bundle", Duration::ZERO, async |client, ctx| {
@@ -327,7 +347,8 @@
     }
 
     async fn dial(&self) -> io::Result<Link> {
-        let dialled = tokio::time::timeout(self.timing.dial, TcpStream::connect(self.addr)).await;
+        let dialled =
+            tokio::time::timeout(self.timing.connect, TcpStream::connect(self.addr)).await;
         let stream = dialled.map_err(|_| io::ErrorKind::TimedOut)??;
         stream.set_nodelay(true)?;
 
@@ -343,14 +364,14 @@
             client: new.client,
             heard: Cell::new(Instant::now()),
             proven: Cell::new(false),
-            dead: Stop::new(),
+            dead: StopSignal::new(),
         })
     }
 
     /// Stops using a connection and ends all calls in flight on it, which
     /// would each find out by their own bound otherwise.
     fn give_up(&self, link: &Rc<Link>) {
-        link.dead.ask();
+        link.dead.trigger();
         let mut current = self.link.borrow_mut();
         if !current.as_ref().is_some_and(|c| Rc::ptr_eq(c, link)) {
             return;
--- a/crates/wire/src/serve.rs
+++ b/crates/wire/src/serve.rs
@@ -5,7 +5,7 @@
 use tarpc::server::{BaseChannel, Channel, Serve};
 use tokio::net::TcpListener;
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 
 use crate::Sidecar;
 use crate::peer::codec;
@@ -20,7 +20,7 @@
 /// Answers calls on `listener` by `service` until `stop` is asked.
 /// Connections already open go on after that, so that answers in progress
 /// can still be pulled.
-pub async fn serve<S>(listener: TcpListener, service: S, stop: Stop)
+pub async fn serve<S>(listener: TcpListener, service: S, stop: StopSignal)
 where
     S: Sidecar + Clone + 'static,
 {
@@ -28,7 +28,7 @@
 }
 
 /// The same for any set of calls.
-pub(crate) async fn accept<S>(listener: TcpListener, serve: S, stop: Stop)
+pub(crate) async fn accept<S>(listener: TcpListener, serve: S, stop: StopSignal)
 where
     S: Serve + Clone + 'static,
     S::Req: DeserializeOwned + 'static,
