--- a/crates/wire/src/tables.rs
+++ b/crates/wire/src/tables.rs
@@ -14,25 +14,25 @@
 use tarpc::client::RpcError;
 use tokio::net::{TcpListener, TcpStream};
 
-use base::stop::Stop;
+use base::stop::StopSignal;
 
 use crate::peer::codec;
 use crate::serve;
 
 /// How records are written. Entries of another one are not asked again before
 /// they have been passed over for a while, and their neighbours read the store.
-pub const VERSION: u8 = 3;
+pub const FORMAT_VERSION: u8 = 3;
 
 /// The calls that an entry answers its neighbours.
 #[tarpc::service]
-pub trait Tables {
+pub trait TableSync {
     /// Asks what changed in the tables; held for `wait_ms` at most.
-    async fn follow(ask: Follow) -> Followed;
+    async fn fetch_changes(ask: ChangesRequest) -> TableChanges;
 }
 
 /// Up to where the asking entry is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Follow {
+pub struct ChangesRequest {
     /// How it reads records.
     pub version: u8,
     /// Its position in the catalog's table; none for the whole.
@@ -48,13 +48,13 @@
 
 /// What the neighbour holds beyond that.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Followed {
+pub struct TableChanges {
     /// Of the catalog's table; none when the neighbour has no copy.
-    pub catalog: Option<Part>,
+    pub catalog: Option<TableDelta>,
     /// The same of the servers' table.
-    pub servers: Option<Part>,
+    pub servers: Option<TableDelta>,
     /// The same of the servers that have crashed under calls.
-    pub crashes: Option<Part>,
+    pub crashes: Option<TableDelta>,
     /// For how much longer servers may be missing from the table though they
     /// live, as the store has just come back; in milliseconds.
     pub settling_ms: u32,
@@ -62,14 +62,17 @@
 
 /// A part of one table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct TableDelta {
     /// Whether it is the whole table, and what it does not show is gone.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub snapshot: bool,
     /// The position up to which the neighbour is complete.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub position: u64,
     /// For how long the neighbour has not known whether it still is, in
     /// milliseconds.
-    pub age_ms: u32,
+    #[serde(rename = "age_ms")]
+    pub staleness_ms: u32,
     /// Keys with their values, written by [`write`].
     pub records: Bytes,
 }
@@ -105,12 +108,12 @@
 
 /// A connection to one neighbour.
 #[derive(Debug)]
-pub struct Neighbour {
+pub struct NeighbourClient {
     addr: SocketAddr,
-    client: TablesClient,
+    client: TableSyncClient,
 }
 
-impl Neighbour {
+impl NeighbourClient {
     /// Connects to the neighbour at `addr`.
     ///
     /// # Errors
@@ -121,7 +124,7 @@
         let stream = dialled.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         let stream = stream.and_then(|s| s.set_nodelay(true).map(|()| s));
         let stream = stream.context(DialSnafu { peer: addr })?;
-        let new = TablesClient::new(tarpc::client::Config::default(), codec(stream));
+        let new = TableSyncClient::new(tarpc::client::Config::default(), codec(stream));
         actix_rt::spawn(async move {
             // The call in flight reports the failure; there is nothing to add.
             let _ = new.dispatch.await;
@@ -147,28 +150,32 @@
     /// # Errors
     ///
     /// Returns why there is no answer.
-    pub async fn follow(&self, ask: Follow, margin: Duration) -> Result<Followed, Error> {
+    pub async fn fetch_changes(
+        &self,
+        ask: ChangesRequest,
+        margin: Duration,
+    ) -> Result<TableChanges, Error> {
         let peer = self.addr;
         let within = Duration::from_millis(u64::from(ask.wait_ms)) + margin;
         let mut ctx = tarpc::context::current();
         ctx.deadline = std::time::Instant::now() + within;
-        let asked = tokio::time::timeout(within, self.client.follow(ctx, ask)).await;
+        let asked = tokio::time::timeout(within, self.client.fetch_changes(ctx, ask)).await;
         let answer = asked.unwrap_or(Err(RpcError::DeadlineExceeded));
         answer.context(CallSnafu { peer })
     }
 }
 
 /// Answers neighbours on `listener` until `stop` is asked.
-pub async fn answer<S>(listener: TcpListener, service: S, stop: Stop)
+pub async fn serve_tables<S>(listener: TcpListener, service: S, stop: StopSignal)
 where
-    S: Tables + Clone + 'static,
+    S: TableSync + Clone + 'static,
 {
     serve::accept(listener, service.serve(), stop).await;
 }
 
 /// Writes keys with their values.
 #[must_use]
-pub fn write<R: Serialize>(records: &R) -> Bytes {
+pub fn encode_records<R: Serialize>(records: &R) -> Bytes {
     postcard::to_allocvec(records).unwrap_or_default().into()
 }
 
@@ -177,6 +184,9 @@
 /// # Errors
 ///
 /// Returns what is wrong with the bytes.
-pub fn read<'a, R: Deserialize<'a>>(peer: SocketAddr, bytes: &'a [u8]) -> Result<R, Error> {
+pub fn decode_records<'a, R: Deserialize<'a>>(
+    peer: SocketAddr,
+    bytes: &'a [u8],
+) -> Result<R, Error> {
     postcard::from_bytes(bytes).context(RecordsSnafu { peer })
 }
--- a/crates/wire/tests/grants.rs
+++ b/crates/wire/tests/grants.rs
@@ -1,58 +1,61 @@
 //! Datagrams between entries and sidecars.
 
 use rstest::rstest;
-use wire::grants::{Answer, Ask, LARGEST, Look, PARTS, Verdict, Want, What, decode, encode};
+use wire::grants::{
+    AdmissionRequest, GrantRequest, GrantResponse, MAX_DATAGRAM_BYTES, MAX_PROMPT_PARTS,
+    PrefixLookup, RequestKind, Verdict, decode, encode,
+};
 
-fn want() -> Want {
-    Want {
-        name: "9c41d07be2a35f68".to_owned(),
+fn want() -> AdmissionRequest {
+    AdmissionRequest {
+        request_id: "9c41d07be2a35f68".to_owned(),
         server: "i-7f3a91c2".to_owned(),
-        born: Some(1_790_000_000_123),
-        parts: vec![(u64::MAX, u32::MAX); PARTS],
-        allowed_ms: 400,
-        left_ms: 4_000,
-        gap_ms: Some(150),
+        started_ms: Some(1_790_000_000_123),
+        prompt_parts: vec![(u64::MAX, u32::MAX); MAX_PROMPT_PARTS],
+        first_event_ms: 400,
+        timeout_ms: 4_000,
+        max_gap_ms: Some(150),
         slots: 32,
-        rank: 5,
-        home: true,
-        must: false,
-        source: 13_300,
+        priority: 5,
+        is_home: true,
+        forced: false,
+        remote_tokens: 13_300,
         copy_ns: Some(2_383),
     }
 }
 
 #[rstest]
-#[case::want(What::Want(want()))]
-#[case::look(What::Look(Look { server: "i-1".to_owned(), parts: want().parts }))]
-#[case::fetches(What::Fetches(13_300))]
-#[case::begun(What::Begun)]
-#[case::ended(What::Ended { pause_ms: 70 })]
-fn ask_read_as_written(#[case] what: What) {
-    let ask = Ask {
-        life: u64::MAX,
-        number: 7,
-        what,
+#[case::want(RequestKind::Admission(want()))]
+#[case::look(RequestKind::Lookup(PrefixLookup { server: "i-1".to_owned(), prompt_parts: want().prompt_parts }))]
+#[case::fetches(RequestKind::Fetching(13_300))]
+#[case::begun(RequestKind::FirstEvent)]
+#[case::ended(RequestKind::Ended { pause_ms: 70 })]
+fn ask_read_as_written(#[case] kind: RequestKind) {
+    let ask = GrantRequest {
+        incarnation: u64::MAX,
+        call_number: 7,
+        kind,
     };
     let bytes = encode(&ask);
-    assert!(bytes.len() <= LARGEST);
-    assert_eq!(decode::<Ask>(&bytes).expect("understood"), ask);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
+    assert_eq!(decode::<GrantRequest>(&bytes).expect("understood"), ask);
 }
 
 #[rstest]
 #[case::granted(Verdict::Granted)]
 #[case::queued(Verdict::Queued(250))]
 #[case::refused(Verdict::Refused(900))]
-#[case::gone(Verdict::Gone)]
-#[case::told(Verdict::Told)]
+#[case::gone(Verdict::ServerGone)]
+#[case::told(Verdict::Acknowledged)]
 fn answer_read_as_written(#[case] verdict: Verdict) {
-    let answer = Answer {
-        number: 7,
+    let answer = GrantResponse {
+        call_number: 7,
         verdict,
-        held: 13_300,
-        fetch: true,
+        cached_tokens: 13_300,
+        prefer_fetch: true,
     };
     assert_eq!(
-        decode::<Answer>(&encode(&answer)).expect("understood"),
+        decode::<GrantResponse>(&encode(&answer)).expect("understood"),
         answer
     );
 }
@@ -63,5 +66,5 @@
 #[case::version(&[9, 1, 2, 3])]
 #[case::short(&[2, 7])]
 fn odd_bytes_refused(#[case] bytes: &[u8]) {
-    assert!(decode::<Ask>(bytes).is_err());
+    assert!(decode::<GrantRequest>(bytes).is_err());
 }
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use base::ids::{Incarnation, Sequence, Ticket};
-use base::stop::Stop;
+use base::ids::{BundleSequence, Incarnation, RequestId};
+use base::stop::StopSignal;
 use bytes::Bytes;
 use futures_util::future::join_all;
 use rstest::rstest;
@@ -15,12 +15,12 @@
 use tokio::time::Instant;
 use wire::peer::Error;
 use wire::{
-    Cancelled, Load, Peer, Pull, Pulled, Reply, Reserve, Reserved, Sidecar, Stamp, Start, Started,
-    Timing,
+    CallHeader, CancelOutcome, Peer, PullOutcome, PullRequest, Reply, ReserveOutcome,
+    ReserveRequest, ServerLoad, Sidecar, StartOutcome, StartRequest, Timeouts,
 };
 
-const STAMP: Stamp = Stamp {
-    sequence: Sequence(0),
+const STAMP: CallHeader = CallHeader {
+    sequence: BundleSequence(0),
 };
 
 /// Answers pulls once so many are held at the same time, and cancels at once.
@@ -32,39 +32,39 @@
 
 fn reply<T>(body: T) -> Reply<T> {
     Reply {
-        sequence: Sequence(0),
+        sequence: BundleSequence(0),
         incarnation: Incarnation(1),
-        load: Load::default(),
+        load: ServerLoad::default(),
         body,
     }
 }
 
 impl Sidecar for Holding {
-    async fn reserve(self, _: Context, _: Stamp, _: Reserve) -> Reply<Reserved> {
+    async fn reserve(self, _: Context, _: CallHeader, _: ReserveRequest) -> Reply<ReserveOutcome> {
         std::future::pending().await
     }
 
-    async fn start(self, _: Context, _: Stamp, _: Start) -> Reply<Started> {
+    async fn start(self, _: Context, _: CallHeader, _: StartRequest) -> Reply<StartOutcome> {
         std::future::pending().await
     }
 
-    async fn pull(self, _: Context, _: Stamp, _: Pull) -> Reply<Pulled> {
+    async fn pull(self, _: Context, _: CallHeader, _: PullRequest) -> Reply<PullOutcome> {
         self.held.set(self.held.get() + 1);
         while self.held.get() < self.all {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        reply(Pulled::Unknown)
+        reply(PullOutcome::Unknown)
     }
 
-    async fn cancel(self, _: Context, _: Stamp, _: Ticket) -> Reply<Cancelled> {
-        reply(Cancelled::NeverStarted)
+    async fn cancel(self, _: Context, _: CallHeader, _: RequestId) -> Reply<CancelOutcome> {
+        reply(CancelOutcome::NeverStarted)
     }
 
-    async fn offer_bundle(self, _: Context, _: Stamp, _: Bytes) -> Reply<bool> {
+    async fn offer_bundle(self, _: Context, _: CallHeader, _: Bytes) -> Reply<bool> {
         reply(false)
     }
 
-    async fn fetch_bundle(self, _: Context, _: Stamp) -> Reply<Option<Bytes>> {
+    async fn fetch_bundle(self, _: Context, _: CallHeader) -> Reply<Option<Bytes>> {
         reply(None)
     }
 }
@@ -75,16 +75,16 @@
     (listener, addr)
 }
 
-fn timing() -> Timing {
-    Timing {
+fn timing() -> Timeouts {
+    Timeouts {
         margin: Duration::from_millis(300),
-        ..Timing::default()
+        ..Timeouts::default()
     }
 }
 
-fn pull(wait_ms: u32) -> Pull {
-    Pull {
-        ticket: Ticket(1),
+fn pull(wait_ms: u32) -> PullRequest {
+    PullRequest {
+        ticket: RequestId(1),
         from: 0,
         wait_ms,
     }
@@ -101,7 +101,7 @@
         all: POLLS,
         held: Rc::default(),
     };
-    actix_rt::spawn(wire::serve::serve(listener, holding, Stop::new()));
+    actix_rt::spawn(wire::serve::serve(listener, holding, StopSignal::new()));
 
     let peer = Peer::new(addr, timing());
     let polls = (0..POLLS).map(|_| peer.pull(STAMP, pull(20_000)));
@@ -125,7 +125,7 @@
     });
 
     let peer = Peer::new(addr, timing());
-    let calls = (0..100).map(|i| peer.cancel(STAMP, Ticket(i)));
+    let calls = (0..100).map(|i| peer.cancel(STAMP, RequestId(i)));
     let answers = join_all(calls).await;
     assert!(answers.iter().all(Result::is_err));
     assert_eq!(accepted.get(), 1);
@@ -143,13 +143,13 @@
             all: 0,
             held: Rc::default(),
         };
-        wire::serve::serve(listener, holding, Stop::new()).await;
+        wire::serve::serve(listener, holding, StopSignal::new()).await;
     });
 
     let peer = Peer::new(addr, timing());
     // A poll that may be held for minutes ends with the short call.
     let both = futures_util::future::join(
-        peer.cancel(STAMP, Ticket(1)),
+        peer.cancel(STAMP, RequestId(1)),
         peer.pull(STAMP, pull(600_000)),
     );
     let both = tokio::time::timeout(Duration::from_secs(20), both).await;
@@ -158,7 +158,7 @@
     assert!(matches!(long, Err(Error::Silent { .. })));
 
     let again = loop {
-        match peer.cancel(STAMP, Ticket(1)).await {
+        match peer.cancel(STAMP, RequestId(1)).await {
             // Left alone for a moment, since no connection has worked yet.
             Err(Error::Dial { .. }) => tokio::time::sleep(Duration::from_millis(10)).await,
             answer => break answer,
@@ -177,7 +177,7 @@
         held: Rc::default(),
     };
     let held = Rc::clone(&holding.held);
-    actix_rt::spawn(wire::serve::serve(listener, holding, Stop::new()));
+    actix_rt::spawn(wire::serve::serve(listener, holding, StopSignal::new()));
 
     let peer = Peer::new(addr, timing());
     let lost = async {
@@ -190,7 +190,7 @@
         while held.get() < 2 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        peer.cancel(STAMP, Ticket(1)).await
+        peer.cancel(STAMP, RequestId(1)).await
     };
     let kept = peer.pull(STAMP, pull(20_000));
     let (lost, kept, other) = futures_util::join!(lost, kept, other);
@@ -224,7 +224,7 @@
     let until = Instant::now() + Duration::from_millis(500);
     let mut refused_at_once = 0;
     while Instant::now() < until {
-        match peer.cancel(STAMP, Ticket(1)).await {
+        match peer.cancel(STAMP, RequestId(1)).await {
             Err(Error::Dial { source, .. })
                 if source.kind() == std::io::ErrorKind::HostUnreachable =>
             {
@@ -251,7 +251,7 @@
         all: 0,
         held: Rc::default(),
     };
-    actix_rt::spawn(wire::serve::serve(inner, holding, Stop::new()));
+    actix_rt::spawn(wire::serve::serve(inner, holding, StopSignal::new()));
     actix_rt::spawn(async move {
         while let Ok((mut near, _)) = listener.accept().await {
             count.set(count.get() + 1);
@@ -264,13 +264,13 @@
 
     let peer = Peer::new(
         addr,
-        Timing {
+        Timeouts {
             idle: Duration::ZERO,
             ..timing()
         },
     );
     for n in 1..=3 {
-        assert!(peer.cancel(STAMP, Ticket(n)).await.is_ok());
+        assert!(peer.cancel(STAMP, RequestId(n)).await.is_ok());
     }
     assert_eq!(accepted.get(), 3);
 }
