--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -12,14 +12,14 @@
 use std::time::{Duration, Instant};
 
 use base::ids::Incarnation;
-use base::stop::Stop;
+use base::stop::StopSignal;
 use policy::balance::TurnSchedule;
 use policy::peer_load::{EXPIRY_INTERVALS, Intervals};
 use policy::pools::ServiceDemand;
 use policy::roster::{EntryCounts, EntryInfo, RosterEntry, Targets};
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
-use wire::gossip::{self, Answer, Asks, Message, Saying, Scope};
+use wire::gossip::{self, EntryLoad, LoadScope, Membership, Message, WantedReply};
 use words::{calls_at, millis, number, read, service, write};
 
 use crate::crashes;
@@ -51,7 +51,7 @@
     life: u64,
     seq: Cell<u32>,
     /// What all entries have, as it was worked out last.
-    sums: RefCell<Option<(Instant, Saying)>>,
+    sums: RefCell<Option<(Instant, EntryLoad)>>,
 }
 
 impl std::fmt::Debug for Voice {
@@ -76,10 +76,10 @@
     }
 
     /// Tells and hears until `end`.
-    pub async fn run(self: Rc<Self>, end: Stop) {
+    pub async fn run(self: Rc<Self>, end: StopSignal) {
         actix_rt::spawn(Rc::clone(&self).hear());
         let mut far_due = self.state.clock.now();
-        while !end.asked() {
+        while !end.is_triggered() {
             let now = self.state.clock.now();
             self.state.roster.borrow_mut().expire(now);
             let targets = self.state.roster.borrow_mut().targets();
@@ -103,12 +103,12 @@
     /// Asks the entry at `addr` which others there are; it hears by that that
     /// this one is there, which asks again `within` that time.
     pub fn ask(&self, addr: SocketAddr, within: Duration) {
-        let saying = Saying {
-            every_ms: millis(within),
-            asks: Asks::Entries,
+        let saying = EntryLoad {
+            interval_ms: millis(within),
+            wanted_reply: WantedReply::Entries,
             ..self.saying(self.state.clock.now())
         };
-        self.send(&[addr], Message::Saying(saying));
+        self.send(&[addr], Message::Load(saying));
     }
 
     /// Tells all others; returns when to speak again.
@@ -120,12 +120,18 @@
         far_due: &mut Instant,
     ) -> Duration {
         let said = self.saying(now);
-        let bytes = gossip::encode(Message::Saying(said.clone())).len() + FRAME;
+        let bytes = gossip::encode(Message::Load(said.clone())).len() + FRAME;
         let every = Intervals::new(bytes * near.len(), bytes * far.len());
         let tell = |targets: &[SocketAddr], every: Duration| {
-            let every_ms = millis(every);
+            let interval_ms = millis(every);
             let said = said.clone();
-            self.send(targets, Message::Saying(Saying { every_ms, ..said }));
+            self.send(
+                targets,
+                Message::Load(EntryLoad {
+                    interval_ms,
+                    ..said
+                }),
+            );
         };
         tell(near, every.same_zone);
         if now >= *far_due {
@@ -146,17 +152,17 @@
         members: usize,
     ) -> Duration {
         let every = Intervals::to_relays(members).same_zone;
-        let said = Saying {
-            every_ms: millis(every),
-            asks: Asks::Sums,
+        let said = EntryLoad {
+            interval_ms: millis(every),
+            wanted_reply: WantedReply::Totals,
             ..self.saying(now)
         };
         if !far.is_empty() {
             let own = read(&said);
             let sum = self.state.others.borrow().sum_zone(now, &own);
-            self.send(far, Message::Saying(write(&said, sum)));
+            self.send(far, Message::Load(write(&said, sum)));
         }
-        self.send(near, Message::Saying(said));
+        self.send(near, Message::Load(said));
         every
     }
 
@@ -169,23 +175,23 @@
     }
 
     /// What this entry has in progress.
-    fn saying(&self, now: Instant) -> Saying {
+    fn saying(&self, now: Instant) -> EntryLoad {
         let state = &self.state;
         self.seq.set(self.seq.get() + 1);
         let services = state.pools.borrow_mut().local_demand(now);
         let mut calls = state.balance.borrow().own_calls();
         calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
         let service = |(name, told): &(Rc<str>, ServiceDemand)| service(number(name), told);
-        Saying {
-            life: self.life,
+        EntryLoad {
+            incarnation: self.life,
             seq: self.seq.get(),
-            every_ms: 0,
+            interval_ms: 0,
             wall_ms: state.clock.wall_ms(),
             zone: zone_number(&state.settings.zone),
             link_mbps: link_mbps(&state.settings),
-            age_ms: state.tables.age(now).map(millis),
-            asks: Asks::Nothing,
-            scope: Scope::Own,
+            staleness_ms: state.tables.age(now).map(millis),
+            wanted_reply: WantedReply::Nothing,
+            scope: LoadScope::Own,
             entries: 1,
             services: services.iter().map(service).collect(),
             calls: calls.into_iter().map(calls_at).collect(),
@@ -194,7 +200,7 @@
     }
 
     async fn hear(self: Rc<Self>) {
-        let mut buffer = vec![0; gossip::LARGEST];
+        let mut buffer = vec![0; gossip::MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
                 Ok(got) => got,
@@ -209,8 +215,8 @@
                 }
             };
             match gossip::decode(&buffer[..length]) {
-                Ok(Message::Saying(said)) => self.take_saying(from, &said),
-                Ok(Message::Answer(answer)) => self.take_answer(from, &answer),
+                Ok(Message::Load(said)) => self.take_saying(from, &said),
+                Ok(Message::Membership(answer)) => self.take_answer(from, &answer),
                 Err(e) => warn!("gossip not understood", kv: {
                     peer = from.to_string().as_str(), cause = e.to_string().as_str()
                 }),
@@ -218,7 +224,7 @@
         }
     }
 
-    fn take_saying(&self, from: SocketAddr, said: &Saying) {
+    fn take_saying(&self, from: SocketAddr, said: &EntryLoad) {
         let state = &self.state;
         let now = state.clock.now();
         let seat = EntryInfo {
@@ -226,62 +232,62 @@
             zone: said.zone,
             link_mbps: said.link_mbps,
         };
-        let within = Duration::from_millis(u64::from(said.every_ms)) * EXPIRY_INTERVALS;
+        let within = Duration::from_millis(u64::from(said.interval_ms)) * EXPIRY_INTERVALS;
         let silent = match state.roster.borrow().uses_relays() {
             true => SILENT_RELAYED,
             false => SILENT,
         };
         self.note(now, seat, within.max(silent), within, "gossip");
         state.roster.borrow_mut().mark_heard(from);
-        self.note_age(now, from, said.age_ms);
+        self.note_age(now, from, said.staleness_ms);
         if let Some(duties) = &*state.duties.borrow() {
             duties.hear(from, seat.rank(), within, said.wall_ms);
         }
         crashes::hear(state, now, &said.crashes);
         state.others.borrow_mut().observe(now, read(said));
-        match said.asks {
-            Asks::Nothing => {}
-            Asks::Entries => self.answer(now, &seat, None),
-            Asks::Sums => self.answer(now, &seat, Some(self.sums(now))),
+        match said.wanted_reply {
+            WantedReply::Nothing => {}
+            WantedReply::Entries => self.answer(now, &seat, None),
+            WantedReply::Totals => self.answer(now, &seat, Some(self.sums(now))),
         }
     }
 
     /// Tells `asker` what this entry knows of others.
-    fn answer(&self, now: Instant, asker: &EntryInfo, sums: Option<Saying>) {
+    fn answer(&self, now: Instant, asker: &EntryInfo, sums: Option<EntryLoad>) {
         let roster = self.state.roster.borrow();
         let zones = self.state.others.borrow().entries_by_zone();
         let count = roster.count_for(asker, &zones);
         let named = roster.entries_for(now, asker, self.state.tables.age(now));
         drop(roster);
-        let seat = |named: RosterEntry| gossip::Seat {
+        let seat = |named: RosterEntry| gossip::Member {
             addr: named.info.addr,
             zone: named.info.zone,
             link_mbps: named.info.link_mbps,
-            left_ms: millis(named.remaining),
-            age_ms: named.copy_age.map(millis),
+            ttl_ms: millis(named.remaining),
+            staleness_ms: named.copy_age.map(millis),
         };
-        let mut seats: Vec<gossip::Seat> = named.into_iter().map(seat).collect();
+        let mut members: Vec<gossip::Member> = named.into_iter().map(seat).collect();
         let small = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let mut sums = sums;
         loop {
-            let rest = seats.split_off(seats.len().min(NAMED));
-            let answer = Answer {
-                all: small(count.total),
-                near: small(count.same_zone),
-                place: small(count.preceding),
-                seats,
-                sums: sums.take(),
+            let rest = members.split_off(members.len().min(NAMED));
+            let answer = Membership {
+                entry_count: small(count.total),
+                zone_count: small(count.same_zone),
+                position: small(count.preceding),
+                members,
+                totals: sums.take(),
             };
-            self.send(&[asker.addr], Message::Answer(answer));
+            self.send(&[asker.addr], Message::Membership(answer));
             if rest.is_empty() {
                 return;
             }
-            seats = rest;
+            members = rest;
         }
     }
 
     /// What all entries have in progress, for those of the own zone.
-    fn sums(&self, now: Instant) -> Saying {
+    fn sums(&self, now: Instant) -> EntryLoad {
         let held = self.sums.borrow().clone();
         if let Some((_, sums)) = held.filter(|(at, _)| now < *at + SUMS_KEPT) {
             return sums;
@@ -290,28 +296,28 @@
         let own = read(&said);
         let sum = self.state.others.borrow().sum_all(now, &own);
         let members = self.state.roster.borrow().count().same_zone;
-        let sums = Saying {
-            every_ms: millis(Intervals::to_relays(members).same_zone),
+        let sums = EntryLoad {
+            interval_ms: millis(Intervals::to_relays(members).same_zone),
             ..write(&said, sum)
         };
         *self.sums.borrow_mut() = Some((now, sums.clone()));
         sums
     }
 
-    fn take_answer(&self, from: SocketAddr, answer: &Answer) {
+    fn take_answer(&self, from: SocketAddr, answer: &Membership) {
         let state = &self.state;
         let now = state.clock.now();
         let large = |count: u32| usize::try_from(count).unwrap_or(usize::MAX);
         let count = EntryCounts {
-            total: large(answer.all),
-            same_zone: large(answer.near),
-            preceding: large(answer.place),
+            total: large(answer.entry_count),
+            same_zone: large(answer.zone_count),
+            preceding: large(answer.position),
         };
         state.finder.borrow_mut().peer_answered(now);
         state.roster.borrow_mut().record_counts(now, count);
-        for seat in &answer.seats {
-            let left = Duration::from_millis(u64::from(seat.left_ms));
-            let age_ms = seat.age_ms;
+        for seat in &answer.members {
+            let left = Duration::from_millis(u64::from(seat.ttl_ms));
+            let age_ms = seat.staleness_ms;
             let seat = EntryInfo {
                 addr: seat.addr,
                 zone: seat.zone,
@@ -323,7 +329,7 @@
             }
         }
         state.roster.borrow_mut().mark_heard(from);
-        let Some(sums) = &answer.sums else {
+        let Some(sums) = &answer.totals else {
             return;
         };
         crashes::hear(state, now, &sums.crashes);
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 
 use crate::estimate::Estimator;
 use crate::estimate::averages::MovingShare;
@@ -59,7 +59,7 @@
     /// Waiting requests by their number.
     requests: HashMap<u64, QueuedRequest>,
     /// Numbers of waiting requests.
-    by_ticket: HashMap<Ticket, u64>,
+    by_ticket: HashMap<RequestId, u64>,
     /// Waiting requests by tier.
     tiers: BTreeMap<Tier, Backlog>,
     /// Waiting requests by their latest start.
@@ -77,7 +77,7 @@
     /// Slots freed by preemption that are not granted again yet.
     preempted_slots: usize,
     /// Requests taken out whose callers were not told yet.
-    evicted: Vec<(Ticket, Rejection)>,
+    evicted: Vec<(RequestId, Rejection)>,
     /// The waiting request that the last review ended with.
     review_cursor: Option<(Tier, DeadlineKey)>,
 }
@@ -86,7 +86,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Granted {
     /// The request.
-    pub ticket: Ticket,
+    pub ticket: RequestId,
     /// Its tier.
     pub tier: Tier,
     /// Whether it goes before a higher tier by the guaranteed share.
@@ -247,7 +247,7 @@
     /// Takes a request out that waits or holds a slot without having started.
     /// A hold that lapses is taken out by `lapsed`: it keeps the turn that it
     /// was given, or one that never starts could take turn after turn.
-    pub fn cancel(&mut self, now: Instant, ticket: Ticket, lapsed: bool) -> bool {
+    pub fn cancel(&mut self, now: Instant, ticket: RequestId, lapsed: bool) -> bool {
         if let Some(seq) = self.by_ticket.get(&ticket).copied() {
             self.start_share.add(false);
             return self.dequeue(seq, false).is_some();
@@ -269,7 +269,7 @@
     }
 
     /// Starts a request that holds a slot.
-    pub fn start(&mut self, now: Instant, ticket: Ticket) -> bool {
+    pub fn start(&mut self, now: Instant, ticket: RequestId) -> bool {
         let started = self.slots.start(now, ticket);
         if started {
             self.start_share.add(true);
@@ -278,7 +278,7 @@
     }
 
     /// Notes that a run made a piece of `tokens` tokens.
-    pub fn record_piece(&mut self, now: Instant, ticket: Ticket, tokens: u32) {
+    pub fn record_piece(&mut self, now: Instant, ticket: RequestId, tokens: u32) {
         let Some(grant) = self.slots.running_mut(ticket) else {
             return;
         };
@@ -299,7 +299,7 @@
     }
 
     /// Notes that pieces of a run have left the sidecar.
-    pub fn mark_delivered(&mut self, ticket: Ticket) {
+    pub fn mark_delivered(&mut self, ticket: RequestId) {
         if let Some(grant) = self.slots.running_mut(ticket) {
             grant.delivered = true;
         }
@@ -307,7 +307,7 @@
 
     /// Ends a run and gives its slot back. Only a `whole` answer teaches how
     /// long one takes.
-    pub fn finish(&mut self, now: Instant, ticket: Ticket, whole: bool) {
+    pub fn finish(&mut self, now: Instant, ticket: RequestId, whole: bool) {
         let Some(grant) = self.slots.release_running(ticket) else {
             return;
         };
@@ -323,7 +323,7 @@
     /// Chooses a run to stop for the top tier, when a request of it would
     /// miss its target before a slot falls free. The caller stops the run and
     /// then calls [`Self::finish`]. One at a time, as each frees a slot.
-    pub fn preempt(&mut self, now: Instant) -> Option<Ticket> {
+    pub fn preempt(&mut self, now: Instant) -> Option<RequestId> {
         let full = self.settings.policy != QueuePolicy::Fifo && self.settings.preempt;
         let top = self.top_waiting_tier()?;
         if !full || self.headroom.top_tier(now) != Some(top) || self.slots.free() > 0 {
@@ -375,7 +375,7 @@
     /// Estimated time until a waiting request gets a slot; zero when it does
     /// not wait or nothing was seen.
     #[must_use]
-    pub fn estimated_wait(&self, now: Instant, ticket: Ticket) -> Duration {
+    pub fn estimated_wait(&self, now: Instant, ticket: RequestId) -> Duration {
         let item = self
             .by_ticket
             .get(&ticket)
--- a/crates/policy/src/queue/slots.rs
+++ b/crates/policy/src/queue/slots.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use base::ids::{Ticket, Tier};
+use base::ids::{RequestId, Tier};
 
 use super::item::QueueRequest;
 
@@ -14,8 +14,8 @@
 #[derive(Debug)]
 pub(super) struct Slots {
     total: usize,
-    held: HashMap<Ticket, SlotHolder>,
-    running: HashMap<Ticket, SlotHolder>,
+    held: HashMap<RequestId, SlotHolder>,
+    running: HashMap<RequestId, SlotHolder>,
     /// Slots in use by tier.
     tiers: BTreeMap<Tier, usize>,
     /// Sum of the running requests' starts, as time since `epoch`, so that
@@ -99,14 +99,14 @@
     }
 
     /// Gives the slot of a request back that holds it and has not started.
-    pub(super) fn release_held(&mut self, ticket: Ticket) -> Option<SlotHolder> {
+    pub(super) fn release_held(&mut self, ticket: RequestId) -> Option<SlotHolder> {
         let grant = self.held.remove(&ticket)?;
         self.release_in_tier(grant.tier);
         Some(grant)
     }
 
     /// Turns a hold into a run.
-    pub(super) fn start(&mut self, now: Instant, ticket: Ticket) -> bool {
+    pub(super) fn start(&mut self, now: Instant, ticket: RequestId) -> bool {
         let Some(mut grant) = self.held.remove(&ticket) else {
             return false;
         };
@@ -116,12 +116,12 @@
         true
     }
 
-    pub(super) fn running_mut(&mut self, ticket: Ticket) -> Option<&mut SlotHolder> {
+    pub(super) fn running_mut(&mut self, ticket: RequestId) -> Option<&mut SlotHolder> {
         self.running.get_mut(&ticket)
     }
 
     /// Gives the slot of a run back.
-    pub(super) fn release_running(&mut self, ticket: Ticket) -> Option<SlotHolder> {
+    pub(super) fn release_running(&mut self, ticket: RequestId) -> Option<SlotHolder> {
         let grant = self.running.remove(&ticket)?;
         let start = grant.since.saturating_duration_since(self.epoch);
         self.start_sum = self.start_sum.saturating_sub(start);
@@ -137,7 +137,7 @@
     /// The run to stop for a request of tier `above`: of the lowest tier, the
     /// one with the least done. Only one whose caller has seen nothing, which
     /// may run again, and which was not stopped before; so each ends.
-    pub(super) fn preemption_victim(&self, above: Tier) -> Option<Ticket> {
+    pub(super) fn preemption_victim(&self, above: Tier) -> Option<RequestId> {
         let fit = |g: &&SlotHolder| {
             let fresh = g.request.preemptions == 0 && !g.delivered && !g.stopping;
             g.tier > above && g.request.repeatable && fresh
