--- a/crates/admission/src/desk.rs
+++ b/crates/admission/src/desk.rs
@@ -144,7 +144,9 @@
             RequestKind::Admission(want) => self.want(id, want, from),
             RequestKind::Lookup(look) => self.look(id, &look, from),
             RequestKind::Utilization => self.busy(id, from),
-            RequestKind::Fetching(source) => self.inner.borrow_mut().grants.record_fetch(id, source),
+            RequestKind::Fetching(source) => {
+                self.inner.borrow_mut().grants.record_fetch(id, source)
+            }
             RequestKind::ServerGone { server, started_ms } => self.gone(&server, started_ms),
             RequestKind::FirstEvent => self.inner.borrow_mut().grants.record_first_event(now, id),
             RequestKind::Ended { pause_ms } => {
