--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -1,11 +1,11 @@
-//! Which backend server gets a call that an entry sends by itself.
+//! Chooses the backend server for a call that an entry routes directly.
 //!
-//! Load pattern: many calls with long shared prompt parts, from several
-//! entries. A part that is read again at a second engine costs more than a
-//! short wait at the first, so each call goes to the same engine as the calls
-//! with the same shared parts, chosen by rendezvous hashing without any
-//! exchange, until that engine is clearly busier than the others by what all
-//! entries have told. See docs/DECISIONS/0601-on-the-platform.md.
+//! Load pattern: several entries send many calls whose prompts share long
+//! prefixes. Prefilling a prefix again at a second engine costs more than a
+//! short wait at the first. Each call therefore goes to the engine that
+//! rendezvous hashing assigns to its prefix, without coordination between
+//! entries, until that engine is clearly busier than the others by the open
+//! calls that all entries report. See docs/DECISIONS/0601-on-the-platform.md.
 
 mod cooldown;
 mod feedback;
@@ -24,326 +24,335 @@
 
 use crate::others::Calls;
 use crate::rendezvous::{hash_name, score};
-use feedback::Said;
-use name_order::Names;
-use retained::Past;
+use feedback::FeedbackState;
+use name_order::NameOrder;
+use retained::RetainedFeedback;
 
 pub use feedback::{FeedbackChange, FeedbackCounts, ServerFeedback};
 pub use rate_limit::TurnSchedule;
 
-/// A home server with so many times the mean of open calls is passed over. At
-/// twice the mean, shared prompt tokens read again were a tenth more.
-const CROWDED: f64 = 3.0;
+/// A prefix's home server is passed over when its open calls exceed the mean of
+/// the service by this factor. At a factor of 2, a tenth more shared prompt
+/// tokens were prefilled again.
+const OVERLOAD_RATIO: f64 = 3.0;
 
-/// Open calls at a server that never make it crowded: with few calls in all,
-/// two at one server are chance.
-const CROWDED_LEAST: u32 = 1;
+/// Open calls that a server may have beyond the ratio: with few calls in total,
+/// two of them can meet at one server by chance.
+const OVERLOAD_MIN_CALLS: u32 = 1;
 
-/// The key by which all entries order servers before they cut the order.
-const CUT: u64 = 0x706f_6f6c;
+/// The rendezvous key by which all entries order servers before they partition
+/// them.
+const PARTITION_KEY: u64 = 0x706f_6f6c;
 
 /// A backend server as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRecord {
-    /// Its name. A restart makes a new one, or keeps it with another `born`.
+    /// Its name. A restarted server has a new name, or the same name with a
+    /// later `started_ms`.
     pub id: Rc<str>,
-    /// What it serves.
+    /// The service that it offers.
     pub service: Rc<str>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// The availability zone that it stands in.
+    /// Its availability zone.
     pub zone: Rc<str>,
-    /// Calls that it runs at once.
+    /// Calls that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new calls.
+    /// Whether it is draining and takes no new calls.
     pub leaving: bool,
-    /// Unix millisecond at which this life of the server began, if it says.
+    /// When this incarnation of the server started, in milliseconds since the
+    /// Unix epoch, if the record says so.
     #[serde(rename = "born")]
     pub started_ms: Option<u64>,
 }
 
-/// What the platform's list says that was not known.
+/// How a record from the platform's list differs from what was known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordChange {
-    /// Nothing.
+    /// It contains nothing new.
     Unchanged,
-    /// A server that was not known, or another state of one.
+    /// The server was unknown, or its state has changed.
     Updated,
-    /// The server has started again under its name.
+    /// The server has restarted under the same name.
     Restarted,
 }
 
-/// What is asked for.
+/// Which server a call needs.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerQuery<'a> {
-    /// The service.
+    /// The service that is called.
     pub service: &'a str,
-    /// Hash of the prompt's shared parts; none when there are none.
+    /// Hash of the prompt's shared prefix, if it has one.
     pub prefix_hash: Option<u64>,
-    /// Servers that the call was sent to before.
+    /// Servers that the call was already sent to.
     pub tried: &'a [Rc<str>],
-    /// The part of the servers that it should go to.
+    /// The partition of the servers that it should go to.
     pub partition: Partition,
-    /// What decides among them.
+    /// How servers are ranked.
     pub strategy: Strategy,
-    /// A server with open calls that sent nothing for so long is passed over.
+    /// A server with open calls that has sent nothing for this long is passed
+    /// over.
     pub silence_timeout: Duration,
 }
 
-/// What decides among servers.
+/// How the servers for a call are ranked.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Strategy {
-    /// The home of the prompt's shared parts, unless it has clearly more
-    /// open calls than the others.
+    /// By the rendezvous score for the prompt's prefix; servers with clearly
+    /// more open calls than the others come last.
     PrefixAffinity,
-    /// Open calls of all entries.
+    /// The one of two random servers with fewer open calls of all entries.
     TwoChoices,
-    /// The entry's own calls, in its own availability zone first: plain calls
-    /// are over before others could tell of them.
+    /// By this entry's own open calls, then its own availability zone first.
+    /// Calls of plain services end before other entries could report them.
     #[default]
     LeastOwnCalls,
 }
 
-/// A part of a service's servers, the same at every entry that cuts at the
-/// same place.
+/// A partition of a service's servers, equal at every entry that uses the same
+/// count.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Partition {
     /// All of them.
     #[default]
     All,
-    /// So many, from the start of the common order.
+    /// The first servers of the common order, as many as given.
     First(usize),
-    /// All but so many.
+    /// All servers after the first ones, as many as given.
     Rest(usize),
 }
 
-/// The servers that an entry knows, and its own calls at them.
+/// The servers that an entry knows, with the open calls at each.
 #[derive(Debug)]
 pub struct Balancer {
     /// The entry's availability zone.
     zone: Rc<str>,
     servers: HashMap<Rc<str>, Server>,
-    /// What servers have said that are not known any more, or not again.
-    past: Past,
-    /// Names in the order in which they were first told.
-    names: Names,
-    /// Where the entry stands among those that share the servers' limits; none
-    /// while it has not counted them, and no server that names one is called.
+    /// Feedback of servers that are currently not listed.
+    retained: RetainedFeedback,
+    /// The order in which server names were first seen.
+    name_order: NameOrder,
+    /// The entry's turns among those that share the servers' rate limits. Until
+    /// the entries are counted it is unset, and rate-limited servers get no
+    /// calls.
     turns: Option<TurnSchedule>,
-    /// Makes ties fall differently from call to call.
-    turn: u64,
+    /// Choices made so far; varies the tie-break from call to call.
+    choices: u64,
 }
 
 #[derive(Debug)]
 struct Server {
-    listed: ServerRecord,
-    /// Its place in the order in which names were first told.
-    first: u64,
-    /// Whether a newer one has its address.
+    record: ServerRecord,
+    /// Position of its name in the order in which names were first seen.
+    first_seen: u64,
+    /// Whether a newer server has its address.
     replaced: bool,
     /// Hash of its name, equal at every entry.
-    key: u64,
-    /// Own calls.
-    own: Calls,
-    /// Calls of other entries, as far as they have told.
-    others: Calls,
-    /// Failures to connect in a row.
-    refused: u32,
-    /// Failed runs in a row.
-    failed: u32,
-    /// Left alone until then.
-    rest: Option<Instant>,
-    /// When a byte last came from it, or the first of the open calls went out.
-    heard: Option<Instant>,
-    /// Since when the list has not shown it, and until when it may yet be
+    name_hash: u64,
+    /// Calls of this entry.
+    own_calls: Calls,
+    /// Calls of the other entries, as last reported.
+    remote_calls: Calls,
+    /// Consecutive connection failures.
+    connect_failures: u32,
+    /// Consecutive failed calls.
+    failed_calls: u32,
+    /// End of the cooldown after failures.
+    cooldown_until: Option<Instant>,
+    /// When a byte last came from it, or the first of the open calls was sent.
+    last_received: Option<Instant>,
+    /// Since when the list has lacked it, and until when it may still be
     /// called.
     missing: Option<(Instant, Instant)>,
-    /// What it has said of itself.
-    said: Said,
+    /// What it has reported in its answers.
+    feedback: FeedbackState,
 }
 
-/// When a server began: by its own word, then by when it was first told.
-type Age = (Option<u64>, u64);
+/// Sorts servers by when they started: by their own start time, then by the
+/// order in which their names were first seen.
+type StartRank = (Option<u64>, u64);
 
 impl Server {
-    fn age(&self) -> Age {
-        (self.listed.started_ms, self.first)
+    fn start_rank(&self) -> StartRank {
+        (self.record.started_ms, self.first_seen)
     }
 
-    /// Whether it leaves, by the list or by its own word, whichever came first.
-    fn leaves(&self) -> bool {
-        self.listed.leaving || self.said.leaving
+    /// Whether it is draining, by the list or by its own feedback, whichever
+    /// came first.
+    fn draining(&self) -> bool {
+        self.record.leaving || self.feedback.leaving
     }
 
-    /// Whether it is there and takes new calls of `service`.
+    /// Whether it is listed and takes new calls of `service`.
     fn serves(&self, service: &str) -> bool {
-        let there = !self.leaves() && !self.replaced && self.missing.is_none();
-        there && &*self.listed.service == service
+        let available = !self.draining() && !self.replaced && self.missing.is_none();
+        available && &*self.record.service == service
     }
 
-    /// Open calls at the server, of all entries.
-    fn open(&self) -> u32 {
-        self.own.open + self.others.open
+    /// Open calls of all entries at the server.
+    fn open_calls(&self) -> u32 {
+        self.own_calls.open + self.remote_calls.open
     }
 
-    /// Whether it takes a call from this entry now, by what it has said.
-    fn takes(&self, now: Instant, turns: Option<&TurnSchedule>) -> bool {
-        self.said.takes(now, self.own.open, turns)
+    /// Whether its feedback allows a call from this entry now.
+    fn accepts_call(&self, now: Instant, turns: Option<&TurnSchedule>) -> bool {
+        self.feedback.accepts_call(now, self.own_calls.open, turns)
     }
 
-    /// Whether it has calls and sends nothing. A host that went dark keeps its
-    /// connections open: calls sent on them would wait for seconds, until the
-    /// transport gives up or the list drops it, and one after the other would
-    /// be lost.
-    fn silent(&self, now: Instant, silence: Duration) -> bool {
-        let heard = self.heard.filter(|_| self.own.open > 0);
-        heard.is_some_and(|at| now >= at + silence)
+    /// Whether it has open calls and has sent nothing for `timeout`.
+    ///
+    /// The connections to a host that lost power or its network stay open.
+    /// Calls sent on them would wait for seconds, until the transport times out
+    /// or the list drops the host, and would all be lost.
+    fn is_silent(&self, now: Instant, timeout: Duration) -> bool {
+        let received = self.last_received.filter(|_| self.own_calls.open > 0);
+        received.is_some_and(|at| now >= at + timeout)
     }
 
-    /// Whether it is neither left alone nor silent.
-    fn well(&self, now: Instant, silence: Duration) -> bool {
-        let rested = self.rest.is_none_or(|until| until <= now);
-        rested && !self.silent(now, silence)
+    /// Whether it is neither in cooldown nor silent.
+    fn is_healthy(&self, now: Instant, silence_timeout: Duration) -> bool {
+        let cooled = self.cooldown_until.is_none_or(|until| until <= now);
+        cooled && !self.is_silent(now, silence_timeout)
     }
 
-    /// Calls that wait for their first event there, of all entries.
-    fn waiting(&self) -> u32 {
-        self.own.waiting + self.others.waiting
+    /// Calls of all entries that wait for their first event at the server.
+    fn waiting_calls(&self) -> u32 {
+        self.own_calls.waiting + self.remote_calls.waiting
     }
 }
 
 impl Balancer {
-    /// Makes a balance that knows no servers.
+    /// Creates a balancer of an entry in `zone` that knows no servers.
     #[must_use]
     pub fn new(zone: &str) -> Self {
         Self {
             zone: Rc::from(zone),
             servers: HashMap::new(),
-            past: Past::default(),
-            names: Names::default(),
+            retained: RetainedFeedback::default(),
+            name_order: NameOrder::default(),
             turns: None,
-            turn: 0,
+            choices: 0,
         }
     }
 
-    /// Adds a server or takes its new state over.
+    /// Adds a server or updates its state.
     ///
-    /// A server that has started again under its name is as a new one: left
-    /// alone for the failures of its earlier life, it would stand idle for
-    /// seconds. What that life wrote may come late, and would have calls kept
-    /// from a server that is well.
-    pub fn upsert(&mut self, now: Instant, listed: ServerRecord) -> RecordChange {
-        let first = self.names.place(now, &listed.id);
-        let addr = listed.addr;
-        let before = self.addr(&listed.id);
-        let change = self.put(listed, first);
+    /// A server that has restarted under its name counts as new. With the
+    /// cooldown of its earlier incarnation it would stand idle for seconds.
+    /// Records of an earlier incarnation may arrive late and are ignored, since
+    /// they could keep calls from a healthy server.
+    pub fn upsert(&mut self, now: Instant, record: ServerRecord) -> RecordChange {
+        let first_seen = self.name_order.position(now, &record.id);
+        let addr = record.addr;
+        let old_addr = self.addr(&record.id);
+        let change = self.upsert_record(record, first_seen);
         if change != RecordChange::Unchanged {
-            self.find_replaced(addr);
-            before
-                .filter(|b| *b != addr)
+            self.update_replaced(addr);
+            old_addr
+                .filter(|old| *old != addr)
                 .into_iter()
-                .for_each(|b| self.find_replaced(b));
+                .for_each(|old| self.update_replaced(old));
         }
         change
     }
 
-    fn put(&mut self, listed: ServerRecord, first: u64) -> RecordChange {
-        match self.servers.get_mut(&listed.id) {
-            Some(server) if listed.started_ms < server.listed.started_ms => RecordChange::Unchanged,
+    fn upsert_record(&mut self, record: ServerRecord, first_seen: u64) -> RecordChange {
+        match self.servers.get_mut(&record.id) {
+            Some(server) if record.started_ms < server.record.started_ms => RecordChange::Unchanged,
             Some(server) => {
-                let restarted = server.listed.started_ms < listed.started_ms;
-                let back = server.missing.take().is_some();
-                let same = server.listed == listed;
-                server.listed = listed;
+                let restarted = server.record.started_ms < record.started_ms;
+                let returned = server.missing.take().is_some();
+                let same = server.record == record;
+                server.record = record;
                 if restarted {
-                    server.refused = 0;
-                    server.failed = 0;
-                    server.rest = None;
-                    server.heard = None;
-                    server.said = Said::default();
+                    server.connect_failures = 0;
+                    server.failed_calls = 0;
+                    server.cooldown_until = None;
+                    server.last_received = None;
+                    server.feedback = FeedbackState::default();
                     return RecordChange::Restarted;
                 }
-                match back || !same {
+                match returned || !same {
                     true => RecordChange::Updated,
                     false => RecordChange::Unchanged,
                 }
             }
             None => {
                 let server = Server {
-                    first,
+                    first_seen,
                     replaced: false,
-                    key: hash_name(&listed.id),
-                    own: Calls::default(),
-                    others: Calls::default(),
-                    refused: 0,
-                    failed: 0,
-                    rest: None,
-                    heard: None,
+                    name_hash: hash_name(&record.id),
+                    own_calls: Calls::default(),
+                    remote_calls: Calls::default(),
+                    connect_failures: 0,
+                    failed_calls: 0,
+                    cooldown_until: None,
+                    last_received: None,
                     missing: None,
-                    said: self.past.take(&listed),
-                    listed,
+                    feedback: self.retained.take(&record),
+                    record,
                 };
-                self.servers.insert(Rc::clone(&server.listed.id), server);
+                self.servers.insert(Rc::clone(&server.record.id), server);
                 RecordChange::Updated
             }
         }
     }
 
-    /// Finds out which of the servers at an address has it now: the one that
-    /// began last, or was told last where they do not say so.
+    /// Determines which of the servers at an address owns it now: the one that
+    /// started last or, without start times, whose name was seen last.
     ///
-    /// After a power cut the list shows engines twice for seconds, under the
-    /// names of their earlier lives too. Each call to one of those is refused
-    /// by the new life and costs a repeat, and a third of all calls were turned
-    /// away when none was left.
-    fn find_replaced(&mut self, addr: SocketAddr) {
-        let mut newest: HashMap<Rc<str>, Age> = HashMap::new();
-        let here = |s: &&mut Server| s.listed.addr == addr;
-        for server in self.servers.values_mut().filter(here) {
+    /// After a power cut the list shows each engine twice for seconds, also
+    /// under the name of its earlier incarnation. A call to the earlier name is
+    /// refused by the new incarnation and costs a repeat; a third of all calls
+    /// failed when no repeat was left.
+    fn update_replaced(&mut self, addr: SocketAddr) {
+        let mut newest: HashMap<Rc<str>, StartRank> = HashMap::new();
+        let same_addr = |s: &&mut Server| s.record.addr == addr;
+        for server in self.servers.values_mut().filter(same_addr) {
             server.replaced = false;
             if server.missing.is_none() {
-                let held = newest.entry(Rc::clone(&server.listed.service));
-                let held = held.or_insert(server.age());
-                *held = (*held).max(server.age());
+                let rank = newest.entry(Rc::clone(&server.record.service));
+                let rank = rank.or_insert(server.start_rank());
+                *rank = (*rank).max(server.start_rank());
             }
         }
-        // Services are looked at apart: a record that names none of ours must
-        // not take a server's address from it.
-        for server in self.servers.values_mut().filter(here) {
-            let newest = newest.get(&server.listed.service);
-            server.replaced = newest.is_some_and(|newest| *newest > server.age());
+        // Services are compared separately: a record of a service that this
+        // entry does not route must not take over a server's address.
+        for server in self.servers.values_mut().filter(same_addr) {
+            let newest = newest.get(&server.record.service);
+            server.replaced = newest.is_some_and(|newest| *newest > server.start_rank());
         }
     }
 
-    /// Notes that the list does not show a server any more; returns whether
-    /// it did before.
+    /// Marks a server as no longer listed; returns whether it was listed.
     ///
-    /// Entries lapse while the store is away though their servers live, and a
-    /// server that left is missing in the same way. Until `until` it gets
-    /// calls, but only while no server of its service is listed.
+    /// While the store is unavailable, records of live servers expire just like
+    /// those of servers that left. Until `until` the server still gets calls,
+    /// but only while no server of its service is listed.
     pub fn mark_missing(&mut self, now: Instant, id: &str, until: Instant) -> bool {
         match self.servers.get_mut(id) {
             Some(server) if server.missing.is_none() => {
                 server.missing = Some((now, until));
-                let addr = server.listed.addr;
-                self.find_replaced(addr);
+                let addr = server.record.addr;
+                self.update_replaced(addr);
                 true
             }
             _ => false,
         }
     }
 
-    /// Forgets the servers that have been missing for `wait`.
+    /// Removes the servers that have been missing for `wait`; returns their
+    /// names.
     pub fn forget_missing(&mut self, now: Instant, wait: Duration) -> Vec<Rc<str>> {
         let gone = |s: &&Server| s.missing.is_some_and(|(since, _)| now >= since + wait);
         let gone = self.servers.values().filter(gone);
-        let gone: Vec<Rc<str>> = gone.map(|s| Rc::clone(&s.listed.id)).collect();
+        let gone: Vec<Rc<str>> = gone.map(|s| Rc::clone(&s.record.id)).collect();
         for server in gone.iter().filter_map(|id| self.servers.remove(id)) {
-            self.past.keep(now, &server.listed, server.said);
+            self.retained.keep(now, &server.record, server.feedback);
         }
-        self.past.expire(now);
+        self.retained.expire(now);
         let servers = &self.servers;
-        self.names.forget(now, |id| servers.contains_key(id));
+        self.name_order.expire(now, |id| servers.contains_key(id));
         gone
     }
 
@@ -359,189 +368,199 @@
         self.servers.keys().cloned().collect()
     }
 
-    /// Whether this life of a server is known to leave.
+    /// Whether this incarnation of a server is known to be draining.
     #[must_use]
-    pub fn is_leaving(&self, listed: &ServerRecord) -> bool {
-        let server = self.servers.get(&listed.id);
-        server.is_some_and(|s| s.leaves() && s.listed.started_ms == listed.started_ms)
+    pub fn is_leaving(&self, record: &ServerRecord) -> bool {
+        let server = self.servers.get(&record.id);
+        server.is_some_and(|s| s.draining() && s.record.started_ms == record.started_ms)
     }
 
-    /// Where a known server listens.
+    /// The address that a known server listens on.
     #[must_use]
     pub fn addr(&self, id: &str) -> Option<SocketAddr> {
-        self.servers.get(id).map(|s| s.listed.addr)
+        self.servers.get(id).map(|s| s.record.addr)
     }
 
     /// Whether a server is known and takes new calls.
     #[must_use]
     pub fn accepts_calls(&self, id: &str) -> bool {
-        let open = |s: &Server| !s.leaves() && !s.replaced;
-        self.servers.get(id).is_some_and(open)
+        let accepts = |s: &Server| !s.draining() && !s.replaced;
+        self.servers.get(id).is_some_and(accepts)
     }
 
-    /// How many servers of `service` take new calls, and the slots of each.
+    /// The number of servers of `service` that take new calls, and the largest
+    /// number of slots that one of them has.
     #[must_use]
     pub fn serving_capacity(&self, service: &str) -> (usize, u32) {
-        let open = self.servers.values().filter(|s| s.serves(service));
-        open.fold((0, 0), |(n, slots), s| (n + 1, slots.max(s.listed.slots)))
+        let serving = self.servers.values().filter(|s| s.serves(service));
+        serving.fold((0, 0), |(n, slots), s| (n + 1, slots.max(s.record.slots)))
     }
 
-    /// The servers of `service` that take new calls, each with the calls that
-    /// all entries have open there.
+    /// The servers of `service` that take new calls, each with the open calls
+    /// of all entries there.
     #[must_use]
     pub fn serving(&self, service: &str) -> Vec<(ServerRecord, u32)> {
         let serving = self.servers.values().filter(|s| s.serves(service));
-        serving.map(|s| (s.listed.clone(), s.open())).collect()
+        serving
+            .map(|s| (s.record.clone(), s.open_calls()))
+            .collect()
     }
 
-    /// The server for a call, or none when no server may take it.
-    pub fn choose(&mut self, now: Instant, want: &ServerQuery<'_>) -> Option<ServerRecord> {
-        self.ranked(now, want).into_iter().next()
+    /// The best server for a call, if any server may take it.
+    pub fn choose(&mut self, now: Instant, query: &ServerQuery<'_>) -> Option<ServerRecord> {
+        self.ranked(now, query).into_iter().next()
     }
 
-    /// Servers that are likely to hold a prompt's shared parts, the likeliest
-    /// first: its home among all of them, then the next one, whichever of them
-    /// may take the call now. A home that is crowded, or was left to other
-    /// calls a moment ago, still holds what it has read.
+    /// Servers that are likely to hold a prompt's prefix in their KV cache, the
+    /// likeliest first: by rendezvous score among all healthy servers, also
+    /// those that may not take the call now. An overloaded server, or one of
+    /// another partition, still holds the prefixes that it has prefilled.
     #[must_use]
-    pub fn prefix_holders(&self, now: Instant, want: &ServerQuery<'_>) -> Vec<ServerRecord> {
-        let Some(prefix) = want.prefix_hash else {
+    pub fn prefix_holders(&self, now: Instant, query: &ServerQuery<'_>) -> Vec<ServerRecord> {
+        let Some(prefix_hash) = query.prefix_hash else {
             return Vec::new();
         };
-        let fit = |s: &&Server| {
-            let here = &*s.listed.service == want.service;
-            let here = here && !s.replaced && s.missing.is_none();
-            here && !s.said.rests(now) && s.well(now, want.silence_timeout)
+        let usable = |s: &&Server| {
+            let listed = &*s.record.service == query.service;
+            let listed = listed && !s.replaced && s.missing.is_none();
+            listed && !s.feedback.is_backing_off(now) && s.is_healthy(now, query.silence_timeout)
         };
-        let mut fit: Vec<&Server> = self.servers.values().filter(fit).collect();
-        fit.sort_by_key(|s| Reverse(score(prefix, s.key)));
-        fit.into_iter().map(|s| s.listed.clone()).collect()
-    }
-
-    /// The servers for a call, the best first.
-    pub fn ranked(&mut self, now: Instant, want: &ServerQuery<'_>) -> Vec<ServerRecord> {
-        self.turn = self.turn.wrapping_add(1);
-        let serves = |s: &&Server| &*s.listed.service == want.service && !s.leaves() && !s.replaced;
-        let mut fit: Vec<&Server> = self.servers.values().filter(serves).collect();
-        match fit.iter().any(|s| s.missing.is_none()) {
-            true => fit.retain(|s| s.missing.is_none()),
-            false => fit.retain(|s| s.missing.is_some_and(|(_, until)| now < until)),
+        let mut usable: Vec<&Server> = self.servers.values().filter(usable).collect();
+        usable.sort_by_key(|s| Reverse(score(prefix_hash, s.name_hash)));
+        usable.into_iter().map(|s| s.record.clone()).collect()
+    }
+
+    /// The servers that may take a call, the best first.
+    pub fn ranked(&mut self, now: Instant, query: &ServerQuery<'_>) -> Vec<ServerRecord> {
+        self.choices = self.choices.wrapping_add(1);
+        let serves =
+            |s: &&Server| &*s.record.service == query.service && !s.draining() && !s.replaced;
+        let mut candidates: Vec<&Server> = self.servers.values().filter(serves).collect();
+        match candidates.iter().any(|s| s.missing.is_none()) {
+            true => candidates.retain(|s| s.missing.is_none()),
+            false => candidates.retain(|s| s.missing.is_some_and(|(_, until)| now < until)),
         }
         let turns = self.turns.as_ref();
-        fit.retain(|s| !want.tried.contains(&s.listed.id) && s.takes(now, turns));
-        let well = |s: &&Server| s.well(now, want.silence_timeout);
-        // With none well, one that is not is better than none at all.
-        if fit.iter().any(well) {
-            fit.retain(well);
+        candidates.retain(|s| !query.tried.contains(&s.record.id) && s.accepts_call(now, turns));
+        let healthy = |s: &&Server| s.is_healthy(now, query.silence_timeout);
+        // Without any healthy server, an unhealthy one is better than none.
+        if candidates.iter().any(healthy) {
+            candidates.retain(healthy);
         }
-        self.keep_part(&mut fit, want);
-        let spread = want.prefix_hash.unwrap_or(self.turn);
-        let drawn = |s: &Server| score(spread, s.key);
-        match want.strategy {
+        self.retain_partition(&mut candidates, query);
+        let rank_key = query.prefix_hash.unwrap_or(self.choices);
+        let rank = |s: &Server| score(rank_key, s.name_hash);
+        match query.strategy {
             Strategy::PrefixAffinity => {
-                let limit = crowded(&fit);
-                fit.sort_by_key(|s| (s.open() > limit, Reverse(drawn(s))));
+                let limit = overload_limit(&candidates);
+                candidates.sort_by_key(|s| (s.open_calls() > limit, Reverse(rank(s))));
             }
             Strategy::TwoChoices => {
-                fit.sort_by_key(|s| drawn(s));
-                // What others tell is some tenths of a second old. If all
-                // entries took the least loaded, they would all take the same
-                // one; the better of two drawn ones spreads them.
-                if let [one, two, ..] = &fit[..]
-                    && two.open() < one.open()
+                candidates.sort_by_key(|s| rank(s));
+                // The counts of other entries are some tenths of a second old.
+                // If all entries took the least loaded server, they would all
+                // take the same one; the better of two random ones spreads them.
+                if let [one, two, ..] = &candidates[..]
+                    && two.open_calls() < one.open_calls()
                 {
-                    fit.swap(0, 1);
+                    candidates.swap(0, 1);
                 }
             }
             Strategy::LeastOwnCalls => {
                 let zone = &self.zone;
-                fit.sort_by_key(|s| (s.own.open, s.listed.zone != *zone, drawn(s)));
+                candidates.sort_by_key(|s| (s.own_calls.open, s.record.zone != *zone, rank(s)));
             }
         }
-        fit.into_iter().map(|s| s.listed.clone()).collect()
+        candidates.into_iter().map(|s| s.record.clone()).collect()
     }
 
-    /// Leaves the servers of the wanted part, if any of them may be used.
-    fn keep_part(&self, fit: &mut Vec<&Server>, want: &ServerQuery<'_>) {
-        let (count, first) = match want.partition {
+    /// Removes the candidates outside the query's partition, if any candidate
+    /// is inside it.
+    fn retain_partition(&self, candidates: &mut Vec<&Server>, query: &ServerQuery<'_>) {
+        let (count, first) = match query.partition {
             Partition::All => return,
             Partition::First(count) => (count, true),
             Partition::Rest(count) => (count, false),
         };
-        // The cut is made among all servers that take calls, so that an entry
-        // for which one of them rests cuts where the others do.
+        // The partition is computed over all servers that take calls. An entry
+        // that has one of them in cooldown thus partitions like the others.
         let mut order: Vec<&Server> = self.servers.values().collect();
-        order.retain(|s| &*s.listed.service == want.service && !s.leaves() && s.missing.is_none());
-        order.sort_by_key(|s| score(CUT, s.key));
-        let part: HashSet<u64> = order.iter().take(count).map(|s| s.key).collect();
-        let inside = |s: &&Server| part.contains(&s.key) == first;
-        if fit.iter().any(inside) {
-            fit.retain(inside);
+        order.retain(|s| {
+            &*s.record.service == query.service && !s.draining() && s.missing.is_none()
+        });
+        order.sort_by_key(|s| score(PARTITION_KEY, s.name_hash));
+        let first_servers: HashSet<u64> = order.iter().take(count).map(|s| s.name_hash).collect();
+        let inside = |s: &&Server| first_servers.contains(&s.name_hash) == first;
+        if candidates.iter().any(inside) {
+            candidates.retain(inside);
         }
     }
 
-    /// Own calls, by the server's short number.
+    /// Open calls of this entry, by the short number of the server.
     #[must_use]
     pub fn own_calls(&self) -> Vec<(u16, Calls)> {
-        let busy = self.servers.values().filter(|s| s.own.open > 0);
-        busy.map(|s| (short(s.key), s.own)).collect()
+        let busy = self.servers.values().filter(|s| s.own_calls.open > 0);
+        busy.map(|s| (short_number(s.name_hash), s.own_calls))
+            .collect()
     }
 
-    /// Takes over the calls that all other entries together have.
-    pub fn set_remote_calls(&mut self, others: impl Fn(u16) -> Calls) {
+    /// Sets the calls of all other entries, which `calls` returns by the short
+    /// number of the server.
+    pub fn set_remote_calls(&mut self, calls: impl Fn(u16) -> Calls) {
         for server in self.servers.values_mut() {
-            server.others = others(short(server.key));
+            server.remote_calls = calls(short_number(server.name_hash));
         }
     }
 
     /// Calls of all entries that wait for their first event at a server.
     #[must_use]
     pub fn waiting_calls(&self, id: &str) -> u32 {
-        self.servers.get(id).map_or(0, Server::waiting)
+        self.servers.get(id).map_or(0, Server::waiting_calls)
     }
 
-    /// Notes that a byte came from a server.
+    /// Records that bytes came from a server.
     pub fn bytes_received(&mut self, now: Instant, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.heard = Some(now);
+            server.last_received = Some(now);
         }
     }
 
-    /// Notes that a call goes out to a server.
+    /// Records that a call is sent to a server.
     pub fn call_sent(&mut self, now: Instant, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            if server.own.open == 0 {
-                server.heard = Some(now);
+            if server.own_calls.open == 0 {
+                server.last_received = Some(now);
             }
-            server.own.open += 1;
-            server.own.waiting += 1;
+            server.own_calls.open += 1;
+            server.own_calls.waiting += 1;
         }
     }
 
-    /// Notes that a call at a server has its first event, or will have none.
+    /// Records that a call at a server has its first event, or will have none.
     pub fn call_started(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.own.waiting = server.own.waiting.saturating_sub(1);
+            server.own_calls.waiting = server.own_calls.waiting.saturating_sub(1);
         }
     }
 
-    /// Notes that a call at a server that has begun has ended.
+    /// Records that a started call at a server has ended.
     pub fn call_ended(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.own.open = server.own.open.saturating_sub(1);
+            server.own_calls.open = server.own_calls.open.saturating_sub(1);
         }
     }
 }
 
-/// A server's number between entries. Two servers of one number, one pair in
-/// sixty among fifty servers, look a little busier than they are.
-fn short(key: u64) -> u16 {
-    key as u16
+/// A server's number in the call counts that entries exchange. Among fifty
+/// servers the chance that two share a number is one in sixty; both then look a
+/// little busier than they are.
+fn short_number(name_hash: u64) -> u16 {
+    name_hash as u16
 }
 
-/// Open calls at a server from which it counts as crowded.
-fn crowded(fit: &[&Server]) -> u32 {
-    let open: u32 = fit.iter().map(|s| s.open()).sum();
-    let mean = f64::from(open) / fit.len().max(1) as f64;
-    (mean * CROWDED).ceil() as u32 + CROWDED_LEAST
+/// Open calls above which a server counts as overloaded.
+fn overload_limit(candidates: &[&Server]) -> u32 {
+    let open: u32 = candidates.iter().map(|s| s.open_calls()).sum();
+    let mean = f64::from(open) / candidates.len().max(1) as f64;
+    (mean * OVERLOAD_RATIO).ceil() as u32 + OVERLOAD_MIN_CALLS
 }
--- a/crates/policy/src/balance/cooldown.rs
+++ b/crates/policy/src/balance/cooldown.rs
@@ -1,74 +1,76 @@
-//! Servers that fail, and how long an entry leaves them alone of its own accord.
+//! Cooldown of servers after failures that the entry itself observes.
 
 use std::time::{Duration, Instant};
 
 use super::Balancer;
 
-/// How long a server that failed once is left alone; it doubles with each
-/// further failure. Long enough for a restart to be seen, short enough that
-/// one lost connection costs little.
-const REST_FIRST: Duration = Duration::from_millis(300);
+/// The cooldown after one failure; it doubles with each further one. It is long
+/// enough for a restart to become visible, and short enough that a single lost
+/// connection costs little.
+const FIRST_COOLDOWN: Duration = Duration::from_millis(300);
 
-/// The longest time for which a failing server is left alone. Servers that
-/// are gone for good leave the list within seconds.
-const REST_LIMIT: Duration = Duration::from_secs(3);
+/// The longest cooldown. Servers that are gone for good leave the list within
+/// seconds.
+const MAX_COOLDOWN: Duration = Duration::from_secs(3);
 
-/// Failed runs in a row after which a server is left alone: single failures
-/// belong to the calls.
-const RUN_LIMIT: u32 = 3;
+/// Consecutive failed calls that start a cooldown. Fewer failures are more
+/// likely caused by the calls than by the server.
+const FAILED_CALL_LIMIT: u32 = 3;
 
 impl Balancer {
-    /// Notes that a server answered a call as it should.
+    /// Records that a server answered a call successfully.
     pub fn call_succeeded(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.refused = 0;
-            server.failed = 0;
-            server.rest = None;
-            server.said.good();
+            server.connect_failures = 0;
+            server.failed_calls = 0;
+            server.cooldown_until = None;
+            server.feedback.call_succeeded();
         }
     }
 
-    /// Notes that no connection could be made to a server; it is left alone
-    /// for a while that grows.
+    /// Records that no connection to a server could be made, and starts a
+    /// cooldown that grows with each failure.
     pub fn connect_failed(&mut self, now: Instant, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.refused = server.refused.saturating_add(1);
-            server.rest = Some(now + rest(server.refused));
+            server.connect_failures = server.connect_failures.saturating_add(1);
+            server.cooldown_until = Some(now + cooldown(server.connect_failures));
         }
     }
 
-    /// Notes that a server has turned a call away. One that does so time and again
-    /// is left alone like one that fails; single refusals are those of a full
-    /// server, which has room in a moment.
+    /// Records that a server rejected a call. Repeated rejections start a
+    /// cooldown like failures do; single ones come from a full server, which has
+    /// room again in a moment.
     pub fn call_rejected(&mut self, now: Instant, id: &str) {
         self.call_failed(now, id);
     }
 
-    /// How long it is until some server of `service` is tried again of its own
-    /// accord, if all that are there are left alone after failures.
+    /// How long it is until the first cooldown of a server of `service` ends,
+    /// if all available servers are in one.
     #[must_use]
     pub fn cooldown_left(&self, now: Instant, service: &str) -> Option<Duration> {
         let serving = self.servers.values().filter(|s| s.serves(service));
         let left = serving.map(|s| {
-            s.rest
+            s.cooldown_until
                 .map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
         });
         left.min().filter(|left| !left.is_zero())
     }
 
-    /// Notes that a call failed at a server after it was sent.
+    /// Records that a call failed at a server after it was sent.
     pub fn call_failed(&mut self, now: Instant, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.failed = server.failed.saturating_add(1);
-            if server.failed >= RUN_LIMIT {
-                server.rest = Some(now + rest(server.failed - RUN_LIMIT + 1));
+            server.failed_calls = server.failed_calls.saturating_add(1);
+            if server.failed_calls >= FAILED_CALL_LIMIT {
+                server.cooldown_until =
+                    Some(now + cooldown(server.failed_calls - FAILED_CALL_LIMIT + 1));
             }
         }
     }
 }
 
-/// How long a server is left alone after so many failures.
-fn rest(failures: u32) -> Duration {
-    let doubled = REST_FIRST.saturating_mul(2u32.saturating_pow(failures.saturating_sub(1).min(8)));
-    doubled.min(REST_LIMIT)
+/// The cooldown after this number of failures.
+fn cooldown(failures: u32) -> Duration {
+    let doubled =
+        FIRST_COOLDOWN.saturating_mul(2u32.saturating_pow(failures.saturating_sub(1).min(8)));
+    doubled.min(MAX_COOLDOWN)
 }
--- a/crates/policy/src/balance/feedback.rs
+++ b/crates/policy/src/balance/feedback.rs
@@ -1,233 +1,258 @@
-//! What servers say of themselves in their answers.
+//! What servers report about themselves in their answers.
 
 use std::time::{Duration, Instant};
 
-use super::rate_limit::{Limit, TurnSchedule};
-use super::slow_start::Window;
+use super::rate_limit::{RateLimit, TurnSchedule};
+use super::slow_start::SlowStart;
 use super::{Balancer, ServerRecord};
 
-/// The longest rest that is believed. What is longer is taken for a mistake,
-/// as a service would lose the server for as long.
-const REST_MOST: Duration = Duration::from_secs(3600);
+/// The longest backoff that is honoured. A longer one is taken for a mistake,
+/// since the service would lose the server for all that time.
+const MAX_BACKOFF: Duration = Duration::from_secs(3600);
 
-/// Part of the rest that a server asks for by which an entry may stay away for
-/// longer. All entries are asked in the same moment when a server begins to turn
-/// calls away, and would all come back in one, too.
-const REST_SPREAD: f64 = 0.25;
+/// Largest jitter that an entry adds to a backoff, as a fraction of it. When a
+/// server begins to reject calls, it asks all entries for a backoff at the same
+/// moment, and without jitter they would all return at once.
+const BACKOFF_JITTER: f64 = 0.25;
 
-/// How long after a rest a server gets no more calls at once than it answers.
-const WINDOW_KEPT: Duration = Duration::from_secs(10);
+/// How long after a backoff the concurrency of calls to a server stays limited.
+const SLOW_START_SPAN: Duration = Duration::from_secs(10);
 
-/// How soon a server may have room again: calls end all the time.
-const ROOM: Duration = Duration::from_millis(20);
+/// Wait until a server with a full slow-start window is tried again. Calls end
+/// all the time, so that it may soon have room.
+const FULL_WINDOW_WAIT: Duration = Duration::from_millis(20);
 
-/// What an answer says of the server that made it.
+/// What an answer reports about the server that sent it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServerFeedback {
-    /// Whether the server is about to end and takes no new calls.
+    /// Whether the server is draining and takes no new calls.
     pub leaving: bool,
-    /// For how long the server wants no calls from this entry, if it says so.
+    /// For how long the server wants no calls from this entry, if it asks for
+    /// a backoff.
     pub backoff: Option<Duration>,
-    /// The calls a second that the server takes from all entries together, if
-    /// it names any.
+    /// The calls per second that the server takes from all entries together,
+    /// if it is rate-limited.
     pub rate_limit: Option<f64>,
 }
 
-/// What of a [`Word`] was not known before.
+/// What a [`ServerFeedback`] changed in the known state of the server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FeedbackChange {
-    /// Whether the server has begun to leave.
+    /// Whether the server has begun to drain.
     pub leaving: bool,
-    /// For how long the server has asked for rest, if it was not resting.
+    /// The backoff that the server asked for, if none was in effect.
     pub backoff: Option<Duration>,
-    /// Whether the server names a limit, if it has begun or ceased to do so.
+    /// Whether the server is rate-limited now, if that has changed.
     pub limited: Option<bool>,
 }
 
-/// What one life of a server has said so far.
+/// The feedback of one incarnation of a server so far.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Said {
-    /// Whether it leaves, which no life of a server takes back.
+pub(super) struct FeedbackState {
+    /// Whether it is draining, which an incarnation never reverts.
     pub(super) leaving: bool,
     /// Until when it wants no calls.
-    rest: Option<Instant>,
-    /// Calls at once since then.
-    window: Option<Window>,
-    /// The calls a second that it takes from all entries.
-    limit: Option<Limit>,
+    backoff_until: Option<Instant>,
+    /// Limit on concurrent calls since the backoff.
+    slow_start: Option<SlowStart>,
+    /// The rate of calls that it takes from all entries.
+    rate_limit: Option<RateLimit>,
 }
 
-impl Said {
-    /// Takes over what an answer says, as `heard` describes it.
-    pub(super) fn hear(&mut self, heard: &Heard<'_>) -> FeedbackChange {
-        let Heard { now, word, .. } = *heard;
-        let leaving = word.leaving && !self.leaving;
-        self.leaving |= word.leaving;
-        let rested = self.rests(now);
-        if let Some(rest) = word.backoff {
-            let span = rest.min(REST_MOST).mul_f64(1.0 + REST_SPREAD * heard.drawn);
-            let until = self.rest.max(Some(now + span));
-            if !rested {
-                self.window = Some(Window::new(heard.open));
+impl FeedbackState {
+    /// Applies the feedback of an answer.
+    pub(super) fn apply(&mut self, received: &ReceivedFeedback<'_>) -> FeedbackChange {
+        let ReceivedFeedback { now, feedback, .. } = *received;
+        let leaving = feedback.leaving && !self.leaving;
+        self.leaving |= feedback.leaving;
+        let was_backing_off = self.is_backing_off(now);
+        if let Some(backoff) = feedback.backoff {
+            let span = backoff
+                .min(MAX_BACKOFF)
+                .mul_f64(1.0 + BACKOFF_JITTER * received.jitter);
+            let until = self.backoff_until.max(Some(now + span));
+            if !was_backing_off {
+                self.slow_start = Some(SlowStart::new(received.open_calls));
             }
-            self.rest = until;
+            self.backoff_until = until;
         }
-        let limited = self.limit.is_some();
-        match (&mut self.limit, word.rate_limit) {
-            (Some(limit), Some(rate)) => limit.name(now, rate),
-            (Some(limit), None) if limit.lifted(heard.sent) => self.limit = None,
-            (None, Some(rate)) => self.limit = Some(Limit::new(now, rate)),
+        let was_limited = self.rate_limit.is_some();
+        match (&mut self.rate_limit, feedback.rate_limit) {
+            (Some(limit), Some(rate)) => limit.update(now, rate),
+            (Some(limit), None) if limit.is_lifted(received.sent_at) => self.rate_limit = None,
+            (None, Some(rate)) => self.rate_limit = Some(RateLimit::new(now, rate)),
             _ => {}
         }
         FeedbackChange {
             leaving,
-            backoff: word.backoff.filter(|_| !rested),
-            limited: Some(self.limit.is_some()).filter(|named| *named != limited),
+            backoff: feedback.backoff.filter(|_| !was_backing_off),
+            limited: Some(self.rate_limit.is_some()).filter(|limited| *limited != was_limited),
         }
     }
 
-    /// Notes that it has answered a call as it should.
-    pub(super) fn good(&mut self) {
-        if let Some(window) = &mut self.window {
-            window.answered();
+    /// Records that the server answered a call successfully.
+    pub(super) fn call_succeeded(&mut self) {
+        if let Some(slow_start) = &mut self.slow_start {
+            slow_start.call_answered();
         }
     }
 
-    /// Notes that a call goes out to it with `open` calls there.
-    fn sent(&mut self, now: Instant, open: u32, turns: Option<&TurnSchedule>) {
-        if let (Some(limit), Some(turns)) = (&mut self.limit, turns) {
-            limit.take(now, turns);
+    /// Records that a call is sent to the server while `open_calls` of this
+    /// entry are open there.
+    fn call_sent(&mut self, now: Instant, open_calls: u32, turns: Option<&TurnSchedule>) {
+        if let (Some(limit), Some(turns)) = (&mut self.rate_limit, turns) {
+            limit.use_turn(now, turns);
         }
-        if let Some(window) = &mut self.window {
-            window.sent(open);
+        if let Some(slow_start) = &mut self.slow_start {
+            slow_start.call_sent(open_calls);
         }
     }
 
-    /// Whether it takes one more call from this entry now, with `open` there.
-    pub(super) fn takes(&self, now: Instant, open: u32, turns: Option<&TurnSchedule>) -> bool {
-        let turn = |limit: Limit| turns.is_some_and(|turns| limit.open(now, turns));
-        !self.rests(now) && self.room(now, open) && self.limit.is_none_or(turn)
+    /// Whether the server takes one more call from this entry now, with
+    /// `open_calls` open there.
+    pub(super) fn accepts_call(
+        &self,
+        now: Instant,
+        open_calls: u32,
+        turns: Option<&TurnSchedule>,
+    ) -> bool {
+        let has_turn = |limit: RateLimit| turns.is_some_and(|turns| limit.has_turn(now, turns));
+        !self.is_backing_off(now)
+            && self.has_room(now, open_calls)
+            && self.rate_limit.is_none_or(has_turn)
     }
 
-    /// How long it is until it does at the most; none if that is not known.
-    fn wait(&self, now: Instant, open: u32, turns: Option<&TurnSchedule>) -> Option<Duration> {
-        let turn = match self.limit {
-            Some(limit) if !limit.open(now, turns?) => limit.wait(now, turns?)?,
+    /// The longest time until the server takes a call from this entry, if it is
+    /// known.
+    fn wait(
+        &self,
+        now: Instant,
+        open_calls: u32,
+        turns: Option<&TurnSchedule>,
+    ) -> Option<Duration> {
+        let turn_wait = match self.rate_limit {
+            Some(limit) if !limit.has_turn(now, turns?) => limit.wait(now, turns?)?,
             _ => Duration::ZERO,
         };
-        let rest = self
-            .rest
+        let backoff = self
+            .backoff_until
             .map(|until| until.saturating_duration_since(now))
-            .filter(|rest| !rest.is_zero());
-        let room = match self.room(now, open) {
+            .filter(|backoff| !backoff.is_zero());
+        let room_wait = match self.has_room(now, open_calls) {
             true => Duration::ZERO,
-            false => ROOM,
+            false => FULL_WINDOW_WAIT,
         };
-        Some(rest.unwrap_or(room).max(turn))
+        Some(backoff.unwrap_or(room_wait).max(turn_wait))
     }
 
-    /// Whether any of it still holds.
-    pub(super) fn holds(&self, now: Instant) -> bool {
-        self.leaving || self.rests(now) || self.limit.is_some()
+    /// Whether any of the feedback is still in effect.
+    pub(super) fn is_active(&self, now: Instant) -> bool {
+        self.leaving || self.is_backing_off(now) || self.rate_limit.is_some()
     }
 
-    /// Whether it wants no calls now.
-    pub(super) fn rests(&self, now: Instant) -> bool {
-        self.rest.is_some_and(|until| now < until)
+    /// Whether the server wants no calls now.
+    pub(super) fn is_backing_off(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
-    /// Whether its window has room for one more call.
-    fn room(&self, now: Instant, open: u32) -> bool {
-        let held = self.rest.is_some_and(|until| now < until + WINDOW_KEPT);
-        let window = self.window.filter(|_| held);
-        window.is_none_or(|window| window.takes(open))
+    /// Whether the slow-start window has room for one more call.
+    fn has_room(&self, now: Instant, open_calls: u32) -> bool {
+        let in_effect = self
+            .backoff_until
+            .is_some_and(|until| now < until + SLOW_START_SPAN);
+        let slow_start = self.slow_start.filter(|_| in_effect);
+        slow_start.is_none_or(|slow_start| slow_start.has_room(open_calls))
     }
 }
 
-/// An answer that says something of its server.
+/// The feedback of one answer, with its context.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Heard<'a> {
+pub(super) struct ReceivedFeedback<'a> {
     pub(super) now: Instant,
-    /// When its call was sent.
-    pub(super) sent: Instant,
-    pub(super) word: &'a ServerFeedback,
-    /// Calls of this entry at the server.
-    pub(super) open: u32,
-    /// A number drawn evenly from 0 to 1.
-    pub(super) drawn: f64,
+    /// When the answered call was sent.
+    pub(super) sent_at: Instant,
+    pub(super) feedback: &'a ServerFeedback,
+    /// Open calls of this entry at the server.
+    pub(super) open_calls: u32,
+    /// A random number, uniform from 0 to 1.
+    pub(super) jitter: f64,
 }
 
-/// How many of the known servers have said something that still holds.
+/// How many of the known servers have feedback in effect.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FeedbackCounts {
-    /// Those that leave.
+    /// Servers that are draining.
     pub leaving: usize,
-    /// Those that rest.
+    /// Servers in a backoff that they asked for.
     pub backing_off: usize,
-    /// Those that name a limit.
+    /// Servers with a rate limit.
     pub limited: usize,
 }
 
 impl Balancer {
-    /// Notes what an answer of `server` to a call that was sent at `sent` says
-    /// of it. An answer of an earlier life says nothing of the present one.
-    /// `drawn` is a number drawn evenly from 0 to 1.
+    /// Applies the feedback of an answer of `server` to a call that was sent at
+    /// `sent_at`. Feedback of an earlier incarnation does not apply to the
+    /// present one. `jitter` is a random number, uniform from 0 to 1.
     pub fn apply_feedback(
         &mut self,
         now: Instant,
         server: &ServerRecord,
-        sent: Instant,
-        word: &ServerFeedback,
-        drawn: f64,
+        sent_at: Instant,
+        feedback: &ServerFeedback,
+        jitter: f64,
     ) -> FeedbackChange {
         let known = self.servers.get_mut(&server.id);
-        let heard = Heard {
+        let received = ReceivedFeedback {
             now,
-            sent,
-            word,
-            open: known.as_ref().map_or(0, |known| known.own.open),
-            drawn,
+            sent_at,
+            feedback,
+            open_calls: known.as_ref().map_or(0, |known| known.own_calls.open),
+            jitter,
         };
         match known {
-            Some(known) if known.listed.started_ms == server.started_ms => known.said.hear(&heard),
+            Some(known) if known.record.started_ms == server.started_ms => {
+                known.feedback.apply(&received)
+            }
             Some(_) => FeedbackChange::default(),
-            None => self.past.hear(server, &heard),
+            None => self.retained.apply(server, &received),
         }
     }
 
-    /// Takes the entry's turn for a call that is about to be sent to a server;
-    /// returns whether it may be. What the server has said since the call was
-    /// placed counts too.
+    /// Takes this entry's turn for a call that is about to be sent to a server;
+    /// returns whether the call may be sent. Feedback that arrived after the
+    /// server was chosen counts too.
     pub fn take_turn(&mut self, now: Instant, id: &str) -> bool {
         let Some(server) = self.servers.get_mut(id) else {
             return true;
         };
         let turns = self.turns.as_ref();
-        if server.leaves() || !server.takes(now, turns) {
+        if server.draining() || !server.accepts_call(now, turns) {
             return false;
         }
-        server.said.sent(now, server.own.open, turns);
+        server.feedback.call_sent(now, server.own_calls.open, turns);
         true
     }
 
-    /// How long it is until some server of `service` takes a call, if all that
-    /// are there have asked for something else.
+    /// How long it is until some server of `service` takes a call, if the
+    /// feedback of all available servers forbids one now.
     #[must_use]
     pub fn next_turn(&self, now: Instant, service: &str) -> Option<Duration> {
         let serving = self.servers.values().filter(|s| s.serves(service));
         let turns = self.turns.as_ref();
-        let waits = serving.filter_map(|s| s.said.wait(now, s.own.open, turns));
+        let waits = serving.filter_map(|s| s.feedback.wait(now, s.own_calls.open, turns));
         waits.min().filter(|wait| !wait.is_zero())
     }
 
-    /// How many of the known servers have said something that still holds.
+    /// How many of the known servers have feedback in effect.
     #[must_use]
     pub fn feedback_counts(&self, now: Instant) -> FeedbackCounts {
-        let said = self.servers.values().map(|s| &s.said);
-        said.fold(FeedbackCounts::default(), |counts, said| FeedbackCounts {
-            leaving: counts.leaving + usize::from(said.leaving),
-            backing_off: counts.backing_off + usize::from(said.rests(now)),
-            limited: counts.limited + usize::from(said.limit.is_some()),
+        let feedback = self.servers.values().map(|s| &s.feedback);
+        feedback.fold(FeedbackCounts::default(), |counts, feedback| {
+            FeedbackCounts {
+                leaving: counts.leaving + usize::from(feedback.leaving),
+                backing_off: counts.backing_off + usize::from(feedback.is_backing_off(now)),
+                limited: counts.limited + usize::from(feedback.rate_limit.is_some()),
+            }
         })
     }
 }
--- a/crates/policy/src/balance/name_order.rs
+++ b/crates/policy/src/balance/name_order.rs
@@ -1,36 +1,37 @@
-//! In which order the names of servers were first told.
+//! The order in which server names were first seen.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long the name of a server that is gone is remembered. What it wrote
-/// last may be told late, and it must not count as newer than the one that has
-/// its address by then.
-const KEPT: Duration = Duration::from_secs(60);
+/// How long the name of a removed server is remembered. Its last record may
+/// arrive late, and must not count as newer than the server that has its address
+/// by then.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// Names of servers.
+/// Server names in the order in which they were first seen.
 #[derive(Debug, Default)]
-pub(super) struct Names {
-    /// Names with their places, and when they were told last.
-    places: HashMap<Rc<str>, (u64, Instant)>,
-    /// Names told so far.
+pub(super) struct NameOrder {
+    /// For each name its position and when it was last seen.
+    positions: HashMap<Rc<str>, (u64, Instant)>,
+    /// Positions assigned so far.
     count: u64,
 }
 
-impl Names {
-    /// The place of a name that is told now.
-    pub(super) fn place(&mut self, now: Instant, name: &Rc<str>) -> u64 {
+impl NameOrder {
+    /// The position of a name that is seen now.
+    pub(super) fn position(&mut self, now: Instant, name: &Rc<str>) -> u64 {
         self.count += 1;
-        let place = self.places.entry(Rc::clone(name));
-        let place = place.or_insert((self.count, now));
-        place.1 = now;
-        place.0
+        let position = self.positions.entry(Rc::clone(name));
+        let position = position.or_insert((self.count, now));
+        position.1 = now;
+        position.0
     }
 
-    /// Forgets names that were not told for long and that nobody has `known`.
-    pub(super) fn forget(&mut self, now: Instant, known: impl Fn(&str) -> bool) {
-        self.places
-            .retain(|name, (_, at)| known(name) || now < *at + KEPT);
+    /// Removes names that are not `known` and were not seen for the retention
+    /// time.
+    pub(super) fn expire(&mut self, now: Instant, known: impl Fn(&str) -> bool) {
+        self.positions
+            .retain(|name, (_, at)| known(name) || now < *at + RETENTION);
     }
 }
--- a/crates/policy/src/balance/retained.rs
+++ b/crates/policy/src/balance/retained.rs
@@ -1,68 +1,75 @@
-//! What servers have said that the list does not show any more.
+//! Feedback of servers that are currently not listed.
 //!
-//! A server that is cut off from the store drops out of the list and comes back
-//! in the same life. Meanwhile it goes on answering calls that it had.
+//! A server that is cut off from the store drops out of the list and returns in
+//! the same incarnation. Meanwhile it still answers the calls that it has.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use super::ServerRecord;
-use super::feedback::{FeedbackChange, Heard, Said};
+use super::feedback::{FeedbackChange, FeedbackState, ReceivedFeedback};
 
-/// How long it is kept. Servers that leave end within minutes, and outages that
-/// drop servers from the list are shorter.
-const KEPT: Duration = Duration::from_secs(600);
+/// How long feedback is retained. Draining servers end within minutes, and
+/// outages that drop servers from the list are shorter.
+const RETENTION: Duration = Duration::from_secs(600);
 
-/// What servers have said that the list does not show, by their names.
+/// The retained feedback by server name.
 #[derive(Debug, Default)]
-pub(super) struct Past {
-    said: HashMap<Rc<str>, Life>,
+pub(super) struct RetainedFeedback {
+    servers: HashMap<Rc<str>, Retained>,
 }
 
-/// One life of a server.
+/// The feedback of one incarnation of a server.
 #[derive(Debug)]
-struct Life {
-    born: Option<u64>,
-    said: Said,
-    /// When it was last heard of.
-    at: Instant,
+struct Retained {
+    started_ms: Option<u64>,
+    feedback: FeedbackState,
+    /// When the feedback was last updated.
+    updated_at: Instant,
 }
 
-impl Past {
-    /// Keeps what a server has said that the list has dropped.
-    pub(super) fn keep(&mut self, now: Instant, server: &ServerRecord, said: Said) {
-        if said.holds(now) {
-            let life = Life {
-                born: server.started_ms,
-                said,
-                at: now,
+impl RetainedFeedback {
+    /// Keeps the feedback of a server that is not listed.
+    pub(super) fn keep(&mut self, now: Instant, server: &ServerRecord, feedback: FeedbackState) {
+        if feedback.is_active(now) {
+            let retained = Retained {
+                started_ms: server.started_ms,
+                feedback,
+                updated_at: now,
             };
-            self.said.insert(Rc::clone(&server.id), life);
+            self.servers.insert(Rc::clone(&server.id), retained);
         }
     }
 
-    /// Takes over what an answer of such a server says.
-    pub(super) fn hear(&mut self, server: &ServerRecord, heard: &Heard<'_>) -> FeedbackChange {
-        let later = |life: &Life| life.born > server.started_ms;
-        if self.said.get(&server.id).is_some_and(later) {
+    /// Applies the feedback of an answer of a server that is not listed.
+    pub(super) fn apply(
+        &mut self,
+        server: &ServerRecord,
+        received: &ReceivedFeedback<'_>,
+    ) -> FeedbackChange {
+        let is_newer = |retained: &Retained| retained.started_ms > server.started_ms;
+        if self.servers.get(&server.id).is_some_and(is_newer) {
             return FeedbackChange::default();
         }
-        let mut said = self.take(server);
-        let news = said.hear(heard);
-        self.keep(heard.now, server, said);
-        news
+        let mut feedback = self.take(server);
+        let change = feedback.apply(received);
+        self.keep(received.now, server, feedback);
+        change
     }
 
-    /// What a server that the list shows again has said in this life.
-    pub(super) fn take(&mut self, server: &ServerRecord) -> Said {
-        let life = self.said.remove(&server.id);
-        let life = life.filter(|life| life.born == server.started_ms);
-        life.map(|life| life.said).unwrap_or_default()
+    /// Removes and returns the feedback of this incarnation of a server.
+    pub(super) fn take(&mut self, server: &ServerRecord) -> FeedbackState {
+        let retained = self.servers.remove(&server.id);
+        let retained = retained.filter(|retained| retained.started_ms == server.started_ms);
+        retained
+            .map(|retained| retained.feedback)
+            .unwrap_or_default()
     }
 
-    /// Lets go of what was said long ago.
+    /// Removes feedback that is older than the retention time.
     pub(super) fn expire(&mut self, now: Instant) {
-        self.said.retain(|_, life| now < life.at + KEPT);
+        self.servers
+            .retain(|_, retained| now < retained.updated_at + RETENTION);
     }
 }
--- a/crates/policy/src/balance/slow_start.rs
+++ b/crates/policy/src/balance/slow_start.rs
@@ -1,49 +1,54 @@
-//! How many calls a server gets at once after it has rested.
+//! Slow start of calls to a server after a backoff.
 //!
-//! Load pattern: a server that was full asks for rest, and all that has been
-//! held back meanwhile comes to it in the moment in which the rest ends. It is
-//! full again at once and asks again, so that it stands idle nearly all the
-//! time while callers are refused. An entry that comes back sends one call more
-//! than it has open there, and one more for each that is answered; from half of
-//! what was too much before it goes on slowly.
+//! Load pattern: a full server asks for a backoff, and all calls that were held
+//! back reach it at the moment the backoff ends. It is full again at once and
+//! asks again, so that it is idle nearly all the time while callers are refused.
+//! With slow start, an entry that returns sends one call more than it has open
+//! at the server, and one more for each answered call. From half of the
+//! concurrency that was too high it grows by one per round of answers.
 
-/// The part of the calls that were too much up to which the window doubles with
-/// each round of answers.
-const SAFE_SHARE: f64 = 0.5;
+/// The fraction of the concurrency that was too high up to which the window
+/// doubles with each round of answers.
+const THRESHOLD_RATIO: f64 = 0.5;
 
-/// The calls at once of one entry to a server that has asked for rest.
+/// The concurrency window of one entry at a server that asked for a backoff.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Window {
-    /// Calls at once; none before the first call after the rest.
-    size: Option<f64>,
-    /// Up to how many it grows fast.
-    safe: f64,
+pub(super) struct SlowStart {
+    /// The most concurrent calls; unset until the first call after the backoff.
+    window: Option<f64>,
+    /// The window size from which growth is linear.
+    threshold: f64,
 }
 
-impl Window {
-    /// The window of a server that has turned a call away with `open` calls of
-    /// this entry there.
-    pub(super) fn new(open: u32) -> Self {
+impl SlowStart {
+    /// The window at a server that rejected a call while `open_calls` of this
+    /// entry were open there.
+    pub(super) fn new(open_calls: u32) -> Self {
         Self {
-            size: None,
-            safe: f64::from(open) * SAFE_SHARE,
+            window: None,
+            threshold: f64::from(open_calls) * THRESHOLD_RATIO,
         }
     }
 
-    /// Whether there is room for one more call with `open` there.
-    pub(super) fn takes(&self, open: u32) -> bool {
-        self.size.is_none_or(|size| f64::from(open) < size)
+    /// Whether the window has room for one more call beside `open_calls`.
+    pub(super) fn has_room(&self, open_calls: u32) -> bool {
+        self.window
+            .is_none_or(|window| f64::from(open_calls) < window)
     }
 
-    /// Notes a call that goes out with `open` there.
-    pub(super) fn sent(&mut self, open: u32) {
-        self.size.get_or_insert(f64::from(open) + 1.0);
+    /// Records that a call is sent while `open_calls` are open.
+    pub(super) fn call_sent(&mut self, open_calls: u32) {
+        self.window.get_or_insert(f64::from(open_calls) + 1.0);
     }
 
-    /// Notes that a call was answered.
-    pub(super) fn answered(&mut self) {
-        if let Some(size) = &mut self.size {
-            *size += if *size < self.safe { 1.0 } else { 1.0 / *size };
+    /// Records that a call was answered.
+    pub(super) fn call_answered(&mut self) {
+        if let Some(window) = &mut self.window {
+            *window += if *window < self.threshold {
+                1.0
+            } else {
+                1.0 / *window
+            };
         }
     }
 }
