--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which hosts there are, from a list that lags and from their own answers.
+//! Which hosts exist, according to a list that lags and to their own answers.
 //!
-//! The list proposes hosts. It may be late, frozen, empty or out of reach, so
-//! a host that it no longer shows stays for as long as it answers, and is
-//! forgotten a bounded time after its last answer.
+//! The list may be late, frozen, empty or unreachable. A host that it no longer
+//! shows therefore stays known as long as it answers, and is forgotten a bounded
+//! time after its last answer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,27 +12,27 @@
 
 use crate::subset::{self, HostRef, SubsetSize};
 
-/// How membership is bounded.
+/// Limits on the hosts that an entry knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipLimits {
-    /// How many servers of each service are known.
+    /// The size of the subset of each service.
     pub subset_size: SubsetSize,
-    /// How long a host stays that is not listed and does not answer.
+    /// How long a host stays known that is neither listed nor answers.
     pub forget_after: Duration,
 }
 
-/// A host as the list shows it.
+/// A host in the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Host {
     /// The daemon's name.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// The availability zone that it stands in.
+    /// Its availability zone.
     pub zone: String,
-    /// What runs there.
+    /// What runs on it.
     pub kind: HostKind,
-    /// Whether the list says that it is about to go away.
+    /// Whether the list shows it as draining.
     pub leaving: bool,
 }
 
@@ -48,12 +48,12 @@
     },
 }
 
-/// What became of a list.
+/// The result of applying a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListOutcome {
-    /// It was taken over.
+    /// It was applied.
     Taken,
-    /// It shows no sidecar at all, which is taken for a fault of the list.
+    /// It contains no sidecar, which is taken for a fault of the list.
     Ignored,
 }
 
@@ -65,25 +65,25 @@
     /// The entry's own availability zone.
     zone: String,
     limits: MembershipLimits,
-    hosts: BTreeMap<String, Record>,
+    hosts: BTreeMap<String, KnownHost>,
 }
 
-/// One host and what was heard of it.
+/// One host and what is known of it.
 #[derive(Debug)]
-struct Record {
+struct KnownHost {
     host: Host,
-    /// Whether the last list showed it.
+    /// Whether the last list contained it.
     listed: bool,
-    /// When it last answered or the list last changed about it.
-    seen: Instant,
-    /// The life in which it last answered.
-    life: Option<Incarnation>,
-    /// The life that the list says is about to end.
-    ending: Option<Incarnation>,
+    /// When it last answered, or was dropped from the list.
+    last_seen: Instant,
+    /// The incarnation in which it last answered.
+    incarnation: Option<Incarnation>,
+    /// The incarnation that the list shows as draining.
+    draining: Option<Incarnation>,
 }
 
 impl Membership {
-    /// Makes the membership of the entry `name` in `zone`, which knows no
+    /// Creates the membership of the entry `name` in `zone`, which knows no
     /// other host yet.
     #[must_use]
     pub fn new(name: &str, zone: &str, limits: MembershipLimits) -> Self {
@@ -95,57 +95,59 @@
         }
     }
 
-    /// Takes a list over.
+    /// Applies a list.
     ///
-    /// A list without any sidecar would leave no backend server for any
-    /// request, and comes from a fault of the platform far more often than
-    /// from a fleet that is gone; the hosts' own answers tell these apart.
+    /// A list without any sidecar is ignored: it would leave no backend server
+    /// for any request, and is far more often a fault of the platform than a
+    /// fleet that is gone. A fleet that is gone shows by its missing answers.
     pub fn apply_list(&mut self, now: Instant, hosts: &[Host]) -> ListOutcome {
-        let sidecar = |h: &Host| matches!(h.kind, HostKind::Sidecar { .. });
-        if !hosts.iter().any(sidecar) {
+        let is_sidecar = |h: &Host| matches!(h.kind, HostKind::Sidecar { .. });
+        if !hosts.iter().any(is_sidecar) {
             return ListOutcome::Ignored;
         }
 
         let shown: BTreeMap<&str, &Host> = hosts.iter().map(|h| (h.name.as_str(), h)).collect();
-        for (name, record) in &mut self.hosts {
+        for (name, known) in &mut self.hosts {
             let listed = shown.contains_key(name.as_str());
-            if record.listed && !listed {
+            if known.listed && !listed {
                 // The time until it is forgotten starts here, also for a host
                 // that this entry had no reason to call.
-                record.seen = now;
+                known.last_seen = now;
             }
-            record.listed = listed;
+            known.listed = listed;
         }
         for host in hosts {
             match self.hosts.get_mut(&host.name) {
-                Some(record) => record.update(host),
+                Some(known) => known.update(host),
                 None => {
-                    self.hosts.insert(host.name.clone(), Record::new(now, host));
+                    self.hosts
+                        .insert(host.name.clone(), KnownHost::new(now, host));
                 }
             }
         }
         ListOutcome::Taken
     }
 
-    /// Notes that a host answered at `at`, in its life `life`.
-    pub fn note_answer(&mut self, at: Instant, name: &str, life: Incarnation) {
-        if let Some(record) = self.hosts.get_mut(name) {
-            record.seen = record.seen.max(at);
-            record.life = Some(life);
-            // A host first heard of after the list called it leaving: that
-            // this is its next life already cannot be told.
-            if record.host.leaving && record.ending.is_none() {
-                record.ending = Some(life);
+    /// Records that a host answered at `at` in the given incarnation.
+    pub fn note_answer(&mut self, at: Instant, name: &str, incarnation: Incarnation) {
+        if let Some(known) = self.hosts.get_mut(name) {
+            known.last_seen = known.last_seen.max(at);
+            known.incarnation = Some(incarnation);
+            // For a host that first answers after the list shows it as draining,
+            // it is unknown whether this is its next incarnation already; it
+            // counts as the draining one.
+            if known.host.leaving && known.draining.is_none() {
+                known.draining = Some(incarnation);
             }
         }
     }
 
-    /// Forgets hosts that are neither listed nor answer; returns how many.
+    /// Removes hosts that are neither listed nor answer; returns how many.
     pub fn sweep(&mut self, now: Instant) -> usize {
         let before = self.hosts.len();
-        let forget = self.limits.forget_after;
+        let forget_after = self.limits.forget_after;
         self.hosts
-            .retain(|_, r| r.listed || now.saturating_duration_since(r.seen) < forget);
+            .retain(|_, k| k.listed || now.saturating_duration_since(k.last_seen) < forget_after);
         before - self.hosts.len()
     }
 
@@ -155,47 +157,47 @@
         let entries = self
             .hosts
             .values()
-            .filter(|r| r.host.kind == HostKind::Entry);
-        let entries: Vec<HostRef> = entries.map(|r| place(&r.host)).collect();
+            .filter(|k| k.host.kind == HostKind::Entry);
+        let entries: Vec<HostRef> = entries.map(|k| host_ref(&k.host)).collect();
         let me = HostRef {
             name: &self.name,
             zone: &self.zone,
         };
 
         let mut services: BTreeMap<&str, Vec<&Host>> = BTreeMap::new();
-        for record in self.hosts.values() {
-            if let HostKind::Sidecar { serves } = &record.host.kind {
-                services.entry(serves).or_default().push(&record.host);
+        for known in self.hosts.values() {
+            if let HostKind::Sidecar { serves } = &known.host.kind {
+                services.entry(serves).or_default().push(&known.host);
             }
         }
 
         let mut chosen = Vec::new();
         for hosts in services.values() {
-            let places: Vec<HostRef> = hosts.iter().map(|h| place(h)).collect();
-            let picked = subset::choose(me, &entries, &places, self.limits.subset_size);
+            let sidecars: Vec<HostRef> = hosts.iter().map(|h| host_ref(h)).collect();
+            let picked = subset::choose(me, &entries, &sidecars, self.limits.subset_size);
             chosen.extend(picked.into_iter().map(|i| hosts[i]));
         }
         chosen
     }
 
-    /// Whether the list leaves a host for new work.
+    /// Whether a host is draining or unknown and must not get new work.
     ///
-    /// The list may speak of an earlier life: once the host answers in a new
-    /// one, it has come back, and waiting for the list would keep it idle for
-    /// as long as the list lags.
+    /// The list may show the state of an earlier incarnation. Once the host
+    /// answers in a new one, it is back in service; waiting for the list would
+    /// keep it idle for as long as the list lags.
     #[must_use]
     pub fn is_leaving(&self, name: &str) -> bool {
-        let Some(record) = self.hosts.get(name) else {
+        let Some(known) = self.hosts.get(name) else {
             return true;
         };
-        let back = record.ending.is_some() && record.ending != record.life;
-        record.host.leaving && !back
+        let restarted = known.draining.is_some() && known.draining != known.incarnation;
+        known.host.leaving && !restarted
     }
 
-    /// Whether the last list showed a host.
+    /// Whether the last list contained a host.
     #[must_use]
     pub fn is_listed(&self, name: &str) -> bool {
-        self.hosts.get(name).is_some_and(|r| r.listed)
+        self.hosts.get(name).is_some_and(|k| k.listed)
     }
 
     /// How many hosts are known.
@@ -211,22 +213,22 @@
     }
 }
 
-impl Record {
+impl KnownHost {
     fn new(now: Instant, host: &Host) -> Self {
         Self {
             host: host.clone(),
             listed: true,
-            seen: now,
-            life: None,
-            ending: None,
+            last_seen: now,
+            incarnation: None,
+            draining: None,
         }
     }
 
     fn update(&mut self, host: &Host) {
         match host.leaving {
-            true if !self.host.leaving => self.ending = self.life,
+            true if !self.host.leaving => self.draining = self.incarnation,
             true => {}
-            false => self.ending = None,
+            false => self.draining = None,
         }
         if self.host != *host {
             self.host = host.clone();
@@ -234,7 +236,7 @@
     }
 }
 
-fn place(host: &Host) -> HostRef<'_> {
+fn host_ref(host: &Host) -> HostRef<'_> {
     HostRef {
         name: &host.name,
         zone: &host.zone,
--- a/crates/policy/src/repeat_budget.rs
+++ b/crates/policy/src/repeat_budget.rs
@@ -1,107 +1,107 @@
-//! How many calls may be sent to a second server.
+//! Budget of calls that are repeated at a second server.
 //!
-//! The budget is one for all entries together, and they do not talk about it.
-//! Each keeps its own repeats within the allowed share of its own first
-//! sends, so that the sum keeps to the share as well, however many entries
-//! there are. Where each sees less than one call a second, that share alone
-//! rounds to no repeat at all: of what all entries together may repeat beyond
-//! the share, each has an equal part.
+//! The budget holds for all entries together, without coordination. Each entry
+//! limits its repeats to the allowed ratio of its own calls, so that the sum
+//! keeps to the ratio for any number of entries. When an entry sees less than one
+//! call per second, this ratio alone rounds down to no repeats. A fixed number of
+//! additional repeats is therefore allowed, of which each entry has an equal part.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Slices of the window; the count of a window is off by one slice at most.
+/// Time slices of the sliding window. The counts of a window are off by at most
+/// one slice.
 const SLICES: u32 = 10;
 
-/// What repeats may add to a service's load.
+/// Limit on the repeats of one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RepeatLimit {
-    /// Repeats for each first send.
+    /// Allowed repeats per call.
     pub ratio: f64,
-    /// The span over which both are counted.
+    /// The time window over which calls and repeats are counted.
     pub window: Duration,
-    /// Repeats that all entries together may make beyond that in the span.
+    /// Additional repeats per window that all entries together may make.
     pub slack: f64,
 }
 
-/// The part of the slack that is used. Entries that start again count anew, and
-/// counts are off by a slice.
-const SLACK_SHARE: f64 = 0.4;
+/// The fraction of the slack that entries use. The rest covers restarted entries,
+/// which count from zero, and counts that are off by one slice.
+const USED_SLACK: f64 = 0.4;
 
-/// Counts sends and repeats by service.
+/// Counts the calls and repeats of each service.
 #[derive(Debug)]
 pub struct RepeatBudget {
-    share: RepeatLimit,
-    /// Entries among which the slack is shared; 0 while that is not known.
+    limit: RepeatLimit,
+    /// Number of entries that share the slack; 0 while unknown.
     entries: usize,
     services: HashMap<Rc<str>, VecDeque<Slice>>,
 }
 
-/// What happened in one slice of the window.
+/// The counts of one time slice.
 #[derive(Debug, Clone, Copy)]
 struct Slice {
-    since: Instant,
-    first: u32,
+    start: Instant,
+    calls: u32,
     repeats: u32,
 }
 
 impl RepeatBudget {
-    /// Makes a budget in which nothing was sent yet.
+    /// Creates a budget without any counted calls.
     #[must_use]
-    pub fn new(share: RepeatLimit) -> Self {
+    pub fn new(limit: RepeatLimit) -> Self {
         Self {
-            share,
+            limit,
             entries: 0,
             services: HashMap::new(),
         }
     }
 
-    /// Notes among how many entries the slack is shared.
+    /// Sets the number of entries that share the slack.
     pub fn set_entries(&mut self, entries: usize) {
         self.entries = entries;
     }
 
-    /// Notes the first send of a call.
+    /// Counts a call, when it is first sent.
     pub fn record_call(&mut self, now: Instant, service: &Rc<str>) {
-        self.slice(now, service).first += 1;
+        self.current_slice(now, service).calls += 1;
     }
 
-    /// Takes one repeat, if the share has one left.
+    /// Counts one repeat if the limit allows it; returns whether it does.
     pub fn take_repeat(&mut self, now: Instant, service: &Rc<str>) -> bool {
-        let ratio = self.share.ratio;
+        let ratio = self.limit.ratio;
         let slack = match self.entries {
             0 => 0.0,
-            entries => self.share.slack * SLACK_SHARE / entries as f64,
+            entries => self.limit.slack * USED_SLACK / entries as f64,
         };
-        self.slice(now, service);
+        self.current_slice(now, service);
         let Some(slices) = self.services.get(service) else {
             return false;
         };
-        let first: u32 = slices.iter().map(|s| s.first).sum();
+        let calls: u32 = slices.iter().map(|s| s.calls).sum();
         let repeats: u32 = slices.iter().map(|s| s.repeats).sum();
-        if f64::from(repeats + 1) > f64::from(first) * ratio + slack {
+        if f64::from(repeats + 1) > f64::from(calls) * ratio + slack {
             return false;
         }
-        self.slice(now, service).repeats += 1;
+        self.current_slice(now, service).repeats += 1;
         true
     }
 
-    /// The slice that `now` falls into; drops those out of the window.
-    fn slice(&mut self, now: Instant, service: &Rc<str>) -> &mut Slice {
-        let RepeatLimit { window, .. } = self.share;
+    /// The slice that contains `now`. Drops slices that are outside the window.
+    fn current_slice(&mut self, now: Instant, service: &Rc<str>) -> &mut Slice {
+        let RepeatLimit { window, .. } = self.limit;
         if !self.services.contains_key(service) {
             self.services.insert(Rc::clone(service), VecDeque::new());
         }
         let slices = self.services.get_mut(service).expect("inserted above");
-        while slices.front().is_some_and(|s| now >= s.since + window) {
+        while slices.front().is_some_and(|s| now >= s.start + window) {
             slices.pop_front();
         }
-        let fresh = |s: &Slice| now < s.since + window / SLICES;
-        if !slices.back().is_some_and(fresh) {
+        let is_current = |s: &Slice| now < s.start + window / SLICES;
+        if !slices.back().is_some_and(is_current) {
             slices.push_back(Slice {
-                since: now,
-                first: 0,
+                start: now,
+                calls: 0,
                 repeats: 0,
             });
         }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,31 +1,32 @@
-//! When a request may be tried again, and how often a class may do so. See
-//! docs/DECISIONS/0202-retries.md.
+//! Whether a failed request may be retried, and the retry budget of each
+//! request class. See docs/DECISIONS/0202-retries.md.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use base::reason::{Ran, Retry};
 
-/// Retries that a class may save up. Enough for the requests that one server
-/// loses when it crashes, too few to add to an overload.
-const SAVED: f64 = 10.0;
+/// The capacity of a class's token bucket, in retries. It is enough for the
+/// requests that one server loses when it crashes, and too little to aggravate an
+/// overload.
+const BUCKET_CAPACITY: f64 = 10.0;
 
-/// Rounding that sums of small shares may have lost.
-const SLACK: f64 = 1e-6;
+/// Tolerance for the rounding error of sums of small shares.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The retries that are left to each class: a token bucket that only grants
-/// fill. When every server fails nothing is granted, so nothing fills it, and
-/// the retries end after those saved up.
+/// A token bucket of retries for each class, which only granted requests
+/// refill. When every server fails, no request is granted, and retries stop when
+/// the bucket is empty.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     /// Retries left, by class.
     left: HashMap<String, f64>,
-    /// Whether retries are unlimited, as a baseline to measure against.
+    /// Whether retries are unlimited, as a baseline for measurements.
     unlimited: bool,
 }
 
 impl RetryBudget {
-    /// Makes a budget in which every class has its retries saved up.
+    /// Creates a budget in which the bucket of every class is full.
     #[must_use]
     pub fn new(unlimited: bool) -> Self {
         Self {
@@ -34,64 +35,66 @@
         }
     }
 
-    /// Notes a grant, which earns `share` of a retry.
+    /// Adds `share` of a retry to the bucket of a class for a granted request.
     pub fn earn(&mut self, class: &str, share: f64) {
         if let Some(left) = self.left.get_mut(class) {
-            *left = (*left + share).min(SAVED);
+            *left = (*left + share).min(BUCKET_CAPACITY);
         }
     }
 
-    /// Takes one retry, if one is left.
+    /// Takes one retry from the bucket; returns whether one was left.
     pub fn take(&mut self, class: &str) -> bool {
         if self.unlimited {
             return true;
         }
-        // Only classes that retry take up memory.
+        // Buckets are created on the first retry, so that classes without
+        // retries use no memory.
         if !self.left.contains_key(class) {
-            self.left.insert(class.to_owned(), SAVED);
+            self.left.insert(class.to_owned(), BUCKET_CAPACITY);
         }
-        // Ten tenths add up to a little less than one.
+        // Due to rounding, ten shares of 0.1 add up to slightly less than 1.
         let left = self
             .left
             .get_mut(class)
-            .filter(|left| **left + SLACK >= 1.0);
+            .filter(|left| **left + ROUNDING_TOLERANCE >= 1.0);
         left.map(|left| *left -= 1.0).is_some()
     }
 
     /// The retries that are left to a class.
     #[must_use]
     pub fn retries_left(&self, class: &str) -> f64 {
-        self.left.get(class).copied().unwrap_or(SAVED)
+        self.left.get(class).copied().unwrap_or(BUCKET_CAPACITY)
     }
 }
 
-/// A try that came to nothing.
+/// An attempt to run a request that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// Why it would be tried again.
+    /// The reason for a retry.
     pub cause: Retry,
     /// Whether the request may have run.
     pub ran: Ran,
-    /// Whether a part of the answer reached the caller.
+    /// Whether a part of the answer was delivered to the caller.
     pub delivered: bool,
 }
 
-/// Whether a failed request may be tried again at another server.
+/// Whether a failed request may be retried at another server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It may, if the budget has a retry left.
+    /// It may be retried, if the budget has a retry left.
     Again,
-    /// It must not, because it could run twice.
+    /// It must not be retried, because it could run twice.
     NotRepeatable,
-    /// It must not, because the caller has a part of another answer.
+    /// It must not be retried, because the caller already has a part of the
+    /// first answer.
     Delivered,
-    /// It would come too late.
+    /// A retry would miss the deadline.
     TooLate,
 }
 
 impl FailedAttempt {
-    /// Judges whether to try again. `left` is the time until the answer is
-    /// due and `need` what another try takes at least.
+    /// Decides whether to retry. `left` is the time until the deadline and `need`
+    /// the least time that another attempt takes.
     #[must_use]
     pub fn decide(&self, repeatable: bool, left: Duration, need: Duration) -> RetryDecision {
         if self.delivered {
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -1,32 +1,32 @@
 //! Which backend servers one entry keeps connections to.
 //!
 //! A connection costs memory at both ends, so an entry knows a bounded subset
-//! of each service: servers of its own availability zone first, the rest
-//! elsewhere in the region. The servers choose their entries by rendezvous
-//! hash, not the entries their servers: so each server of a zone is covered by
-//! the same number of entries, give or take one, and when a host leaves only
-//! the connections that it had move. See docs/DECISIONS/0401-membership.md.
+//! of each service: servers of its own availability zone first, the rest from
+//! other zones of the region. Each server is assigned the entries with the
+//! highest rendezvous scores, rather than each entry its servers. Thus each
+//! server of a zone is covered by the same number of entries, plus or minus one,
+//! and when a host leaves, only its own connections move. See docs/DECISIONS/0401-membership.md.
 
-/// How large a subset is.
+/// The size of a subset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SubsetSize {
-    /// Servers of one service that an entry knows, as a mean over the entries.
+    /// Servers of one service that an entry knows, averaged over the entries.
     pub total: usize,
-    /// How many of these stand in other availability zones, at the least.
+    /// The least number of these that are in other availability zones.
     pub other_zones: usize,
 }
 
-/// A host as the choice sees it.
+/// What the choice of a subset depends on for one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostRef<'a> {
     /// The daemon's name.
     pub name: &'a str,
-    /// The availability zone that the host stands in.
+    /// The availability zone of the host.
     pub zone: &'a str,
 }
 
-/// Chooses among `servers` of one service for the entry `me`; `entries` are
-/// all entries of the region. Returns places in `servers`.
+/// Chooses the subset of the `servers` of one service for the entry `me`;
+/// `entries` are all entries of the region. Returns indices into `servers`.
 #[must_use]
 pub fn choose(
     me: HostRef,
@@ -38,53 +38,58 @@
         return (0..servers.len()).collect();
     }
 
-    // An entry that the lagging list does not show yet counts itself.
-    let mine = hash(me.name);
+    // The list may lag and not contain this entry yet, so that it is counted
+    // separately.
+    let own_hash = hash(me.name);
     let peers = entries.iter().filter(|e| e.zone == me.zone);
     let peers = peers.filter(|e| e.name != me.name).map(|e| hash(e.name));
     let peers: Vec<u64> = peers.collect();
 
-    let shares = Shares::new(me, servers, size, peers.len() + 1);
+    let coverage = Coverage::new(me, servers, size, peers.len() + 1);
     let covers = |server: &HostRef| {
         let key = hash(server.name);
-        let score = pair(mine, key);
-        let ahead = peers.iter().filter(|p| pair(**p, key) > score).count();
-        ahead < shares.entries_of(server.zone == me.zone, key)
+        let own_score = score(own_hash, key);
+        let ahead = peers.iter().filter(|p| score(**p, key) > own_score).count();
+        ahead < coverage.entries_of(server.zone == me.zone, key)
     };
     let chosen = servers.iter().enumerate().filter(|(_, s)| covers(s));
-    chosen.map(|(place, _)| place).collect()
+    chosen.map(|(index, _)| index).collect()
 }
 
-/// How many entries of one availability zone each server gets.
-struct Shares {
-    /// For a server of the same zone.
-    near: f64,
-    /// For a server of another zone.
-    far: f64,
+/// How many entries of one availability zone cover each server.
+struct Coverage {
+    /// For a server in the same zone.
+    same_zone: f64,
+    /// For a server in another zone.
+    other_zones: f64,
 }
 
-impl Shares {
+impl Coverage {
     fn new(me: HostRef, servers: &[HostRef], size: SubsetSize, entries: usize) -> Self {
-        let near_servers = servers.iter().filter(|s| s.zone == me.zone).count();
-        let near = near_servers.min(size.total.saturating_sub(size.other_zones));
-        let far = size.total - near;
-        let share = |wanted: usize, of: usize| match of {
+        let zone_servers = servers.iter().filter(|s| s.zone == me.zone).count();
+        let same_zone = zone_servers.min(size.total.saturating_sub(size.other_zones));
+        let other_zones = size.total - same_zone;
+        let coverage = |wanted: usize, servers: usize| match servers {
             0 => 0.0,
-            _ => entries as f64 * wanted as f64 / of as f64,
+            _ => entries as f64 * wanted as f64 / servers as f64,
         };
         Self {
-            near: share(near, near_servers),
-            far: share(far, servers.len() - near_servers),
+            same_zone: coverage(same_zone, zone_servers),
+            other_zones: coverage(other_zones, servers.len() - zone_servers),
         }
     }
 
-    /// The share as a whole number of entries. A fraction goes to that
-    /// fraction of the servers, drawn by their hash.
-    fn entries_of(&self, near: bool, key: u64) -> usize {
-        let share = if near { self.near } else { self.far };
-        let drawn = pair(key, 0) as f64 / u64::MAX as f64;
-        let extra = usize::from(drawn < share.fract());
-        share.trunc() as usize + extra
+    /// The coverage of one server as a whole number of entries. The fractional
+    /// part is rounded up for that fraction of the servers, selected by hash.
+    fn entries_of(&self, same_zone: bool, key: u64) -> usize {
+        let mean = if same_zone {
+            self.same_zone
+        } else {
+            self.other_zones
+        };
+        let fraction = score(key, 0) as f64 / u64::MAX as f64;
+        let extra = usize::from(fraction < mean.fract());
+        mean.trunc() as usize + extra
     }
 }
 
@@ -93,7 +98,7 @@
 }
 
 /// The rendezvous score of an entry and a server.
-fn pair(entry: u64, server: u64) -> u64 {
+fn score(entry: u64, server: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&entry.to_le_bytes());
     bytes[8..].copy_from_slice(&server.to_le_bytes());
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -1,14 +1,15 @@
-//! Requests under which backend servers crash.
+//! Detects requests that crash the servers that run them.
 //!
-//! Load pattern: a request makes each server that begins it crash, and its
-//! caller sends it again and again, under a new identity and to any entry. Each
-//! try costs a server with all its other calls, and no entry sees enough of them
-//! to know the request by itself. Entries tell each other, by way of the store,
-//! which servers have crashed while they ran it; at [`CRASHES`] it is refused.
+//! Load pattern: a request crashes every server that starts it, and its caller
+//! sends it again and again, under a new identity and to any entry. Each attempt
+//! costs a server with all its other calls, and no single entry sees enough
+//! attempts to recognize the request. Entries therefore share, through the
+//! store, which servers crashed while they ran which request. After
+//! [`CRASH_LIMIT`] crashes the request is refused.
 //!
-//! A server that crashes has dozens of calls, all but one of them innocent. They
-//! are told apart by what else they did: an innocent one is served sooner or
-//! later, which clears it, and few are sent three times to servers that crash. See
+//! A server that crashes runs dozens of calls, all but one of them innocent. An
+//! innocent request is sooner or later served, which clears it, and is rarely
+//! sent to as many as three servers that crash. See
 //! docs/DECISIONS/0607-crashing-requests.md.
 
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -19,26 +20,28 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Lives of servers that crash under a request before it is refused. One or two
-/// happen to calls that are only near: a caller that comes back once may meet
-/// a second server that crashes.
+/// Server crashes after which a request is refused. One or two also happen to
+/// innocent requests: a caller that retries once may meet a second server that
+/// crashes.
 pub const CRASH_LIMIT: usize = 3;
 
-/// How long a crash is held against a request: longer than callers go on
-/// repeating what fails, and short enough for a server that was mended.
+/// How long a crash counts against a request: longer than callers keep
+/// repeating a failing request, and short enough that it is accepted again once
+/// the servers are fixed.
 pub const CRASH_TTL: Duration = Duration::from_secs(30 * 60);
 
-/// Crashes that are known at most, some 100 bytes each. Beyond it those of the
-/// requests that were suspected longest ago go.
+/// The most crashes that are kept, about 100 bytes each. Beyond this limit, the
+/// requests whose last crash is the oldest are dropped.
 pub const MAX_CRASHES: usize = 1 << 14;
 
-/// Requests that are remembered as served, so that one that is sent all the
-/// time is not suspected when a whole rack of servers crashes under its copies.
-const SERVED: usize = 1 << 12;
+/// How many recently served requests are remembered, so that a request that is
+/// sent all the time is not suspected when a whole rack of servers crashes while
+/// running copies of it.
+const SERVED_CAPACITY: usize = 1 << 12;
 
-/// Names a request by what its caller sends, whichever entry gets it and
-/// however often. It cannot be chosen, so that no caller has the requests of
-/// another one taken for its own.
+/// Identifies a request by its content, independent of the entry and of the
+/// number of attempts. It is a cryptographic hash, so that a caller cannot make
+/// the requests of another caller match its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(pub [u8; 16]);
 
@@ -64,13 +67,14 @@
     }
 }
 
-/// A life of a server that crashed while it ran a request. Its text, as in
-/// `FINGERPRINT-LIFE`, is its key in the store: whoever saw it writes the same record.
+/// An incarnation of a server that crashed while it ran a request. Its text form
+/// `FINGERPRINT-INCARNATION` is its key in the store, so that all entries that saw
+/// the crash write the same record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Crash {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The life of the server, by number.
+    /// Hash that identifies the incarnation of the server.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
@@ -85,177 +89,178 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let bad = || format!("no crash of a server: {text:?}");
-        let (fingerprint, life) = text.split_once('-').ok_or_else(bad)?;
+        let bad = || format!("invalid crash key, expected FINGERPRINT-INCARNATION: {text:?}");
+        let (fingerprint, incarnation) = text.split_once('-').ok_or_else(bad)?;
         let fingerprint = u128::from_str_radix(fingerprint, 16).map_err(|_| bad())?;
         Ok(Self {
             fingerprint: Fingerprint(fingerprint.to_be_bytes()),
-            incarnation: u64::from_str_radix(life, 16).map_err(|_| bad())?,
+            incarnation: u64::from_str_radix(incarnation, 16).map_err(|_| bad())?,
         })
     }
 }
 
-/// What the entries know of requests under which servers have crashed.
+/// The crashes that entries attribute to requests.
 #[derive(Debug, Default)]
 pub struct CrashSuspects {
-    requests: HashMap<Fingerprint, Vec<Seen>>,
-    /// Crashes in all of them.
-    count: usize,
-    served: Served,
+    requests: HashMap<Fingerprint, Vec<CountedCrash>>,
+    /// The number of crashes of all requests.
+    crash_count: usize,
+    served: RecentlyServed,
 }
 
-/// A crash as it is held against a request.
+/// A crash that counts against a request.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
-    life: u64,
-    /// Until when.
-    until: Instant,
+struct CountedCrash {
+    incarnation: u64,
+    expires_at: Instant,
 }
 
 impl CrashSuspects {
-    /// Holds a crash against its request that was seen `age` ago; returns whether
-    /// it was not known.
+    /// Counts a crash that was seen `age` ago against its request; returns whether
+    /// it is new.
     pub fn add_crash(&mut self, now: Instant, crash: Crash, age: Duration) -> bool {
         let left = CRASH_TTL.saturating_sub(age);
-        let seen = self.requests.entry(crash.fingerprint).or_default();
-        if left.is_zero() || seen.iter().any(|s| s.life == crash.incarnation) {
-            if seen.is_empty() {
+        let crashes = self.requests.entry(crash.fingerprint).or_default();
+        if left.is_zero() || crashes.iter().any(|c| c.incarnation == crash.incarnation) {
+            if crashes.is_empty() {
                 self.requests.remove(&crash.fingerprint);
             }
             return false;
         }
-        seen.push(Seen {
-            life: crash.incarnation,
-            until: now + left,
+        crashes.push(CountedCrash {
+            incarnation: crash.incarnation,
+            expires_at: now + left,
         });
-        self.count += 1;
-        if self.count > MAX_CRASHES {
-            self.make_room(crash.fingerprint);
+        self.crash_count += 1;
+        if self.crash_count > MAX_CRASHES {
+            self.evict_oldest(crash.fingerprint);
         }
         true
     }
 
-    /// Holds it against each of the requests at a server that its life has
-    /// crashed, but those that were served lately. Returns the crashes that were not
-    /// known.
+    /// Counts the crash of a server against each request that it was running,
+    /// except those that were served recently. Returns the crashes that are new.
     pub fn server_crashed(
         &mut self,
         now: Instant,
-        life: u64,
+        incarnation: u64,
         fingerprints: &[Fingerprint],
     ) -> Vec<Crash> {
         let crashes = fingerprints.iter().map(|fingerprint| Crash {
             fingerprint: *fingerprint,
-            incarnation: life,
+            incarnation,
         });
         let crashes: Vec<Crash> = crashes
-            .filter(|e| !self.served.has(e.fingerprint))
+            .filter(|c| !self.served.contains(c.fingerprint))
             .collect();
-        let hold = |e: &Crash| self.add_crash(now, *e, Duration::ZERO);
-        crashes.into_iter().filter(hold).collect()
+        let is_new = |c: &Crash| self.add_crash(now, *c, Duration::ZERO);
+        crashes.into_iter().filter(is_new).collect()
     }
 
-    /// Notes that a server ran a request whole, and returns the crashes that are
-    /// no longer held against it.
+    /// Records that a server completed a request, and returns the crashes that
+    /// no longer count against it.
     pub fn request_served(&mut self, fingerprint: Fingerprint) -> Vec<Crash> {
         self.served.add(fingerprint);
-        let seen = self.requests.remove(&fingerprint).unwrap_or_default();
-        self.count -= seen.len();
-        let crash = |s: Seen| Crash {
+        let crashes = self.requests.remove(&fingerprint).unwrap_or_default();
+        self.crash_count -= crashes.len();
+        let crash = |c: CountedCrash| Crash {
             fingerprint,
-            incarnation: s.life,
+            incarnation: c.incarnation,
         };
-        seen.into_iter().map(crash).collect()
+        crashes.into_iter().map(crash).collect()
     }
 
-    /// Stops holding a crash against its request.
+    /// Removes a crash from its request.
     pub fn remove_crash(&mut self, crash: Crash) {
-        let Some(seen) = self.requests.get_mut(&crash.fingerprint) else {
+        let Some(crashes) = self.requests.get_mut(&crash.fingerprint) else {
             return;
         };
-        let before = seen.len();
-        seen.retain(|s| s.life != crash.incarnation);
-        self.count -= before - seen.len();
-        if seen.is_empty() {
+        let before = crashes.len();
+        crashes.retain(|c| c.incarnation != crash.incarnation);
+        self.crash_count -= before - crashes.len();
+        if crashes.is_empty() {
             self.requests.remove(&crash.fingerprint);
         }
     }
 
-    /// How long ago a crash was seen; none when it is not held.
+    /// How long ago a crash was seen, if it still counts.
     #[must_use]
     pub fn crash_age(&self, now: Instant, crash: Crash) -> Option<Duration> {
-        let seen = self.requests.get(&crash.fingerprint)?;
-        let seen = seen.iter().find(|s| s.life == crash.incarnation)?;
-        Some(CRASH_TTL.saturating_sub(seen.until.saturating_duration_since(now)))
+        let crashes = self.requests.get(&crash.fingerprint)?;
+        let counted = crashes
+            .iter()
+            .find(|c| c.incarnation == crash.incarnation)?;
+        Some(CRASH_TTL.saturating_sub(counted.expires_at.saturating_duration_since(now)))
     }
 
-    /// For how long a request is to be refused; none if it may be sent.
+    /// For how long a request must be refused, or none if it may be sent.
     #[must_use]
     pub fn refusal_left(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
-        let seen = self.requests.get(&fingerprint)?;
-        let mut left: Vec<Instant> = seen.iter().map(|s| s.until).collect();
-        left.sort_by(|a, b| b.cmp(a));
-        let until = left.get(CRASH_LIMIT - 1)?;
+        let crashes = self.requests.get(&fingerprint)?;
+        let mut expiries: Vec<Instant> = crashes.iter().map(|c| c.expires_at).collect();
+        expiries.sort_by(|a, b| b.cmp(a));
+        let until = expiries.get(CRASH_LIMIT - 1)?;
         until.checked_duration_since(now).filter(|l| !l.is_zero())
     }
 
-    /// Lets go of the crashes that were held long enough; returns them.
+    /// Removes the crashes that have expired; returns them.
     pub fn expire(&mut self, now: Instant) -> Vec<Crash> {
         let mut expired = Vec::new();
-        self.requests.retain(|fingerprint, seen| {
-            seen.retain(|s| {
-                let keep = now < s.until;
+        self.requests.retain(|fingerprint, crashes| {
+            crashes.retain(|c| {
+                let keep = now < c.expires_at;
                 if !keep {
                     expired.push(Crash {
                         fingerprint: *fingerprint,
-                        incarnation: s.life,
+                        incarnation: c.incarnation,
                     });
                 }
                 keep
             });
-            !seen.is_empty()
+            !crashes.is_empty()
         });
-        self.count -= expired.len();
+        self.crash_count -= expired.len();
         expired
     }
 
-    /// Crashes that are known.
+    /// The number of crashes that are kept.
     #[must_use]
     pub fn crash_count(&self) -> usize {
-        self.count
+        self.crash_count
     }
 
-    /// Whether nothing is held against any request.
+    /// Whether no crash counts against any request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.count == 0
+        self.crash_count == 0
     }
 
-    /// Forgets the request that was suspected longest ago, but `kept`; those
-    /// that are refused go last.
-    fn make_room(&mut self, kept: Fingerprint) {
-        let newest = |seen: &[Seen]| seen.iter().map(|s| s.until).max();
+    /// Drops the request whose last crash is the oldest, except `kept`. Refused
+    /// requests are dropped last.
+    fn evict_oldest(&mut self, kept: Fingerprint) {
+        let newest = |crashes: &[CountedCrash]| crashes.iter().map(|c| c.expires_at).max();
         let others = self
             .requests
             .iter()
             .filter(|(fingerprint, _)| **fingerprint != kept);
-        let oldest = others.min_by_key(|(_, seen)| (seen.len() >= CRASH_LIMIT, newest(seen)));
+        let oldest =
+            others.min_by_key(|(_, crashes)| (crashes.len() >= CRASH_LIMIT, newest(crashes)));
         if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
-            let seen = self.requests.remove(&fingerprint).unwrap_or_default();
-            self.count -= seen.len();
+            let crashes = self.requests.remove(&fingerprint).unwrap_or_default();
+            self.crash_count -= crashes.len();
         }
     }
 }
 
-/// The requests that were served last.
+/// The requests that were served most recently.
 #[derive(Debug, Default)]
-struct Served {
+struct RecentlyServed {
     order: VecDeque<Fingerprint>,
     fingerprints: HashSet<Fingerprint>,
 }
 
-impl Served {
-    fn has(&self, fingerprint: Fingerprint) -> bool {
+impl RecentlyServed {
+    fn contains(&self, fingerprint: Fingerprint) -> bool {
         self.fingerprints.contains(&fingerprint)
     }
 
@@ -264,7 +269,7 @@
             return;
         }
         self.order.push_back(fingerprint);
-        if self.order.len() > SERVED
+        if self.order.len() > SERVED_CAPACITY
             && let Some(oldest) = self.order.pop_front()
         {
             self.fingerprints.remove(&oldest);
