--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,47 +1,47 @@
-//! Decisions only: no sockets, no runtime and no clock of its own. Whoever
-//! asks hands the time in.
+//! Decision logic without sockets, async runtime or clock: callers pass the
+//! time in.
 //!
-//! What a sidecar decides:
-//! - [`queue`]: who waits, who starts, who is shed or preempted.
-//! - [`estimate`]: what a request is expected to take.
-//! - [`grants`]: which calls an engine is given, and when.
-//! - [`caches`]: which prompt prefixes the engine holds.
+//! Decisions of a sidecar:
+//! - [`queue`]: which requests wait, start, or are shed or preempted.
+//! - [`estimate`]: how long a request is expected to take.
+//! - [`grants`]: which calls an engine gets, and when.
+//! - [`caches`]: which prompt prefixes the engine's KV cache holds.
 //! - [`wish`]: what a backend server should have loaded.
-//! - [`lease`]: who may give it orders.
+//! - [`lease`]: which entry may give orders to a backend server.
 //! - [`pacing`]: when to ask a rate-limited service again.
 //!
-//! What an entry decides about the calls that it sends by itself:
-//! - [`routes`]: which route a call takes and who may ask.
-//! - [`balance`]: which backend server gets it.
-//! - [`pools`]: which engines read prompts and which write answers.
-//! - [`pauses`]: how long reading keeps streams beside it waiting.
+//! Decisions of an entry about calls that it routes directly:
+//! - [`routes`]: which route a call takes and who may use it.
+//! - [`balance`]: which backend server gets a call.
+//! - [`pools`]: which engines prefill prompts and which decode answers.
+//! - [`pauses`]: how long prefill pauses the streams at the same engine.
 //! - [`terms`]: on what terms a call asks for a place at an engine.
-//! - [`waits`]: whether it would come too late.
-//! - [`link`]: whether it should get new connections.
-//! - [`finding`]: how it finds the other entries.
-//! - [`roster`]: which there are, and whom it speaks with.
-//! - [`others`]: what they have in progress.
-//! - [`replica`]: its copies of the store's tables.
-//! - [`readers`]: whether it reads them itself or asks a neighbour.
+//! - [`waits`]: whether a call would miss its deadline.
+//! - [`link`]: whether the entry should accept new connections.
+//! - [`finding`]: how an entry discovers the other entries.
+//! - [`roster`]: which entries exist, and which of them to exchange gossip with.
+//! - [`others`]: which calls the other entries have in progress.
+//! - [`replica`]: an entry's replicas of the store's tables.
+//! - [`readers`]: whether an entry reads the store or asks a neighbour.
 //! - [`repeat_budget`]: how many calls may be repeated at a second server.
 //! - [`suspects`]: which requests crash the servers that run them.
 //! - [`rendezvous`]: rendezvous hashing of servers.
 //!
-//! What one daemon does for all of them:
-//! - [`duty`]: who performs a duty.
+//! Decisions that one daemon makes for all:
+//! - [`duty`]: which daemon performs a duty.
 //! - [`usage`]: what each workspace has used, and when it is reported.
 //! - [`fleet_time`]: the time of day that the hosts agree on.
 //! - [`scaling`]: how many backend servers a service has.
 //!
-//! What an entry decides about the chat interface:
-//! - [`membership`]: which hosts there are.
-//! - [`subset`]: which backend servers one entry keeps connections to.
+//! Decisions of an entry about the chat interface:
+//! - [`membership`]: which hosts exist.
+//! - [`subset`]: which backend servers an entry keeps connections to.
 //! - [`placement`]: where to ask for a slot.
 //! - [`pace`]: how loaded and how fast servers are.
 //! - [`offer`]: which of the offered slots to take.
 //! - [`lengths`]: how long answers are.
-//! - [`retry`]: when a request may be tried again.
-//! - [`outlier`]: which servers get no requests for a while.
+//! - [`retry`]: whether a failed request may be retried.
+//! - [`outlier`]: which servers are ejected for a while.
 
 pub mod balance;
 pub mod caches;
