--- a/crates/policy/tests/backoff.rs
+++ b/crates/policy/tests/backoff.rs
@@ -1,5 +1,5 @@
-//! Servers that turn calls away and ask for rest, before many entries that do
-//! not ask each other.
+//! Servers that reject calls and ask for a backoff, with many entries that do not
+//! coordinate.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,27 +13,26 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// How long a server takes for a call.
-const WORK: Duration = Duration::from_millis(50);
+/// How long a server takes to run a call.
+const CALL_TIME: Duration = Duration::from_millis(50);
 
-/// Calls that a server runs at once, and how many more it keeps waiting.
+/// Calls that a server runs concurrently, and calls that it queues beyond these.
 const SLOTS: usize = 6;
-const QUEUE: usize = 6;
+const QUEUE_LENGTH: usize = 6;
 
-/// The part of what the servers can do that callers ask for.
+/// The rate of new calls as a fraction of the servers' capacity.
 const LOAD: f64 = 0.7;
 
-/// The rest that servers ask for.
-const ASKED: Duration = Duration::from_secs(3);
+/// The backoff that servers ask for.
+const BACKOFF: Duration = Duration::from_secs(3);
 
-/// Entries of a large installation.
+/// Number of entries of a large installation.
 const ENTRIES: usize = 467;
 
-/// How long a caller waits in all, of which it spends a third at the most until
-/// it comes back once.
-const PATIENCE: Duration = Duration::from_secs(12);
+/// The total timeout of a caller. It retries once, after a third of this at most.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(12);
 
-fn listed(number: usize) -> ServerRecord {
+fn record(number: usize) -> ServerRecord {
     ServerRecord {
         id: Rc::from(format!("s{number}")),
         service: Rc::from("app"),
@@ -56,83 +55,83 @@
     }
 }
 
-fn rest(span: Duration) -> ServerFeedback {
+fn backoff(span: Duration) -> ServerFeedback {
     ServerFeedback {
         backoff: Some(span),
         ..ServerFeedback::default()
     }
 }
 
-/// What a span of time came to.
+/// The results of a simulated span.
 #[derive(Debug, Default, Clone, Copy)]
-struct Seen {
+struct Outcome {
     served: u32,
-    /// Calls that reached a server and were turned away.
-    turned_away: u32,
-    /// Calls of callers that came back in vain.
+    /// Calls that reached a server and were rejected.
+    rejected: u32,
+    /// Calls whose retry failed too.
     lost: u32,
 }
 
-/// Entries before the servers of one service.
+/// Entries that call the servers of one service.
 struct Fleet {
     now: Instant,
     rng: Pcg64Mcg,
     entries: Vec<Balancer>,
-    /// When each server's calls end, with who sent them.
-    busy: Vec<Vec<(Instant, usize)>>,
-    /// Callers on their way back.
-    returning: Vec<Instant>,
+    /// For each server the end of each of its calls and the entry that sent it.
+    running: Vec<Vec<(Instant, usize)>>,
+    /// When the callers of refused calls retry.
+    retries: Vec<Instant>,
 }
 
 impl Fleet {
     fn new(entries: usize, servers: usize, seed: u64) -> Self {
         let start = Instant::now();
         let entry = |_| {
-            let mut balance = Balancer::new("a");
+            let mut balancer = Balancer::new("a");
             for number in 0..servers {
-                balance.upsert(start, listed(number));
+                balancer.upsert(start, record(number));
             }
-            balance
+            balancer
         };
         Self {
             now: start,
             rng: Pcg64Mcg::seed_from_u64(seed),
             entries: (0..entries).map(entry).collect(),
-            busy: vec![Vec::new(); servers],
-            returning: Vec::new(),
+            running: vec![Vec::new(); servers],
+            retries: Vec::new(),
         }
     }
 
-    /// Calls a second that callers begin.
+    /// New calls per second.
     fn rate(&self) -> f64 {
-        LOAD * (self.busy.len() * SLOTS) as f64 / WORK.as_secs_f64()
+        LOAD * (self.running.len() * SLOTS) as f64 / CALL_TIME.as_secs_f64()
     }
 
-    /// Plays `span`, in which the servers serve or turn all calls away.
-    fn play(&mut self, span: Duration, asks: Option<Duration>) -> Seen {
-        let mut seen = Seen::default();
+    /// Simulates `span`. With a `backoff_span`, servers reject all calls and ask for it.
+    fn run(&mut self, span: Duration, backoff_span: Option<Duration>) -> Outcome {
+        let mut outcome = Outcome::default();
         for _ in 0..span.as_millis() {
             self.now += MS;
             self.end_calls();
             let rate = self.rate() * MS.as_secs_f64();
             let new = rate as u32 + u32::from(self.rng.random_bool(rate.fract()));
             for _ in 0..new {
-                self.call(asks, true, &mut seen);
+                self.call(backoff_span, true, &mut outcome);
             }
             let now = self.now;
-            let (due, later) = self.returning.iter().partition(|at| **at <= now);
-            self.returning = later;
+            let (due, later) = self.retries.iter().partition(|at| **at <= now);
+            self.retries = later;
             let due: Vec<Instant> = due;
             for _ in due {
-                self.call(asks, false, &mut seen);
+                self.call(backoff_span, false, &mut outcome);
             }
         }
-        seen
+        outcome
     }
 
     fn end_calls(&mut self) {
-        for (number, calls) in self.busy.iter_mut().enumerate() {
-            let id = listed(number).id;
+        for (number, calls) in self.running.iter_mut().enumerate() {
+            let id = record(number).id;
             calls.retain(|(end, entry)| {
                 let ended = *end <= self.now;
                 if ended {
@@ -145,53 +144,56 @@
         }
     }
 
-    /// One call of a caller to some entry, which sends it twice at the most.
-    fn call(&mut self, asks: Option<Duration>, first: bool, seen: &mut Seen) {
-        let which = self.rng.random_range(0..self.entries.len());
+    /// Sends one call to a random entry, which tries up to two servers.
+    fn call(&mut self, backoff_span: Option<Duration>, first: bool, outcome: &mut Outcome) {
+        let entry_index = self.rng.random_range(0..self.entries.len());
         let mut tried = Vec::new();
         for _ in 0..2 {
-            let entry = &mut self.entries[which];
-            let Some(server) = entry.choose(self.now, &want(&tried)) else {
+            let entry = &mut self.entries[entry_index];
+            let Some(server) = entry.choose(self.now, &query(&tried)) else {
                 break;
             };
             let number: usize = server.id[1..].parse().expect("a number");
-            let calls = &mut self.busy[number];
-            let full = calls.len() >= SLOTS + QUEUE;
-            let word = match (asks, full) {
-                (Some(span), _) => rest(span),
-                (None, true) => rest(Duration::from_secs(1)),
+            let calls = &mut self.running[number];
+            let full = calls.len() >= SLOTS + QUEUE_LENGTH;
+            let feedback = match (backoff_span, full) {
+                (Some(span), _) => backoff(span),
+                (None, true) => backoff(Duration::from_secs(1)),
                 (None, false) => {
                     let ahead = calls.len().saturating_sub(SLOTS - 1) as u32;
-                    calls.push((self.now + WORK + WORK * ahead / SLOTS as u32, which));
+                    calls.push((
+                        self.now + CALL_TIME + CALL_TIME * ahead / SLOTS as u32,
+                        entry_index,
+                    ));
                     assert!(entry.take_turn(self.now, &server.id));
                     entry.call_sent(self.now, &server.id);
-                    seen.served += 1;
+                    outcome.served += 1;
                     return;
                 }
             };
-            seen.turned_away += 1;
-            let drawn = self.rng.random();
-            entry.apply_feedback(self.now, &server, self.now, &word, drawn);
+            outcome.rejected += 1;
+            let jitter = self.rng.random();
+            entry.apply_feedback(self.now, &server, self.now, &feedback, jitter);
             tried.push(server.id);
         }
-        self.refuse(which, first, seen);
+        self.refuse(entry_index, first, outcome);
     }
 
-    /// Tells a caller when to come back.
-    fn refuse(&mut self, which: usize, first: bool, seen: &mut Seen) {
+    /// Tells a caller when to retry.
+    fn refuse(&mut self, entry_index: usize, first: bool, outcome: &mut Outcome) {
         if !first {
-            seen.lost += 1;
+            outcome.lost += 1;
             return;
         }
-        let wait = self.entries[which].next_turn(self.now, "app");
+        let wait = self.entries[entry_index].next_turn(self.now, "app");
         let wait = wait.unwrap_or_default().max(MS * 100);
         let after = waits::spread(wait, self.rng.random());
-        self.returning.push(self.now + after.min(PATIENCE / 3));
+        self.retries.push(self.now + after.min(CALLER_TIMEOUT / 3));
     }
 }
 
-/// Guards against servers that are full again as soon as they have rested: all
-/// that was held back would come at once, and they would hardly serve.
+/// Guards against servers that are full again at the end of each backoff: all calls
+/// that were held back would arrive at once, and the servers would hardly serve.
 #[rstest]
 #[case::one(1, 1)]
 #[case::few(4, 3)]
@@ -200,46 +202,46 @@
 fn service_recovers(#[case] entries: usize, #[case] servers: usize) {
     for seed in 0..3 {
         let mut fleet = Fleet::new(entries, servers, seed);
-        fleet.play(Duration::from_secs(2), None);
-        fleet.play(Duration::from_secs(2), Some(ASKED));
-        // What was asked for last ends meanwhile.
-        fleet.play(ASKED, None);
+        fleet.run(Duration::from_secs(2), None);
+        fleet.run(Duration::from_secs(2), Some(BACKOFF));
+        // The last backoff ends during this span.
+        fleet.run(BACKOFF, None);
         let span = Duration::from_secs(5);
-        let seen = fleet.play(span, None);
+        let outcome = fleet.run(span, None);
         let usual = fleet.rate() * span.as_secs_f64();
-        let served = f64::from(seen.served);
-        assert!(served >= 0.5 * usual, "{seen:?}, usually {usual} calls");
+        let served = f64::from(outcome.served);
+        assert!(served >= 0.5 * usual, "{outcome:?}, usually {usual} calls");
     }
 }
 
-/// Guards against all entries coming back in the moment in which a server that
-/// asked all of them for rest takes calls again.
+/// Guards against all entries returning at the same moment to a server that asked
+/// all of them for a backoff.
 #[test]
-fn entries_return_one_after_the_other() {
+fn entries_return_with_jitter() {
     let mut fleet = Fleet::new(ENTRIES, 1, 1);
     for entry in &mut fleet.entries {
-        let drawn = fleet.rng.random();
-        entry.apply_feedback(fleet.now, &listed(0), fleet.now, &rest(ASKED), drawn);
+        let jitter = fleet.rng.random();
+        entry.apply_feedback(fleet.now, &record(0), fleet.now, &backoff(BACKOFF), jitter);
     }
     let back = fleet.entries.iter().map(|e| e.next_turn(fleet.now, "app"));
     let back: Vec<Duration> = back.map(|left| left.expect("it rests")).collect();
-    assert!(back.iter().all(|left| *left >= ASKED));
-    assert!(most_at_once(&back) <= ENTRIES / 4);
+    assert!(back.iter().all(|left| *left >= BACKOFF));
+    assert!(max_simultaneous(&back) <= ENTRIES / 4);
 }
 
-/// Guards against all callers coming back in one moment that were told so in
-/// one.
+/// Guards against all callers that were refused at one moment retrying at one
+/// moment.
 #[test]
-fn callers_return_one_after_the_other() {
+fn callers_retry_with_jitter() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let back = (0..ENTRIES).map(|_| waits::spread(ASKED, rng.random()));
+    let back = (0..ENTRIES).map(|_| waits::spread(BACKOFF, rng.random()));
     let back: Vec<Duration> = back.collect();
-    assert!(back.iter().all(|left| *left >= ASKED));
-    assert!(most_at_once(&back) <= ENTRIES / 4);
+    assert!(back.iter().all(|left| *left >= BACKOFF));
+    assert!(max_simultaneous(&back) <= ENTRIES / 4);
 }
 
-/// The most of these moments that fall into one tenth of a second.
-fn most_at_once(moments: &[Duration]) -> usize {
+/// The highest number of these moments within a tenth of a second.
+fn max_simultaneous(moments: &[Duration]) -> usize {
     let within = |from: Duration| {
         let tenth = from..from + MS * 100;
         moments.iter().filter(|m| tenth.contains(*m)).count()
@@ -247,108 +249,107 @@
     moments.iter().map(|m| within(*m)).max().unwrap_or(0)
 }
 
-/// Two servers, the first of which has asked for rest.
-fn pair(drawn: f64) -> (Balancer, Instant) {
-    let (mut balance, now) = (Balancer::new("a"), Instant::now());
-    balance.upsert(now, listed(0));
-    balance.upsert(now, listed(1));
-    balance.apply_feedback(now, &listed(0), now, &rest(ASKED), drawn);
-    (balance, now)
+/// Two servers, the first of which has asked for a backoff.
+fn pair(jitter: f64) -> (Balancer, Instant) {
+    let (mut balancer, now) = (Balancer::new("a"), Instant::now());
+    balancer.upsert(now, record(0));
+    balancer.upsert(now, record(1));
+    balancer.apply_feedback(now, &record(0), now, &backoff(BACKOFF), jitter);
+    (balancer, now)
 }
 
-/// Guards against a rest that ends early: by an answer to a call that was there
-/// already, or since the list shows the server once more.
+/// Guards against a backoff that ends early: on a successful answer to a call that
+/// was already in flight, or when the list shows the server again.
 #[rstest]
-#[case::soonest(0.0)]
-#[case::latest(1.0)]
-fn rest_is_kept(#[case] drawn: f64) {
-    let (mut balance, now) = pair(drawn);
-    balance.call_succeeded("s0");
-    balance.apply_feedback(now, &listed(0), now, &ServerFeedback::default(), 0.0);
-    balance.upsert(now, listed(0));
+#[case::no_jitter(0.0)]
+#[case::full_jitter(1.0)]
+fn backoff_is_kept(#[case] jitter: f64) {
+    let (mut balancer, now) = pair(jitter);
+    balancer.call_succeeded("s0");
+    balancer.apply_feedback(now, &record(0), now, &ServerFeedback::default(), 0.0);
+    balancer.upsert(now, record(0));
     for ms in 0..3000 {
         let now = now + MS * ms;
-        let chosen = balance.choose(now, &want(&[])).expect("a server");
+        let chosen = balancer.choose(now, &query(&[])).expect("a server");
         assert_eq!(&*chosen.id, "s1");
-        assert!(!balance.take_turn(now, "s0"));
+        assert!(!balancer.take_turn(now, "s0"));
     }
-    let end = now + ASKED + ASKED / 4;
-    assert!(balance.take_turn(end, "s0"));
+    let end = now + BACKOFF + BACKOFF / 4;
+    assert!(balancer.take_turn(end, "s0"));
 }
 
-/// Guards against a shorter rest that is asked for later ending a longer one.
+/// Guards against a longer backoff being shortened by a later, shorter one.
 #[test]
-fn longer_rest_is_kept() {
-    let (mut balance, now) = pair(0.0);
+fn longer_backoff_is_kept() {
+    let (mut balancer, now) = pair(0.0);
     let later = now + MS * 10;
-    balance.apply_feedback(later, &listed(0), now, &rest(MS * 100), 0.0);
-    assert!(!balance.take_turn(now + MS * 2900, "s0"));
+    balancer.apply_feedback(later, &record(0), now, &backoff(MS * 100), 0.0);
+    assert!(!balancer.take_turn(now + MS * 2900, "s0"));
 }
 
-/// Guards against a service being left to nobody since all of its servers rest:
-/// the caller is told when the first of them takes calls again.
+/// Guards against callers not being told when to retry while all servers of a
+/// service are in a backoff: the wait lasts until the first backoff ends.
 #[test]
-fn first_end_of_all_rests_is_told() {
-    let (mut balance, now) = pair(0.0);
-    assert_eq!(balance.next_turn(now, "app"), None);
-    balance.apply_feedback(now, &listed(1), now, &rest(MS * 500), 0.0);
-    assert!(balance.choose(now, &want(&[])).is_none());
-    assert_eq!(balance.next_turn(now, "app"), Some(MS * 500));
+fn next_turn_is_the_first_end_of_a_backoff() {
+    let (mut balancer, now) = pair(0.0);
+    assert_eq!(balancer.next_turn(now, "app"), None);
+    balancer.apply_feedback(now, &record(1), now, &backoff(MS * 500), 0.0);
+    assert!(balancer.choose(now, &query(&[])).is_none());
+    assert_eq!(balancer.next_turn(now, "app"), Some(MS * 500));
 }
 
 #[test]
-fn next_life_does_not_rest() {
-    let (mut balance, now) = pair(0.0);
-    let again = ServerRecord {
+fn next_incarnation_has_no_backoff() {
+    let (mut balancer, now) = pair(0.0);
+    let restarted = ServerRecord {
         started_ms: Some(2),
-        ..listed(0)
+        ..record(0)
     };
-    balance.upsert(now, again);
-    assert!(balance.take_turn(now, "s0"));
+    balancer.upsert(now, restarted);
+    assert!(balancer.take_turn(now, "s0"));
 }
 
-/// Guards against a rest for years, which a service would not survive.
+/// Guards against a backoff of years, for which the service would lose the server.
 #[test]
-fn endless_rest_is_bounded() {
-    let (mut balance, now) = pair(0.0);
+fn backoff_is_bounded() {
+    let (mut balancer, now) = pair(0.0);
     for number in [0, 1] {
-        balance.apply_feedback(now, &listed(number), now, &rest(Duration::MAX), 1.0);
+        balancer.apply_feedback(now, &record(number), now, &backoff(Duration::MAX), 1.0);
     }
-    let left = balance.next_turn(now, "app").expect("an end");
+    let left = balancer.next_turn(now, "app").expect("an end");
     assert!(left <= Duration::from_secs(7200));
 }
 
-/// Guards against a server that has rested getting several calls before it is
-/// known whether it takes one.
+/// Guards against a server getting several calls after a backoff before it has
+/// answered one.
 #[test]
-fn calls_after_a_rest_grow_with_answers() {
-    let (mut balance, now) = pair(0.0);
-    let back = now + ASKED;
-    let send = |balance: &mut Balancer| {
-        let taken = balance.take_turn(back, "s0");
+fn slow_start_grows_with_answers() {
+    let (mut balancer, now) = pair(0.0);
+    let back = now + BACKOFF;
+    let send = |balancer: &mut Balancer| {
+        let taken = balancer.take_turn(back, "s0");
         if taken {
-            balance.call_sent(back, "s0");
+            balancer.call_sent(back, "s0");
         }
         taken
     };
-    assert!(send(&mut balance) && !send(&mut balance));
-    balance.call_succeeded("s0");
-    balance.call_started("s0");
-    balance.call_ended("s0");
-    assert!(send(&mut balance) && send(&mut balance) && !send(&mut balance));
+    assert!(send(&mut balancer) && !send(&mut balancer));
+    balancer.call_succeeded("s0");
+    balancer.call_started("s0");
+    balancer.call_ended("s0");
+    assert!(send(&mut balancer) && send(&mut balancer) && !send(&mut balancer));
 }
 
-/// Guards against an engine that has asked for rest being made to send prompts to
-/// others.
+/// Guards against KV cache transfers from an engine that has asked for a backoff.
 #[test]
-fn resting_server_is_no_source() {
-    let (balance, now) = pair(0.0);
-    let want = ServerQuery {
+fn server_in_backoff_is_no_prefix_holder() {
+    let (balancer, now) = pair(0.0);
+    let query = ServerQuery {
         prefix_hash: Some(7),
-        ..want(&[])
+        ..query(&[])
     };
-    let holders = balance.prefix_holders(now, &want);
+    let holders = balancer.prefix_holders(now, &query);
     assert_eq!(holders.len(), 1);
     assert_eq!(&*holders[0].id, "s1");
-    assert_eq!(balance.prefix_holders(now + ASKED, &want).len(), 2);
+    assert_eq!(balancer.prefix_holders(now + BACKOFF, &query).len(), 2);
 }
--- a/crates/policy/tests/feedback.rs
+++ b/crates/policy/tests/feedback.rs
@@ -1,4 +1,4 @@
-//! What servers have said, across lapses of the list.
+//! Feedback of servers that drop out of the list and return.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,8 +8,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// How long a server may be missing until it is forgotten.
-const WAIT: Duration = Duration::from_secs(2);
+/// How long a server may be missing before it is removed.
+const MISSING_TIMEOUT: Duration = Duration::from_secs(2);
 
 const LEAVING: ServerFeedback = ServerFeedback {
     leaving: true,
@@ -17,19 +17,19 @@
     rate_limit: None,
 };
 
-const REST: ServerFeedback = ServerFeedback {
+const BACKOFF: ServerFeedback = ServerFeedback {
     leaving: false,
     backoff: Some(Duration::from_secs(60)),
     rate_limit: None,
 };
 
-const LIMIT: ServerFeedback = ServerFeedback {
+const RATE_LIMIT: ServerFeedback = ServerFeedback {
     leaving: false,
     backoff: None,
     rate_limit: Some(0.0),
 };
 
-fn listed(born: u64) -> ServerRecord {
+fn record(started_ms: u64) -> ServerRecord {
     ServerRecord {
         id: Rc::from("s"),
         service: Rc::from("app"),
@@ -37,101 +37,104 @@
         zone: Rc::from("a"),
         slots: 4,
         leaving: false,
-        started_ms: Some(born),
+        started_ms: Some(started_ms),
     }
 }
 
-fn balance(now: Instant) -> Balancer {
-    let mut balance = Balancer::new("a");
-    balance.upsert(now, listed(1));
-    balance.set_turns(TurnSchedule {
+fn balancer(now: Instant) -> Balancer {
+    let mut balancer = Balancer::new("a");
+    balancer.upsert(now, record(1));
+    balancer.set_turns(TurnSchedule {
         entries: 1,
         turn_index: 0,
         instant: now,
         unix_time: Duration::from_secs(50),
     });
-    balance
+    balancer
 }
 
-/// Has the list drop the server for long.
-fn lapse(balance: &mut Balancer, now: Instant) {
-    balance.mark_missing(now, "s", now);
-    assert_eq!(balance.forget_missing(now + WAIT, WAIT).len(), 1);
+/// Drops the server from the list until it is removed.
+fn drop_from_list(balancer: &mut Balancer, now: Instant) {
+    balancer.mark_missing(now, "s", now);
+    assert_eq!(
+        balancer
+            .forget_missing(now + MISSING_TIMEOUT, MISSING_TIMEOUT)
+            .len(),
+        1
+    );
 }
 
-/// Guards against a server being called again since the list had dropped it for
-/// a while: it is the same life, and what it has said holds.
+/// Guards against calls to a server that the list dropped for a while and shows
+/// again: it is the same incarnation, and its feedback is still in effect.
 #[rstest]
 #[case::leaving(LEAVING)]
-#[case::rest(REST)]
-#[case::limit(LIMIT)]
-fn word_outlasts_a_lapse(#[case] word: ServerFeedback) {
+#[case::backoff(BACKOFF)]
+#[case::rate_limit(RATE_LIMIT)]
+fn feedback_outlasts_a_drop(#[case] feedback: ServerFeedback) {
     let now = Instant::now();
-    let mut balance = balance(now);
-    balance.apply_feedback(now, &listed(1), now, &word, 0.0);
-    lapse(&mut balance, now);
-    let later = now + WAIT + MS;
-    balance.upsert(later, listed(1));
-    assert!(!balance.take_turn(later, "s"));
+    let mut balancer = balancer(now);
+    balancer.apply_feedback(now, &record(1), now, &feedback, 0.0);
+    drop_from_list(&mut balancer, now);
+    let later = now + MISSING_TIMEOUT + MS;
+    balancer.upsert(later, record(1));
+    assert!(!balancer.take_turn(later, "s"));
 }
 
-/// Guards against an answer's word being lost since it comes while the list does
-/// not show the server.
+/// Guards against losing feedback that arrives while the server is not listed.
 #[rstest]
 #[case::leaving(LEAVING)]
-#[case::rest(REST)]
-#[case::limit(LIMIT)]
-fn word_heard_during_a_lapse(#[case] word: ServerFeedback) {
+#[case::backoff(BACKOFF)]
+#[case::rate_limit(RATE_LIMIT)]
+fn feedback_during_a_drop(#[case] feedback: ServerFeedback) {
     let now = Instant::now();
-    let mut balance = balance(now);
-    lapse(&mut balance, now);
-    let later = now + WAIT + MS;
-    balance.apply_feedback(later, &listed(1), now, &word, 0.0);
-    balance.upsert(later, listed(1));
-    assert!(!balance.take_turn(later, "s"));
+    let mut balancer = balancer(now);
+    drop_from_list(&mut balancer, now);
+    let later = now + MISSING_TIMEOUT + MS;
+    balancer.apply_feedback(later, &record(1), now, &feedback, 0.0);
+    balancer.upsert(later, record(1));
+    assert!(!balancer.take_turn(later, "s"));
 }
 
-/// Guards against the next life of a server being held to what its earlier one
-/// has said before the list dropped it.
+/// Guards against feedback from before a drop being applied to the next incarnation
+/// of the server.
 #[rstest]
 #[case::leaving(LEAVING)]
-#[case::rest(REST)]
-#[case::limit(LIMIT)]
-fn next_life_after_a_lapse_is_free(#[case] word: ServerFeedback) {
+#[case::backoff(BACKOFF)]
+#[case::rate_limit(RATE_LIMIT)]
+fn next_incarnation_after_a_drop_is_unrestricted(#[case] feedback: ServerFeedback) {
     let now = Instant::now();
-    let mut balance = balance(now);
-    balance.apply_feedback(now, &listed(1), now, &word, 0.0);
-    lapse(&mut balance, now);
-    let later = now + WAIT + MS;
-    balance.upsert(later, listed(2));
-    assert!(balance.take_turn(later, "s"));
+    let mut balancer = balancer(now);
+    balancer.apply_feedback(now, &record(1), now, &feedback, 0.0);
+    drop_from_list(&mut balancer, now);
+    let later = now + MISSING_TIMEOUT + MS;
+    balancer.upsert(later, record(2));
+    assert!(balancer.take_turn(later, "s"));
 }
 
-/// Guards against a late answer of an earlier life taking the place of what the
-/// present one has said.
+/// Guards against a late answer of an earlier incarnation replacing the feedback of
+/// the present one.
 #[test]
-fn late_answer_of_an_earlier_life_means_nothing() {
+fn late_answer_of_an_earlier_incarnation_is_ignored() {
     let now = Instant::now();
-    let mut balance = balance(now);
-    balance.upsert(now, listed(2));
-    balance.apply_feedback(now, &listed(2), now, &LEAVING, 0.0);
-    lapse(&mut balance, now);
-    let later = now + WAIT + MS;
-    balance.apply_feedback(later, &listed(1), now, &REST, 0.0);
-    balance.upsert(later, listed(2));
-    assert!(!balance.accepts_calls("s"));
+    let mut balancer = balancer(now);
+    balancer.upsert(now, record(2));
+    balancer.apply_feedback(now, &record(2), now, &LEAVING, 0.0);
+    drop_from_list(&mut balancer, now);
+    let later = now + MISSING_TIMEOUT + MS;
+    balancer.apply_feedback(later, &record(1), now, &BACKOFF, 0.0);
+    balancer.upsert(later, record(2));
+    assert!(!balancer.accepts_calls("s"));
 }
 
-/// Guards against memory that grows with each server that has ever said
-/// something.
+/// Guards against memory that grows with each server that ever sent feedback.
 #[test]
-fn word_of_ended_servers_is_let_go() {
+fn feedback_of_removed_servers_expires() {
     let now = Instant::now();
-    let mut balance = balance(now);
-    balance.apply_feedback(now, &listed(1), now, &LEAVING, 0.0);
-    lapse(&mut balance, now);
+    let mut balancer = balancer(now);
+    balancer.apply_feedback(now, &record(1), now, &LEAVING, 0.0);
+    drop_from_list(&mut balancer, now);
     let later = now + Duration::from_secs(3600);
-    balance.forget_missing(later, WAIT);
-    balance.upsert(later, listed(1));
-    assert!(balance.take_turn(later, "s"));
+    balancer.forget_missing(later, MISSING_TIMEOUT);
+    balancer.upsert(later, record(1));
+    assert!(balancer.take_turn(later, "s"));
 }
--- a/crates/policy/tests/link.rs
+++ b/crates/policy/tests/link.rs
@@ -1,31 +1,31 @@
-//! When an entry sends callers away from its host's link.
+//! When the network link of a host counts as congested.
 
 use std::time::{Duration, Instant};
 
 use policy::link::LinkLoad;
 
-/// Prompts of 9,200 bytes come at a link of ten million bits a second: at 30 a
-/// second it has room, at 80 callers go elsewhere, and they are taken again
-/// only when well less comes, not at each lull.
+/// Prompts of 9,200 bytes arrive at a link of 10 Mbit/s. At 30 per second it has
+/// room, at 80 it is congested. It becomes clear only at a much lower rate, not at
+/// each short drop.
 #[test]
-fn full_in_a_burst() {
+fn congested_in_a_burst() {
     let mut link = LinkLoad::new(10.0);
     let mut now = Instant::now();
-    let mut play = |count: u32, ms: u64| {
+    let mut send_prompts = |count: u32, gap_ms: u64| {
         for _ in 0..count {
-            now += Duration::from_millis(ms);
+            now += Duration::from_millis(gap_ms);
             link.record_bytes(now, 9_200);
         }
         link.congested(now)
     };
-    assert!(!play(150, 33));
-    assert!(play(300, 12));
-    assert!(play(120, 25));
-    assert!(!play(100, 100));
+    assert!(!send_prompts(150, 33));
+    assert!(send_prompts(300, 12));
+    assert!(send_prompts(120, 25));
+    assert!(!send_prompts(100, 100));
 }
 
 #[test]
-fn wide_link_never_full() {
+fn fast_link_is_never_congested() {
     let mut link = LinkLoad::new(1_000.0);
     let mut now = Instant::now();
     for _ in 0..1_000 {
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there when the list lags, freezes, empties and hosts come and go.
+//! Known hosts when the list lags, freezes or is empty, and hosts come and go.
 
 use std::time::{Duration, Instant};
 
@@ -44,7 +44,7 @@
     )
 }
 
-fn names(known: &Membership) -> Vec<&str> {
+fn known_names(known: &Membership) -> Vec<&str> {
     known
         .chosen_sidecars()
         .iter()
@@ -52,9 +52,9 @@
         .collect()
 }
 
-// The platform's list comes back empty, or shows only entries. Callers see
-// nothing of it: an empty list says more about the list than about the fleet,
-// so every sidecar known before stays.
+// The platform's list is empty, or shows only entries. This is more likely a
+// fault of the list than the loss of the whole fleet, so every known sidecar
+// stays and callers are not affected.
 #[rstest]
 #[case::empty(vec![])]
 #[case::only_entries(vec![Host { kind: HostKind::Entry, ..sidecar(9) }])]
@@ -65,12 +65,12 @@
     let late = now + FORGET * 10;
     assert_eq!(known.apply_list(late, &list), ListOutcome::Ignored);
     assert_eq!(known.sweep(late), 0);
-    assert_eq!(names(&known), ["sidecar-0", "sidecar-1"]);
+    assert_eq!(known_names(&known), ["sidecar-0", "sidecar-1"]);
 }
 
-// The list loses a host that still answers, for ten times the time to forget.
-// Callers see nothing of it: the host keeps taking work while it answers, and
-// is forgotten only a bounded time after its last answer.
+// The list lacks a host that still answers, for ten times the time after which
+// hosts are forgotten. The host keeps getting work while it answers, and is
+// forgotten a bounded time after its last answer.
 #[test]
 fn list_loses_answering_host() {
     let (mut known, mut now) = (membership(), Instant::now());
@@ -87,11 +87,11 @@
 
     now += FORGET;
     assert_eq!(known.sweep(now), 1);
-    assert_eq!(names(&known), ["sidecar-0"]);
+    assert_eq!(known_names(&known), ["sidecar-0"]);
 }
 
-// A host goes from the list and this entry had no reason to call it for an
-// hour. It is not forgotten in that instant: it gets the whole time to answer.
+// A host drops out of the list, and this entry had no reason to call it for an
+// hour. It is not forgotten at once: the time to answer starts at the drop.
 #[test]
 fn list_loses_idle_host() {
     let (mut known, mut now) = (membership(), Instant::now());
@@ -116,9 +116,9 @@
     );
 }
 
-// A sidecar is replaced during a rolling restart while the list lags by 30 s
-// and still calls it leaving. Its answer in a new life shows that it is back,
-// so callers get its slots again at once.
+// A sidecar is replaced during a rolling restart while the list lags by 30 s and
+// still shows it as draining. Its answer in a new incarnation shows that it is
+// back, so its slots are used again at once.
 #[test]
 fn list_lags_behind_restart() {
     let (mut known, mut now) = (membership(), Instant::now());
@@ -133,16 +133,16 @@
     known.apply_list(now, &[leaving(0)]);
     assert!(!known.is_leaving("sidecar-0"));
 
-    // The same host leaves once more: the list must change to say so.
+    // The same host drains again: only a change of the list shows this.
     known.apply_list(now, &[sidecar(0)]);
     known.apply_list(now, &[leaving(0)]);
     assert!(known.is_leaving("sidecar-0"));
 }
 
-// The list calls a sidecar leaving before this entry ever called it. Its first
-// answer does not count as coming back; one in a life after that does.
+// The list shows a sidecar as draining before this entry ever called it. Its first
+// answer does not count as a return to service; one in a later incarnation does.
 #[test]
-fn list_marks_unheard_host() {
+fn list_marks_host_before_first_answer() {
     let (mut known, now) = (membership(), Instant::now());
     known.apply_list(now, &[leaving(0)]);
     known.note_answer(now, "sidecar-0", Incarnation(1));
--- a/crates/policy/tests/rate_limits.rs
+++ b/crates/policy/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that servers name, kept by entries that do not ask each other.
+//! Rate limits announced by servers, kept by entries without coordination.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// The span in which arrivals are counted, and its slack.
+/// The window in which calls are counted, and the calls allowed beyond the limit.
 const WINDOW: Duration = Duration::from_secs(4);
 const SLACK: f64 = 5.0;
 
-/// The part of a limit that may be exceeded.
-const ALLOWED: f64 = 1.5;
+/// The allowed ratio of calls in a window to the rate limit.
+const ALLOWED_RATIO: f64 = 1.5;
 
-fn listed(id: &str) -> ServerRecord {
+fn record(id: &str) -> ServerRecord {
     ServerRecord {
         id: Rc::from(id),
         service: Rc::from("app"),
@@ -30,7 +30,7 @@
     }
 }
 
-fn want() -> ServerQuery<'static> {
+fn query() -> ServerQuery<'static> {
     ServerQuery {
         service: "app",
         prefix_hash: None,
@@ -41,7 +41,7 @@
     }
 }
 
-/// What an answer says that names this limit and nothing else.
+/// The feedback of an answer that contains only this rate limit.
 fn feedback(rate_limit: Option<f64>) -> ServerFeedback {
     ServerFeedback {
         rate_limit,
@@ -58,10 +58,10 @@
     }
 }
 
-/// Some moment of the day.
-const WALL: Duration = Duration::from_millis(1_779_177_494_561);
+/// The Unix time at the start of the tests.
+const UNIX_TIME: Duration = Duration::from_millis(1_779_177_494_561);
 
-/// Entries before one server.
+/// Several entries that call one server.
 struct Fleet {
     start: Instant,
     entries: Vec<Balancer>,
@@ -72,10 +72,10 @@
     fn new(entries: u32) -> Self {
         let start = Instant::now();
         let entry = |place| {
-            let mut balance = Balancer::new("a");
-            balance.upsert(start, listed("s"));
-            balance.set_turns(turns(entries, place, start, WALL));
-            balance
+            let mut balancer = Balancer::new("a");
+            balancer.upsert(start, record("s"));
+            balancer.set_turns(turns(entries, place, start, UNIX_TIME));
+            balancer
         };
         Self {
             start,
@@ -84,14 +84,14 @@
         }
     }
 
-    /// Plays `span` in which each entry has a call all the time, and the server
-    /// says `limit` in each answer.
-    fn play(&mut self, from: Duration, span: Duration, limit: impl Fn(u64) -> f64) {
+    /// Simulates `span`, in which each entry always has a call to send and each
+    /// answer announces `limit` for the millisecond of the span.
+    fn run(&mut self, from: Duration, span: Duration, limit: impl Fn(u64) -> f64) {
         for ms in 0..u64::try_from(span.as_millis()).expect("short") {
             let now = self.start + from + MS * u32::try_from(ms).expect("short");
             for entry in &mut self.entries {
-                entry.apply_feedback(now, &listed("s"), now, &feedback(Some(limit(ms))), 0.0);
-                let chosen = entry.choose(now, &want());
+                entry.apply_feedback(now, &record("s"), now, &feedback(Some(limit(ms))), 0.0);
+                let chosen = entry.choose(now, &query());
                 if chosen.is_some_and(|s| entry.take_turn(now, &s.id)) {
                     self.sent.push(now);
                 }
@@ -99,8 +99,8 @@
         }
     }
 
-    /// The most calls in a window.
-    fn most(&self) -> usize {
+    /// The highest number of calls in a window.
+    fn max_calls(&self) -> usize {
         let within = |at: Instant| {
             let window = at..at + WINDOW;
             self.sent.iter().filter(|s| window.contains(*s)).count()
@@ -109,12 +109,12 @@
     }
 }
 
-fn bound(limit: f64) -> f64 {
-    ALLOWED * limit * WINDOW.as_secs_f64() + SLACK
+fn allowed_calls(limit: f64) -> f64 {
+    ALLOWED_RATIO * limit * WINDOW.as_secs_f64() + SLACK
 }
 
-/// Guards against each entry taking the whole limit for itself: the sum over all
-/// of them keeps to it, and it is used.
+/// Guards against each entry using the whole rate limit for itself: the sum of all
+/// entries stays within the limit and uses most of it.
 #[rstest]
 #[case::one(1, 2.0)]
 #[case::four(4, 2.0)]
@@ -123,12 +123,15 @@
 #[case::many(188, 2.0)]
 #[case::many_fast(188, 40.0)]
 #[case::hardly_any(4, 0.1)]
-fn sum_keeps_to_the_limit(#[case] entries: u32, #[case] limit: f64) {
+fn total_stays_within_the_limit(#[case] entries: u32, #[case] limit: f64) {
     let mut fleet = Fleet::new(entries);
     let span = Duration::from_secs(20);
-    fleet.play(Duration::ZERO, span, |_| limit);
-    let most = fleet.most() as f64;
-    assert!(most <= bound(limit), "{most} calls in a window");
+    fleet.run(Duration::ZERO, span, |_| limit);
+    let max_calls = fleet.max_calls() as f64;
+    assert!(
+        max_calls <= allowed_calls(limit),
+        "{max_calls} calls in a window"
+    );
     let all = fleet.sent.len() as f64;
     assert!(
         all >= 0.7 * limit * span.as_secs_f64() - 1.0,
@@ -136,20 +139,23 @@
     );
 }
 
-/// Guards against turns that move with a limit that changes in each answer.
+/// Guards against exceeding a limit that changes in each answer, which moves the
+/// turns.
 #[test]
-fn sum_keeps_to_a_limit_that_changes() {
+fn total_stays_within_a_changing_limit() {
     let mut fleet = Fleet::new(4);
     let limit = |ms: u64| 2.0 + (ms * 7919 % 10) as f64 / 50.0;
-    fleet.play(Duration::ZERO, Duration::from_secs(20), limit);
-    let most = fleet.most() as f64;
-    assert!(most <= bound(2.0), "{most} calls in a window");
+    fleet.run(Duration::ZERO, Duration::from_secs(20), limit);
+    let max_calls = fleet.max_calls() as f64;
+    assert!(
+        max_calls <= allowed_calls(2.0),
+        "{max_calls} calls in a window"
+    );
 }
 
-/// Guards against a burst when entries come and go, or a host's time of day
-/// jumps.
+/// Guards against a burst when entries come and go, or the clock of a host jumps.
 #[test]
-fn sum_keeps_to_the_limit_while_turns_move() {
+fn total_stays_within_the_limit_while_turns_move() {
     let mut fleet = Fleet::new(4);
     for step in 0..20u32 {
         let from = Duration::from_secs(1) * step;
@@ -157,18 +163,21 @@
         for (place, entry) in (0..).zip(&mut fleet.entries) {
             let jump = MS * 2400 * (step % 2) * u32::from(place == 1);
             let entries = 4 + step % 3;
-            entry.set_turns(turns(entries, place, at, WALL + from + jump));
+            entry.set_turns(turns(entries, place, at, UNIX_TIME + from + jump));
         }
-        fleet.play(from, Duration::from_secs(1), |_| 2.0);
+        fleet.run(from, Duration::from_secs(1), |_| 2.0);
     }
-    let most = fleet.most() as f64;
-    assert!(most <= bound(2.0), "{most} calls in a window");
+    let max_calls = fleet.max_calls() as f64;
+    assert!(
+        max_calls <= allowed_calls(2.0),
+        "{max_calls} calls in a window"
+    );
 }
 
-/// Guards against entries that lose each other taking larger shares, each of
-/// which counts towards the one limit.
+/// Guards against entries that lose contact to each other taking larger shares of
+/// the same limit.
 #[test]
-fn lost_entries_still_count() {
+fn unreachable_entries_still_count() {
     let (mut count, now) = (EntryCount::default(), Instant::now());
     assert_eq!(count.note(now, 4), 4);
     assert_eq!(count.note(now + Duration::from_secs(60), 1), 4);
@@ -177,49 +186,49 @@
 }
 
 fn limited() -> (Balancer, Instant) {
-    let (mut balance, now) = (Balancer::new("a"), Instant::now());
-    balance.upsert(now, listed("s"));
-    balance.set_turns(turns(1, 0, now, WALL));
-    balance.upsert(
+    let (mut balancer, now) = (Balancer::new("a"), Instant::now());
+    balancer.upsert(now, record("s"));
+    balancer.set_turns(turns(1, 0, now, UNIX_TIME));
+    balancer.upsert(
         now,
         ServerRecord {
             addr: "127.0.0.2:1".parse().expect("an address"),
-            ..listed("other")
+            ..record("other")
         },
     );
-    balance.apply_feedback(now, &listed("s"), now, &feedback(Some(0.0)), 0.0);
-    (balance, now)
+    balancer.apply_feedback(now, &record("s"), now, &feedback(Some(0.0)), 0.0);
+    (balancer, now)
 }
 
 #[test]
-fn limited_server_is_passed_over() {
-    let (mut balance, now) = limited();
+fn server_without_a_turn_is_passed_over() {
+    let (mut balancer, now) = limited();
     for _ in 0..10 {
-        let chosen = balance.choose(now, &want()).expect("a server");
+        let chosen = balancer.choose(now, &query()).expect("a server");
         assert_eq!(&*chosen.id, "other");
     }
-    assert!(!balance.take_turn(now, "s"));
-    assert!(balance.take_turn(now, "other"));
+    assert!(!balancer.take_turn(now, "s"));
+    assert!(balancer.take_turn(now, "other"));
 }
 
-/// Guards against a limit that is forgotten because an answer comes late that
-/// was asked for before the limit was named.
+/// Guards against a limit being lifted by a late answer without a limit, to a call
+/// that was sent before the limit was announced.
 #[test]
-fn late_answer_lifts_nothing() {
-    let (mut balance, now) = limited();
-    balance.apply_feedback(now + MS * 9, &listed("s"), now - MS, &feedback(None), 0.0);
-    assert!(!balance.take_turn(now + MS * 9, "s"));
-    balance.apply_feedback(now + MS * 10, &listed("s"), now + MS, &feedback(None), 0.0);
-    assert!(balance.take_turn(now + MS * 10, "s"));
+fn late_answer_does_not_lift_the_limit() {
+    let (mut balancer, now) = limited();
+    balancer.apply_feedback(now + MS * 9, &record("s"), now - MS, &feedback(None), 0.0);
+    assert!(!balancer.take_turn(now + MS * 9, "s"));
+    balancer.apply_feedback(now + MS * 10, &record("s"), now + MS, &feedback(None), 0.0);
+    assert!(balancer.take_turn(now + MS * 10, "s"));
 }
 
 #[test]
-fn next_life_has_no_limit() {
-    let (mut balance, now) = limited();
-    let again = ServerRecord {
+fn next_incarnation_has_no_limit() {
+    let (mut balancer, now) = limited();
+    let restarted = ServerRecord {
         started_ms: Some(2),
-        ..listed("s")
+        ..record("s")
     };
-    balance.upsert(now, again);
-    assert!(balance.take_turn(now, "s"));
+    balancer.upsert(now, restarted);
+    assert!(balancer.take_turn(now, "s"));
 }
--- a/crates/policy/tests/repeat_budget.rs
+++ b/crates/policy/tests/repeat_budget.rs
@@ -1,4 +1,4 @@
-//! Repeats as a share of an entry's own sends.
+//! Limits on repeats by an entry's own calls and its part of the slack.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,23 +17,23 @@
     })
 }
 
-/// Guards against entries that see less than one call a second having no repeat
-/// at all, while all of them together may make hundreds: whatever number they
-/// are, together they keep to the share and the slack, and use some of it.
+/// Guards against entries with less than one call per second having no repeats at
+/// all, while all of them together may make hundreds. For any number of entries,
+/// the sum of repeats stays within ratio and slack, and uses a part of the slack.
 #[rstest]
 #[case::few(4, 60.0)]
 #[case::hundreds(467, 1000.0)]
 #[case::thousands(2000, 1000.0)]
 fn slack_is_shared(#[case] entries: usize, #[case] slack: f64) {
     let (now, service) = (Instant::now(), Rc::from("app"));
-    let share = RepeatLimit {
+    let limit = RepeatLimit {
         ratio: 0.2,
         window: WINDOW,
         slack,
     };
     let mut repeats = 0;
     for _ in 0..entries {
-        let mut budget = RepeatBudget::new(share);
+        let mut budget = RepeatBudget::new(limit);
         budget.set_entries(entries);
         for _ in 0..4 {
             budget.record_call(now, &service);
@@ -50,9 +50,10 @@
     );
 }
 
-/// Guards against an entry that has counted no others taking all of the slack.
+/// Guards against an entry taking all of the slack before the number of entries is
+/// known.
 #[test]
-fn slack_waits_for_the_count() {
+fn no_slack_before_entries_are_counted() {
     let (now, service) = (Instant::now(), Rc::from("app"));
     let mut budget = RepeatBudget::new(RepeatLimit {
         ratio: 0.2,
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn repeats_stop_at_the_share() {
+fn repeats_stop_at_the_ratio() {
     let (mut budget, now, service) = (budget(), Instant::now(), Rc::from("app"));
     for _ in 0..10 {
         budget.record_call(now, &service);
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn services_do_not_lend() {
+fn services_have_separate_budgets() {
     let (mut budget, now) = (budget(), Instant::now());
     let (busy, idle) = (Rc::from("busy"), Rc::from("idle"));
     for _ in 0..100 {
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn old_sends_earn_nothing() {
+fn calls_outside_the_window_do_not_count() {
     let (mut budget, now, service) = (budget(), Instant::now(), Rc::from("app"));
     for _ in 0..100 {
         budget.record_call(now, &service);
@@ -96,25 +97,25 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Whatever comes when, at each repeat the window before it holds no more
-    /// repeats than the share of the sends in it. Repeats are counted by
-    /// slices, so the last tenth of the window is not judged.
+    /// At each repeat, the window before it has no more repeats than the ratio of
+    /// the calls in it allows. Since repeats are counted by time slices, those in
+    /// the oldest tenth of the window are not checked.
     #[test]
-    fn no_window_above_the_share(steps in proptest::collection::vec((0u64..400, any::<bool>()), 1..400)) {
+    fn no_window_above_the_ratio(steps in proptest::collection::vec((0u64..400, any::<bool>()), 1..400)) {
         let (mut budget, service) = (budget(), Rc::from("app"));
-        let (mut now, mut sends, mut repeats) = (Instant::now(), Vec::new(), Vec::new());
+        let (mut now, mut calls, mut repeats) = (Instant::now(), Vec::new(), Vec::new());
         for (ms, repeat) in steps {
             now += Duration::from_millis(ms);
             if !repeat {
                 budget.record_call(now, &service);
-                sends.push(now);
+                calls.push(now);
             } else if budget.take_repeat(now, &service) {
                 repeats.push(now);
                 let within = |times: &[Instant], span: Duration| {
                     times.iter().filter(|at| now < **at + span).count() as f64
                 };
                 let repeated = within(&repeats, WINDOW * 9 / 10);
-                prop_assert!(repeated <= 0.2 * within(&sends, WINDOW));
+                prop_assert!(repeated <= 0.2 * within(&calls, WINDOW));
             }
         }
     }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets and verdicts.
+//! Retry budgets and decisions.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use policy::retry::{FailedAttempt, RetryBudget, RetryDecision};
 use rstest::rstest;
 
-// Without grants nothing fills the bucket, however many requests fail.
+// Without granted requests nothing refills the bucket, however many fail.
 #[test]
-fn take_without_grants() {
+fn take_without_refill() {
     let mut budget = RetryBudget::new(false);
     let taken = (0..10_000).filter(|_| budget.take("class")).count();
     assert_eq!(taken, 10);
 }
 
 #[test]
-fn take_after_grants() {
+fn take_after_refill() {
     let mut budget = RetryBudget::new(false);
     while budget.take("class") {}
     for _ in 0..21 {
@@ -38,7 +38,7 @@
 #[case::partial_once(Ran::Partial, false, false, 100, RetryDecision::NotRepeatable)]
 #[case::delivered(Ran::Partial, true, true, 100, RetryDecision::Delivered)]
 #[case::late(Ran::No, false, true, 20, RetryDecision::TooLate)]
-fn judge_cases(
+fn decide_cases(
     #[case] ran: Ran,
     #[case] delivered: bool,
     #[case] repeatable: bool,
--- a/crates/policy/tests/subset.rs
+++ b/crates/policy/tests/subset.rs
@@ -1,4 +1,4 @@
-//! How evenly subsets cover the servers, and how little moves.
+//! How evenly subsets cover the servers, and how few connections move.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,19 +7,19 @@
 
 const ZONES: [&str; 3] = ["plateau", "almadies", "rufisque"];
 
-/// Names with their zones, dealt out in turn.
+/// Names of hosts with their zones, assigned round robin.
 fn hosts(kind: &str, count: usize) -> Vec<(String, &'static str)> {
     let host = |i| (format!("{kind}-{i}"), ZONES[i % ZONES.len()]);
     (0..count).map(host).collect()
 }
 
-fn places<'a>(hosts: &'a [(String, &'static str)]) -> Vec<HostRef<'a>> {
-    let place = |(name, zone): &'a (String, &'static str)| HostRef { name, zone };
-    hosts.iter().map(place).collect()
+fn host_refs<'a>(hosts: &'a [(String, &'static str)]) -> Vec<HostRef<'a>> {
+    let host_ref = |(name, zone): &'a (String, &'static str)| HostRef { name, zone };
+    hosts.iter().map(host_ref).collect()
 }
 
-/// Which servers each entry knows.
-fn cover<'a>(
+/// The servers in the subset of each entry.
+fn subsets<'a>(
     entries: &[HostRef<'a>],
     servers: &[HostRef<'a>],
     size: SubsetSize,
@@ -31,29 +31,29 @@
     entries.iter().map(known).collect()
 }
 
-/// How many entries know each server.
-fn counts(cover: &BTreeMap<&str, BTreeSet<&str>>, servers: &[HostRef]) -> Vec<usize> {
-    let count = |s: &HostRef| cover.values().filter(|k| k.contains(s.name)).count();
+/// How many entries cover each server.
+fn coverage(subsets: &BTreeMap<&str, BTreeSet<&str>>, servers: &[HostRef]) -> Vec<usize> {
+    let count = |s: &HostRef| subsets.values().filter(|k| k.contains(s.name)).count();
     servers.iter().map(count).collect()
 }
 
 #[rstest]
-#[case::fleet_of_today(2, 18)]
+#[case::small_fleet(2, 18)]
 #[case::exactly_the_size(60, 128)]
-fn choose_few_servers(#[case] entries: usize, #[case] servers: usize) {
+fn choose_all_of_few_servers(#[case] entries: usize, #[case] servers: usize) {
     let (entries, servers) = (hosts("entry", entries), hosts("sidecar", servers));
     let size = SubsetSize {
         total: 128,
         other_zones: 16,
     };
-    for known in cover(&places(&entries), &places(&servers), size).values() {
+    for known in subsets(&host_refs(&entries), &host_refs(&servers), size).values() {
         assert_eq!(known.len(), servers.len());
     }
 }
 
-// One region at the size to design for: 180 entries, and services of 400 to
-// 1,250 servers. Each server must be within a few entries of the mean, else
-// the least covered one stands idle while others queue.
+// One region at design size: 180 entries, and services of 400 to 1,250 servers.
+// The coverage of each server must be within a few entries of the mean, or the
+// least covered server is idle while requests queue at others.
 #[rstest]
 #[case::region(180, 1250, 128, 16)]
 #[case::one_service(180, 400, 128, 16)]
@@ -65,17 +65,20 @@
     #[case] other_zones: usize,
 ) {
     let (entries, servers) = (hosts("entry", entries), hosts("sidecar", servers));
-    let (entries, servers) = (places(&entries), places(&servers));
-    let cover = cover(&entries, &servers, SubsetSize { total, other_zones });
-
-    // A fraction is rounded up or down once for each of the three zones.
-    let counts = counts(&cover, &servers);
-    let (min, max) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
+    let (entries, servers) = (host_refs(&entries), host_refs(&servers));
+    let subsets = subsets(&entries, &servers, SubsetSize { total, other_zones });
+
+    // Coverage is rounded up or down once for each of the three zones.
+    let coverage = coverage(&subsets, &servers);
+    let (min, max) = (
+        coverage.iter().min().unwrap(),
+        coverage.iter().max().unwrap(),
+    );
     assert!(max - min <= 3, "covered by {min} to {max} entries");
     assert!(*min >= 1);
 
-    // An entry's own subset varies as a random draw does, around its mean.
-    let sizes: Vec<usize> = cover.values().map(BTreeSet::len).collect();
+    // The size of an entry's subset varies randomly around the mean.
+    let sizes: Vec<usize> = subsets.values().map(BTreeSet::len).collect();
     let mean = sizes.iter().sum::<usize>() as f64 / sizes.len() as f64;
     assert!((mean / total as f64 - 1.0).abs() < 0.02, "mean {mean}");
     assert!(*sizes.iter().max().unwrap() < total * 2);
@@ -84,7 +87,7 @@
 #[test]
 fn choose_own_zone_first() {
     let (entries, servers) = (hosts("entry", 60), hosts("sidecar", 1200));
-    let (entries, servers) = (places(&entries), places(&servers));
+    let (entries, servers) = (host_refs(&entries), host_refs(&servers));
     let size = SubsetSize {
         total: 128,
         other_zones: 16,
@@ -100,24 +103,24 @@
     );
 }
 
-// One server of 1,250 leaves: only the connections that it had are made anew
-// elsewhere. A choice by position in a sorted list would move nearly all.
+// One server of 1,250 leaves: only its connections are replaced by others. A
+// choice by position in a sorted list would move nearly all connections.
 #[test]
 fn choose_server_leaves() {
     let (entries, servers) = (hosts("entry", 180), hosts("sidecar", 1250));
-    let (entries, servers) = (places(&entries), places(&servers));
+    let (entries, servers) = (host_refs(&entries), host_refs(&servers));
     let size = SubsetSize {
         total: 128,
         other_zones: 16,
     };
 
-    let before = cover(&entries, &servers, size);
+    let before = subsets(&entries, &servers, size);
     let fewer: Vec<HostRef> = servers
         .iter()
         .copied()
         .filter(|s| s.name != "sidecar-7")
         .collect();
-    let after = cover(&entries, &fewer, size);
+    let after = subsets(&entries, &fewer, size);
 
     let had = before.values().filter(|k| k.contains("sidecar-7")).count();
     let lost: usize = before
@@ -132,19 +135,19 @@
     assert!(new <= had * 2, "{new} new connections for {had}");
 }
 
-// One entry of 180 leaves: its servers find another entry, and each of the
+// One entry of 180 leaves: other entries cover its servers, and each of the
 // remaining entries changes a few of its 128 connections.
 #[test]
 fn choose_entry_leaves() {
     let (entries, servers) = (hosts("entry", 180), hosts("sidecar", 1250));
-    let (entries, servers) = (places(&entries), places(&servers));
+    let (entries, servers) = (host_refs(&entries), host_refs(&servers));
     let size = SubsetSize {
         total: 128,
         other_zones: 16,
     };
 
-    let before = cover(&entries, &servers, size);
-    let after = cover(&entries[1..], &servers, size);
+    let before = subsets(&entries, &servers, size);
+    let after = subsets(&entries[1..], &servers, size);
     for (entry, known) in &after {
         let moved = known.symmetric_difference(&before[entry]).count();
         assert!(moved <= 16, "{entry} changes {moved} of {}", known.len());
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers crash, and those that are only near.
+//! Requests that crash servers, and innocent ones that ran beside them.
 
 use std::time::{Duration, Instant};
 
@@ -11,27 +11,27 @@
     Fingerprint::from_parts(&[name.as_bytes()])
 }
 
-/// Sees servers crash under a request; returns how many of the crashes were new.
-fn see(
+/// Lets servers crash while running a request; returns the number of new crashes.
+fn crash_servers(
     suspects: &mut CrashSuspects,
     now: Instant,
     name: &str,
-    lives: std::ops::Range<u64>,
+    incarnations: std::ops::Range<u64>,
 ) -> usize {
-    let new = lives.map(|life| {
+    let new = incarnations.map(|incarnation| {
         suspects
-            .server_crashed(now, life, &[fingerprint(name)])
+            .server_crashed(now, incarnation, &[fingerprint(name)])
             .len()
     });
     new.sum()
 }
 
 #[test]
-fn refused_from_the_third_life_on() {
+fn refused_after_three_crashes() {
     let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
-    see(&mut suspects, now, "fatal", 0..2);
+    crash_servers(&mut suspects, now, "fatal", 0..2);
     assert_eq!(suspects.refusal_left(now, fingerprint("fatal")), None);
-    see(&mut suspects, now, "fatal", 2..3);
+    crash_servers(&mut suspects, now, "fatal", 2..3);
     assert_eq!(
         suspects.refusal_left(now, fingerprint("fatal")),
         Some(CRASH_TTL)
@@ -39,13 +39,13 @@
     assert_eq!(suspects.refusal_left(now, fingerprint("other")), None);
 }
 
-/// Guards against an innocent request being refused because several entries
-/// tell of one server that crashed, or one of them several times.
+/// Guards against an innocent request being refused because several entries report
+/// the crash of one server, or one entry reports it several times.
 #[test]
-fn one_life_counts_once() {
+fn one_incarnation_counts_once() {
     let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
     let crash = Crash {
-        fingerprint: fingerprint("near"),
+        fingerprint: fingerprint("innocent"),
         incarnation: 1,
     };
     assert!(suspects.add_crash(now, crash, Duration::ZERO));
@@ -62,21 +62,21 @@
 }
 
 /// Guards against a request that is sent all the time being refused because a
-/// whole rack of servers crashed under its copies.
+/// whole rack of servers crashed while running copies of it.
 #[test]
-fn served_lately_is_not_suspected() {
+fn recently_served_is_not_suspected() {
     let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
     suspects.request_served(fingerprint("poll"));
-    assert_eq!(see(&mut suspects, now, "poll", 0..20), 0);
+    assert_eq!(crash_servers(&mut suspects, now, "poll", 0..20), 0);
     assert_eq!(suspects.refusal_left(now, fingerprint("poll")), None);
 }
 
 #[test]
 fn served_is_cleared() {
     let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
-    see(&mut suspects, now, "near", 0..2);
+    crash_servers(&mut suspects, now, "innocent", 0..2);
     let mut cleared: Vec<u64> = suspects
-        .request_served(fingerprint("near"))
+        .request_served(fingerprint("innocent"))
         .iter()
         .map(|e| e.incarnation)
         .collect();
@@ -85,12 +85,11 @@
     assert!(suspects.is_empty());
 }
 
-/// Guards against a request being refused for ever although the servers were
-/// mended.
+/// Guards against a request being refused forever although the servers were fixed.
 #[test]
-fn let_go_of_after_a_while() {
+fn crashes_expire() {
     let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
-    see(&mut suspects, now, "fatal", 0..3);
+    crash_servers(&mut suspects, now, "fatal", 0..3);
     let last = now + CRASH_TTL;
     assert_eq!(
         suspects.refusal_left(last - MS, fingerprint("fatal")),
@@ -106,7 +105,7 @@
 #[case::nearly_over(CRASH_TTL - MS, true)]
 #[case::over(CRASH_TTL, false)]
 #[case::long_over(CRASH_TTL * 9, false)]
-fn told_late(#[case] age: Duration, #[case] held: bool) {
+fn late_report(#[case] age: Duration, #[case] held: bool) {
     let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
     let crash = Crash {
         fingerprint: fingerprint("fatal"),
@@ -117,23 +116,23 @@
     assert_eq!(suspects.is_empty(), !held);
 }
 
-/// Guards against memory that grows with the servers that crash: the requests
-/// that are refused stay known, however many others were near.
+/// Guards against memory that grows with the number of crashes. Refused requests
+/// stay known, however many innocent ones ran beside them.
 #[test]
 fn memory_is_bounded() {
     let (mut suspects, now) = (CrashSuspects::default(), Instant::now());
-    see(&mut suspects, now, "fatal", 0..3);
+    crash_servers(&mut suspects, now, "fatal", 0..3);
     for n in 0..MAX_CRASHES as u64 + 1000 {
-        let name = format!("near-{n}");
-        see(&mut suspects, now + MS, &name, n..n + 1);
+        let name = format!("innocent-{n}");
+        crash_servers(&mut suspects, now + MS, &name, n..n + 1);
         assert!(suspects.crash_count() <= MAX_CRASHES);
     }
     assert!(suspects.refusal_left(now, fingerprint("fatal")).is_some());
-    assert_eq!(suspects.refusal_left(now, fingerprint("near-0")), None);
+    assert_eq!(suspects.refusal_left(now, fingerprint("innocent-0")), None);
 }
 
 #[test]
-fn parts_are_kept_apart() {
+fn parts_are_delimited() {
     let one = Fingerprint::from_parts(&[b"POST", b"/a", b"b"]);
     assert_ne!(one, Fingerprint::from_parts(&[b"POST", b"/ab", b""]));
     assert_eq!(one, Fingerprint::from_parts(&[b"POST", b"/a", b"b"]));
@@ -141,15 +140,15 @@
 
 #[rstest]
 #[case::empty("")]
-#[case::no_life("00ff")]
+#[case::no_incarnation("00ff")]
 #[case::no_number("x-1")]
 #[case::too_long("00ff-11112222333344445")]
-fn nonsense_is_no_end(#[case] text: &str) {
+fn invalid_crash_keys(#[case] text: &str) {
     assert!(text.parse::<Crash>().is_err());
 }
 
 #[test]
-fn key_names_the_end() {
+fn crash_key_round_trip() {
     let crash = Crash {
         fingerprint: fingerprint("fatal"),
         incarnation: 12,
@@ -157,33 +156,33 @@
     assert_eq!(crash.to_string().parse(), Ok(crash));
 }
 
-/// The load of many entries, each of which gets a few of the tries: with a try
-/// each 100 ms and 300 ms until all know of a crash, the request reaches at most
-/// three servers after the third has crashed.
+/// Many entries each get a few of the attempts. With an attempt every 100 ms and
+/// 300 ms until all entries know of a crash, the request crashes at most three
+/// servers after the third one.
 #[test]
-fn replay_tries_at_many_entries() {
-    let (mut fleet, mut told) = (
+fn attempts_at_many_entries() {
+    let (mut entries, mut reports) = (
         vec![CrashSuspects::default(), CrashSuspects::default()],
         Vec::new(),
     );
-    fleet.resize_with(188, CrashSuspects::default);
+    entries.resize_with(188, CrashSuspects::default);
     let (start, fatal) = (Instant::now(), fingerprint("fatal"));
     let mut crashed = 0u64;
-    for try_no in 0..100u32 {
-        let now = start + MS * 100 * try_no;
-        told.retain(|(at, crash): &(Instant, Crash)| {
+    for attempt in 0..100u32 {
+        let now = start + MS * 100 * attempt;
+        reports.retain(|(at, crash): &(Instant, Crash)| {
             let due = *at <= now;
             if due {
-                for entry in &mut fleet {
+                for entry in &mut entries {
                     entry.add_crash(now, *crash, Duration::ZERO);
                 }
             }
             !due
         });
-        let entry = &mut fleet[try_no as usize * 37 % 188];
+        let entry = &mut entries[attempt as usize * 37 % 188];
         if entry.refusal_left(now, fatal).is_none() {
             let crashes = entry.server_crashed(now, crashed, &[fatal]);
-            told.extend(crashes.into_iter().map(|crash| (now + MS * 300, crash)));
+            reports.extend(crashes.into_iter().map(|crash| (now + MS * 300, crash)));
             crashed += 1;
         }
     }
