--- a/crates/policy/tests/backoff.rs
+++ b/crates/policy/tests/backoff.rs
@@ -44,7 +44,7 @@
     }
 }
 
-fn want<'a>(tried: &'a [Rc<str>]) -> ServerQuery<'a> {
+fn query<'a>(tried: &'a [Rc<str>]) -> ServerQuery<'a> {
     ServerQuery {
         service: "app",
         prefix_hash: None,
@@ -153,7 +153,7 @@
             let Some(server) = entry.choose(self.now, &query(&tried)) else {
                 break;
             };
-            let number: usize = server.id[1..].parse().expect("a number");
+            let number: usize = server.id[1..].parse().expect("numeric suffix");
             let calls = &mut self.running[number];
             let full = calls.len() >= SLOTS + QUEUE_LENGTH;
             let feedback = match (backoff_span, full) {
@@ -224,7 +224,9 @@
         entry.apply_feedback(fleet.now, &record(0), fleet.now, &backoff(BACKOFF), jitter);
     }
     let back = fleet.entries.iter().map(|e| e.next_turn(fleet.now, "app"));
-    let back: Vec<Duration> = back.map(|left| left.expect("it rests")).collect();
+    let back: Vec<Duration> = back
+        .map(|left| left.expect("the server is in a backoff"))
+        .collect();
     assert!(back.iter().all(|left| *left >= BACKOFF));
     assert!(max_simultaneous(&back) <= ENTRIES / 4);
 }
@@ -270,7 +272,9 @@
     balancer.upsert(now, record(0));
     for ms in 0..3000 {
         let now = now + MS * ms;
-        let chosen = balancer.choose(now, &query(&[])).expect("a server");
+        let chosen = balancer
+            .choose(now, &query(&[]))
+            .expect("an available server");
         assert_eq!(&*chosen.id, "s1");
         assert!(!balancer.take_turn(now, "s0"));
     }
@@ -316,7 +320,7 @@
     for number in [0, 1] {
         balancer.apply_feedback(now, &record(number), now, &backoff(Duration::MAX), 1.0);
     }
-    let left = balancer.next_turn(now, "app").expect("an end");
+    let left = balancer.next_turn(now, "app").expect("the backoff ends");
     assert!(left <= Duration::from_secs(7200));
 }
 
--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -85,7 +85,7 @@
     let query = query(Some(7));
     let mut used = HashSet::new();
     for _ in 0..48 {
-        let server = balancer.choose(now, &query).expect("a server");
+        let server = balancer.choose(now, &query).expect("an available server");
         balancer.call_sent(now, &server.id);
         used.insert(server.id);
     }
@@ -101,7 +101,7 @@
         strategy: Strategy::TwoChoices,
         ..query(None)
     };
-    let busy = choose_id(&mut balancer, now, &two_choices).expect("a server");
+    let busy = choose_id(&mut balancer, now, &two_choices).expect("an available server");
     balancer.call_sent(now, &busy);
     let own_calls = balancer.own_calls();
     balancer.call_started(&busy);
@@ -152,14 +152,17 @@
 #[test]
 fn unreachable_server_is_in_cooldown() {
     let (now, mut balancer) = (Instant::now(), balancer(3));
-    let home = choose_id(&mut balancer, now, &query(Some(3))).expect("a server");
-    balancer.connect_failed(now, &home);
+    let first_choice = choose_id(&mut balancer, now, &query(Some(3))).expect("an available server");
+    balancer.connect_failed(now, &first_choice);
     assert_ne!(
         choose_id(&mut balancer, now, &query(Some(3))),
-        Some(home.clone())
+        Some(first_choice.clone())
     );
     let later = now + Duration::from_secs(4);
-    assert_eq!(choose_id(&mut balancer, later, &query(Some(3))), Some(home));
+    assert_eq!(
+        choose_id(&mut balancer, later, &query(Some(3))),
+        Some(first_choice)
+    );
 }
 
 /// A host fails with its connections open. Calls sent there get neither an answer
@@ -168,15 +171,18 @@
 #[test]
 fn silent_server_is_passed_over() {
     let (now, mut balancer) = (Instant::now(), balancer(3));
-    let home = choose_id(&mut balancer, now, &query(Some(3))).expect("a server");
-    balancer.call_sent(now, &home);
+    let first_choice = choose_id(&mut balancer, now, &query(Some(3))).expect("an available server");
+    balancer.call_sent(now, &first_choice);
     let later = now + SILENCE_TIMEOUT;
     assert_ne!(
         choose_id(&mut balancer, later, &query(Some(3))),
-        Some(home.clone())
+        Some(first_choice.clone())
+    );
+    balancer.bytes_received(later, &first_choice);
+    assert_eq!(
+        choose_id(&mut balancer, later, &query(Some(3))),
+        Some(first_choice)
     );
-    balancer.bytes_received(later, &home);
-    assert_eq!(choose_id(&mut balancer, later, &query(Some(3))), Some(home));
 }
 
 /// A server without open calls sends nothing and is healthy.
@@ -276,7 +282,7 @@
                 partition,
                 ..query(Some(prefix))
             };
-            seen.insert(choose_id(&mut balancer, now, &query).expect("a server"));
+            seen.insert(choose_id(&mut balancer, now, &query).expect("an available server"));
         }
     }
     assert_eq!(seen.each_ref().map(HashSet::len), [4, 8]);
@@ -468,14 +474,17 @@
 #[test]
 fn rejecting_server_is_passed_over() {
     let (now, mut balancer) = (Instant::now(), balancer(2));
-    let home = choose_id(&mut balancer, now, &query(Some(7))).expect("a server");
+    let first_choice = choose_id(&mut balancer, now, &query(Some(7))).expect("an available server");
     for _ in 0..3 {
-        balancer.call_rejected(now, &home);
+        balancer.call_rejected(now, &first_choice);
     }
     let other = choose_id(&mut balancer, now, &query(Some(7)));
-    assert_ne!(other.as_ref(), Some(&home));
-    balancer.call_succeeded(&home);
-    assert_eq!(choose_id(&mut balancer, now, &query(Some(7))), Some(home));
+    assert_ne!(other.as_ref(), Some(&first_choice));
+    balancer.call_succeeded(&first_choice);
+    assert_eq!(
+        choose_id(&mut balancer, now, &query(Some(7))),
+        Some(first_choice)
+    );
 }
 
 /// Guards against a service without any usable server when all of its servers
--- a/crates/policy/tests/feedback.rs
+++ b/crates/policy/tests/feedback.rs
@@ -33,7 +33,7 @@
     ServerRecord {
         id: Rc::from("s"),
         service: Rc::from("app"),
-        addr: "127.0.0.1:1".parse().expect("an address"),
+        addr: "127.0.0.1:1".parse().expect("valid address"),
         zone: Rc::from("a"),
         slots: 4,
         leaving: false,
--- a/crates/policy/tests/rate_limits.rs
+++ b/crates/policy/tests/rate_limits.rs
@@ -22,7 +22,7 @@
     ServerRecord {
         id: Rc::from(id),
         service: Rc::from("app"),
-        addr: "127.0.0.1:1".parse().expect("an address"),
+        addr: "127.0.0.1:1".parse().expect("valid address"),
         zone: Rc::from("a"),
         slots: 4,
         leaving: false,
@@ -87,8 +87,8 @@
     /// Simulates `span`, in which each entry always has a call to send and each
     /// answer announces `limit` for the millisecond of the span.
     fn run(&mut self, from: Duration, span: Duration, limit: impl Fn(u64) -> f64) {
-        for ms in 0..u64::try_from(span.as_millis()).expect("short") {
-            let now = self.start + from + MS * u32::try_from(ms).expect("short");
+        for ms in 0..u64::try_from(span.as_millis()).expect("milliseconds fit") {
+            let now = self.start + from + MS * u32::try_from(ms).expect("milliseconds fit");
             for entry in &mut self.entries {
                 entry.apply_feedback(now, &record("s"), now, &feedback(Some(limit(ms))), 0.0);
                 let chosen = entry.choose(now, &query());
@@ -192,7 +192,7 @@
     balancer.upsert(
         now,
         ServerRecord {
-            addr: "127.0.0.2:1".parse().expect("an address"),
+            addr: "127.0.0.2:1".parse().expect("valid address"),
             ..record("other")
         },
     );
@@ -204,7 +204,7 @@
 fn server_without_a_turn_is_passed_over() {
     let (mut balancer, now) = limited();
     for _ in 0..10 {
-        let chosen = balancer.choose(now, &query()).expect("a server");
+        let chosen = balancer.choose(now, &query()).expect("an available server");
         assert_eq!(&*chosen.id, "other");
     }
     assert!(!balancer.take_turn(now, "s"));
