--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -31,9 +31,9 @@
 pub use feedback::{FeedbackChange, FeedbackCounts, ServerFeedback};
 pub use rate_limit::TurnSchedule;
 
-/// A prefix's home server is passed over when its open calls exceed the mean of
-/// the service by this factor. At a factor of 2, a tenth more shared prompt
-/// tokens were prefilled again.
+/// The server with the highest score for a prefix is passed over when its open
+/// calls exceed the mean of the service by this factor. At a factor of 2, a tenth
+/// more shared prompt tokens were prefilled again.
 const OVERLOAD_RATIO: f64 = 3.0;
 
 /// Open calls that a server may have beyond the ratio: with few calls in total,
