--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -14,6 +14,7 @@
 /// A server with open calls that sends nothing for this long counts as silent.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
 
+/// How long missing servers may still be called, and until they are removed.
 const MISSING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A unique address for each server.
