--- a/crates/policy/src/duty.rs
+++ b/crates/policy/src/duty.rs
@@ -1,12 +1,12 @@
-//! Who performs a duty that one daemon has to do for all of them.
+//! Elects the daemon that performs a fleet-wide duty.
 //!
-//! Load pattern: daemons that come and go at any moment, any of which may be
-//! paused, cut off or killed while it performs the duty, before a store that
-//! answers late or not at all. The holder is whoever wrote the newest record
-//! of the duty; each write names the end of the log that its writer knows, so
-//! that of two writers one fails. Others take over only once that record has
-//! stood unchanged for a whole [`TTL`] of their own time, and the holder stops
-//! a tenth before that. See docs/DECISIONS/0701-duties.md.
+//! Load pattern: daemons come and go at any moment, and any of them may be suspended,
+//! cut off or killed while it performs the duty. The store answers late or not at all.
+//! The holder is the daemon that wrote the newest record in the duty's log. Each write
+//! names the log end that its writer knows (compare and swap), so that one of two
+//! concurrent writers fails. Another candidate takes over only after the newest record
+//! has stayed unchanged for a whole [`TERM_TTL`] on its own clock; the holder stops
+//! after nine tenths of that time. See docs/DECISIONS/0701-duties.md.
 
 use std::time::{Duration, Instant};
 
@@ -15,306 +15,324 @@
 
 use crate::lease::Lease;
 
-/// How long a record holds. Taking over after a silent loss lasts as long, and
-/// renewing it costs a write each half of it.
+/// How long a term is valid without renewal. A takeover after the holder fails silently
+/// takes at least this long. Renewal costs one write per half of it.
 pub const TERM_TTL: Duration = Duration::from_millis(1800);
 
-/// How much longer each further candidate in the order waits, so that one
-/// claims and the others hear of it.
+/// Additional wait per rank, so that one candidate claims the duty and the others learn
+/// of its record.
 const STAGGER: Duration = Duration::from_millis(300);
 
-/// Candidates that the stagger tells apart; those behind them wait alike.
-const PLACES: usize = 8;
+/// Number of ranks with distinct delays; candidates behind them share the longest one.
+const MAX_STAGGERED_RANKS: usize = 8;
 
-/// How long a new process waits before it first looks for a holder. Meanwhile
-/// it hears of the holder, or of who goes before it in the order.
-const SETTLE: Duration = Duration::from_millis(900);
+/// Delay after start before the first read of the duty's record. In this time a new
+/// process learns of the holder and of the candidates that precede it.
+const STARTUP_DELAY: Duration = Duration::from_millis(900);
 
-/// The pause after a call that the store has not answered or has refused. It
-/// doubles with each further one, as a store that is away would else be asked
-/// by every candidate several times a second.
-const RETRY: Duration = Duration::from_millis(250);
+/// Initial delay after a store call that failed or was refused. It doubles with each
+/// consecutive failure: otherwise every candidate would query an unavailable store
+/// several times a second.
+const RETRY_BASE: Duration = Duration::from_millis(250);
 
-/// How often that pause doubles at the most.
-const DOUBLINGS: u32 = 3;
+/// Maximum number of doublings of the retry delay.
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// Who holds the duty, as the store has it.
+/// The stored record of who holds the duty.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Term {
-    /// The holder's life; a process that starts again is another holder.
+    /// Incarnation of the holder; a restarted process counts as another holder.
     pub holder: String,
     /// The holder's host.
     pub host: String,
-    /// The fencing token; it grows with each holder.
+    /// Fencing token; it increases with each holder.
     pub token: u64,
-    /// The host that held the duty before, if it was another one.
+    /// The host that held the duty previously, if it was a different one.
     #[serde(rename = "before")]
     pub previous_host: Option<String>,
-    /// Whether the holder has given the duty up.
+    /// Whether the holder has released the duty.
     pub released: bool,
 }
 
-/// What a candidate should do next.
+/// The next action of a candidate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing for now.
+    /// Do nothing now.
     Wait,
     /// Read the duty's record.
     Read,
-    /// Write this at the end that the candidate knows ([`Candidate::end`]).
+    /// Write this term at the log end that the candidate knows
+    /// ([`Candidate::log_end`]).
     Renew(Term),
-    /// The same, with what the record that was read keeps beside the term in
-    /// place of all that this candidate has of it: others may have held the
-    /// duty meanwhile and acted on what they wrote.
+    /// Write this term together with the other data of the record that was read; it
+    /// replaces all duty data that this candidate holds. Other holders may have acted
+    /// on what they wrote in the meantime.
     Claim(Term),
 }
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It stands at this offset.
+    /// The record was stored at this offset.
     Stored(u64),
     /// Another write came first; nothing was written.
     Conflict,
-    /// The store refused it; nothing was written.
+    /// The store refused the write; nothing was written.
     Refused,
-    /// It was not answered: it may have been written, or may be later.
+    /// There was no answer: the record may have been written, or may still be written
+    /// later.
     Unknown,
 }
 
-/// One daemon that may hold a duty. Times are of a clock that also counts
-/// while the host is suspended ([`base::clock::Clock::lasting`]).
+/// A daemon that may hold a duty. All times come from a clock that also advances while
+/// the host is suspended ([`base::clock::Clock::lasting`]).
 #[derive(Debug)]
 pub struct Candidate {
-    life: String,
+    incarnation: String,
     host: String,
-    /// How long a host stays away after another one has followed it.
-    away: Duration,
-    /// The newest record that is known of.
-    seen: Option<Seen>,
-    /// What this candidate has written, while it holds the duty.
+    /// How long a host must wait before it takes the duty back from its successor.
+    return_delay: Duration,
+    /// The newest known record.
+    latest: Option<LatestRecord>,
+    /// The term that this candidate wrote, while it holds the duty.
     term: Option<Term>,
     lease: Option<Lease>,
-    /// The highest token that was refused for a higher one.
-    barred: u64,
-    /// Whether another's record may have replaced the known one.
-    unsure: bool,
-    /// Nothing is asked of the store before.
-    look: Instant,
-    /// Calls in a row that the store has not answered or has refused.
+    /// The highest token that was rejected because a higher one had been seen.
+    rejected_token: u64,
+    /// Whether another candidate may have replaced the known record.
+    needs_read: bool,
+    /// No store call is made before this time.
+    not_before: Instant,
+    /// Consecutive store calls that failed or were refused.
     failures: u32,
-    /// Whether it has given the duty up for good.
+    /// Whether the candidate has resigned permanently.
     resigned: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
-    /// Where the log ends after it.
+struct LatestRecord {
+    /// Log end after the record.
     end: u64,
-    /// When it was first known of.
-    at: Instant,
+    /// When this candidate first learned of the record.
+    first_seen: Instant,
 }
 
 impl Candidate {
-    /// Makes a candidate that starts at `now`. A host whose duty went to
-    /// another one does not take it back within `away`.
+    /// Creates a candidate that starts at `now`. A host that lost the duty to another
+    /// host does not take it back within `return_delay`.
     #[must_use]
-    pub fn new(now: Instant, life: &str, host: &str, away: Duration) -> Self {
+    pub fn new(now: Instant, incarnation: &str, host: &str, return_delay: Duration) -> Self {
         Self {
-            life: life.to_owned(),
+            incarnation: incarnation.to_owned(),
             host: host.to_owned(),
-            away,
-            seen: None,
+            return_delay,
+            latest: None,
             term: None,
             lease: None,
-            barred: 0,
-            unsure: false,
-            look: now + SETTLE,
+            rejected_token: 0,
+            needs_read: false,
+            not_before: now + STARTUP_DELAY,
             failures: 0,
             resigned: false,
         }
     }
 
-    /// Where the log ends, as far as is known.
+    /// The known end of the log.
     #[must_use]
     pub fn log_end(&self) -> u64 {
-        self.seen.map_or(0, |seen| seen.end)
+        self.latest.map_or(0, |latest| latest.end)
     }
 
-    /// The fencing token for a call made at `now`; none unless the duty is
-    /// held.
+    /// The fencing token for a call made at `now`; `None` unless this candidate holds
+    /// the duty.
     ///
-    /// A holder that was suspended still believes that it holds the duty, and
-    /// would do again what its successor has done. It must ask here right
-    /// before each call.
+    /// Callers must ask for it right before each call: a holder that was suspended
+    /// still believes that it holds the duty, and would repeat what its successor has
+    /// already done.
     #[must_use]
     pub fn token(&self, now: Instant) -> Option<u64> {
         let Offset(token) = self.lease?.fence(now)?;
-        (token > self.barred).then_some(token)
+        (token > self.rejected_token).then_some(token)
     }
 
-    /// What this candidate has written last, while it holds the duty.
+    /// The term that this candidate wrote last, while it holds the duty.
     #[must_use]
     pub fn term(&self) -> Option<&Term> {
         self.term.as_ref()
     }
 
-    /// What to do at `now`, with `place` other candidates before this one.
+    /// The action to take at `now`, with `rank` other candidates preceding this one.
     #[must_use]
-    pub fn next_step(&self, now: Instant, place: usize) -> Step {
-        if self.resigned || now < self.look {
+    pub fn next_step(&self, now: Instant, rank: usize) -> Step {
+        if self.resigned || now < self.not_before {
             return Step::Wait;
         }
-        let stagger = STAGGER * place.min(PLACES) as u32;
-        match (&self.term, self.lease, self.seen) {
-            (Some(_), _, _) if self.unsure => Step::Read,
+        let stagger = STAGGER * rank.min(MAX_STAGGERED_RANKS) as u32;
+        match (&self.term, self.lease, self.latest) {
+            (Some(_), _, _) if self.needs_read => Step::Read,
             (Some(term), Some(lease), _) if lease.due(now) => Step::Renew(term.clone()),
             (Some(_), _, _) => Step::Wait,
-            (None, _, Some(seen)) if now < seen.at + TERM_TTL + stagger => Step::Wait,
-            (None, _, None) if now < self.look + stagger => Step::Wait,
+            (None, _, Some(latest)) if now < latest.first_seen + TERM_TTL + stagger => Step::Wait,
+            (None, _, None) if now < self.not_before + stagger => Step::Wait,
             _ => Step::Read,
         }
     }
 
-    /// Notes that the holder told where the log ends after its last record.
+    /// Records the log end that the holder announced after its latest record.
     pub fn observe_record(&mut self, now: Instant, end: u64, released: bool) {
-        if self.seen.is_some_and(|seen| end <= seen.end) {
+        if self.latest.is_some_and(|latest| end <= latest.end) {
             return;
         }
-        self.seen = Some(Seen { end, at: now });
-        self.unsure = true;
+        self.latest = Some(LatestRecord {
+            end,
+            first_seen: now,
+        });
+        self.needs_read = true;
         if released {
-            // Nobody has to be waited for.
-            self.seen = None;
-            self.look = now;
+            // A released duty has no holder whose term must expire first.
+            self.latest = None;
+            self.not_before = now;
         }
     }
 
-    /// Takes what the store holds: the duty's record, and where its log ends.
+    /// Processes the result of a read: the duty's record and the end of its log.
     pub fn record_read(&mut self, now: Instant, term: Option<&Term>, end: u64) -> Step {
-        let before = self.seen.filter(|seen| seen.end == end);
-        let seen = before.unwrap_or(Seen { end, at: now });
-        self.seen = Some(seen);
-        self.unsure = false;
+        let known = self.latest.filter(|latest| latest.end == end);
+        let latest = known.unwrap_or(LatestRecord {
+            end,
+            first_seen: now,
+        });
+        self.latest = Some(latest);
+        self.needs_read = false;
         self.failures = 0;
         if self.resigned {
             return Step::Wait;
         }
-        let stood = now.saturating_duration_since(seen.at);
+        let unchanged_for = now.saturating_duration_since(latest.first_seen);
         match term {
-            Some(t) if t.holder == self.life && !t.released && t.token > self.barred => {
+            Some(t)
+                if t.holder == self.incarnation && !t.released && t.token > self.rejected_token =>
+            {
                 let held = self.term.replace(t.clone()).is_some();
                 return match held {
                     true => Step::Renew(t.clone()),
                     false => Step::Claim(t.clone()),
                 };
             }
-            Some(t) if !self.may_follow(t, stood) => {
-                self.drop_term();
-                // A record that was given up has nobody to renew it.
-                let wait = if t.released { self.away } else { TERM_TTL };
-                self.look = now + wait.saturating_sub(stood).max(RETRY);
+            Some(t) if !self.may_follow(t, unchanged_for) => {
+                self.clear_term();
+                // A released record is not renewed, so only the return delay counts.
+                let wait = if t.released {
+                    self.return_delay
+                } else {
+                    TERM_TTL
+                };
+                self.not_before = now + wait.saturating_sub(unchanged_for).max(RETRY_BASE);
                 return Step::Wait;
             }
             _ => {}
         }
-        self.drop_term();
+        self.clear_term();
         Step::Claim(Term {
-            holder: self.life.clone(),
+            holder: self.incarnation.clone(),
             host: self.host.clone(),
             token: end + 1,
-            previous_host: term.and_then(|t| self.before(t)),
+            previous_host: term.and_then(|t| self.previous_host(t)),
             released: false,
         })
     }
 
-    /// Whether this candidate may follow the holder of `term`, whose record
-    /// has stood unchanged for `stood`.
-    fn may_follow(&self, term: &Term, stood: Duration) -> bool {
-        let returns = term.previous_host.as_deref() == Some(&*self.host);
-        let wait = match (term.released, returns) {
-            // An earlier life of this host has ended, or this one would not
-            // have got its ports.
+    /// Whether this candidate may take over from the holder of `term`, whose record has
+    /// been unchanged for `unchanged_for`.
+    fn may_follow(&self, term: &Term, unchanged_for: Duration) -> bool {
+        let was_previous = term.previous_host.as_deref() == Some(&*self.host);
+        let wait = match (term.released, was_previous) {
+            // The host's earlier incarnation has ended: otherwise this one could not
+            // have bound its ports.
             _ if term.host == self.host => Duration::ZERO,
-            // Taken back at once, the duty would go to and fro between two
-            // hosts, with calls of both on their way.
-            (_, true) => TERM_TTL.max(self.away),
+            // An immediate return would let the duty alternate between two hosts while
+            // calls of both are in flight.
+            (_, true) => TERM_TTL.max(self.return_delay),
             (true, false) => Duration::ZERO,
             (false, false) => TERM_TTL,
         };
-        stood >= wait
+        unchanged_for >= wait
     }
 
-    /// The host to name as the one before, when `term` is followed.
-    fn before(&self, term: &Term) -> Option<String> {
+    /// The previous host to name in a term that succeeds `term`.
+    fn previous_host(&self, term: &Term) -> Option<String> {
         if term.host == self.host {
             return term.previous_host.clone();
         }
         Some(term.host.clone())
     }
 
-    /// Takes what became of writing `term`, which was sent at `sent`.
-    pub fn record_write(&mut self, now: Instant, sent: Instant, term: Term, written: WriteOutcome) {
-        match written {
+    /// Processes the outcome of a write of `term` that was sent at `sent`.
+    pub fn record_write(&mut self, now: Instant, sent: Instant, term: Term, outcome: WriteOutcome) {
+        match outcome {
             WriteOutcome::Stored(offset) => {
-                self.seen = Some(Seen {
+                self.latest = Some(LatestRecord {
                     end: offset + 1,
-                    at: now,
+                    first_seen: now,
                 });
-                self.unsure = false;
+                self.needs_read = false;
                 self.failures = 0;
                 self.lease = Some(Lease::new(Offset(term.token), sent, TERM_TTL));
                 if term.released {
-                    self.drop_term();
+                    self.clear_term();
                 } else {
                     self.term = Some(term);
                 }
             }
-            // What was held before stays held until its time is over; nobody
-            // may follow before that.
-            WriteOutcome::Conflict => self.unsure = true,
+            // The earlier term stays in force until its lease expires; no other
+            // candidate may take over before then.
+            WriteOutcome::Conflict => self.needs_read = true,
             WriteOutcome::Unknown => {
-                self.unsure = true;
+                self.needs_read = true;
                 self.failed(now);
             }
             WriteOutcome::Refused => self.failed(now),
         }
     }
 
-    /// Notes that the store could not be read.
+    /// Records that the store could not be read.
     pub fn record_read_failure(&mut self, now: Instant) {
         self.failed(now);
     }
 
-    /// Whether the last call was the first in a row that failed.
+    /// Whether the latest call was the first in a series of failures.
     #[must_use]
     pub fn failed_first(&self) -> bool {
         self.failures == 1
     }
 
     fn failed(&mut self, now: Instant) {
-        self.look = now + RETRY * 2u32.pow(self.failures.min(DOUBLINGS));
+        self.not_before = now + RETRY_BASE * 2u32.pow(self.failures.min(MAX_RETRY_DOUBLINGS));
         self.failures += 1;
     }
 
-    /// Notes that a call with `token` was refused since a higher one was seen.
-    /// It is never used again.
+    /// Records that a call with `token` was rejected because a higher token had been
+    /// seen. The rejected token is never used again.
     pub fn reject_token(&mut self, now: Instant, token: u64) {
-        self.barred = self.barred.max(token);
-        if self.term.as_ref().is_some_and(|t| t.token <= self.barred) {
-            self.drop_term();
-            self.look = now + RETRY;
+        self.rejected_token = self.rejected_token.max(token);
+        if self
+            .term
+            .as_ref()
+            .is_some_and(|t| t.token <= self.rejected_token)
+        {
+            self.clear_term();
+            self.not_before = now + RETRY_BASE;
         }
     }
 
-    /// Gives the duty up, for good or for `pause`; returns what to write, if
-    /// it was held.
+    /// Resigns permanently, or for `pause`. Returns the term to write if the duty was
+    /// held.
     pub fn resign(&mut self, now: Instant, pause: Option<Duration>) -> Option<Term> {
         let term = self.term.take();
         self.lease = None;
         match pause {
-            Some(pause) => self.look = now + pause,
+            Some(pause) => self.not_before = now + pause,
             None => self.resigned = true,
         }
         term.map(|term| Term {
@@ -323,7 +341,7 @@
         })
     }
 
-    fn drop_term(&mut self) {
+    fn clear_term(&mut self) {
         self.term = None;
         self.lease = None;
     }
--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -1,59 +1,58 @@
-//! What each workspace has used in each window of time, and when that is
+//! Counts the requests of each workspace per time window and decides when a window is
 //! reported.
 //!
-//! Load pattern: two dozen entries count the requests that begin through them,
-//! and are killed, restarted, cut off or suspended at any moment. Each tells
-//! the candidates for the duty its counts so far several times a second;
-//! counts of one life only grow, so that what is told twice or late changes
-//! nothing. A window is reported once all lives that are heard have closed it,
-//! or when waiting longer would make the report late. What is reported is
-//! written to the store first, and whoever follows reports exactly that. See
-//! docs/DECISIONS/0701-duties.md.
+//! Load pattern: two dozen entries count the requests that begin at them, and may be
+//! killed, restarted, cut off or suspended at any moment. Each entry sends its counts
+//! so far to the candidates for the duty several times a second. The counts of one
+//! incarnation only grow, so duplicate and late messages change nothing. A window is
+//! reported once every known incarnation has closed it, or when waiting longer would
+//! make the report late. The counts to report are first written to the store, and a
+//! successor reports exactly these. See docs/DECISIONS/0701-duties.md.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// How long after its end a window is closed: clocks of hosts are apart by
-/// less, and a request that was counted late still finds it open.
-const CLOSE: Duration = Duration::from_millis(150);
+/// Time between the end of a window and its closing. It exceeds the clock differences
+/// between hosts, and a request that is counted late still finds the window open.
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// A life that was not heard for so long may have ended. Its host may as well
-/// be cut off, with counts that nobody else has.
-const SILENT: Duration = Duration::from_secs(2);
+/// Time without a message after which an incarnation may have ended. Its host may also
+/// be cut off, with counts that no other host has.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Part of the time until a report is due for which silent lives are waited
-/// for. The rest is for a successor to take over and report.
-const WAIT_SHARE: f64 = 0.45;
+/// Share of the time until the report deadline for which silent incarnations are
+/// awaited. The rest is left for a successor to take over and report.
+const MAX_WAIT_SHARE: f64 = 0.45;
 
-/// How long a new holder gathers counts before it reports: entries learn of it
-/// and tell it theirs.
-const GATHER: Duration = Duration::from_millis(800);
+/// Time for which a new holder gathers counts before it reports: entries must first
+/// learn of the holder and send it their counts.
+const GATHER_TIME: Duration = Duration::from_millis(800);
 
-/// The number of a life.
+/// The number of an entry's incarnation.
 pub type IncarnationId = u64;
 
-/// Requests by workspace.
+/// Number of requests by workspace.
 pub type WorkspaceCounts = BTreeMap<String, u64>;
 
-/// The windows of time that are reported.
+/// The layout of the reported time windows.
 #[derive(Debug, Clone, Copy)]
 pub struct UsageWindows {
-    /// How long each is; the first began with the Unix epoch.
+    /// Length of each window; the first one began at the Unix epoch.
     pub length: Duration,
-    /// How long after its end the report is due.
+    /// Time after the end of a window by which its report is due.
     pub deadline: Duration,
 }
 
 impl UsageWindows {
-    /// The window that `time` falls into, counted from the Unix epoch.
+    /// The window that contains `time`, counted from the Unix epoch.
     #[must_use]
     pub fn containing(&self, time: Duration) -> u64 {
         (time.as_nanos() / self.length.as_nanos().max(1)) as u64
     }
 
-    /// When a window ends, from the Unix epoch.
+    /// The end of a window, as time since the Unix epoch.
     #[must_use]
     pub fn end(&self, window: u64) -> Duration {
         const SECOND: u128 = 1_000_000_000;
@@ -61,46 +60,46 @@
         Duration::new((nanos / SECOND) as u64, (nanos % SECOND) as u32)
     }
 
-    /// The first window that is not closed at `time`.
+    /// The first window that is still open at `time`.
     #[must_use]
     pub fn first_open(&self, time: Duration) -> u64 {
-        self.containing(time.saturating_sub(CLOSE))
+        self.containing(time.saturating_sub(CLOCK_TOLERANCE))
     }
 }
 
-/// What one life has counted in one window so far, as it tells the others.
+/// The counts of one incarnation in one window so far, as sent to other entries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WindowCounts {
-    /// Who counted.
+    /// The incarnation that counted.
     pub incarnation: IncarnationId,
-    /// All windows before this one are closed there.
+    /// This incarnation has closed all windows before this one.
     pub closed_before: u64,
-    /// The window that was counted.
+    /// The window that the counts belong to.
     pub window: u64,
-    /// All its counts together, also those that are told separately.
+    /// Total requests of the window, including counts that are sent in other messages.
     pub total: u64,
     /// The counts, or a part of them.
     pub counts: WorkspaceCounts,
 }
 
-/// What the store keeps of the usage.
+/// The usage data that the store keeps.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct UsageState {
-    /// The first window whose counts are not fixed.
+    /// The first window that is not finalized.
     #[serde(rename = "next")]
     pub next_window: u64,
-    /// Windows with the counts that are reported, until the platform has
-    /// accepted them.
+    /// Finalized windows with the counts to report, until the platform has accepted
+    /// them.
     #[serde(rename = "fixed")]
     pub finalized: BTreeMap<u64, WorkspaceCounts>,
-    /// Later windows, with what was known when this was written.
+    /// Later windows, with the counts known when this record was written.
     pub open: BTreeMap<u64, WindowUsage>,
 }
 
 impl UsageState {
-    /// The account of a duty that nobody has held before: it begins with
-    /// `window`, whose start nobody may have seen.
+    /// The state of a duty that has had no holder before. It starts with `window`,
+    /// although nobody may have counted the beginning of that window.
     #[must_use]
     pub fn starting_at(window: u64) -> Self {
         Self {
@@ -109,16 +108,16 @@
         }
     }
 
-    /// Brings an account that was read level with what is known: all windows
-    /// before `next` were fixed, `own` of them by this entry. A store that came
-    /// back from an old copy shows them as open, but they may have been
-    /// reported, and would be fixed again with other counts. Returns those whose
-    /// counts nobody has any more.
-    pub fn catch_up(&mut self, next: u64, own: &Self) -> Vec<u64> {
+    /// Advances state read from the store to what this entry knows: all windows before
+    /// `next` were finalized, those in `local` by this entry. A store that was restored
+    /// from an old copy shows them as open, but they may already have been reported and
+    /// would be finalized again with other counts. Returns the windows whose counts are
+    /// lost.
+    pub fn catch_up(&mut self, next: u64, local: &Self) -> Vec<u64> {
         let mut lost = Vec::new();
         for window in self.next_window..next {
             self.open.remove(&window);
-            match own.finalized.get(&window) {
+            match local.finalized.get(&window) {
                 Some(counts) => drop(self.finalized.insert(window, counts.clone())),
                 None => lost.push(window),
             }
@@ -128,69 +127,69 @@
     }
 }
 
-/// What several lives have counted in one window.
+/// The counts of several incarnations in one window.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WindowUsage {
-    /// Their counts together.
+    /// Sum of their counts.
     pub counts: WorkspaceCounts,
-    /// The lives, with what each has counted in all.
+    /// The incarnations with the total of each.
     #[serde(rename = "lives")]
     pub incarnations: BTreeMap<IncarnationId, u64>,
 }
 
-/// What all lives have counted, as one of them knows.
+/// The counts of all incarnations, as known to one of them.
 #[derive(Debug)]
 pub struct UsageCounter {
-    own: IncarnationId,
+    incarnation: IncarnationId,
     windows: UsageWindows,
-    lives: HashMap<IncarnationId, Page>,
+    incarnations: HashMap<IncarnationId, IncarnationUsage>,
 }
 
-/// What one life has counted.
+/// The counts of one incarnation.
 #[derive(Debug)]
-struct Page {
-    heard: Instant,
-    closed: u64,
+struct IncarnationUsage {
+    last_heard: Instant,
+    closed_before: u64,
     windows: BTreeMap<u64, Tally>,
 }
 
 #[derive(Debug, Default)]
 struct Tally {
     counts: WorkspaceCounts,
-    /// What the counts come to when all of them are known.
+    /// The total once all counts have been received.
     total: u64,
 }
 
 impl UsageCounter {
-    /// Makes the books of a life that has counted nothing.
+    /// Creates the counter of an incarnation that has counted nothing.
     #[must_use]
-    pub fn new(own: IncarnationId, windows: UsageWindows) -> Self {
+    pub fn new(incarnation: IncarnationId, windows: UsageWindows) -> Self {
         Self {
-            own,
+            incarnation,
             windows,
-            lives: HashMap::new(),
+            incarnations: HashMap::new(),
         }
     }
 
-    /// The life that these books belong to.
+    /// The incarnation that this counter belongs to.
     #[must_use]
     pub fn own_incarnation(&self) -> IncarnationId {
-        self.own
+        self.incarnation
     }
 
-    /// Requests that are known of a life, of windows that are not forgotten.
+    /// Known requests of an incarnation, over all windows still held.
     #[must_use]
-    pub fn requests_of(&self, life: IncarnationId) -> u64 {
+    pub fn requests_of(&self, incarnation: IncarnationId) -> u64 {
         let windows = self
-            .lives
-            .get(&life)
+            .incarnations
+            .get(&incarnation)
             .into_iter()
             .flat_map(|p| p.windows.values());
         windows.flat_map(|tally| tally.counts.values()).sum()
     }
 
-    /// The windows of time.
+    /// The layout of the time windows.
     #[must_use]
     pub fn windows(&self) -> UsageWindows {
         self.windows
@@ -199,10 +198,10 @@
     /// Counts a request of a workspace that began at `time`.
     pub fn count_request(&mut self, now: Instant, time: Duration, workspace: &str) {
         let window = self.windows.containing(time);
-        let page = self.page(now, self.own);
-        // A window that was told to be closed gets no more counts.
-        let window = window.max(page.closed);
-        let tally = page.windows.entry(window).or_default();
+        let usage = self.incarnation_mut(now, self.incarnation);
+        // A window that was announced as closed gets no more counts.
+        let window = window.max(usage.closed_before);
+        let tally = usage.windows.entry(window).or_default();
         tally.total += 1;
         match tally.counts.get_mut(workspace) {
             Some(count) => *count += 1,
@@ -212,175 +211,186 @@
         }
     }
 
-    /// What this life has counted in windows from `from` on. Windows of which
-    /// it has nothing are told as well, since that they are closed counts.
+    /// The counts of this incarnation in the windows from `from` on. Windows without
+    /// requests are included, since receivers must learn that they are closed.
     pub fn own_counts(&mut self, now: Instant, time: Duration, from: u64) -> Vec<WindowCounts> {
-        let (own, closed, at) = (
-            self.own,
+        let (incarnation, closed_before, current) = (
+            self.incarnation,
             self.windows.first_open(time),
             self.windows.containing(time),
         );
-        let from = from.max(at.saturating_sub(self.wanted()));
-        let page = self.page(now, own);
-        page.heard = now;
-        page.closed = page.closed.max(closed);
-        let closed = page.closed;
-        let told = |window: u64| {
-            let tally = page.windows.get(&window);
+        let from = from.max(current.saturating_sub(self.reportable_windows()));
+        let usage = self.incarnation_mut(now, incarnation);
+        usage.last_heard = now;
+        usage.closed_before = usage.closed_before.max(closed_before);
+        let closed_before = usage.closed_before;
+        let report = |window: u64| {
+            let tally = usage.windows.get(&window);
             WindowCounts {
-                incarnation: own,
-                closed_before: closed,
+                incarnation,
+                closed_before,
                 window,
                 total: tally.map_or(0, |t| t.total),
                 counts: tally.map(|t| t.counts.clone()).unwrap_or_default(),
             }
         };
-        (from..=at).map(told).collect()
+        (from..=current).map(report).collect()
     }
 
-    /// Windows before the present one of which anybody still wants counts.
-    fn wanted(&self) -> u64 {
+    /// The number of windows before the current one whose counts may still be reported.
+    fn reportable_windows(&self) -> u64 {
         self.windows.containing(self.windows.deadline) + 1
     }
 
-    /// Takes what another life has counted.
-    pub fn observe(&mut self, now: Instant, told: WindowCounts) {
-        if told.incarnation == self.own {
+    /// Records the counts of another incarnation.
+    pub fn observe(&mut self, now: Instant, report: WindowCounts) {
+        if report.incarnation == self.incarnation {
             return;
         }
-        let page = self.page(now, told.incarnation);
-        page.heard = now;
-        page.closed = page.closed.max(told.closed_before);
-        let tally = page.windows.entry(told.window).or_default();
-        tally.total = tally.total.max(told.total);
-        for (workspace, count) in told.counts {
+        let usage = self.incarnation_mut(now, report.incarnation);
+        usage.last_heard = now;
+        usage.closed_before = usage.closed_before.max(report.closed_before);
+        let tally = usage.windows.entry(report.window).or_default();
+        tally.total = tally.total.max(report.total);
+        for (workspace, count) in report.counts {
             let known = tally.counts.entry(workspace).or_default();
             *known = (*known).max(count);
         }
     }
 
-    fn page(&mut self, now: Instant, life: IncarnationId) -> &mut Page {
-        self.lives.entry(life).or_insert(Page {
-            heard: now,
-            closed: 0,
-            windows: BTreeMap::new(),
-        })
+    fn incarnation_mut(
+        &mut self,
+        now: Instant,
+        incarnation: IncarnationId,
+    ) -> &mut IncarnationUsage {
+        self.incarnations
+            .entry(incarnation)
+            .or_insert(IncarnationUsage {
+                last_heard: now,
+                closed_before: 0,
+                windows: BTreeMap::new(),
+            })
     }
 
-    /// Whether all that is known to have been counted in a window is here.
-    /// A life that has gone silent counts as ended only once its host has had
-    /// time to be heard again, which [`Books::fix`] bounds.
+    /// Whether every known incarnation has closed the window and all its counts have
+    /// arrived. This waits for a silent incarnation, whose host may become reachable
+    /// again; [`UsageCounter::finalize`] limits the wait.
     #[must_use]
     pub fn complete(&self, window: u64) -> bool {
-        let whole = |page: &Page| {
-            let tally = page.windows.get(&window);
+        let is_complete = |usage: &IncarnationUsage| {
+            let tally = usage.windows.get(&window);
             let known = tally.is_none_or(|t| t.counts.values().sum::<u64>() >= t.total);
-            page.closed > window && known
+            usage.closed_before > window && known
         };
-        self.lives.values().all(whole)
+        self.incarnations.values().all(is_complete)
     }
 
-    /// Lives that were not heard lately, or not yet told that they closed
-    /// `window`, for logs.
+    /// The number of incarnations that are silent or have not announced that they
+    /// closed `window`; used for logs.
     #[must_use]
     pub fn pending_incarnations(&self, now: Instant, window: u64) -> usize {
-        let silent = |page: &&Page| page.closed <= window || now > page.heard + SILENT;
-        self.lives.values().filter(silent).count()
+        let is_pending = |usage: &&IncarnationUsage| {
+            usage.closed_before <= window || now > usage.last_heard + SILENCE_TIMEOUT
+        };
+        self.incarnations.values().filter(is_pending).count()
     }
 
-    /// The counts of a window: what this life knows, and what the store keeps
-    /// of lives that ended before they told it. Of these only the total is
-    /// known; they count with their share of what was kept.
+    /// The counts of a window: those known here, and those in the store from
+    /// incarnations that ended before this one received their counts. For the latter
+    /// only the totals per incarnation are known, so the stored counts are scaled to
+    /// the unknown share.
     #[must_use]
-    pub fn sum(&self, window: u64, account: &UsageState) -> WindowUsage {
+    pub fn sum(&self, window: u64, state: &UsageState) -> WindowUsage {
         let mut sum = WindowUsage::default();
-        for (life, page) in &self.lives {
-            let Some(tally) = page.windows.get(&window) else {
+        for (incarnation, usage) in &self.incarnations {
+            let Some(tally) = usage.windows.get(&window) else {
                 continue;
             };
-            sum.incarnations.insert(*life, tally.counts.values().sum());
+            sum.incarnations
+                .insert(*incarnation, tally.counts.values().sum());
             for (workspace, count) in &tally.counts {
                 *sum.counts.entry(workspace.clone()).or_default() += count;
             }
         }
-        let Some(kept) = account.open.get(&window) else {
+        let Some(stored) = state.open.get(&window) else {
             return sum;
         };
-        let known = |life| sum.incarnations.get(life).copied().unwrap_or(0);
-        let unknown = kept
+        let known = |incarnation| sum.incarnations.get(incarnation).copied().unwrap_or(0);
+        let unknown = stored
             .incarnations
             .iter()
             .map(|(l, n)| n.saturating_sub(known(l)));
         let unknown: u64 = unknown.sum();
-        let all: u64 = kept.incarnations.values().sum::<u64>().max(1);
-        for (workspace, count) in &kept.counts {
+        let all: u64 = stored.incarnations.values().sum::<u64>().max(1);
+        for (workspace, count) in &stored.counts {
             let part = (count * unknown + all / 2) / all;
             if part > 0 {
                 *sum.counts.entry(workspace.clone()).or_default() += part;
             }
         }
-        for (life, total) in &kept.incarnations {
-            let known = sum.incarnations.entry(*life).or_default();
+        for (incarnation, total) in &stored.incarnations {
+            let known = sum.incarnations.entry(*incarnation).or_default();
             *known = (*known).max(*total);
         }
         sum
     }
 
-    /// Fixes the counts of all windows that can be reported at `time`, and
-    /// returns those that nobody can report in time any more. The duty has
-    /// been held for `held`; `gathered` says whether all entries that are there
-    /// have told their counts since.
+    /// Finalizes all windows that can be reported at `time`, and returns those whose
+    /// report deadline has passed. The duty has been held for `held_for`; `gathered`
+    /// says whether all present entries have sent their counts since.
     pub fn finalize(
         &self,
         time: Duration,
-        held: Duration,
+        held_for: Duration,
         gathered: bool,
-        account: &mut UsageState,
+        state: &mut UsageState,
     ) -> Vec<u64> {
         let mut missed = Vec::new();
-        let closed = self.windows.first_open(time);
-        let gathered = held >= GATHER && gathered;
-        while account.next_window < closed {
-            let window = account.next_window;
+        let closed_before = self.windows.first_open(time);
+        let gathered = held_for >= GATHER_TIME && gathered;
+        while state.next_window < closed_before {
+            let window = state.next_window;
             let late = time.saturating_sub(self.windows.end(window));
-            let waited = late >= self.windows.deadline.mul_f64(WAIT_SHARE) && held >= GATHER;
-            let whole = gathered && self.complete(window);
-            if !(waited || whole) {
+            let waited =
+                late >= self.windows.deadline.mul_f64(MAX_WAIT_SHARE) && held_for >= GATHER_TIME;
+            let is_complete = gathered && self.complete(window);
+            if !(waited || is_complete) {
                 break;
             }
             if late > self.windows.deadline {
                 missed.push(window);
             } else {
-                let sum = self.sum(window, account);
-                account.finalized.insert(window, sum.counts);
+                let sum = self.sum(window, state);
+                state.finalized.insert(window, sum.counts);
             }
-            account.open.remove(&window);
-            account.next_window += 1;
+            state.open.remove(&window);
+            state.next_window += 1;
         }
         missed
     }
 
-    /// The account as the store should keep it: with all that is known now of
-    /// windows that are still open.
+    /// The state to write to the store, with all that is known now of the open windows.
     #[must_use]
-    pub fn snapshot(&self, time: Duration, account: &UsageState) -> UsageState {
-        let windows = account.next_window..=self.windows.containing(time);
-        let open = windows.map(|w| (w, self.sum(w, account)));
+    pub fn snapshot(&self, time: Duration, state: &UsageState) -> UsageState {
+        let windows = state.next_window..=self.windows.containing(time);
+        let open = windows.map(|w| (w, self.sum(w, state)));
         UsageState {
             open: open.filter(|(_, sum)| !sum.counts.is_empty()).collect(),
-            ..account.clone()
+            ..state.clone()
         }
     }
 
-    /// Forgets windows before `window`, and lives that are silent and have
-    /// nothing in later ones.
+    /// Drops windows before `window`, and silent incarnations that have no counts in
+    /// later ones.
     pub fn expire(&mut self, now: Instant, window: u64) {
-        for page in self.lives.values_mut() {
-            page.windows.retain(|w, _| *w >= window);
+        for usage in self.incarnations.values_mut() {
+            usage.windows.retain(|w, _| *w >= window);
         }
-        let own = self.own;
-        self.lives.retain(|life, page| {
-            *life == own || now <= page.heard + SILENT || !page.windows.is_empty()
+        let own = self.incarnation;
+        self.incarnations.retain(|incarnation, usage| {
+            *incarnation == own
+                || now <= usage.last_heard + SILENCE_TIMEOUT
+                || !usage.windows.is_empty()
         });
     }
 }
