--- a/crates/policy/src/peer_load.rs
+++ b/crates/policy/src/peer_load.rs
@@ -1,10 +1,10 @@
-//! What other entries have in progress, from what they tell.
+//! Tracks the load of other entries from their reports.
 //!
-//! An entry sees its own calls only. With a few dozen entries before as many
-//! engines it has about one call at each, which says nothing about how busy
-//! an engine is. Each entry tells the others what it has, several times a
-//! second, or where they are too many its zone's relays (`roster`); what was
-//! told last counts until it is too old to be believed.
+//! An entry knows only its own calls. With a few dozen entries and as many engines, it
+//! has about one call at each engine, which says nothing about how busy the engine is.
+//! Each entry therefore reports its load to the others several times a second, or, if
+//! there are too many, to the relays of its zone (`roster`). The latest report counts
+//! until it expires.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -12,144 +12,145 @@
 use crate::pools::Told;
 use crate::suspects::Crash;
 
-/// What an entry said is believed for so many of its own intervals.
+/// Number of the sender's report intervals after which its report expires.
 pub const EXPIRY_INTERVALS: u32 = 4;
 
-/// The shortest interval: what is told is as old as that, and a call takes
-/// about ten of it.
-const EVERY_LEAST: Duration = Duration::from_millis(100);
+/// Shortest interval. It bounds the age of a report, and a call takes about ten times
+/// as long.
+const MIN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The interval up to which all entries are told alike. Beyond it the own
-/// availability zone goes first: told more rarely, it would learn nothing of
-/// calls.
-const EVERY_MOST: Duration = Duration::from_secs(1);
+/// Longest interval at which all entries get reports equally often. Beyond it the own
+/// availability zone has priority: with rarer reports it would miss whole calls.
+const MAX_SHARED_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest interval. With more entries than can be told each second, the
-/// other zones still hear what a service's engines are loaded with,
-/// which changes more slowly; of single calls the engines' sidecars know.
-const FAR_MOST: Duration = Duration::from_secs(4);
+/// Longest interval. If there are more entries than can get a report each second, the
+/// other zones still learn the load of a service's engines, which changes more slowly;
+/// the engines' sidecars know the individual calls.
+const MAX_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Bytes a second that one entry may send, from the size that the system is
-/// designed for (docs/CAPACITY.md).
-const RATE: f64 = 8192.0;
+/// Bytes a second that one entry may send, derived from the design size of the system
+/// (docs/CAPACITY.md).
+const SEND_RATE: f64 = 8192.0;
 
-/// Answers a second that a relay gives to those of its zone, however many they
-/// are.
-const ANSWERS: f64 = 64.0;
+/// Answers a second that a relay sends to the entries of its zone, regardless of their
+/// number.
+const ANSWER_RATE: f64 = 64.0;
 
-/// How often an entry speaks.
+/// How often an entry reports its load.
 ///
-/// Load pattern: each of some dozen entries tells all others what it has. At
-/// one datagram a second to each of 67, an entry sent 23 kB a second, four
-/// fifths of it between zones.
+/// Load pattern: each of a few dozen entries reports to all others. At one datagram a
+/// second to each of 67 entries, an entry sent 23 kB/s, four fifths of it between
+/// zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Intervals {
-    /// To entries of its own zone.
+    /// Interval for entries of its own zone.
     pub same_zone: Duration,
-    /// To the others.
+    /// Interval for all other entries.
     pub other_zones: Duration,
 }
 
 impl Intervals {
-    /// The intervals of an entry for which telling all of its zone takes `near`
-    /// bytes, and telling all others `far`.
+    /// The intervals of an entry whose reports take `same_zone` bytes for all entries
+    /// of its zone, and `other_zones` bytes for all others.
     #[must_use]
-    pub fn new(near: usize, far: usize) -> Self {
-        let every = Duration::from_secs_f64((near + far) as f64 / RATE);
-        if every <= EVERY_MOST {
-            let every = every.max(EVERY_LEAST);
+    pub fn new(same_zone: usize, other_zones: usize) -> Self {
+        let interval = Duration::from_secs_f64((same_zone + other_zones) as f64 / SEND_RATE);
+        if interval <= MAX_SHARED_INTERVAL {
+            let interval = interval.max(MIN_INTERVAL);
             return Self {
-                same_zone: every,
-                other_zones: every,
+                same_zone: interval,
+                other_zones: interval,
             };
         }
-        let span = |bytes: usize, rate: f64| {
-            let span = Duration::try_from_secs_f64(bytes as f64 / rate);
-            span.unwrap_or(FAR_MOST).clamp(EVERY_MOST, FAR_MOST)
+        let interval_for = |bytes: usize, rate: f64| {
+            let interval = Duration::try_from_secs_f64(bytes as f64 / rate);
+            interval
+                .unwrap_or(MAX_INTERVAL)
+                .clamp(MAX_SHARED_INTERVAL, MAX_INTERVAL)
         };
-        let near_every = span(near, RATE);
-        let left = RATE - near as f64 / near_every.as_secs_f64();
+        let same_zone_interval = interval_for(same_zone, SEND_RATE);
+        let remaining = SEND_RATE - same_zone as f64 / same_zone_interval.as_secs_f64();
         Self {
-            same_zone: near_every,
-            other_zones: span(far, left.max(1.0)),
+            same_zone: same_zone_interval,
+            other_zones: interval_for(other_zones, remaining.max(1.0)),
         }
     }
 
-    /// The intervals of an entry of a zone with so many members, which tells its
-    /// relays.
+    /// The intervals of an entry that reports to the relays of a zone with `members`
+    /// entries.
     #[must_use]
     pub fn to_relays(members: usize) -> Self {
-        let span = Duration::from_secs_f64(members as f64 / ANSWERS);
-        let span = span.clamp(EVERY_MOST, FAR_MOST);
+        let interval = Duration::from_secs_f64(members as f64 / ANSWER_RATE);
+        let interval = interval.clamp(MAX_SHARED_INTERVAL, MAX_INTERVAL);
         Self {
-            same_zone: span,
-            other_zones: span,
+            same_zone: interval,
+            other_zones: interval,
         }
     }
 }
 
-/// Whose calls a saying tells of.
+/// The entries that a load report covers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub enum Scope {
-    /// Those of the entry that says it.
+    /// The sender only.
     #[default]
     Own,
-    /// Those of its availability zone.
+    /// All entries of the sender's availability zone.
     Zone,
-    /// Those of all entries.
+    /// All entries.
     All,
 }
 
-/// What one entry says.
+/// A load report of one entry.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LoadReport {
-    /// The life of the entry.
+    /// The sender's incarnation.
     pub incarnation: u64,
-    /// Grows with each saying of that life.
+    /// Sequence number; it increases with each report of that incarnation.
     pub seq: u32,
-    /// The availability zone that the entry stands in, by number.
+    /// Number of the sender's availability zone.
     pub zone: u32,
-    /// Whose calls these are.
+    /// The entries that the report covers.
     pub scope: Scope,
-    /// Entries whose calls these are.
+    /// Number of entries that the report covers.
     pub entries: u32,
-    /// How often the entry speaks.
+    /// The sender's report interval.
     pub interval: Duration,
-    /// What there is for each service, by the service's number.
+    /// Load of each service, by the service's number.
     pub services: Vec<(u32, Told)>,
     /// Calls at each server, by the server's short number.
     pub calls: Vec<(u16, CallCounts)>,
-    /// Crashes of servers under calls, with how long ago they were seen, that
-    /// the store has not taken yet.
+    /// Server crashes during calls that the store has not recorded yet, with the time
+    /// since each was observed.
     pub crashes: Vec<(Crash, Duration)>,
 }
 
-/// Calls at one server.
+/// Numbers of calls at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// All that have not ended.
+    /// Calls that have not ended.
     pub open: u32,
-    /// Those of them that wait for their first event.
+    /// Open calls that wait for their first event.
     pub waiting: u32,
 }
 
-/// Crashes that are passed on with the sum of several entries.
-const CRASHES: usize = 16;
+/// Maximum number of crashes in a report that covers several entries.
+const MAX_CRASHES: usize = 16;
 
-/// How long an entry that is not heard any more still counts among those that
-/// share a limit. Entries that lost each other all go on, and would each take a
-/// larger share while the sum is held against all of them.
-const COUNTED: Duration = Duration::from_secs(600);
+/// How long a silent entry still counts among those that share a limit. Entries that
+/// have lost contact with each other all continue, and would each take a larger share
+/// while the limit applies to the total of all of them.
+const PEAK_WINDOW: Duration = Duration::from_secs(600);
 
-/// How many entries there are at the most, as far as one of them has heard.
+/// The highest recent number of entries, as known to one of them.
 #[derive(Debug, Default)]
 pub struct PeakEntryCount {
-    /// Counts, each larger than the later ones, with when they were last seen.
+    /// Decreasing counts, each with the time at which it was last seen.
     counts: VecDeque<(Instant, usize)>,
 }
 
 impl PeakEntryCount {
-    /// Notes how many entries are heard now; returns the most of late.
+    /// Records the current number of entries; returns the highest recent one.
     pub fn record(&mut self, now: Instant, count: usize) -> usize {
         while self.counts.back().is_some_and(|(_, c)| *c <= count) {
             self.counts.pop_back();
@@ -158,7 +159,7 @@
         while self
             .counts
             .front()
-            .is_some_and(|(at, _)| now >= *at + COUNTED)
+            .is_some_and(|(at, _)| now >= *at + PEAK_WINDOW)
         {
             self.counts.pop_front();
         }
@@ -166,155 +167,167 @@
     }
 }
 
-/// What all other entries said last.
+/// The latest load reports of all other entries.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
-    said: HashMap<(u64, Scope), (Instant, LoadReport)>,
+    reports: HashMap<(u64, Scope), (Instant, LoadReport)>,
 }
 
 impl PeerLoads {
-    /// Takes a saying over, unless a later one of the same life came first.
-    pub fn observe(&mut self, now: Instant, saying: LoadReport) {
-        let key = (saying.incarnation, saying.scope);
-        let held = self.said.get(&key);
-        if held.is_none_or(|(_, held)| held.seq < saying.seq) {
-            self.said.insert(key, (now, saying));
+    /// Stores a report unless a later one of the same incarnation has arrived.
+    pub fn observe(&mut self, now: Instant, report: LoadReport) {
+        let key = (report.incarnation, report.scope);
+        let existing = self.reports.get(&key);
+        if existing.is_none_or(|(_, existing)| existing.seq < report.seq) {
+            self.reports.insert(key, (now, report));
         }
     }
 
-    /// Forgets what is too old to be believed: its entry may have ended, and
-    /// the calls that it told of with it.
+    /// Drops expired reports: their senders may have ended, together with the calls
+    /// that they reported.
     pub fn expire(&mut self, now: Instant) {
-        self.said
-            .retain(|_, (at, said)| now < *at + said.interval * EXPIRY_INTERVALS);
+        self.reports
+            .retain(|_, (at, report)| now < *at + report.interval * EXPIRY_INTERVALS);
     }
 
-    /// Entries that are heard themselves.
+    /// Number of entries whose own reports are held.
     #[must_use]
     pub fn count(&self) -> usize {
         let own = |(_, scope): &&(u64, Scope)| *scope == Scope::Own;
-        self.said.keys().filter(own).count()
+        self.reports.keys().filter(own).count()
     }
 
-    /// How many entries the relays of each other zone have summed up.
+    /// Number of entries covered by the relays' reports, for each other zone.
     #[must_use]
     pub fn entries_by_zone(&self) -> BTreeMap<u32, usize> {
         let mut zones = BTreeMap::new();
-        for (_, said) in self.said.values().filter(|(_, s)| s.scope == Scope::Zone) {
-            let entries = usize::try_from(said.entries).unwrap_or(usize::MAX);
-            let most: &mut usize = zones.entry(said.zone).or_default();
+        for (_, report) in self
+            .reports
+            .values()
+            .filter(|(_, r)| r.scope == Scope::Zone)
+        {
+            let entries = usize::try_from(report.entries).unwrap_or(usize::MAX);
+            let most: &mut usize = zones.entry(report.zone).or_default();
             *most = entries.max(*most);
         }
         zones
     }
 
-    /// What all other entries have, as far as is known; `own` is what this one
-    /// says, which a sum of all holds as well.
+    /// The known load of all other entries. `own` is this entry's own report, which is
+    /// subtracted from a report that covers all entries.
     #[must_use]
     pub fn sum(&self, now: Instant, own: &LoadReport) -> LoadTotal {
-        match self.best(|said| said.scope == Scope::All) {
+        match self.most_complete(|report| report.scope == Scope::All) {
             Some(all) => {
                 let mut sum = LoadTotal::default();
                 sum.add(now, all);
-                sum.less(own);
+                sum.subtract(own);
                 sum
             }
-            None => self.heard(now),
+            None => self.sum_received(now),
         }
     }
 
-    /// What the entries of zone `own.zone` have together, for the other zones.
+    /// The total load of zone `own.zone`, for the other zones.
     #[must_use]
     pub fn sum_zone(&self, now: Instant, own: &LoadReport) -> LoadReport {
         let mut sum = LoadTotal::default();
-        let said = self.said.values();
-        for held in said.filter(|(_, s)| s.scope == Scope::Own && s.zone == own.zone) {
-            sum.add(now, held);
+        let reports = self.reports.values();
+        for received in reports.filter(|(_, r)| r.scope == Scope::Own && r.zone == own.zone) {
+            sum.add(now, received);
         }
         sum.add(now, &(now, own.clone()));
-        sum.saying(own, Scope::Zone)
+        sum.into_report(own, Scope::Zone)
     }
 
-    /// What all entries have together, for those of the own zone.
+    /// The total load of all entries, for the entries of the own zone.
     #[must_use]
     pub fn sum_all(&self, now: Instant, own: &LoadReport) -> LoadReport {
-        let mut sum = self.heard(now);
+        let mut sum = self.sum_received(now);
         sum.add(now, &(now, own.clone()));
-        sum.saying(own, Scope::All)
+        sum.into_report(own, Scope::All)
     }
 
-    /// What was heard of each zone, or of its entries.
-    fn heard(&self, now: Instant) -> LoadTotal {
+    /// The total of the received reports: the zone's report for each zone that has one,
+    /// else the reports of its entries.
+    fn sum_received(&self, now: Instant) -> LoadTotal {
         let mut zones: Vec<u32> = Vec::new();
-        for (_, said) in self.said.values() {
-            if said.scope == Scope::Zone && !zones.contains(&said.zone) {
-                zones.push(said.zone);
+        for (_, report) in self.reports.values() {
+            if report.scope == Scope::Zone && !zones.contains(&report.zone) {
+                zones.push(report.zone);
             }
         }
         let mut sum = LoadTotal::default();
         for zone in &zones {
-            let best = self.best(|s| s.scope == Scope::Zone && s.zone == *zone);
-            sum.add_some(now, best);
+            let most_complete = self.most_complete(|r| r.scope == Scope::Zone && r.zone == *zone);
+            sum.add_if_some(now, most_complete);
         }
-        let apart = |s: &LoadReport| s.scope == Scope::Own && !zones.contains(&s.zone);
-        for held in self.said.values().filter(|(_, said)| apart(said)) {
-            sum.add(now, held);
+        let without_sum = |r: &LoadReport| r.scope == Scope::Own && !zones.contains(&r.zone);
+        for received in self
+            .reports
+            .values()
+            .filter(|(_, report)| without_sum(report))
+        {
+            sum.add(now, received);
         }
         sum
     }
 
-    /// Of several sums of the same entries, the one that holds most of them: a
-    /// relay that has just started has heard few.
-    fn best(&self, which: impl Fn(&LoadReport) -> bool) -> Option<&(Instant, LoadReport)> {
-        let held = self.said.values().filter(|(_, said)| which(said));
-        held.max_by_key(|(at, said)| (said.entries, *at))
+    /// The matching report that covers the most entries: a relay that has just started
+    /// has received few reports.
+    fn most_complete(
+        &self,
+        matches: impl Fn(&LoadReport) -> bool,
+    ) -> Option<&(Instant, LoadReport)> {
+        let candidates = self.reports.values().filter(|(_, report)| matches(report));
+        candidates.max_by_key(|(at, report)| (report.entries, *at))
     }
 }
 
-/// What several entries have together.
+/// The total load of several entries.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LoadTotal {
-    /// How many they are.
+    /// Number of entries.
     pub entries: u32,
-    /// What they have for each service, by the service's number.
+    /// Load of each service, by the service's number.
     pub services: BTreeMap<u32, Told>,
     /// Calls at each server, by the server's short number.
     pub calls: BTreeMap<u16, CallCounts>,
-    /// Crashes of servers, with how long ago they were seen.
+    /// Server crashes, with the time since each was observed.
     pub crashes: BTreeMap<Crash, Duration>,
 }
 
 impl LoadTotal {
-    /// Adds what was heard at some time.
-    fn add(&mut self, now: Instant, (at, said): &(Instant, LoadReport)) {
-        self.entries += said.entries;
-        for (service, told) in &said.services {
-            let held = self.services.entry(*service).or_default();
-            *held = held.plus(told);
+    /// Adds a report that was received at a given time.
+    fn add(&mut self, now: Instant, (at, report): &(Instant, LoadReport)) {
+        self.entries += report.entries;
+        for (service, load) in &report.services {
+            let existing = self.services.entry(*service).or_default();
+            *existing = existing.plus(load);
         }
-        for (server, calls) in &said.calls {
+        for (server, calls) in &report.calls {
             let sum = self.calls.entry(*server).or_default();
             sum.open += calls.open;
             sum.waiting += calls.waiting;
         }
-        let passed = now.saturating_duration_since(*at);
-        for (crash, age) in &said.crashes {
-            self.crashes.entry(*crash).or_insert(*age + passed);
+        let elapsed = now.saturating_duration_since(*at);
+        for (crash, age) in &report.crashes {
+            self.crashes.entry(*crash).or_insert(*age + elapsed);
         }
     }
 
-    fn add_some(&mut self, now: Instant, held: Option<&(Instant, LoadReport)>) {
-        if let Some(held) = held {
-            self.add(now, held);
+    fn add_if_some(&mut self, now: Instant, received: Option<&(Instant, LoadReport)>) {
+        if let Some(received) = received {
+            self.add(now, received);
         }
     }
 
-    /// Takes away what one entry has.
-    fn less(&mut self, own: &LoadReport) {
+    /// Subtracts the load of one entry.
+    fn subtract(&mut self, own: &LoadReport) {
         self.entries = self.entries.saturating_sub(own.entries);
-        for (service, told) in &own.services {
-            if let Some(held) = self.services.get_mut(service) {
-                *held = held.less(told);
+        for (service, load) in &own.services {
+            if let Some(existing) = self.services.get_mut(service) {
+                *existing = existing.less(load);
             }
         }
         for (server, calls) in &own.calls {
@@ -325,14 +338,14 @@
         }
     }
 
-    /// The same as it is passed on by the entry that says `own`.
-    fn saying(self, own: &LoadReport, scope: Scope) -> LoadReport {
+    /// Converts the total to a report sent by the entry with the report `own`.
+    fn into_report(self, own: &LoadReport, scope: Scope) -> LoadReport {
         LoadReport {
             scope,
             entries: self.entries,
             services: self.services.into_iter().collect(),
             calls: self.calls.into_iter().collect(),
-            crashes: self.crashes.into_iter().take(CRASHES).collect(),
+            crashes: self.crashes.into_iter().take(MAX_CRASHES).collect(),
             ..own.clone()
         }
     }
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -1,57 +1,56 @@
-//! An entry's copy of one of the store's tables, whoever it was told by.
+//! A replica of one of the store's tables, updated from the store or from peers.
 //!
-//! Load pattern: dozens of entries need the same few tables, fresh to a second
-//! or two. Each reading them by itself costs the store calls in proportion to
-//! the entries. Here a few read, and hand on what changed to the others, which
-//! may hear it from several, late, or from one that has lost the store. What
-//! decides between two updates is the store's own position: one that is
-//! behind what is held says nothing new, so a departed server is not brought
-//! back and a catalog does not go back. See docs/DECISIONS/0605-zone-readers.md.
+//! Load pattern: dozens of entries need the same few tables, at most a second or two
+//! old. If each read them from the store, the store's load would grow with the number
+//! of entries. So a few entries read them and pass the changes on to the others, which
+//! may receive them from several peers, late, or from a peer that has lost the store.
+//! Updates are ordered by the store's own position: an update that is behind the
+//! replica is ignored, so a departed server does not reappear and the catalog does not
+//! revert. See docs/DECISIONS/0605-zone-readers.md.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a dropped key is remembered, so that neighbours that were silent
-/// meanwhile are told of it. One that was silent for longer is told the whole
-/// table.
-const DROPPED_KEPT: Duration = Duration::from_secs(60);
+/// How long the tombstone of a deleted key is kept, so that peers that were unreachable
+/// in the meantime receive the deletion. A peer that was unreachable for longer gets
+/// the whole table.
+const TOMBSTONE_TTL: Duration = Duration::from_secs(60);
 
-/// Keys with their values, in the order in which they were written as far as
-/// that is known; none for a key that was dropped.
+/// Keys with their values, in the order of their writes as far as that is known; `None`
+/// marks a deleted key.
 pub type Records<T> = Vec<(Rc<str>, Option<T>)>;
 
-/// What an update of a table holds.
+/// The kind of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// All changes since the position from which was asked.
+    /// All changes since the requested position.
     Delta,
-    /// The whole table: what it does not show is gone.
+    /// The whole table: keys that it lacks are deleted.
     Snapshot,
-    /// The whole table of a store that has come back from an old copy. What it
-    /// shows and was dropped since the copy was made waits until it is written
-    /// again.
+    /// The whole table of a store that was restored from an old copy. Keys in it that
+    /// were deleted after the copy was made stay deleted until they are written again.
     RestoredSnapshot,
 }
 
-/// What the store or a neighbour says of a table.
+/// An update of a table from the store or a peer.
 #[derive(Debug, Clone)]
 pub struct Update<T> {
-    /// What it says.
+    /// The updated records.
     pub records: Records<T>,
-    /// What the records are.
+    /// Whether the records are changes or the whole table.
     pub kind: UpdateKind,
-    /// The store's position up to which they are complete.
+    /// The store's position up to which the records are complete.
     pub position: u64,
-    /// A moment at which they were all that there was.
+    /// A time at which the records were up to date.
     pub as_of: Instant,
 }
 
 impl<T> Update<T> {
-    /// The same with other values.
+    /// Converts the values.
     #[must_use]
-    pub fn map<U>(self, value: impl Fn(T) -> U) -> Update<U> {
-        let record = |(key, old): (Rc<str>, Option<T>)| (key, old.map(&value));
+    pub fn map<U>(self, convert: impl Fn(T) -> U) -> Update<U> {
+        let record = |(key, current): (Rc<str>, Option<T>)| (key, current.map(&convert));
         Update {
             records: self.records.into_iter().map(record).collect(),
             kind: self.kind,
@@ -61,33 +60,34 @@
     }
 }
 
-/// A copy of a table.
+/// A replica of a table.
 #[derive(Debug)]
 pub struct Replica<T> {
     records: HashMap<Rc<str>, Record<T>>,
-    /// The store's position up to which the copy is complete.
-    next: Option<u64>,
-    /// The last moment at which it was known to be.
-    fresh: Option<Instant>,
-    /// Values taken over so far.
-    count: u64,
-    /// What was dropped up to this position is not known: those who are behind
-    /// it are told the whole table.
-    forgotten: u64,
+    /// The store's position up to which the replica is complete.
+    position: Option<u64>,
+    /// The latest time at which the replica was known to be complete.
+    fresh_at: Option<Instant>,
+    /// Number of values written so far.
+    writes: u64,
+    /// Tombstones up to this position have been pruned; peers behind it get the whole
+    /// table.
+    pruned_position: u64,
 }
 
 #[derive(Debug)]
 struct Record<T> {
-    /// None once the key was dropped.
+    /// `None` is a tombstone of a deleted key.
     value: Option<T>,
-    /// Whether it is gone since an old copy of the store lacked it: it may have
-    /// been written after that copy was made, and comes back with the next.
-    lacked: bool,
-    /// Those whose position is below this have not been update.
+    /// Whether the key is deleted only because a restored copy of the store lacked it.
+    /// It may have been written after that copy was made, and returns if a later copy
+    /// has it.
+    missing_in_copy: bool,
+    /// Peers at a position below this one lack this value.
     changed: u64,
-    /// Its place in the order in which values were taken over.
-    order: u64,
-    /// When the value was taken over.
+    /// Sequence number of the write, for the order of records.
+    sequence: u64,
+    /// When the value was written.
     at: Instant,
 }
 
@@ -95,119 +95,123 @@
     fn default() -> Self {
         Self {
             records: HashMap::new(),
-            next: None,
-            fresh: None,
-            count: 0,
-            forgotten: 0,
+            position: None,
+            fresh_at: None,
+            writes: 0,
+            pruned_position: 0,
         }
     }
 }
 
 impl<T: Clone + PartialEq> Replica<T> {
-    /// Takes over what the store said itself, and returns what is new.
+    /// Applies an update read from the store, and returns the records that changed.
     ///
-    /// The store has the last word: if its positions went back, as after it was
-    /// set up anew, a whole table replaces what was held under the old ones.
-    pub fn apply_store_update(&mut self, update: Update<T>, asked: Option<u64>) -> Records<T> {
-        let restarted =
-            update.kind == UpdateKind::Snapshot && asked.is_some_and(|a| update.position < a);
-        if restarted {
-            self.next = None;
-            self.forgotten = 0;
+    /// The store is authoritative: if its positions went back, as after it was set up
+    /// anew, a whole table replaces the records held under the old positions.
+    pub fn apply_store_update(&mut self, update: Update<T>, requested: Option<u64>) -> Records<T> {
+        let reset =
+            update.kind == UpdateKind::Snapshot && requested.is_some_and(|a| update.position < a);
+        if reset {
+            self.position = None;
+            self.pruned_position = 0;
         }
         self.merge(update, false)
     }
 
-    /// Takes over what a neighbour said, and returns what is new: nothing, if
-    /// it is behind what is held.
+    /// Applies an update from a peer, and returns the records that changed: none if the
+    /// update is behind the replica.
     pub fn apply_peer_update(&mut self, update: Update<T>) -> Records<T> {
         self.merge(update, true)
     }
 
-    /// Takes an update over. One of a neighbour (`collapsed`) holds the last
-    /// value of each key only: a key that is as it was before may have been
-    /// another meanwhile, and those who saw that have to be told again.
-    fn merge(&mut self, update: Update<T>, collapsed: bool) -> Records<T> {
-        if self.next.is_some_and(|next| update.position < next) {
+    /// Applies an update. An update from a peer (`from_peer`) holds only the last value
+    /// of each key: an unchanged key may have had another value in between, and peers
+    /// that saw that value must receive the key again.
+    fn merge(&mut self, update: Update<T>, from_peer: bool) -> Records<T> {
+        if self
+            .position
+            .is_some_and(|position| update.position < position)
+        {
             return Vec::new();
         }
-        let mut news = Vec::new();
+        let mut changed_records = Vec::new();
         if update.kind != UpdateKind::Delta {
-            news.extend(self.drop_unseen(&update));
-            self.forgotten = self.forgotten.max(update.position);
+            changed_records.extend(self.delete_absent(&update));
+            self.pruned_position = self.pruned_position.max(update.position);
         }
-        let copy = update.kind == UpdateKind::RestoredSnapshot;
+        let restored = update.kind == UpdateKind::RestoredSnapshot;
         for (key, value) in update.records {
-            if copy && self.dropped(&key) {
+            if restored && self.was_deleted(&key) {
                 continue;
             }
-            if self.put(
+            if self.set(
                 &key,
                 value.clone(),
                 update.position,
                 update.as_of,
-                collapsed,
+                from_peer,
             ) {
-                news.push((key, value));
+                changed_records.push((key, value));
             }
         }
-        self.next = Some(update.position);
-        self.fresh = self.fresh.max(Some(update.as_of));
-        self.forget(update.as_of);
-        news
+        self.position = Some(update.position);
+        self.fresh_at = self.fresh_at.max(Some(update.as_of));
+        self.prune_tombstones(update.as_of);
+        changed_records
     }
 
-    /// Drops the keys that a whole table does not show; returns them. Entries
-    /// that lapse leave no record behind, so those who are complete up to the
-    /// same position have to be told as well.
-    fn drop_unseen(&mut self, update: &Update<T>) -> Records<T> {
-        let shown: HashSet<&str> = update.records.iter().map(|(key, _)| &**key).collect();
-        let mut dropped = Vec::new();
+    /// Deletes the keys that a whole table lacks; returns them. Store entries that
+    /// lapse leave no record, so these deletions must also reach peers that are
+    /// complete up to the same position.
+    fn delete_absent(&mut self, update: &Update<T>) -> Records<T> {
+        let present: HashSet<&str> = update.records.iter().map(|(key, _)| &**key).collect();
+        let mut deleted = Vec::new();
         for (key, record) in &mut self.records {
-            if record.value.is_some() && !shown.contains(&**key) {
+            if record.value.is_some() && !present.contains(&**key) {
                 *record = Record {
                     value: None,
-                    lacked: update.kind == UpdateKind::RestoredSnapshot,
+                    missing_in_copy: update.kind == UpdateKind::RestoredSnapshot,
                     changed: update.position + 1,
-                    order: record.order,
+                    sequence: record.sequence,
                     at: update.as_of,
                 };
-                dropped.push((Rc::clone(key), None));
+                deleted.push((Rc::clone(key), None));
             }
         }
-        dropped
+        deleted
     }
 
-    /// Whether a key was dropped a while ago, and not only lacking in a copy.
-    fn dropped(&self, key: &str) -> bool {
-        let dropped = |r: &Record<T>| r.value.is_none() && !r.lacked;
-        self.records.get(key).is_some_and(dropped)
+    /// Whether a key was deleted by a record, and not only missing in a restored copy.
+    fn was_deleted(&self, key: &str) -> bool {
+        let deleted = |r: &Record<T>| r.value.is_none() && !r.missing_in_copy;
+        self.records.get(key).is_some_and(deleted)
     }
 
-    /// Writes one record; returns whether its value is another than before.
-    fn put(
+    /// Writes one record; returns whether its value changed. `mark_unchanged` passes on
+    /// an unchanged record to peers as well.
+    fn set(
         &mut self,
         key: &Rc<str>,
         value: Option<T>,
         changed: u64,
         at: Instant,
-        again: bool,
+        mark_unchanged: bool,
     ) -> bool {
         match self.records.get_mut(key) {
             Some(record) if record.value == value => {
-                record.lacked = false;
-                if again {
+                record.missing_in_copy = false;
+                if mark_unchanged {
                     record.changed = changed;
                 }
                 false
             }
             _ => {
-                self.count += 1;
+                self.writes += 1;
                 let record = Record {
                     value,
-                    lacked: false,
+                    missing_in_copy: false,
                     changed,
-                    order: self.count,
+                    sequence: self.writes,
                     at,
                 };
                 self.records.insert(Rc::clone(key), record);
@@ -216,64 +220,64 @@
         }
     }
 
-    /// Forgets keys that were dropped long ago.
-    fn forget(&mut self, now: Instant) {
-        let forgotten = &mut self.forgotten;
+    /// Prunes old tombstones.
+    fn prune_tombstones(&mut self, now: Instant) {
+        let pruned = &mut self.pruned_position;
         self.records.retain(|_, record| {
-            let keep = record.value.is_some() || now < record.at + DROPPED_KEPT;
+            let keep = record.value.is_some() || now < record.at + TOMBSTONE_TTL;
             if !keep {
-                *forgotten = (*forgotten).max(record.changed);
+                *pruned = (*pruned).max(record.changed);
             }
             keep
         });
     }
 
-    /// What one that is complete up to `from` has to be told; none while the
-    /// copy itself is not known to be complete.
+    /// The records that a peer complete up to `from` needs; `None` while this replica
+    /// is not known to be complete itself.
     #[must_use]
     pub fn changes_since(&self, from: Option<u64>) -> Option<(UpdateKind, Records<T>)> {
-        self.next?;
-        let from = from.filter(|from| *from >= self.forgotten);
-        let scope = from.map_or(UpdateKind::Snapshot, |_| UpdateKind::Delta);
+        self.position?;
+        let from = from.filter(|from| *from >= self.pruned_position);
+        let kind = from.map_or(UpdateKind::Snapshot, |_| UpdateKind::Delta);
         let wanted = |r: &Record<T>| match from {
             Some(from) => r.changed > from,
             None => r.value.is_some(),
         };
         let records = self.records.iter().filter(|(_, r)| wanted(r));
         let mut records: Vec<_> = records.collect();
-        records.sort_by_key(|(_, r)| r.order);
+        records.sort_by_key(|(_, r)| r.sequence);
         let records = records.into_iter();
         let records = records.map(|(key, r)| (Rc::clone(key), r.value.clone()));
-        Some((scope, records.collect()))
+        Some((kind, records.collect()))
     }
 
-    /// Whether one that is complete up to `from` has anything to be update.
+    /// Whether a peer complete up to `from` needs any records.
     #[must_use]
     pub fn has_changes_since(&self, from: Option<u64>) -> bool {
-        match (self.next, from) {
+        match (self.position, from) {
             (None, _) => false,
             (Some(_), None) => true,
             (Some(_), Some(from)) => {
-                from < self.forgotten || self.records.values().any(|r| r.changed > from)
+                from < self.pruned_position || self.records.values().any(|r| r.changed > from)
             }
         }
     }
 
-    /// The store's position up to which the copy is complete.
+    /// The store's position up to which the replica is complete.
     #[must_use]
     pub fn position(&self) -> Option<u64> {
-        self.next
+        self.position
     }
 
-    /// The last moment at which the copy was known to be complete.
+    /// The latest time at which the replica was known to be complete.
     #[must_use]
     pub fn fresh_at(&self) -> Option<Instant> {
-        self.fresh
+        self.fresh_at
     }
 
-    /// How old the copy may be by now; none while there is none.
+    /// The age of the replica; `None` while it holds no table.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.fresh.map(|at| now.saturating_duration_since(at))
+        self.fresh_at.map(|at| now.saturating_duration_since(at))
     }
 }
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -1,10 +1,10 @@
-//! Which entries there are, and whom one of them speaks with.
+//! Keeps the known entries and decides to which of them an entry reports its load.
 //!
-//! Load pattern: hundreds of entries with a call or two a second each. If all
-//! told all, what each sends and hears would grow with their number. Up to
-//! [`ALL_MOST`] of them do. Beyond it the first entries of each availability
-//! zone are its relays: the others tell only these, which tell each other the
-//! sums of their zones and answer with the sums of all. See
+//! Load pattern: hundreds of entries with one or two calls a second each. If every
+//! entry reported to every other, the traffic of each would grow with their number. Up
+//! to [`MAX_FULL_MESH`] entries do so. With more, the first entries of each
+//! availability zone act as relays: the others report only to these relays, which
+//! exchange the sums of their zones and answer with the sum over all zones. See
 //! docs/DECISIONS/0801-relays.md.
 
 use std::collections::{BTreeMap, HashMap};
@@ -13,338 +13,344 @@
 
 use crate::readers::Rank;
 
-/// Entries up to which all tell all: what 8 kB a second carry to each of the
-/// others every 4 s, in datagrams of 350 bytes.
+/// Maximum number of entries that report to each other directly: a budget of 8 kB/s
+/// carries one datagram of 350 bytes to each of the others every 4 s.
 pub const MAX_FULL_MESH: usize = 93;
 
-/// Relays of each availability zone. The loss of one leaves a second that
-/// knows as much.
+/// Relays of each availability zone. If one fails, the second has the same data.
 pub const RELAYS_PER_ZONE: usize = 2;
 
-/// Entries of its own zone that one which asks is told of where there are too
-/// many to name: those that may read the store for it, and itself.
+/// Number of entries of its own zone that an asking entry is told of when there are too
+/// many to list: the entries that may read the store for it, and itself.
 pub const MAX_NAMED: usize = 5;
 
-/// How long an entry counts as there after it has answered.
-const ANSWERED: Duration = Duration::from_secs(10);
+/// Time for which an entry counts as present after it has answered.
+const ANSWER_TTL: Duration = Duration::from_secs(10);
 
-/// A relay that did not answer so often in a row is passed over.
-const UNANSWERED: u32 = 3;
+/// Consecutive unanswered reports after which a relay is skipped.
+const MAX_UNANSWERED: u32 = 3;
 
-/// How long what a relay says of the number of entries counts.
-const COUNTED: Duration = Duration::from_secs(16);
+/// Time for which a relay's entry counts stay valid.
+const COUNT_TTL: Duration = Duration::from_secs(16);
 
-/// An entry as others know it.
+/// Address, zone and link of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryInfo {
-    /// Where it hears others.
+    /// Address at which the entry receives messages.
     pub addr: SocketAddr,
-    /// Its availability zone, by number.
+    /// Number of its availability zone.
     pub zone: u32,
-    /// What its link carries, in million bits a second.
+    /// Link capacity in Mbit/s.
     pub link_mbps: u32,
 }
 
 impl EntryInfo {
-    /// Its place in the order of its zone.
+    /// Its rank in the order of its zone.
     #[must_use]
     pub fn rank(&self) -> Rank {
         Rank::new(self.zone, self.addr, self.link_mbps)
     }
 }
 
-/// The entries that one of them knows of.
+/// The entries known to one entry.
 #[derive(Debug)]
 pub struct Roster {
     own: EntryInfo,
     rank: Rank,
-    /// Whether all have to tell all, however many there are.
-    whole: bool,
-    entries: HashMap<SocketAddr, Known>,
-    /// What was last answered about the number of entries.
-    told: Option<(Instant, EntryCounts)>,
+    /// Whether all entries report to all others, regardless of their number.
+    full_mesh: bool,
+    entries: HashMap<SocketAddr, Member>,
+    /// The latest entry counts received from another entry.
+    reported: Option<(Instant, EntryCounts)>,
 }
 
 /// Another entry.
 #[derive(Debug, Clone, Copy)]
-struct Known {
-    seat: EntryInfo,
+struct Member {
+    info: EntryInfo,
     rank: Rank,
-    /// Until when it counts as there unless it is heard again.
-    until: Instant,
-    /// How often it was told since it was last heard itself.
+    /// The entry is dropped at this time unless it is heard again.
+    expires_at: Instant,
+    /// Reports sent to it since it was last heard.
     unanswered: u32,
-    /// Since when its copies of the store's tables may not be complete; none
-    /// while it has none.
-    fresh: Option<Instant>,
+    /// Latest time at which its copies of the store's tables were known to be complete;
+    /// `None` while it has none.
+    fresh_at: Option<Instant>,
 }
 
-impl Known {
-    fn mute(&self) -> bool {
-        self.unanswered >= UNANSWERED
+impl Member {
+    fn is_unresponsive(&self) -> bool {
+        self.unanswered >= MAX_UNANSWERED
     }
 }
 
-/// How many entries there are, as one that hears them knows.
+/// Numbers of entries, as known to one of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryCounts {
     /// In all zones.
     pub total: usize,
-    /// In the zone of the one that asks.
+    /// In the zone of the asking entry.
     pub same_zone: usize,
-    /// Those that stand before it in the order by zone and address.
+    /// Entries that precede the asking one in the order by zone and address.
     pub preceding: usize,
 }
 
-/// What an entry is told of another one.
+/// An entry as listed for another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RosterEntry {
-    /// The entry.
+    /// Address, zone and link of the entry.
     pub info: EntryInfo,
-    /// How much longer it counts as there.
+    /// Remaining time for which it counts as present.
     pub remaining: Duration,
-    /// How old its copies of the store's tables are; none while it has none.
+    /// Age of its copies of the store's tables; `None` while it has none.
     pub copy_age: Option<Duration>,
 }
 
-/// Whom an entry tells what it has in progress.
+/// The entries to which an entry reports its load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Targets {
-    /// All others.
+    /// All other entries.
     FullMesh {
-        /// Those of its own zone.
+        /// Entries of its own zone.
         same_zone: Vec<SocketAddr>,
-        /// Those of the other zones.
+        /// Entries of the other zones.
         other_zones: Vec<SocketAddr>,
     },
-    /// The relays.
+    /// The relays only.
     Relays {
-        /// The relays of its own zone, but itself.
+        /// The relays of its own zone, without itself.
         same_zone: Vec<SocketAddr>,
-        /// Those of the other zones, if it is a relay itself.
+        /// The relays of the other zones, if it is a relay itself.
         other_zones: Vec<SocketAddr>,
-        /// Entries of its zone.
+        /// Number of entries in its zone.
         members: usize,
     },
 }
 
 impl Roster {
-    /// Makes the roster of an entry that knows no other one. `whole` says that
-    /// all have to tell all, however many there are.
+    /// Creates the roster of an entry that knows no other one. With `full_mesh`, all
+    /// entries report to all others, regardless of their number.
     #[must_use]
-    pub fn new(own: EntryInfo, whole: bool) -> Self {
+    pub fn new(own: EntryInfo, full_mesh: bool) -> Self {
         Self {
             own,
             rank: own.rank(),
-            whole,
+            full_mesh,
             entries: HashMap::new(),
-            told: None,
+            reported: None,
         }
     }
 
-    /// Notes how old the copies of an entry are.
-    pub fn set_copy_age(&mut self, now: Instant, addr: SocketAddr, age: Option<Duration>) {
-        if let Some(known) = self.entries.get_mut(&addr) {
-            let fresh = age.and_then(|age| now.checked_sub(age));
-            known.fresh = known.fresh.max(fresh);
+    /// Records the age of an entry's copies.
+    pub fn set_copy_age(&mut self, now: Instant, addr: SocketAddr, copy_age: Option<Duration>) {
+        if let Some(member) = self.entries.get_mut(&addr) {
+            let fresh_at = copy_age.and_then(|age| now.checked_sub(age));
+            member.fresh_at = member.fresh_at.max(fresh_at);
         }
     }
 
-    /// Notes that an entry was heard itself.
+    /// Records that a message came from the entry itself.
     pub fn mark_heard(&mut self, addr: SocketAddr) {
-        if let Some(known) = self.entries.get_mut(&addr) {
-            known.unanswered = 0;
+        if let Some(member) = self.entries.get_mut(&addr) {
+            member.unanswered = 0;
         }
     }
 
-    /// Notes an entry that counts as there until `until` at least; returns
-    /// whether it was not known.
-    pub fn insert(&mut self, seat: EntryInfo, until: Instant) -> bool {
-        if seat.addr == self.own.addr {
+    /// Adds or refreshes an entry that counts as present at least until `expires_at`;
+    /// returns whether it is new.
+    pub fn insert(&mut self, info: EntryInfo, expires_at: Instant) -> bool {
+        if info.addr == self.own.addr {
             return false;
         }
-        let held = self.entries.get(&seat.addr).copied();
-        let rank = match held {
-            Some(known) if known.seat == seat => known.rank,
-            _ => seat.rank(),
+        let existing = self.entries.get(&info.addr).copied();
+        let rank = match existing {
+            Some(member) if member.info == info => member.rank,
+            _ => info.rank(),
         };
-        let known = Known {
-            seat,
+        let member = Member {
+            info,
             rank,
-            until: held.map_or(until, |known| known.until.max(until)),
-            unanswered: held.map_or(0, |known| known.unanswered),
-            fresh: held.and_then(|known| known.fresh),
+            expires_at: existing.map_or(expires_at, |member| member.expires_at.max(expires_at)),
+            unanswered: existing.map_or(0, |member| member.unanswered),
+            fresh_at: existing.and_then(|member| member.fresh_at),
         };
-        self.entries.insert(seat.addr, known);
-        held.is_none()
+        self.entries.insert(info.addr, member);
+        existing.is_none()
     }
 
-    /// Notes how many entries another one knows of. The one that knows most
-    /// counts, for a while.
+    /// Records the entry counts of another entry. The largest count is kept until it
+    /// expires.
     pub fn record_counts(&mut self, now: Instant, count: EntryCounts) {
-        let fresh =
-            |(at, held): &(Instant, EntryCounts)| now < *at + COUNTED && held.total > count.total;
-        if !self.told.as_ref().is_some_and(fresh) {
-            self.told = Some((now, count));
+        let fresh = |(at, existing): &(Instant, EntryCounts)| {
+            now < *at + COUNT_TTL && existing.total > count.total
+        };
+        if !self.reported.as_ref().is_some_and(fresh) {
+            self.reported = Some((now, count));
         }
     }
 
-    /// Forgets entries that were not heard of for too long.
+    /// Drops entries and counts that have expired.
     pub fn expire(&mut self, now: Instant) {
-        self.entries.retain(|_, known| now < known.until);
-        let old = |(at, _): &(Instant, EntryCounts)| now >= *at + COUNTED;
-        if self.told.as_ref().is_some_and(old) {
-            self.told = None;
+        self.entries.retain(|_, member| now < member.expires_at);
+        let old = |(at, _): &(Instant, EntryCounts)| now >= *at + COUNT_TTL;
+        if self.reported.as_ref().is_some_and(old) {
+            self.reported = None;
         }
     }
 
-    /// How many entries there are, with this one.
+    /// The number of entries, including this one.
     #[must_use]
     pub fn count(&self) -> EntryCounts {
-        let before = |k: &&Known| (k.seat.zone, k.seat.addr) < (self.own.zone, self.own.addr);
-        let known = EntryCounts {
+        let preceding = |m: &&Member| (m.info.zone, m.info.addr) < (self.own.zone, self.own.addr);
+        let local = EntryCounts {
             total: self.entries.len() + 1,
-            same_zone: self.zone(self.own.zone).count() + 1,
-            preceding: self.entries.values().filter(before).count(),
+            same_zone: self.members_of(self.own.zone).count() + 1,
+            preceding: self.entries.values().filter(preceding).count(),
         };
-        match self.told {
-            Some((_, told)) if told.total > known.total => told,
-            _ => known,
+        match self.reported {
+            Some((_, reported)) if reported.total > local.total => reported,
+            _ => local,
         }
     }
 
-    /// Whether there are too many entries for all to tell all.
+    /// Whether there are too many entries for direct reports, so that relays are used.
     #[must_use]
     pub fn uses_relays(&self) -> bool {
-        !self.whole && self.count().total > MAX_FULL_MESH
+        !self.full_mesh && self.count().total > MAX_FULL_MESH
     }
 
     /// Whether this entry is a relay of its zone.
     #[must_use]
     pub fn is_relay(&self) -> bool {
-        let before = self.zone(self.own.zone);
-        let before = before.filter(|k| k.rank < self.rank && !k.mute());
-        before.count() < RELAYS_PER_ZONE
+        let preceding = self.members_of(self.own.zone);
+        let preceding = preceding.filter(|m| m.rank < self.rank && !m.is_unresponsive());
+        preceding.count() < RELAYS_PER_ZONE
     }
 
-    /// Whom this entry tells what it has in progress, now.
+    /// The entries to which this one reports its load now.
     pub fn targets(&mut self) -> Targets {
         let own = self.own.zone;
         if !self.uses_relays() {
-            let (near, far) = self.entries.values().partition(|k| k.seat.zone == own);
+            let (same_zone, other_zones) = self.entries.values().partition(|m| m.info.zone == own);
             return Targets::FullMesh {
-                same_zone: addrs(near),
-                other_zones: addrs(far),
+                same_zone: addresses(same_zone),
+                other_zones: addresses(other_zones),
             };
         }
-        let far = match self.is_relay() {
+        let other_zones = match self.is_relay() {
             true => {
-                let zones = self.zones();
+                let zones = self.zone_counts();
                 let others = zones.keys().filter(|zone| **zone != own);
                 others
-                    .flat_map(|zone| self.first(*zone, RELAYS_PER_ZONE))
+                    .flat_map(|zone| self.highest_ranked(*zone, RELAYS_PER_ZONE))
                     .collect()
             }
             false => Vec::new(),
         };
-        let far = addrs(far);
-        let near = addrs(self.first(own, RELAYS_PER_ZONE));
-        for addr in &near {
-            if let Some(known) = self.entries.get_mut(addr) {
-                known.unanswered += 1;
+        let other_zones = addresses(other_zones);
+        let same_zone = addresses(self.highest_ranked(own, RELAYS_PER_ZONE));
+        for addr in &same_zone {
+            if let Some(member) = self.entries.get_mut(addr) {
+                member.unanswered += 1;
             }
         }
         Targets::Relays {
-            same_zone: near,
-            other_zones: far,
+            same_zone,
+            other_zones,
             members: self.count().same_zone,
         }
     }
 
-    /// The entries that `asker` is told of, this one first, whose own copies are
-    /// `age` old.
+    /// The entries to list for `asker`, beginning with this one, whose own copies have
+    /// the age `copy_age`.
     #[must_use]
     pub fn entries_for(
         &self,
         now: Instant,
         asker: &EntryInfo,
-        age: Option<Duration>,
+        copy_age: Option<Duration>,
     ) -> Vec<RosterEntry> {
-        let known: Vec<&Known> = match self.uses_relays() {
+        let members: Vec<&Member> = match self.uses_relays() {
             false => self.entries.values().collect(),
             true => {
-                let zones = self.zones();
+                let zones = self.zone_counts();
                 let zones = zones.keys().map(|zone| match *zone == asker.zone {
                     true => (*zone, MAX_NAMED),
                     false => (*zone, RELAYS_PER_ZONE),
                 });
-                zones.flat_map(|(zone, n)| self.first(zone, n)).collect()
+                zones
+                    .flat_map(|(zone, n)| self.highest_ranked(zone, n))
+                    .collect()
             }
         };
-        // Told on with no time left, one that has ended would go round for ever.
-        let there = |k: &&Known| k.seat.addr != asker.addr && now < k.until;
-        let others = known.into_iter().filter(there);
-        let others = others.map(|k| RosterEntry {
-            info: k.seat,
-            remaining: k.until.saturating_duration_since(now),
-            copy_age: k.fresh.map(|at| now.saturating_duration_since(at)),
+        // An expired entry is left out: entries would otherwise keep passing it on to
+        // each other forever.
+        let is_present = |m: &&Member| m.info.addr != asker.addr && now < m.expires_at;
+        let others = members.into_iter().filter(is_present);
+        let others = others.map(|m| RosterEntry {
+            info: m.info,
+            remaining: m.expires_at.saturating_duration_since(now),
+            copy_age: m.fresh_at.map(|at| now.saturating_duration_since(at)),
         });
         let own = RosterEntry {
             info: self.own,
-            remaining: ANSWERED,
-            copy_age: age,
+            remaining: ANSWER_TTL,
+            copy_age,
         };
         std::iter::once(own).chain(others).collect()
     }
 
-    /// How many entries there are, as `asker` is told; `zones` are the entries
-    /// that relays of other zones have summed up.
+    /// The entry counts to send to `asker`; `zones` holds the numbers of entries that
+    /// relays of other zones have reported.
     #[must_use]
     pub fn count_for(&self, asker: &EntryInfo, zones: &BTreeMap<u32, usize>) -> EntryCounts {
-        let mut counts = self.zones();
+        let mut counts = self.zone_counts();
         *counts.entry(self.own.zone).or_default() += 1;
         for (zone, summed) in zones {
             let count = counts.entry(*zone).or_default();
             *count = (*count).max(*summed);
         }
-        let near = counts.get(&asker.zone).copied().unwrap_or(0);
-        let before: usize = counts.range(..asker.zone).map(|(_, count)| count).sum();
-        let seats = self.entries.values().map(|k| &k.seat).chain([&self.own]);
-        let seats = seats.filter(|s| s.zone == asker.zone && s.addr < asker.addr);
+        let same_zone = counts.get(&asker.zone).copied().unwrap_or(0);
+        let preceding: usize = counts.range(..asker.zone).map(|(_, count)| count).sum();
+        let infos = self.entries.values().map(|m| &m.info).chain([&self.own]);
+        let infos = infos.filter(|s| s.zone == asker.zone && s.addr < asker.addr);
         EntryCounts {
             total: self.count().total.max(counts.values().sum()),
-            same_zone: near,
-            preceding: before + seats.count(),
+            same_zone,
+            preceding: preceding + infos.count(),
         }
     }
 
-    /// The entries of a zone, but this one.
-    fn zone(&self, zone: u32) -> impl Iterator<Item = &Known> {
-        self.entries.values().filter(move |k| k.seat.zone == zone)
+    /// The other entries of a zone.
+    fn members_of(&self, zone: u32) -> impl Iterator<Item = &Member> {
+        self.entries.values().filter(move |m| m.info.zone == zone)
     }
 
-    /// How many other entries each zone has.
-    fn zones(&self) -> BTreeMap<u32, usize> {
+    /// The number of other entries in each zone.
+    fn zone_counts(&self) -> BTreeMap<u32, usize> {
         let mut zones = BTreeMap::new();
-        for known in self.entries.values() {
-            *zones.entry(known.seat.zone).or_default() += 1;
+        for member in self.entries.values() {
+            *zones.entry(member.info.zone).or_default() += 1;
         }
         zones
     }
 
-    /// The first `count` entries of a zone in its order, but this one and those
+    /// The first `count` entries of a zone in its order, without this one and those
     /// that do not answer.
-    fn first(&self, zone: u32, count: usize) -> Vec<&Known> {
-        let mut first: Vec<&Known> = self.zone(zone).filter(|k| !k.mute()).collect();
-        first.sort_unstable_by_key(|k| (k.rank, k.seat.addr));
-        // This entry takes up a place in the order as well.
-        let before = first.iter().filter(|k| k.rank < self.rank).count();
-        let own = zone == self.own.zone && before < count;
+    fn highest_ranked(&self, zone: u32, count: usize) -> Vec<&Member> {
+        let mut first: Vec<&Member> = self
+            .members_of(zone)
+            .filter(|m| !m.is_unresponsive())
+            .collect();
+        first.sort_unstable_by_key(|m| (m.rank, m.info.addr));
+        // This entry has a rank in the order as well.
+        let preceding = first.iter().filter(|m| m.rank < self.rank).count();
+        let own = zone == self.own.zone && preceding < count;
         first.truncate(count - usize::from(own));
         first
     }
 }
 
-fn addrs(known: Vec<&Known>) -> Vec<SocketAddr> {
-    known.into_iter().map(|k| k.seat.addr).collect()
+fn addresses(members: Vec<&Member>) -> Vec<SocketAddr> {
+    members.into_iter().map(|m| m.info.addr).collect()
 }
