--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Fleets of many sizes that start, lose entries and go on, by the decisions
-//! alone: what the store is asked and what each entry sends must not grow with
-//! the fleet.
+//! Simulates fleets of many sizes that start, lose entries and continue, with the
+//! decision code only. Neither the calls to the store nor the traffic of each entry may
+//! grow with the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,33 +16,32 @@
 
 const ZONES: u32 = 5;
 
-/// Of each zone's entries, one in so many has a wide link.
-const WIDE: usize = 7;
+/// One entry in this many of each zone has a wide link.
+const WIDE_LINK_EVERY: usize = 7;
 
-/// The time that a datagram takes, and between two looks at the fleet.
+/// Latency of a datagram, and the length of a simulation step.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Each entry is looked at once in so many steps.
-const LOOK: usize = 5;
+/// Each entry is processed once in this many steps.
+const STEPS_PER_CHECK: usize = 5;
 
-/// An entry counts as there for so long after it was heard at the least.
-const HEARD: Duration = Duration::from_secs(8);
+/// Minimum time for which an entry counts as present after it was heard.
+const MIN_PRESENCE: Duration = Duration::from_secs(8);
 
-/// Long enough for all to have been told by their relays.
-const WARM: Duration = Duration::from_secs(20);
+/// Time after which all entries have received counts from their relays.
+const WARM_UP: Duration = Duration::from_secs(20);
 
-/// Entries that all the others know from their settings.
+/// Entries that all others know from their settings.
 const SEEDS: usize = 3;
 
-/// How often two datagrams in a hundred are lost.
-const LOSS: f64 = 0.02;
+/// Fraction of datagrams that are lost.
+const LOSS_RATE: f64 = 0.02;
 
 #[derive(Clone)]
 enum Message {
-    /// What the sender has; asks for an answer where it is said.
-    Said(EntryInfo, LoadReport, bool),
-    /// Entries with the time that is left to them, how many there are, and what
-    /// all have.
+    /// The sender's load; the last field says whether an answer is requested.
+    Report(EntryInfo, LoadReport, bool),
+    /// The listed entries, the entry counts, and the total load.
     Answer(
         Vec<RosterEntry>,
         policy::roster::EntryCounts,
@@ -51,74 +50,74 @@
 }
 
 struct Entry {
-    seat: EntryInfo,
-    starts: Instant,
+    info: EntryInfo,
+    starts_at: Instant,
     finder: Finder,
     roster: Roster,
     readers: ZoneReaders,
-    others: PeerLoads,
-    next: Instant,
+    peer_loads: PeerLoads,
+    next_report: Instant,
     seq: u32,
-    life: u64,
-    /// Calls to the directory, datagrams sent and heard.
+    incarnation: u64,
+    /// Calls to the directory, datagrams sent, and datagrams received.
     calls: usize,
     sent: usize,
-    heard: usize,
-    /// When it first went by itself to the store's tables, if it has.
+    received: usize,
+    /// Whether it has read the store's tables itself.
     read: bool,
 }
 
 impl Entry {
-    fn new(number: usize, starts: Instant, first: bool) -> Self {
-        let seat = seat(number);
-        let seeds = (0..SEEDS).map(|n| seat_of(n).addr);
-        let seeds = seeds.filter(|addr| *addr != seat.addr).collect();
+    fn new(number: usize, starts_at: Instant, first: bool) -> Self {
+        let info = info_of(number);
+        let seeds = (0..SEEDS).map(|n| entry_info(n).addr);
+        let seeds = seeds.filter(|addr| *addr != info.addr).collect();
         Self {
-            seat,
-            starts,
-            finder: Finder::new(starts, seeds, first),
-            roster: Roster::new(seat, false),
-            readers: ZoneReaders::new(seat.rank()),
-            others: PeerLoads::default(),
-            next: starts,
+            info,
+            starts_at,
+            finder: Finder::new(starts_at, seeds, first),
+            roster: Roster::new(info, false),
+            readers: ZoneReaders::new(info.rank()),
+            peer_loads: PeerLoads::default(),
+            next_report: starts_at,
             seq: 0,
-            life: number as u64,
+            incarnation: number as u64,
             calls: 0,
             sent: 0,
-            heard: 0,
+            received: 0,
             read: false,
         }
     }
 
-    fn saying(&mut self, every: Duration) -> LoadReport {
+    fn report(&mut self, interval: Duration) -> LoadReport {
         self.seq += 1;
         LoadReport {
-            incarnation: self.life,
+            incarnation: self.incarnation,
             seq: self.seq,
-            zone: self.seat.zone,
+            zone: self.info.zone,
             entries: 1,
-            interval: every,
+            interval,
             ..LoadReport::default()
         }
     }
 
-    fn note(&mut self, now: Instant, seat: EntryInfo, left: Duration) {
-        if seat.addr != self.seat.addr {
-            self.roster.insert(seat, now + left);
-            if seat.zone == self.seat.zone {
-                self.readers.observe(seat.addr, seat.rank(), now + left);
+    fn note(&mut self, now: Instant, info: EntryInfo, left: Duration) {
+        if info.addr != self.info.addr {
+            self.roster.insert(info, now + left);
+            if info.zone == self.info.zone {
+                self.readers.observe(info.addr, info.rank(), now + left);
             }
         }
     }
 }
 
-fn seat_of(number: usize) -> EntryInfo {
+fn entry_info(number: usize) -> EntryInfo {
     let [_, _, a, b] = u32::try_from(number + 1).expect("few").to_be_bytes();
     let zone = u32::try_from(number).expect("few") % ZONES;
     EntryInfo {
         addr: SocketAddr::from(([10, u8::try_from(zone).expect("few"), a, b], 7340)),
         zone,
-        link_mbps: if number / ZONES as usize % WIDE == WIDE - 1 {
+        link_mbps: if number / ZONES as usize % WIDE_LINK_EVERY == WIDE_LINK_EVERY - 1 {
             1000
         } else {
             20
@@ -126,50 +125,49 @@
     }
 }
 
-fn seat(number: usize) -> EntryInfo {
-    seat_of(number)
+fn info_of(number: usize) -> EntryInfo {
+    entry_info(number)
 }
 
-/// Entries that speak with each other and with a directory in the store.
+/// Entries that exchange messages and use a directory in the store.
 struct Fleet {
     entries: Vec<Entry>,
-    places: BTreeMap<SocketAddr, usize>,
+    index_by_addr: BTreeMap<SocketAddr, usize>,
     directory: BTreeSet<SocketAddr>,
-    mail: Vec<(usize, SocketAddr, Message)>,
+    in_flight: Vec<(usize, SocketAddr, Message)>,
     now: Instant,
     tick: usize,
-    draw: StdRng,
-    /// Entries that neither send nor hear.
+    rng: StdRng,
+    /// Entries that neither send nor receive.
     dead: BTreeSet<usize>,
 }
 
 impl Fleet {
     fn new(size: usize, seed: u64) -> Self {
         let now = Instant::now();
-        let mut draw = StdRng::seed_from_u64(seed);
-        let mut starts = || now + Duration::from_millis(draw.random_range(0..300));
-        let entries = (0..size).map(|n| Entry::new(n, starts(), true));
+        let mut rng = StdRng::seed_from_u64(seed);
+        let mut random_start = || now + Duration::from_millis(rng.random_range(0..300));
+        let entries = (0..size).map(|n| Entry::new(n, random_start(), true));
         let entries: Vec<Entry> = entries.collect();
-        let places = entries.iter().enumerate().map(|(n, e)| (e.seat.addr, n));
+        let index_by_addr = entries.iter().enumerate().map(|(n, e)| (e.info.addr, n));
         Self {
-            places: places.collect(),
+            index_by_addr: index_by_addr.collect(),
             entries,
             directory: BTreeSet::new(),
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             now,
             tick: 0,
-            draw,
+            rng,
             dead: BTreeSet::new(),
         }
     }
 
-    /// Ends all entries and starts them again in the same moment, those on thin
-    /// hosts a little later.
+    /// Restarts all entries at once; those with narrow links come up a little later.
     fn restart(&mut self) {
         let now = self.now;
         for n in 0..self.entries.len() {
-            let wide = seat(n).link_mbps > 20;
-            let spread = self.draw.random_range(0..20);
+            let wide = info_of(n).link_mbps > 20;
+            let spread = self.rng.random_range(0..20);
             let late = Duration::from_millis(if wide { spread } else { 100 + 5 * spread });
             self.entries[n] = Entry::new(n, now + late, false);
         }
@@ -178,14 +176,14 @@
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            let mail = std::mem::take(&mut self.mail);
-            for (to, from, message) in mail {
-                if !self.dead.contains(&to) && self.entries[to].starts <= self.now {
-                    self.take(to, from, message);
+            let in_flight = std::mem::take(&mut self.in_flight);
+            for (to, from, message) in in_flight {
+                if !self.dead.contains(&to) && self.entries[to].starts_at <= self.now {
+                    self.receive(to, from, message);
                 }
             }
-            for n in (self.tick % LOOK..self.entries.len()).step_by(LOOK) {
-                if !self.dead.contains(&n) && self.entries[n].starts <= self.now {
+            for n in (self.tick % STEPS_PER_CHECK..self.entries.len()).step_by(STEPS_PER_CHECK) {
+                if !self.dead.contains(&n) && self.entries[n].starts_at <= self.now {
                     self.step(n);
                 }
             }
@@ -195,44 +193,48 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
-        let addr = self.entries[from].seat.addr;
+        let addr = self.entries[from].info.addr;
         self.entries[from].sent += 1;
-        if let Some(to) = self.places.get(&to).copied()
-            && !self.draw.random_bool(LOSS)
+        if let Some(to) = self.index_by_addr.get(&to).copied()
+            && !self.rng.random_bool(LOSS_RATE)
         {
-            self.mail.push((to, addr, message));
+            self.in_flight.push((to, addr, message));
         }
     }
 
-    fn take(&mut self, to: usize, from: SocketAddr, message: Message) {
+    fn receive(&mut self, to: usize, from: SocketAddr, message: Message) {
         let now = self.now;
         let entry = &mut self.entries[to];
-        entry.heard += 1;
+        entry.received += 1;
         match message {
-            Message::Said(seat, saying, asks) => {
-                entry.note(now, seat, HEARD.max(saying.interval * EXPIRY_INTERVALS));
+            Message::Report(info, report, wants_answer) => {
+                entry.note(
+                    now,
+                    info,
+                    MIN_PRESENCE.max(report.interval * EXPIRY_INTERVALS),
+                );
                 entry.roster.mark_heard(from);
-                entry.others.observe(now, saying);
-                if asks {
-                    let own = entry.saying(HEARD);
+                entry.peer_loads.observe(now, report);
+                if wants_answer {
+                    let own = entry.report(MIN_PRESENCE);
                     let age = entry.read.then_some(Duration::ZERO);
-                    let named = entry.roster.entries_for(now, &seat, age);
+                    let listed = entry.roster.entries_for(now, &info, age);
                     let count = entry
                         .roster
-                        .count_for(&seat, &entry.others.entries_by_zone());
-                    let all = entry.others.sum_all(now, &own);
-                    self.send(to, from, Message::Answer(named, count, Some(all)));
+                        .count_for(&info, &entry.peer_loads.entries_by_zone());
+                    let all = entry.peer_loads.sum_all(now, &own);
+                    self.send(to, from, Message::Answer(listed, count, Some(all)));
                 }
             }
-            Message::Answer(named, count, sums) => {
+            Message::Answer(listed, count, sums) => {
                 entry.finder.answered(now);
                 entry.roster.record_counts(now, count);
-                for named in named {
-                    entry.note(now, named.info, named.remaining);
+                for listed_entry in listed {
+                    entry.note(now, listed_entry.info, listed_entry.remaining);
                 }
                 entry.roster.mark_heard(from);
                 if let Some(sums) = sums {
-                    entry.others.observe(now, sums);
+                    entry.peer_loads.observe(now, sums);
                 }
             }
         }
@@ -244,18 +246,18 @@
         let (first, relayed) = (entry.roster.is_relay(), entry.roster.uses_relays());
         match entry.finder.next(now, first, relayed) {
             Step::Ask(addr) => {
-                let seat = entry.seat;
-                let said = entry.saying(Duration::from_secs(1));
-                self.send(n, addr, Message::Said(seat, said, true));
+                let info = entry.info;
+                let report = entry.report(Duration::from_secs(1));
+                self.send(n, addr, Message::Report(info, report, true));
             }
             Step::Announce => {
                 entry.calls += 1;
                 entry.finder.announced(now, true);
-                self.directory.insert(self.entries[n].seat.addr);
+                self.directory.insert(self.entries[n].info.addr);
             }
             Step::Look => {
                 entry.calls += 1;
-                let own = entry.seat.addr;
+                let own = entry.info.addr;
                 let found = self.directory.iter().copied().filter(|a| *a != own);
                 let found = found.collect();
                 self.entries[n].finder.looked(now, Some(found));
@@ -264,43 +266,44 @@
         }
         let entry = &mut self.entries[n];
         entry.read |= entry.finder.settled(now) && entry.readers.preferred_peer(now).is_none();
-        if now >= entry.next {
-            self.speak(n);
+        if now >= entry.next_report {
+            self.send_report(n);
         }
     }
 
-    fn speak(&mut self, n: usize) {
+    fn send_report(&mut self, n: usize) {
         let now = self.now;
         let entry = &mut self.entries[n];
         entry.roster.expire(now);
-        entry.others.expire(now);
-        let seat = entry.seat;
+        entry.peer_loads.expire(now);
+        let info = entry.info;
         match entry.roster.targets() {
             Targets::FullMesh {
-                same_zone: near,
-                other_zones: far,
+                same_zone,
+                other_zones,
             } => {
-                let every = Intervals::new(near.len() * 100, far.len() * 100).other_zones;
-                entry.next = now + every;
-                let said = entry.saying(every);
-                for to in near.into_iter().chain(far) {
-                    self.send(n, to, Message::Said(seat, said.clone(), false));
+                let interval =
+                    Intervals::new(same_zone.len() * 100, other_zones.len() * 100).other_zones;
+                entry.next_report = now + interval;
+                let report = entry.report(interval);
+                for to in same_zone.into_iter().chain(other_zones) {
+                    self.send(n, to, Message::Report(info, report.clone(), false));
                 }
             }
             Targets::Relays {
-                same_zone: near,
-                other_zones: far,
+                same_zone,
+                other_zones,
                 members,
             } => {
-                let every = Intervals::to_relays(members).same_zone;
-                entry.next = now + every;
-                let said = entry.saying(every);
-                let sum = entry.others.sum_zone(now, &said);
-                for to in near {
-                    self.send(n, to, Message::Said(seat, said.clone(), true));
+                let interval = Intervals::to_relays(members).same_zone;
+                entry.next_report = now + interval;
+                let report = entry.report(interval);
+                let sum = entry.peer_loads.sum_zone(now, &report);
+                for to in same_zone {
+                    self.send(n, to, Message::Report(info, report.clone(), true));
                 }
-                for to in far {
-                    self.send(n, to, Message::Said(seat, sum.clone(), false));
+                for to in other_zones {
+                    self.send(n, to, Message::Report(info, sum.clone(), false));
                 }
             }
         }
@@ -311,15 +314,15 @@
         live.filter(|(n, _)| !self.dead.contains(n)).map(|(_, e)| e)
     }
 
-    /// Calls to the directory, and entries that went to the store's tables by
+    /// Calls to the directory, and the number of entries that read the store's tables
     /// themselves.
     fn calls(&self) -> (usize, usize) {
         let calls = self.live().map(|e| e.calls).sum();
         (calls, self.live().filter(|e| e.read).count())
     }
 
-    /// The largest number of datagrams a second that an entry has sent since
-    /// `before`, at those that are no relays and at all.
+    /// The highest datagram rate of an entry since `before`, per second: among entries
+    /// that are no relays, and among all.
     fn sent(&self, before: &[usize], span: Duration) -> (f64, f64) {
         let rate = |(e, before): (&Entry, &usize)| {
             let rate = (e.sent - before) as f64 / span.as_secs_f64();
@@ -335,17 +338,17 @@
     }
 }
 
-/// Guards against starts that cost the store calls for each entry, and against
-/// zones whose entries do not agree on who reads for them.
+/// Guards against starts with store calls for each entry, and against zones whose
+/// entries disagree on the reader.
 #[rstest]
 #[case::fleet_300(300, 1)]
 #[case::fleet_1000(1000, 2)]
 #[case::fleet_2000(2000, 3)]
-fn start_costs_a_few_calls(#[case] size: usize, #[case] seed: u64) {
+fn start_makes_few_store_calls(#[case] size: usize, #[case] seed: u64) {
     let mut fleet = Fleet::new(size, seed);
-    fleet.run(WARM);
+    fleet.run(WARM_UP);
     let (calls, readers) = fleet.calls();
-    // Two of each zone use the directory, and a few more that started early.
+    // Two entries of each zone use the directory, and a few more that started early.
     assert!(calls <= 60, "calls to the directory: {calls}");
     assert!(readers <= 30, "entries that read: {readers}");
     let now = fleet.now;
@@ -354,45 +357,44 @@
         assert!(
             all <= size && all + size / 100 >= size,
             "{all} at {:?}",
-            entry.seat
+            entry.info
         );
         let asked = entry.readers.preferred_peer(now);
-        let wide = |addr| fleet.places.get(addr).map(|n| seat(*n).link_mbps);
+        let wide = |addr| fleet.index_by_addr.get(addr).map(|n| info_of(*n).link_mbps);
         assert_eq!(asked.as_ref().map_or(Some(1000), wide), Some(1000));
     }
     let asked: BTreeSet<_> = fleet
         .entries
         .iter_mut()
-        .filter_map(|e| Some((e.seat.zone, e.readers.preferred_peer(now)?)))
+        .filter_map(|e| Some((e.info.zone, e.readers.preferred_peer(now)?)))
         .collect();
     assert_eq!(asked.len(), ZONES as usize, "{asked:?}");
 }
 
-/// Guards against a fleet whose entries are all killed and turn to the store one
-/// by one.
+/// Guards against all entries of a restarted fleet reading the store themselves.
 #[rstest]
 #[case::fleet_300(300, 11)]
 #[case::fleet_1000(1000, 12)]
 #[case::fleet_2000(2000, 13)]
-fn restart_costs_a_few_calls(#[case] size: usize, #[case] seed: u64) {
+fn restart_makes_few_store_calls(#[case] size: usize, #[case] seed: u64) {
     let mut fleet = Fleet::new(size, seed);
     fleet.run(Duration::from_secs(3));
     fleet.restart();
     fleet.run(Duration::from_secs(6));
     let (calls, readers) = fleet.calls();
     assert!(calls <= 60, "calls to the directory: {calls}");
-    // Those with wide links are up before those that all know.
+    // Entries with wide links start before the seed entries.
     assert!(readers <= size / 4, "entries that read: {readers}");
 }
 
-/// Guards against what an entry sends growing with the fleet.
+/// Guards against the traffic of an entry growing with the fleet.
 #[rstest]
 #[case::fleet_300(300, 4)]
 #[case::fleet_1000(1000, 5)]
 #[case::fleet_2000(2000, 6)]
-fn datagrams_do_not_grow(#[case] size: usize, #[case] seed: u64) {
+fn datagram_rate_is_independent_of_fleet_size(#[case] size: usize, #[case] seed: u64) {
     let mut fleet = Fleet::new(size, seed);
-    fleet.run(WARM);
+    fleet.run(WARM_UP);
     let before: Vec<usize> = fleet.entries.iter().map(|e| e.sent).collect();
     let span = Duration::from_secs(12);
     fleet.run(span);
@@ -401,25 +403,25 @@
     assert!(relay <= 140.0, "a relay sends {relay} a second");
 }
 
-/// Guards against an entry that hears of others only by way of its relays and
-/// does not learn what all of them have.
+/// Guards against an entry that has contact only with its relays missing the load of
+/// all entries.
 #[test]
-fn sums_reach_all() {
+fn totals_reach_all_entries() {
     let mut fleet = Fleet::new(400, 7);
     fleet.run(Duration::from_secs(12));
     let now = fleet.now;
     for entry in &mut fleet.entries {
-        let own = entry.saying(HEARD);
-        let entries = entry.others.sum(now, &own).entries;
+        let own = entry.report(MIN_PRESENCE);
+        let entries = entry.peer_loads.sum(now, &own).entries;
         assert!(
             (395..=399).contains(&entries),
             "{entries} at {:?}",
-            entry.seat
+            entry.info
         );
     }
 }
 
-/// Guards against a zone that goes on telling relays which have ended.
+/// Guards against a zone that keeps reporting to relays which have ended.
 #[test]
 fn ended_relays_are_replaced() {
     let mut fleet = Fleet::new(300, 8);
@@ -430,80 +432,77 @@
     assert_eq!(relays.len(), RELAYS_PER_ZONE * ZONES as usize);
     fleet.dead.extend(&relays);
     fleet.run(Duration::from_secs(45));
-    let dead: BTreeSet<SocketAddr> = relays.iter().map(|n| seat(*n).addr).collect();
+    let dead: BTreeSet<SocketAddr> = relays.iter().map(|n| info_of(*n).addr).collect();
     let live = fleet.entries.iter_mut();
-    for entry in live.filter(|e| !dead.contains(&e.seat.addr)) {
-        let Targets::Relays {
-            same_zone: near, ..
-        } = entry.roster.targets()
-        else {
+    for entry in live.filter(|e| !dead.contains(&e.info.addr)) {
+        let Targets::Relays { same_zone, .. } = entry.roster.targets() else {
             panic!(
-                "{} entries are too many to tell all",
+                "{} entries are too many for a full mesh",
                 entry.roster.count().total
             );
         };
-        let live = !near.is_empty() && near.iter().all(|a| !dead.contains(a));
-        assert!(live, "{near:?} at {:?}", entry.seat);
+        let live = !same_zone.is_empty() && same_zone.iter().all(|a| !dead.contains(a));
+        assert!(live, "{same_zone:?} at {:?}", entry.info);
     }
     let relays = fleet.live().filter(|e| e.roster.is_relay()).count();
     assert_eq!(relays, RELAYS_PER_ZONE * ZONES as usize);
 }
 
-/// Guards against small fleets that lose what they know of each other's calls
-/// to a relay.
+/// Guards against small fleets that use relays and so lose direct reports of each
+/// other's calls.
 #[test]
-fn few_tell_all() {
+fn small_fleet_uses_full_mesh() {
     let mut fleet = Fleet::new(MAX_FULL_MESH, 9);
     fleet.run(Duration::from_secs(6));
     for entry in &mut fleet.entries {
         let Targets::FullMesh {
-            same_zone: near,
-            other_zones: far,
+            same_zone,
+            other_zones,
         } = entry.roster.targets()
         else {
-            panic!("relayed at {:?}", entry.seat);
+            panic!("relayed at {:?}", entry.info);
         };
-        assert_eq!(near.len() + far.len(), MAX_FULL_MESH - 1);
+        assert_eq!(same_zone.len() + other_zones.len(), MAX_FULL_MESH - 1);
     }
 }
 
-/// Guards against entries that never find each other where the hosts that their
-/// settings name are gone: the store's directory has to do.
+/// Guards against entries that never find each other when the seed hosts in their
+/// settings are gone: they must use the store's directory.
 #[test]
-fn directory_stands_in_for_lost_hosts() {
+fn directory_replaces_lost_seed_hosts() {
     let mut fleet = Fleet::new(120, 10);
     fleet.dead.extend(0..SEEDS);
     fleet.run(Duration::from_secs(40));
     for entry in fleet.live() {
         let all = entry.roster.count().total;
-        assert_eq!(all, 120 - SEEDS, "at {:?}", entry.seat);
+        assert_eq!(all, 120 - SEEDS, "at {:?}", entry.info);
     }
 }
 
-/// Guards against a sum that counts entries twice: those of a zone that has told
-/// its sum by two relays, and by themselves.
+/// Guards against counting entries twice: a zone's sum arrives from two relays, and its
+/// entries also report directly.
 #[test]
-fn sums_count_each_once() {
+fn totals_count_each_entry_once() {
     let now = Instant::now();
-    let every = Duration::from_secs(1);
-    let said = |life, zone, scope, entries| LoadReport {
-        incarnation: life,
+    let interval = Duration::from_secs(1);
+    let report = |incarnation, zone, scope, entries| LoadReport {
+        incarnation,
         zone,
         scope,
         entries,
-        interval: every,
+        interval,
         ..LoadReport::default()
     };
-    let mut others = PeerLoads::default();
-    others.observe(now, said(1, 1, Scope::Own, 1));
-    others.observe(now, said(2, 1, Scope::Zone, 40));
-    others.observe(now, said(3, 1, Scope::Zone, 38));
-    others.observe(now, said(4, 2, Scope::Own, 1));
-    let own = said(9, 2, Scope::Own, 1);
-    assert_eq!(others.sum(now, &own).entries, 41);
-    assert_eq!(others.sum_zone(now, &own).entries, 2);
-    assert_eq!(others.sum_all(now, &own).entries, 42);
-    others.observe(now, said(2, 1, Scope::All, 50));
-    assert_eq!(others.sum(now, &own).entries, 49);
-    assert_eq!(others.sum_all(now, &own).entries, 42);
+    let mut peer_loads = PeerLoads::default();
+    peer_loads.observe(now, report(1, 1, Scope::Own, 1));
+    peer_loads.observe(now, report(2, 1, Scope::Zone, 40));
+    peer_loads.observe(now, report(3, 1, Scope::Zone, 38));
+    peer_loads.observe(now, report(4, 2, Scope::Own, 1));
+    let own = report(9, 2, Scope::Own, 1);
+    assert_eq!(peer_loads.sum(now, &own).entries, 41);
+    assert_eq!(peer_loads.sum_zone(now, &own).entries, 2);
+    assert_eq!(peer_loads.sum_all(now, &own).entries, 42);
+    peer_loads.observe(now, report(2, 1, Scope::All, 50));
+    assert_eq!(peer_loads.sum(now, &own).entries, 49);
+    assert_eq!(peer_loads.sum_all(now, &own).entries, 42);
 }
