--- a/crates/policy/tests/peer_load.rs
+++ b/crates/policy/tests/peer_load.rs
@@ -1,4 +1,4 @@
-//! How often entries tell each other what they have.
+//! Tests how often entries report their load to each other.
 
 use std::time::Duration;
 
@@ -6,13 +6,14 @@
 use rstest::rstest;
 
 /// Bytes of a datagram with its headers.
-const DATAGRAM: usize = 350;
+const DATAGRAM_BYTES: usize = 350;
 
-/// Bytes a second that an entry may spend.
-const BUDGET: f64 = 8192.0;
+/// Bytes a second that an entry may send.
+const SEND_BUDGET: f64 = 8192.0;
 
-/// Entries before whom the budget holds are told as often as it allows; with
-/// more of them the other zones wait, up to a bound, and the own one does not.
+/// Entries get reports as often as the send budget allows. With more entries, the
+/// interval for the other zones grows first, up to a bound, while the own zone keeps
+/// its interval.
 #[rstest]
 #[case::few(1, 2, 128, 128)]
 #[case::two_dozen(8, 15, 982, 982)]
@@ -20,25 +21,25 @@
 #[case::forty(9, 30, 1_000, 2_082)]
 #[case::large_zone(59, 1_440, 2_520, 4_000)]
 #[case::alone(0, 0, 100, 100)]
-fn intervals_follow_the_number(
-    #[case] near: usize,
-    #[case] far: usize,
-    #[case] near_ms: u128,
-    #[case] far_ms: u128,
+fn intervals_grow_with_the_number_of_entries(
+    #[case] same_zone: usize,
+    #[case] other_zones: usize,
+    #[case] same_zone_ms: u128,
+    #[case] other_zones_ms: u128,
 ) {
-    let every = Intervals::new(near * DATAGRAM, far * DATAGRAM);
-    assert_eq!(every.same_zone.as_millis(), near_ms);
-    assert_eq!(every.other_zones.as_millis(), far_ms);
+    let intervals = Intervals::new(same_zone * DATAGRAM_BYTES, other_zones * DATAGRAM_BYTES);
+    assert_eq!(intervals.same_zone.as_millis(), same_zone_ms);
+    assert_eq!(intervals.other_zones.as_millis(), other_zones_ms);
 }
 
-/// Forty entries in four zones: all that one of them sends stays within its
-/// budget, which one datagram a second to each does not.
+/// Forty entries in four zones: the traffic of an entry stays within its budget, which
+/// one datagram a second to each of the others would exceed.
 #[test]
-fn budget_holds() {
-    let (near, far) = (9 * DATAGRAM, 30 * DATAGRAM);
-    let every = Intervals::new(near, far);
-    let rate = |bytes: usize, every: Duration| bytes as f64 / every.as_secs_f64();
-    let sent = rate(near, every.same_zone) + rate(far, every.other_zones);
-    assert!(sent <= BUDGET, "{sent}");
-    assert!((near + far) as f64 > BUDGET);
+fn send_rate_stays_within_budget() {
+    let (same_zone, other_zones) = (9 * DATAGRAM_BYTES, 30 * DATAGRAM_BYTES);
+    let intervals = Intervals::new(same_zone, other_zones);
+    let rate = |bytes: usize, interval: Duration| bytes as f64 / interval.as_secs_f64();
+    let sent = rate(same_zone, intervals.same_zone) + rate(other_zones, intervals.other_zones);
+    assert!(sent <= SEND_BUDGET, "{sent}");
+    assert!((same_zone + other_zones) as f64 > SEND_BUDGET);
 }
--- a/crates/policy/tests/readers.rs
+++ b/crates/policy/tests/readers.rs
@@ -1,5 +1,5 @@
-//! Who reads the store for an availability zone, replayed by the losses that
-//! the order has to bear.
+//! Tests which entry reads the store for an availability zone, under host and store
+//! failures.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,69 +9,68 @@
 
 const ZONE: u32 = 7;
 
-/// A neighbour that is never heard again counts for so long.
-const HEARD: Duration = Duration::from_secs(3600);
+/// A peer that is never heard again expires after this time.
+const PEER_TTL: Duration = Duration::from_secs(3600);
 
 fn addr(n: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n], 7340))
 }
 
-/// A thin host, but the first two have wide links.
+/// Only the first two entries have wide links.
 fn rank(n: u8) -> Rank {
     Rank::new(ZONE, addr(n), if n < 2 { 200 } else { 20 })
 }
 
-/// The view of entry `own` among `count` entries that all hear each other.
+/// The view of entry `own` among `count` entries that all know each other.
 fn view(now: Instant, own: u8, count: u8) -> ZoneReaders {
     let mut readers = ZoneReaders::new(rank(own));
     for n in (0..count).filter(|n| *n != own) {
-        readers.observe(addr(n), rank(n), now + HEARD);
+        readers.observe(addr(n), rank(n), now + PEER_TTL);
     }
     readers
 }
 
 /// Entries 0 and 1 in the order of their zone.
-fn wide(now: Instant) -> (u8, u8) {
+fn wide_link_entries(now: Instant) -> (u8, u8) {
     match view(now, 0, 12).preferred_peer(now) {
         None => (0, 1),
         Some(_) => (1, 0),
     }
 }
 
-/// A dozen entries hear each other. One of those with a wide link reads the
-/// store, and all others ask it, each by what it knows alone.
+/// A dozen entries know each other. One of those with a wide link reads the store and
+/// all others ask it; each derives this from its own view.
 #[test]
-fn all_agree_on_one() {
+fn all_entries_agree_on_one_reader() {
     let now = Instant::now();
-    let (first, _) = wide(now);
+    let (first, _) = wide_link_entries(now);
     for own in 0..12 {
         let asked = view(now, own, 12).preferred_peer(now);
         assert_eq!(asked, (own != first).then(|| addr(first)));
     }
 }
 
-/// A few entries gain next to nothing from asking each other.
+/// Few entries gain almost nothing from asking each other.
 #[test]
-fn few_read_by_themselves() {
+fn small_zone_does_not_share_reads() {
     let now = Instant::now();
-    let few = u8::try_from(MIN_SHARING_ENTRIES).expect("a few") - 1;
+    let few = u8::try_from(MIN_SHARING_ENTRIES).expect("the count fits") - 1;
     for own in 0..few {
         assert_eq!(view(now, own, few).preferred_peer(now), None);
     }
     assert!((0..=few).any(|own| view(now, own, few + 1).preferred_peer(now).is_some()));
 }
 
-/// The reader is killed without a word. Its neighbours' questions fail, and
-/// the next in the order has to stand in with the first of them, not when the
-/// dead one is heard no more, seconds later. When that one is gone as well, an
-/// entry asks nobody: each further question would make its copy older.
+/// The reader is killed. The next in the order must take over when its first request to
+/// the reader fails, not seconds later when the reader expires. If that one fails as
+/// well, an entry asks nobody: each further request would make its copy older.
 #[test]
-fn next_one_stands_in() {
+fn next_entry_replaces_dead_reader() {
     let now = Instant::now();
-    let (first, second) = wide(now);
-    let mut stand_in = view(now, second, 12);
-    stand_in.record_failure(now, addr(first));
-    assert_eq!(stand_in.preferred_peer(now), None);
+    let (first, second) = wide_link_entries(now);
+    let mut successor = view(now, second, 12);
+    successor.record_failure(now, addr(first));
+    assert_eq!(successor.preferred_peer(now), None);
     let mut other = view(now, 9, 12);
     other.record_failure(now, addr(first));
     assert_eq!(other.preferred_peer(now), Some(addr(second)));
@@ -79,14 +78,13 @@
     assert_eq!(other.preferred_peer(now), None);
 }
 
-/// The reader comes back. It is asked again within seconds, however often it
-/// has failed.
+/// The reader comes back. It is asked again within seconds, even after many failures.
 #[rstest]
 #[case::once(1, 1)]
 #[case::often(20, 8)]
-fn back_after_a_rest(#[case] failures: u32, #[case] seconds: u64) {
+fn reader_is_asked_again_after_backoff(#[case] failures: u32, #[case] seconds: u64) {
     let now = Instant::now();
-    let (first, _) = wide(now);
+    let (first, _) = wide_link_entries(now);
     let mut other = view(now, 9, 12);
     for _ in 0..failures {
         other.record_failure(now, addr(first));
@@ -99,13 +97,13 @@
     assert_eq!(other.preferred_peer(back), Some(addr(first)));
 }
 
-/// The reader alone is cut off from the store. It answers, but with ever older
-/// news: the next in the order reads by then and is asked, before anybody else
-/// turns to the store.
+/// Only the reader is cut off from the store. It answers with ever older copies. The
+/// next in the order reads by then and is asked, before any other entry reads from the
+/// store.
 #[test]
-fn one_that_lost_the_store_is_passed_over() {
+fn reader_without_store_is_skipped() {
     let now = Instant::now();
-    let (first, second) = wide(now);
+    let (first, second) = wide_link_entries(now);
     let mut other = view(now, 9, 12);
     other.record_answer(now, addr(first), Some(MAX_COPY_AGE * 2));
     assert_eq!(other.preferred_peer(now), Some(addr(second)));
@@ -118,13 +116,12 @@
     );
 }
 
-/// Both who may read for the zone are cut off from the store. Any other entry
-/// that reaches it has to do, for them as well, or each of the zone would read
-/// by itself.
+/// Both readers of the zone are cut off from the store. They must copy from any other
+/// entry that reaches it, or each entry of the zone would read the store itself.
 #[test]
-fn one_that_reaches_the_store_is_followed() {
+fn any_peer_with_fresh_copies_is_asked() {
     let now = Instant::now();
-    let (first, second) = wide(now);
+    let (first, second) = wide_link_entries(now);
     for own in [first, second] {
         let mut reader = view(now, own, 12);
         let old = Some(MAX_COPY_AGE * 2);
@@ -140,45 +137,44 @@
     }
 }
 
-/// The store is down for all. Passing over one neighbour after the other would
-/// have every entry ask the store by itself, several times a second.
+/// The store is down for all entries. Skipping one peer after the other would make
+/// every entry query the store itself, several times a second.
 #[test]
-fn nobody_is_passed_over_while_the_store_is_down() {
+fn no_peer_is_skipped_while_the_store_is_down() {
     let now = Instant::now();
-    let (first, second) = wide(now);
+    let (first, second) = wide_link_entries(now);
     let mut other = view(now, 9, 12);
     for _ in 0..40 {
-        let asked = other.preferred_peer(now).expect("a neighbour");
+        let asked = other.preferred_peer(now).expect("a peer to ask");
         assert!([first, second].map(addr).contains(&asked));
         other.record_answer(now, asked, Some(MAX_COPY_AGE * 10));
     }
 }
 
-/// A neighbour that has just started knows nothing. Asking it again and again
-/// would leave the asker as ignorant as it is.
+/// A peer that has just started has no copies. Asking it repeatedly would leave the
+/// asker without data.
 #[test]
-fn one_that_knows_nothing_is_passed_over() {
+fn peer_without_copies_is_skipped() {
     let now = Instant::now();
-    let (first, second) = wide(now);
+    let (first, second) = wide_link_entries(now);
     let mut other = view(now, 9, 12);
     other.record_answer(now, addr(first), None);
     assert_eq!(other.preferred_peer(now), Some(addr(second)));
 }
 
-/// A neighbour that is heard no more is not asked, and when too few are left
-/// nobody is.
+/// An expired peer is not asked, and no peer is asked when too few are left.
 #[test]
-fn silent_ones_are_forgotten() {
+fn silent_peers_expire() {
     let now = Instant::now();
     let mut other = view(now, 9, 12);
     assert!(other.preferred_peer(now).is_some());
-    assert_eq!(other.preferred_peer(now + HEARD), None);
+    assert_eq!(other.preferred_peer(now + PEER_TTL), None);
 }
 
-/// Whatever its neighbours say, an entry reads a copy that has become too old
-/// by itself, and not all of a zone in the same moment.
+/// Regardless of its peers, an entry reads the store when its copy has become too old,
+/// and not all entries of a zone do so at the same moment.
 #[test]
-fn patience_is_bounded_and_spread() {
+fn copy_age_limit_is_bounded_and_spread() {
     let now = Instant::now();
     let spans: Vec<Duration> = (0..12).map(|n| view(now, n, 12).copy_age_limit()).collect();
     assert!(
@@ -190,27 +186,29 @@
     assert!(least < most);
 }
 
-/// Guards against the tries of a store that is away growing with the zone: all of
-/// its entries together make a few a second.
+/// Guards against the retries of an unavailable store growing with the zone: all
+/// entries together make a few a second.
 #[rstest]
 #[case::dozen(12)]
 #[case::hundred(100)]
 #[case::many(400)]
-fn tries_of_a_lost_store_do_not_grow(#[case] size: usize) {
+fn store_retry_rate_is_independent_of_zone_size(#[case] size: usize) {
     let now = Instant::now();
     let mut other = view(now, 9, 12);
     other.set_zone_size(size);
-    let aside = other.store_retry_delay(now).expect("others are before it");
-    let rate = size as f64 / aside.as_secs_f64();
-    assert!(rate <= 6.0, "{rate} a second");
+    let retry_delay = other
+        .store_retry_delay(now)
+        .expect("other entries precede it");
+    let rate = size as f64 / retry_delay.as_secs_f64();
+    assert!(rate <= 6.0, "{rate} retries a second");
 }
 
-/// Guards against entries that have started waiting for a reader that has no copies
-/// either, as it started while the store turned it away.
+/// Guards against starting entries that wait for a reader which has no copies either,
+/// because the store refused it when it started.
 #[test]
-fn first_copies_come_from_whoever_has_them() {
+fn initial_copies_come_from_any_peer() {
     let now = Instant::now();
-    let (first, second) = wide(now);
+    let (first, second) = wide_link_entries(now);
     let mut other = view(now, 9, 12);
     assert_eq!(other.update_source(now, None), Some(addr(first)));
     other.set_copy_age(now, addr(3), Duration::from_millis(200));
@@ -224,12 +222,12 @@
     assert!((2..12).all(|n| waits(second) < waits(n)));
 }
 
-/// Guards against all entries of a large zone turning to the store before the first of
-/// them that reaches it can tell the others.
+/// Guards against all entries of a large zone reading from the store before the first
+/// of them that reaches it can update the others.
 #[rstest]
 #[case::dozen(12, 200)]
 #[case::hundred(100, 1000)]
-fn impatience_of_a_large_zone_is_spread(#[case] size: usize, #[case] least_ms: u64) {
+fn copy_age_limit_is_spread_in_a_large_zone(#[case] size: usize, #[case] least_ms: u64) {
     let now = Instant::now();
     let spans = (2..60).map(|n| {
         let mut other = view(now, n, 60);
@@ -238,7 +236,7 @@
     });
     let spans: Vec<Duration> = spans.collect();
     let (least, most) = (spans.iter().min(), spans.iter().max());
-    let spread = *most.expect("some") - *least.expect("some");
+    let spread = *most.expect("at least one entry") - *least.expect("some");
     assert!(spread.as_millis() >= u128::from(least_ms) / 2, "{spread:?}");
     assert!(
         spans
@@ -247,13 +245,13 @@
     );
 }
 
-/// Guards against an entry of a small zone leaving the store alone for seconds after
-/// one question has failed, while it has no neighbour to learn from: what operators
-/// declare has to be in force by then.
+/// Guards against an entry of a small zone not retrying the store for seconds after one
+/// failed request while it has no peer to learn from: changes by operators must be in
+/// force by then.
 #[rstest]
 #[case::pair(2)]
 #[case::nine(9)]
-fn few_try_again_at_once(#[case] size: u8) {
+fn small_zone_retries_quickly(#[case] size: u8) {
     let now = Instant::now();
     for own in 0..size {
         let mut other = view(now, own, size);
@@ -262,7 +260,7 @@
             other.record_failure(now, addr(n));
         }
         assert_eq!(other.preferred_peer(now), None);
-        let aside = other.store_retry_delay(now).unwrap_or_default();
-        assert!(aside <= Duration::from_millis(300), "{aside:?}");
+        let retry_delay = other.store_retry_delay(now).unwrap_or_default();
+        assert!(retry_delay <= Duration::from_millis(300), "{retry_delay:?}");
     }
 }
