--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -185,7 +185,7 @@
             .incarnations
             .get(&incarnation)
             .into_iter()
-            .flat_map(|p| p.windows.values());
+            .flat_map(|usage| usage.windows.values());
         windows.flat_map(|tally| tally.counts.values()).sum()
     }
 
@@ -276,13 +276,13 @@
     /// arrived. This waits for a silent incarnation, whose host may become reachable
     /// again; [`UsageCounter::finalize`] limits the wait.
     #[must_use]
-    pub fn complete(&self, window: u64) -> bool {
-        let is_complete = |usage: &IncarnationUsage| {
+    pub fn is_complete(&self, window: u64) -> bool {
+        let has_all_counts = |usage: &IncarnationUsage| {
             let tally = usage.windows.get(&window);
-            let known = tally.is_none_or(|t| t.counts.values().sum::<u64>() >= t.total);
-            usage.closed_before > window && known
+            let received = tally.is_none_or(|t| t.counts.values().sum::<u64>() >= t.total);
+            usage.closed_before > window && received
         };
-        self.incarnations.values().all(is_complete)
+        self.incarnations.values().all(has_all_counts)
     }
 
     /// The number of incarnations that are silent or have not announced that they
@@ -319,13 +319,13 @@
         let unknown = stored
             .incarnations
             .iter()
-            .map(|(l, n)| n.saturating_sub(known(l)));
+            .map(|(incarnation, count)| count.saturating_sub(known(incarnation)));
         let unknown: u64 = unknown.sum();
-        let all: u64 = stored.incarnations.values().sum::<u64>().max(1);
+        let stored_total: u64 = stored.incarnations.values().sum::<u64>().max(1);
         for (workspace, count) in &stored.counts {
-            let part = (count * unknown + all / 2) / all;
-            if part > 0 {
-                *sum.counts.entry(workspace.clone()).or_default() += part;
+            let share = (count * unknown + stored_total / 2) / stored_total;
+            if share > 0 {
+                *sum.counts.entry(workspace.clone()).or_default() += share;
             }
         }
         for (incarnation, total) in &stored.incarnations {
@@ -350,14 +350,14 @@
         let gathered = held_for >= GATHER_TIME && gathered;
         while state.next_window < closed_before {
             let window = state.next_window;
-            let late = time.saturating_sub(self.windows.end(window));
-            let waited =
-                late >= self.windows.deadline.mul_f64(MAX_WAIT_SHARE) && held_for >= GATHER_TIME;
-            let is_complete = gathered && self.complete(window);
-            if !(waited || is_complete) {
+            let since_end = time.saturating_sub(self.windows.end(window));
+            let wait_over = since_end >= self.windows.deadline.mul_f64(MAX_WAIT_SHARE)
+                && held_for >= GATHER_TIME;
+            let complete = gathered && self.is_complete(window);
+            if !(wait_over || complete) {
                 break;
             }
-            if late > self.windows.deadline {
+            if since_end > self.windows.deadline {
                 missed.push(window);
             } else {
                 let sum = self.sum(window, state);
