--- a/crates/policy/src/readers.rs
+++ b/crates/policy/src/readers.rs
@@ -110,7 +110,7 @@
     peers: HashMap<SocketAddr, Peer>,
     /// Number of entries in the zone, as reported by others.
     zone_size: usize,
-    /// Number of entries that preceded this one when any peer was last known.
+    /// Number of entries that precede this one; kept while no peer is known.
     preceding: usize,
 }
 
