--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,15 +1,15 @@
-//! What a sidecar decides: who waits, who starts, who is shed and who is
-//! preempted. See docs/DECISIONS/0101-queue.md.
+//! The admission and scheduling queue of one backend server: which requests
+//! wait, start, are shed or preempted. See docs/DECISIONS/0101-queue.md.
 //!
-//! - `admission`: whether a request can meet its targets.
-//! - `backlog`: the waiting requests of one tier, fair between workspaces.
-//! - `guarantee`: the share of starts that lower tiers get.
-//! - `headroom`: slots kept free for the top tier.
-//! - `item`: requests as the queue holds them.
-//! - `ranks`: counting deadlines.
-//! - `rules`: what the operators set.
-//! - `slots`: who holds a slot and who runs.
-//! - `usage`: how much of the slots each tier was given.
+//! - `admission`: deadline-aware admission and eviction.
+//! - `backlog`: fair queueing between the workspaces of one tier.
+//! - `guarantee`: the share of starts guaranteed to lower tiers.
+//! - `headroom`: slots reserved for the top tier.
+//! - `item`: queued requests and the outcome of offering one.
+//! - `deadline_counts`: counts of deadlines before a given one.
+//! - `settings`: the settings of a queue.
+//! - `slots`: slots in use.
+//! - `usage`: recent slot time of each tier.
 
 mod admission;
 mod backlog;
@@ -38,85 +38,87 @@
 use slots::{SlotHolder, Slots};
 use usage::TierUsage;
 
-/// Least time before the latest start at which a run is stopped for it. The
-/// caller looks every few milliseconds, and the backend server has to stop.
+/// Minimum time before a request's latest start at which a run is preempted
+/// for it. The caller polls every few milliseconds, and the backend server
+/// needs time to stop.
 const MIN_PREEMPT_LEAD: Duration = Duration::from_millis(20);
 
-/// Slot time in microseconds that a request is taken to need before any was
-/// seen. It only has to be the same for all.
+/// Assumed slot time of a request, in microseconds, before any was measured.
+/// Its size does not matter as long as it is the same for all requests.
 const DEFAULT_COST_US: u64 = 100_000;
 
 /// The queue of one backend server, and its slots.
 ///
-/// A request is offered, then granted a slot by [`Self::grant_next`], then started
-/// and finished; it may be cancelled before its start. Every call is about a
-/// ticket, and one about a ticket that is not where the call expects it
-/// changes nothing.
+/// A request is offered, granted a slot by [`Self::grant_next`], started and
+/// finished; it may be cancelled before its start. Calls are idempotent: a
+/// call about a ticket that is not in the state that the call expects changes
+/// nothing.
 #[derive(Debug)]
 pub struct Queue {
     settings: QueueSettings,
     slots: Slots,
-    /// Waiting requests by their number.
+    /// Waiting requests by sequence number.
     requests: HashMap<u64, QueuedRequest>,
-    /// Numbers of waiting requests.
+    /// Sequence numbers of waiting requests by ticket.
     by_ticket: HashMap<Ticket, u64>,
     /// Waiting requests by tier.
     tiers: BTreeMap<Tier, Backlog>,
-    /// Waiting requests by their latest start.
+    /// Waiting requests ordered by latest start.
     by_latest: BTreeSet<(Instant, u64)>,
-    /// Number of the next request.
+    /// Sequence number of the next request.
     next_seq: u64,
     guarantee: Guarantee,
     headroom: Headroom,
     usage: TierUsage,
     estimator: Estimator,
-    /// Share of the requests that stay until they start. An entry asks several
-    /// sidecars and cancels at the others when one is ready, so that a part of
-    /// what waits will take no slot time here.
+    /// Share of the requests that start instead of being cancelled. An entry
+    /// reserves at several sidecars and cancels at the others when one is
+    /// ready, so a part of the queued work never takes slot time here.
     start_share: MovingShare,
-    /// Slots freed by preemption that are not granted again yet.
+    /// Slots freed by preemption that have not been granted again.
     preempted_slots: usize,
-    /// Requests taken out whose callers were not told yet.
+    /// Evicted requests that [`Self::review`] has not reported yet.
     evicted: Vec<(Ticket, Rejection)>,
-    /// The waiting request that the last review ended with.
+    /// The waiting request at which the last review stopped.
     review_cursor: Option<(Tier, DeadlineKey)>,
 }
 
 /// A slot granted to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Granted {
-    /// The request.
+    /// The request's ticket.
     pub ticket: Ticket,
     /// Its tier.
     pub tier: Tier,
-    /// Whether it goes before a higher tier by the guaranteed share.
+    /// Whether the guaranteed share put it ahead of a higher tier.
     pub guaranteed: bool,
 }
 
-/// How a queue stands.
+/// A snapshot of a queue's state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct QueueStatus {
-    /// Slots in all.
+    /// Number of slots.
     pub slots: usize,
-    /// Slots that are held or running.
+    /// Number of slots that are held or running.
     pub busy: usize,
-    /// Requests that run.
+    /// Running requests.
     pub running: usize,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: usize,
-    /// Recent time from a start to the first piece, in microseconds.
+    /// Moving average of the time from start to first piece, in microseconds.
     pub first_us: u64,
-    /// Recent time between two tokens, in microseconds.
+    /// Moving average of the time between two tokens, in microseconds.
     pub token_us: u64,
-    /// Estimated wait behind everything that waits now, in microseconds.
+    /// Estimated wait of a request that joins the end of the queue now, in
+    /// microseconds.
     pub wait_us: u64,
 }
 
 impl Queue {
     /// Makes an empty queue for a backend server with `slots` slots.
     #[must_use]
-    pub fn new(rules: QueueSettings, slots: usize, now: Instant) -> Self {
-        let fifo = rules.policy == QueuePolicy::Fifo;
+    pub fn new(settings: QueueSettings, slots: usize, now: Instant) -> Self {
+        let fifo = settings.policy == QueuePolicy::Fifo;
         let unless_fifo = |share: f64| if fifo { 0.0 } else { share };
         Self {
             slots: Slots::new(slots, now),
@@ -125,64 +127,69 @@
             tiers: BTreeMap::new(),
             by_latest: BTreeSet::new(),
             next_seq: 0,
-            guarantee: Guarantee::new(unless_fifo(rules.guaranteed)),
-            headroom: Headroom::new(slots, unless_fifo(rules.headroom), now),
+            guarantee: Guarantee::new(unless_fifo(settings.guaranteed)),
+            headroom: Headroom::new(slots, unless_fifo(settings.headroom), now),
             usage: TierUsage::default(),
-            estimator: Estimator::new(rules.confidence),
+            estimator: Estimator::new(settings.confidence),
             start_share: MovingShare::new(),
             preempted_slots: 0,
             evicted: Vec::new(),
             review_cursor: None,
-            settings: rules,
+            settings,
         }
     }
 
-    /// Goes by another guaranteed share from now on.
+    /// Changes the guaranteed share.
     pub fn set_guaranteed_share(&mut self, share: f64) {
         if self.settings.policy != QueuePolicy::Fifo {
             self.guarantee.set_share(share);
         }
     }
 
-    /// Offers a request. Whom it pushes out is told by [`Self::review`].
-    pub fn offer(&mut self, now: Instant, ask: QueueRequest) -> Admission {
-        if self.by_ticket.contains_key(&ask.ticket) {
+    /// Queues or refuses a request. Requests that it evicts are reported by
+    /// the next [`Self::review`].
+    pub fn offer(&mut self, now: Instant, request: QueueRequest) -> Admission {
+        if self.by_ticket.contains_key(&request.ticket) {
             return Admission::Queued;
         }
         let fifo = self.settings.policy == QueuePolicy::Fifo;
         let (tier, flow) = match fifo {
             true => (Tier(0), Rc::from("")),
-            false => (ask.tier, Rc::clone(&ask.workspace)),
+            false => (request.tier, Rc::clone(&request.workspace)),
         };
-        let latest = self.latest_start(now, &ask);
-        self.guarantee.record_arrival(now, tier, &ask.class);
+        let latest = self.latest_start(now, &request);
+        self.guarantee.record_arrival(now, tier, &request.class);
         let slack = latest.saturating_duration_since(now);
         self.headroom.record_arrival(now, tier, slack);
 
         let key = DeadlineKey {
-            deadline: if fifo { now } else { ask.first_deadline },
+            deadline: if fifo { now } else { request.first_deadline },
             seq: self.next_seq,
         };
-        let probe = self.should_probe(now, tier, &ask.class);
+        let probe = self.should_probe(now, tier, &request.class);
         let backlog = self.tiers.entry(tier);
         let backlog = backlog.or_insert_with(|| Backlog::new(now));
         let bucket = backlog.bucket(now, key.deadline);
-        // Those with an equal deadline came before it.
+        // Requests with an equal deadline arrived earlier and go first.
         let refused = match self.settings.policy == QueuePolicy::Full && !probe {
-            true => self.predicted_miss(now, &ask, tier, &flow, bucket.next()),
+            true => self.predicted_miss(now, &request, tier, &flow, bucket.next()),
             false => None,
         };
-        if let Some(verdict) = refused.or_else(|| self.make_room(tier, key)) {
-            return Admission::Refused(verdict);
+        if let Some(rejection) = refused.or_else(|| self.make_room(tier, key)) {
+            return Admission::Refused(rejection);
         }
 
         let item = QueuedRequest {
             cost_us: self
                 .estimator
-                .expected_service_us(&ask.cost_factors())
+                .expected_service_us(&request.cost_factors())
                 .unwrap_or(DEFAULT_COST_US),
-            latest_start: if probe { ask.first_deadline } else { latest },
-            request: ask,
+            latest_start: if probe {
+                request.first_deadline
+            } else {
+                latest
+            },
+            request,
             key,
             tier,
             flow,
@@ -193,7 +200,7 @@
         Admission::Queued
     }
 
-    /// Grants the next request a slot, if one is free for it.
+    /// Grants a slot to the next request, if one is available to its tier.
     pub fn grant_next(&mut self, now: Instant) -> Option<Granted> {
         if self.slots.free() == 0 {
             return None;
@@ -203,14 +210,14 @@
             return None;
         }
 
-        // A slot that was taken from a lower tier for a higher one must not
-        // go to a lower one again.
-        let reclaimed = std::mem::take(&mut self.preempted_slots);
-        self.preempted_slots = reclaimed.saturating_sub(1);
+        // A slot that was preempted for a higher tier must not go back to a
+        // lower one.
+        let preempted = std::mem::take(&mut self.preempted_slots);
+        self.preempted_slots = preempted.saturating_sub(1);
         let turn = self
             .guarantee
             .next_out_of_turn(top)
-            .filter(|_| reclaimed == 0);
+            .filter(|_| preempted == 0);
         let seq = match turn {
             Some(seq) => seq,
             None => self.select_in_tier(now, top)?,
@@ -244,23 +251,24 @@
         Some(granted)
     }
 
-    /// Takes a request out that waits or holds a slot without having started.
-    /// A hold that lapses is taken out by `lapsed`: it keeps the turn that it
-    /// was given, or one that never starts could take turn after turn.
+    /// Removes a request that waits or holds a slot without having started.
+    /// `lapsed` means that its hold timed out: its turn then stays spent,
+    /// otherwise a workspace whose requests never start could take turn after
+    /// turn.
     pub fn cancel(&mut self, now: Instant, ticket: Ticket, lapsed: bool) -> bool {
         if let Some(seq) = self.by_ticket.get(&ticket).copied() {
             self.start_share.add(false);
             return self.dequeue(seq, false).is_some();
         }
-        let Some(grant) = self.slots.release_held(ticket) else {
+        let Some(holder) = self.slots.release_held(ticket) else {
             return false;
         };
         self.start_share.add(false);
-        if let Some(backlog) = self.tiers.get_mut(&grant.tier) {
-            backlog.refund(&grant.flow, grant.cost_us);
+        if let Some(backlog) = self.tiers.get_mut(&holder.tier) {
+            backlog.refund(&holder.flow, holder.cost_us);
         }
-        self.usage.add(now, grant.tier, -(grant.cost_us as f64));
-        match (lapsed, grant.guaranteed) {
+        self.usage.add(now, holder.tier, -(holder.cost_us as f64));
+        match (lapsed, holder.guaranteed) {
             (true, _) => {}
             (false, true) => self.guarantee.unspend(),
             (false, false) => self.guarantee.unearn(),
@@ -268,7 +276,7 @@
         true
     }
 
-    /// Starts a request that holds a slot.
+    /// Starts a request that holds a slot; false if it holds none.
     pub fn start(&mut self, now: Instant, ticket: Ticket) -> bool {
         let started = self.slots.start(now, ticket);
         if started {
@@ -277,18 +285,18 @@
         started
     }
 
-    /// Notes that a run made a piece of `tokens` tokens.
+    /// Records that a run produced a piece of `tokens` tokens.
     pub fn record_piece(&mut self, now: Instant, ticket: Ticket, tokens: u32) {
-        let Some(grant) = self.slots.running_mut(ticket) else {
+        let Some(holder) = self.slots.running_mut(ticket) else {
             return;
         };
-        grant.pieces = grant.pieces.saturating_add(1);
-        let before = grant.last_piece.replace(now);
+        holder.pieces = holder.pieces.saturating_add(1);
+        let before = holder.last_piece.replace(now);
         match before {
             None => {
-                let took = now.saturating_duration_since(grant.since);
+                let took = now.saturating_duration_since(holder.since);
                 self.estimator
-                    .record_first(now, &grant.request.cost_factors(), took);
+                    .record_first(now, &holder.request.cost_factors(), took);
             }
             Some(before) if tokens > 0 => {
                 let gap = now.saturating_duration_since(before);
@@ -298,39 +306,41 @@
         }
     }
 
-    /// Notes that pieces of a run have left the sidecar.
+    /// Records that pieces of a run have left the sidecar, so that it cannot
+    /// be preempted any more.
     pub fn mark_delivered(&mut self, ticket: Ticket) {
-        if let Some(grant) = self.slots.running_mut(ticket) {
-            grant.delivered = true;
+        if let Some(holder) = self.slots.running_mut(ticket) {
+            holder.delivered = true;
         }
     }
 
-    /// Ends a run and gives its slot back. Only a `whole` answer teaches how
-    /// long one takes.
+    /// Ends a run and frees its slot. Only complete answers (`whole`) update
+    /// the service-time estimates.
     pub fn finish(&mut self, now: Instant, ticket: Ticket, whole: bool) {
-        let Some(grant) = self.slots.release_running(ticket) else {
+        let Some(holder) = self.slots.release_running(ticket) else {
             return;
         };
         if whole {
-            let took = now.saturating_duration_since(grant.since);
+            let took = now.saturating_duration_since(holder.since);
             self.estimator
-                .record_end(now, &grant.request.cost_factors(), took);
-        } else if grant.stopping {
+                .record_end(now, &holder.request.cost_factors(), took);
+        } else if holder.stopping {
             self.preempted_slots += 1;
         }
     }
 
-    /// Chooses a run to stop for the top tier, when a request of it would
-    /// miss its target before a slot falls free. The caller stops the run and
-    /// then calls [`Self::finish`]. One at a time, as each frees a slot.
+    /// Chooses a run to preempt when a request of the top tier would otherwise
+    /// miss its target before a slot becomes free. The caller stops the run
+    /// and then calls [`Self::finish`]. Only one run is stopped at a time, as
+    /// each frees a slot.
     pub fn preempt(&mut self, now: Instant) -> Option<Ticket> {
         let full = self.settings.policy != QueuePolicy::Fifo && self.settings.preempt;
         let top = self.top_waiting_tier()?;
         if !full || self.headroom.top_tier(now) != Some(top) || self.slots.free() > 0 {
             return None;
         }
-        let first = self.tiers.get(&top)?.earliest()?;
-        let latest = self.requests.get(&first.seq)?.latest_start;
+        let earliest = self.tiers.get(&top)?.earliest()?;
+        let latest = self.requests.get(&earliest.seq)?.latest_start;
         let service = self.mean_service_us(now).unwrap_or(0.0);
         let interval = service / self.slots.total().max(1) as f64;
         let lead = Duration::from_micros(interval as u64).max(MIN_PREEMPT_LEAD);
@@ -344,7 +354,7 @@
         Some(victim)
     }
 
-    /// How the queue stands, for a request that would come now.
+    /// The queue's state, as a request that arrives now would find it.
     #[must_use]
     pub fn status(&self, now: Instant) -> QueueStatus {
         let busy = self.slots.busy();
@@ -365,15 +375,15 @@
         }
     }
 
-    /// Expected time from a start to the first piece for a prompt, in
-    /// microseconds; 0 when nothing was seen.
+    /// Expected time from start to first piece for a prompt of this many
+    /// tokens, in microseconds; 0 before the first measurement.
     #[must_use]
     pub fn expected_first_us(&self, prompt: u32) -> u64 {
         self.estimator.expected_first_us(prompt)
     }
 
-    /// Estimated time until a waiting request gets a slot; zero when it does
-    /// not wait or nothing was seen.
+    /// Estimated time until a waiting request gets a slot; zero when it is not
+    /// waiting or nothing was measured yet.
     #[must_use]
     pub fn estimated_wait(&self, now: Instant, ticket: Ticket) -> Duration {
         let item = self
@@ -385,7 +395,7 @@
         wait.unwrap_or_default()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.requests.len()
@@ -397,14 +407,14 @@
         self.slots.busy()
     }
 
-    /// Slots kept free from the lower tiers now.
+    /// Number of free slots that are reserved for the top tier now.
     #[must_use]
     pub fn reserved_slots(&self, now: Instant) -> usize {
         self.withheld_slots(now, Tier(u8::MAX))
     }
 
-    /// Refuses the newcomer or pushes another out when the queue is full: the
-    /// lowest tier's latest deadline goes.
+    /// When the queue is full, evicts the request with the latest deadline in
+    /// the lowest tier; refuses the new request if it is that one itself.
     fn make_room(&mut self, tier: Tier, key: DeadlineKey) -> Option<Rejection> {
         if self.requests.len() < self.settings.limit.max(1) {
             return None;
@@ -421,7 +431,8 @@
     }
 
     /// The request of a tier that starts next: by fair share, unless the
-    /// earliest deadline cannot wait and its workspace has not run ahead.
+    /// earliest deadline is about to be missed and its workspace is not too
+    /// far ahead of its share.
     fn select_in_tier(&mut self, now: Instant, tier: Tier) -> Option<u64> {
         let service = self.mean_service_us(now).unwrap_or(0.0);
         let interval = service / self.slots.total().max(1) as f64;
@@ -436,20 +447,20 @@
         }
     }
 
-    /// The highest tier that waits.
+    /// The highest tier with waiting requests.
     fn top_waiting_tier(&self) -> Option<Tier> {
         let found = self.tiers.iter().find(|(_, b)| !b.is_empty());
         found.map(|(tier, _)| *tier)
     }
 
-    /// Slots that are free for a tier now.
+    /// Number of free slots that a tier may take now.
     fn available_slots(&self, now: Instant, tier: Tier) -> usize {
         self.slots
             .free()
             .saturating_sub(self.withheld_slots(now, tier))
     }
 
-    /// Slots that a tier must leave free now.
+    /// Number of free slots that a tier must leave to the top tier now.
     fn withheld_slots(&self, now: Instant, tier: Tier) -> usize {
         let Some(top) = self.headroom.top_tier(now) else {
             return 0;
@@ -458,7 +469,7 @@
             .withheld_slots(now, tier, self.slots.used_by_tier(top))
     }
 
-    /// Samples what the top tier needs.
+    /// Samples how many slots the top tier could use.
     fn sample_demand(&mut self, now: Instant) {
         let Some(top) = self.headroom.top_tier(now) else {
             return;
@@ -483,7 +494,7 @@
         self.requests.insert(seq, item);
     }
 
-    /// Takes a waiting request out, to start or not.
+    /// Removes a waiting request; `starts` tells whether it got a slot.
     fn dequeue(&mut self, seq: u64, starts: bool) -> Option<QueuedRequest> {
         let item = self.requests.remove(&seq)?;
         self.by_ticket.remove(&item.request.ticket);
@@ -498,9 +509,9 @@
         Some(item)
     }
 
-    fn evict(&mut self, seq: u64, verdict: Rejection) {
+    fn evict(&mut self, seq: u64, rejection: Rejection) {
         if let Some(item) = self.dequeue(seq, false) {
-            self.evicted.push((item.request.ticket, verdict));
+            self.evicted.push((item.request.ticket, rejection));
         }
     }
 }
--- a/crates/policy/src/queue/admission.rs
+++ b/crates/policy/src/queue/admission.rs
@@ -1,4 +1,5 @@
-//! Whether a request can meet its targets with what waits before it.
+//! Admission control: refuses and evicts requests that cannot meet their
+//! targets behind the requests queued ahead of them.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,37 +12,38 @@
 use super::item::{DeadlineKey, QueueRequest, QueuedRequest, Rejection};
 use super::settings::QueuePolicy;
 
-/// Shortest and longest time that a refused request is told to stay away.
+/// Minimum and maximum retry delay for requests that would miss a target.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_secs(30));
 
-/// What the waiting requests are told when the reason gives no better time.
+/// Retry delay of shed and expired requests, for which no better one is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A lower tier's class that has asked in vain this long is admitted against
-/// the estimate once: an estimate that keeps everyone out is never corrected.
+/// A lower-tier class that has had no start for this long is admitted once
+/// despite the estimate: an estimate that keeps every request out is never
+/// corrected.
 const PROBE_AFTER: Duration = Duration::from_secs(5);
 
-/// The smallest part of the slots that a tier is taken to have left.
+/// Minimum share of the slots assumed to be left to a tier by the tiers above
+/// it.
 const MIN_CAPACITY_LEFT: f64 = 0.02;
 
-/// Part of the waiting requests that one review looks at again.
+/// One review looks at the number of waiting requests divided by this.
 const REVIEW_DIVISOR: usize = 16;
 
-/// Least and largest number of waiting requests that one review looks at
-/// again; at half a microsecond each the largest takes well under 1% of a core
-/// at a review every 10 ms.
+/// Minimum and maximum number of waiting requests in one review. Each costs
+/// half a microsecond, so with a review every 10 ms the maximum takes well
+/// under 1% of a core.
 const REVIEW_RANGE: (usize, usize) = (16, 128);
 
 impl Queue {
-    /// Looks at waiting requests again and takes out those that cannot meet
-    /// their targets any more. Call it every few milliseconds; each waiting
-    /// request is looked at again within sixteen calls, in a queue of up to
-    /// two thousand. Also returns those shed
-    /// by [`Self::offer`] since the last call.
+    /// Re-estimates waiting requests and evicts those that can no longer meet
+    /// their targets. Call it every few milliseconds; each waiting request is
+    /// checked within 16 calls, in a queue of up to 2,000. Also returns the
+    /// requests shed by [`Self::offer`] since the last call.
     ///
-    /// A request that is given up gets its answer now and not at its
-    /// deadline, so that its caller has the time left to do something else.
+    /// An evicted request is answered at once instead of at its deadline,
+    /// which leaves its caller time to try elsewhere.
     pub fn review(&mut self, now: Instant) -> Vec<(Ticket, Rejection)> {
         self.sample_demand(now);
         self.evict_expired(now);
@@ -51,25 +53,25 @@
         std::mem::take(&mut self.evicted)
     }
 
-    /// Takes out requests that would be late if they started now.
+    /// Evicts requests that would be late even if they started now.
     fn evict_expired(&mut self, now: Instant) {
         while let Some((latest, seq)) = self.by_latest.first().copied() {
             if latest > now {
                 return;
             }
-            let verdict = self
+            let rejection = self
                 .requests
                 .get(&seq)
                 .map(|item| late_rejection(now, item));
             self.by_latest.pop_first();
-            if let Some(verdict) = verdict {
-                self.evict(seq, verdict);
+            if let Some(rejection) = rejection {
+                self.evict(seq, rejection);
             }
         }
     }
 
-    /// Estimates a part of the waiting requests again, in the order of their
-    /// deadlines: one taken out lets those behind it move up.
+    /// Re-estimates a part of the waiting requests in order of deadline, as
+    /// each eviction moves the later ones up.
     fn review_part(&mut self, now: Instant) {
         let part = (self.requests.len() / REVIEW_DIVISOR).clamp(REVIEW_RANGE.0, REVIEW_RANGE.1);
         let mut left = part.min(self.requests.len());
@@ -85,15 +87,15 @@
                 continue;
             }
             let (flow, bucket) = (Rc::clone(&item.flow), item.bucket);
-            let ask = item.request.clone();
-            if let Some(verdict) = self.predicted_miss(now, &ask, tier, &flow, bucket) {
-                self.evict(key.seq, verdict);
+            let request = item.request.clone();
+            if let Some(rejection) = self.predicted_miss(now, &request, tier, &flow, bucket) {
+                self.evict(key.seq, rejection);
             }
         }
     }
 
-    /// The waiting request after the one looked at last, in the order of
-    /// tiers and deadlines, and round again.
+    /// The waiting request after the last one reviewed, in order of tier and
+    /// deadline, wrapping around at the end.
     fn next_to_review(&mut self) -> Option<(Tier, DeadlineKey)> {
         let (tier, key) = match self.review_cursor {
             Some(at) => at,
@@ -124,47 +126,48 @@
         tiers.find_map(|(t, b)| Some((*t, b.earliest()?)))
     }
 
-    /// Refuses a request that would miss its targets; `None` lets it wait.
+    /// The rejection of a request that is predicted to miss a target; `None`
+    /// if it may wait.
     pub(super) fn predicted_miss(
         &mut self,
         now: Instant,
-        ask: &QueueRequest,
+        request: &QueueRequest,
         tier: Tier,
         flow: &Rc<str>,
         bucket: Bucket,
     ) -> Option<Rejection> {
-        let first = self.estimator.first_bound(now, &ask.cost_factors());
-        let whole = self.estimator.service_bound(now, &ask.cost_factors());
-        // With no equal or higher request before it the next slot is its own,
-        // and one may fall free sooner than estimated; a lower tier's request
-        // would then start in the time of one refused for want of a slot.
+        let first = self.estimator.first_bound(now, &request.cost_factors());
+        let whole = self.estimator.service_bound(now, &request.cost_factors());
+        // With no request of an equal or higher tier ahead it gets the next
+        // slot, which may become free sooner than estimated. Refusing it then
+        // could let a lower-tier request start in its place.
         let wait = match self.requests_ahead(now, tier, flow, bucket) {
             0 => None,
-            _ => self.slot_wait(now, tier, &ask.class, flow, bucket),
+            _ => self.slot_wait(now, tier, &request.class, flow, bucket),
         };
-        // Nothing was seen yet: let it wait and watch.
+        // Without measurements the request is admitted.
         let wait = wait.unwrap_or(Duration::ZERO);
 
         let late = |took: Option<Duration>, due: Instant| {
             let end = now + wait + took.unwrap_or(Duration::ZERO);
             end.saturating_duration_since(due)
         };
-        let over = late(first, ask.first_deadline).max(late(whole, ask.answer_deadline));
+        let over = late(first, request.first_deadline).max(late(whole, request.answer_deadline));
         (over > Duration::ZERO).then(|| Rejection {
             reason: Refusal::TargetUnreachable,
             retry_after: over.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1),
         })
     }
 
-    /// How many requests are expected to start before one.
+    /// Number of requests expected to start before a request.
     fn requests_ahead(&self, now: Instant, tier: Tier, flow: &Rc<str>, bucket: Bucket) -> usize {
         let own = self.tiers.get(&tier);
         let higher = self.tiers.range(..tier).map(|(_, b)| b.len());
         own.map_or(0, |t| t.count_ahead(now, flow, bucket)) + higher.sum::<usize>()
     }
 
-    /// Estimated time until a request gets a slot; `None` when no service was
-    /// seen yet and no slot is free.
+    /// Estimated time until a request gets a slot; `None` when no slot is free
+    /// and no service time was measured yet.
     pub(super) fn slot_wait(
         &self,
         now: Instant,
@@ -177,7 +180,7 @@
         let ahead = own.map_or(0, |t| t.count_ahead(now, flow, bucket));
         let mean = self.mean_service_us(now);
 
-        // What waits before it, as slot time.
+        // Slot time of the requests ahead.
         let higher = self.tiers.range(..tier).map(|(_, b)| b.total_cost());
         let mut work = higher.sum::<u64>() as f64;
         let free = self.available_slots(now, tier);
@@ -190,7 +193,7 @@
             .map_or(mean, |t| t.total_cost() as f64 / t.len() as f64);
         work += ahead as f64 * each - free as f64 * each;
 
-        // Higher tiers go on taking their part while it waits.
+        // Higher tiers keep using their share of the slots while it waits.
         let reserve = self.withheld_slots(now, tier);
         let slots = self.slots.total().saturating_sub(reserve).max(1) as f64;
         let above = self.usage.share_above(now, tier, self.slots.total());
@@ -205,8 +208,8 @@
         Some(Duration::from_micros(us as u64))
     }
 
-    /// Estimated time in microseconds until a lower tier's request gets a
-    /// start by the guaranteed share, if it has one.
+    /// Estimated time until the guaranteed share gives a lower tier's request
+    /// a start, in microseconds, if it applies.
     fn guaranteed_wait_us(&self, tier: Tier, class: &Rc<str>, interval: f64) -> Option<f64> {
         let top = self.top_waiting_tier().filter(|top| *top < tier)?;
         let share = self.guarantee.share();
@@ -220,41 +223,42 @@
         Some((missing / share + 1.0) * interval)
     }
 
-    /// Mean service time in microseconds. Nothing ends at a backend server
-    /// that hangs, so what its runs have taken so far counts as well.
+    /// Mean service time in microseconds. The age of the current runs counts
+    /// too, because a hung backend server finishes no requests.
     pub(super) fn mean_service_us(&self, now: Instant) -> Option<f64> {
         let seen = self.estimator.mean_service_us()? as f64;
         let age = self.slots.mean_age(now).as_secs_f64() * 1e6;
         Some(seen.max(age / 2.0))
     }
 
-    /// Whether a class that was kept out by estimates is let in once.
+    /// Whether a request of a class that estimates have kept out is admitted
+    /// as a probe.
     pub(super) fn should_probe(&self, now: Instant, tier: Tier, class: &Rc<str>) -> bool {
         let lower = self.headroom.top_tier(now).is_some_and(|top| tier > top);
         let none = self.guarantee.waiting(tier, class) == 0;
         lower && none && self.guarantee.unserved(now, tier, class) >= PROBE_AFTER
     }
 
-    /// Latest start with which a request's targets can be met.
-    pub(super) fn latest_start(&mut self, now: Instant, ask: &QueueRequest) -> Instant {
+    /// Latest start at which a request can still meet its targets.
+    pub(super) fn latest_start(&mut self, now: Instant, request: &QueueRequest) -> Instant {
         if self.settings.policy != QueuePolicy::Full {
-            return ask.first_deadline;
+            return request.first_deadline;
         }
         let first = self
             .estimator
-            .first_bound(now, &ask.cost_factors())
+            .first_bound(now, &request.cost_factors())
             .unwrap_or_default();
         let whole = self
             .estimator
-            .service_bound(now, &ask.cost_factors())
+            .service_bound(now, &request.cost_factors())
             .unwrap_or_default();
-        let by_first = ask.first_deadline.checked_sub(first).unwrap_or(now);
-        let by_whole = ask.answer_deadline.checked_sub(whole).unwrap_or(now);
+        let by_first = request.first_deadline.checked_sub(first).unwrap_or(now);
+        let by_whole = request.answer_deadline.checked_sub(whole).unwrap_or(now);
         by_first.min(by_whole)
     }
 }
 
-/// What a request is told that was shed.
+/// The rejection of a shed request.
 pub(super) fn shed_rejection() -> Rejection {
     Rejection {
         reason: Refusal::Shed,
@@ -262,7 +266,7 @@
     }
 }
 
-/// What a request is told whose latest start has passed.
+/// The rejection of a request whose latest start has passed.
 fn late_rejection(now: Instant, item: &QueuedRequest) -> Rejection {
     let expired = item.request.first_deadline <= now;
     Rejection {
--- a/crates/policy/src/queue/backlog.rs
+++ b/crates/policy/src/queue/backlog.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of one tier.
+//! Fair queueing of the waiting requests of one tier.
 
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Bound;
@@ -8,34 +8,35 @@
 use super::deadline_counts::{Bucket, DeadlineCounts};
 use super::item::{DeadlineKey, QueuedRequest};
 
-/// How far, in microseconds of slot time at weight 1, a workspace may run
-/// ahead of its fair share because its deadlines are near.
+/// Slot time at weight 1, in microseconds, by which a workspace may run ahead
+/// of its fair share because its deadlines are near.
 pub(super) const MAX_LEAD_US: u64 = 1_000_000;
 
-/// The waiting requests of one tier: fair between workspaces by start-time
-/// fair queueing, and earliest deadline first within a workspace.
+/// The waiting requests of one tier: start-time fair queueing between
+/// workspaces, earliest deadline first within a workspace.
 ///
-/// Each workspace has a tag: the slot time given to it so far, over its
-/// weight. The smallest tag goes next. A workspace that comes anew starts at
-/// the tier's virtual time, so that it neither saves up for time in which it
-/// asked for nothing nor owes any.
+/// Each workspace has a tag: the slot time given to it so far, divided by its
+/// weight. The workspace with the smallest tag is next. A workspace that
+/// becomes active starts at the tier's virtual time, so that idle time earns
+/// it neither credit nor debt.
 #[derive(Debug)]
 pub(super) struct Backlog {
-    /// Workspaces by name: those that wait, and those ahead of their share.
+    /// Workspaces by name: those with waiting requests, and idle ones ahead of
+    /// their share.
     flows: HashMap<Rc<str>, Flow>,
-    /// Workspaces that wait, by tag.
+    /// Workspaces with waiting requests, ordered by tag.
     by_tag: BTreeSet<(u64, Rc<str>)>,
-    /// Workspaces that do not wait but are ahead of their share, by tag.
+    /// Idle workspaces that are ahead of their share, ordered by tag.
     idle_by_tag: BTreeSet<(u64, Rc<str>)>,
-    /// All requests by deadline.
+    /// All waiting requests in order of deadline.
     by_deadline: BTreeSet<DeadlineKey>,
-    /// The tag of the workspace that was picked last for its share.
+    /// The tag of the workspace last chosen by fair share.
     virtual_time: u64,
-    /// Sum of the weights of workspaces that wait.
+    /// Sum of the weights of workspaces with waiting requests.
     total_weight: u64,
-    /// Sum of the slot time that waiting requests are expected to take.
+    /// Expected slot time of all waiting requests, in microseconds.
     total_cost: u64,
-    /// Counts of deadlines.
+    /// Number of waiting requests by deadline.
     deadline_counts: DeadlineCounts,
 }
 
@@ -69,12 +70,12 @@
         self.by_deadline.is_empty()
     }
 
-    /// Slot time that the waiting requests are expected to take.
+    /// Expected slot time of all waiting requests, in microseconds.
     pub(super) fn total_cost(&self) -> u64 {
         self.total_cost
     }
 
-    /// The bucket in which a deadline counts.
+    /// The bucket in which a deadline is counted.
     pub(super) fn bucket(&self, now: Instant, due: Instant) -> Bucket {
         self.deadline_counts.bucket(now, due)
     }
@@ -104,7 +105,7 @@
         flow.waiting.insert(item.key);
     }
 
-    /// Takes a request out that does not start.
+    /// Removes a request that does not start.
     pub(super) fn remove(&mut self, item: &QueuedRequest) {
         self.by_deadline.remove(&item.key);
         self.total_cost -= item.cost_us.min(self.total_cost);
@@ -118,23 +119,24 @@
         }
     }
 
-    /// Takes a request out that starts, and charges its workspace.
+    /// Removes a request that starts, and charges its workspace.
     pub(super) fn dequeue(&mut self, item: &QueuedRequest) {
-        // The virtual time follows the smallest tag; a start out of turn must
-        // not move it, or those passed over would lose their claim.
+        // The virtual time follows the smallest tag. An out-of-order start
+        // must not advance it, otherwise the workspaces passed over would lose
+        // their turn.
         if let Some((tag, _)) = self.by_tag.first() {
             self.virtual_time = self.virtual_time.max(*tag);
         }
         if let Some(flow) = self.flows.get_mut(&item.flow) {
             self.by_tag.remove(&(flow.tag, Rc::clone(&item.flow)));
-            flow.tag += charge(item.cost_us, flow.weight);
+            flow.tag += tag_increment(item.cost_us, flow.weight);
             self.by_tag.insert((flow.tag, Rc::clone(&item.flow)));
         }
         self.remove(item);
         self.forget_idle();
     }
 
-    /// Gives a workspace back what a start was charged that did not happen.
+    /// Refunds a workspace for a start that did not happen.
     pub(super) fn refund(&mut self, name: &Rc<str>, cost: u64) {
         let Some(flow) = self.flows.get_mut(name) else {
             return;
@@ -144,12 +146,12 @@
             false => &mut self.by_tag,
         };
         order.remove(&(flow.tag, Rc::clone(name)));
-        let back = charge(cost, flow.weight);
+        let back = tag_increment(cost, flow.weight);
         flow.tag = flow.tag.saturating_sub(back).max(self.virtual_time);
         order.insert((flow.tag, Rc::clone(name)));
     }
 
-    /// The request that starts next by the fair share.
+    /// The request that is next by fair share.
     pub(super) fn next_by_share(&self) -> Option<DeadlineKey> {
         let (_, name) = self.by_tag.first()?;
         self.flows.get(name)?.waiting.first().copied()
@@ -171,7 +173,7 @@
         self.by_deadline.range(range).next().copied()
     }
 
-    /// Whether a workspace may go out of turn for its deadline.
+    /// Whether a workspace may start out of order to meet a deadline.
     pub(super) fn may_overtake(&self, name: &Rc<str>) -> bool {
         let ahead = |f: &Flow| f.tag.saturating_sub(self.virtual_time);
         self.flows
@@ -179,21 +181,21 @@
             .is_some_and(|f| ahead(f) <= MAX_LEAD_US / f.weight)
     }
 
-    /// How many of the tier's requests are expected to start before one: no
-    /// more than are due before `bucket`, and no more than the fair share lets pass
-    /// while its own workspace's earlier ones start.
+    /// Number of the tier's requests expected to start before a request: at
+    /// most those due before `bucket`, and at most those that fair queueing
+    /// starts while the workspace's own earlier requests do.
     pub(super) fn count_ahead(&self, now: Instant, flow: &Rc<str>, bucket: Bucket) -> usize {
         let due = self.deadline_counts.count_before(now, bucket);
         let Some(own) = self.flows.get(flow).filter(|f| !f.waiting.is_empty()) else {
-            // A workspace that waits for nothing yet goes after one request
-            // of each other one at the most.
+            // A workspace without waiting requests goes after at most one
+            // request of each other workspace.
             return due.min(self.by_tag.len());
         };
         let share = own.waiting.len() as u64 * self.total_weight / own.weight;
         due.min(usize::try_from(share).unwrap_or(usize::MAX))
     }
 
-    /// Moves a workspace that waits no more to those at rest.
+    /// Marks a workspace without waiting requests as idle.
     fn mark_idle(&mut self, name: &Rc<str>) {
         let Some(flow) = self.flows.get(name) else {
             return;
@@ -204,8 +206,9 @@
         self.forget_idle();
     }
 
-    /// Forgets workspaces at rest that are not ahead of their share any more:
-    /// coming back they start where a new one does. That bounds the memory.
+    /// Removes idle workspaces that are no longer ahead of their share, which
+    /// bounds the memory: on return they start at the virtual time like a new
+    /// one.
     fn forget_idle(&mut self) {
         let all = self.by_deadline.is_empty();
         while let Some((tag, _)) = self.idle_by_tag.first() {
@@ -219,7 +222,7 @@
     }
 }
 
-/// What a start adds to the tag of a workspace.
-fn charge(cost: u64, weight: u64) -> u64 {
+/// The amount that a start adds to its workspace's tag.
+fn tag_increment(cost: u64, weight: u64) -> u64 {
     (cost.max(1) / weight).max(1)
 }
--- a/crates/policy/src/queue/deadline_counts.rs
+++ b/crates/policy/src/queue/deadline_counts.rs
@@ -1,28 +1,28 @@
-//! Counting how many waiting requests are due before a given one.
+//! Counts how many waiting requests are due before a given one.
 
 use std::time::{Duration, Instant};
 
-/// Deadlines within one bucket count as equal.
+/// Width of a bucket; deadlines within one bucket count as equal.
 const BUCKET_WIDTH: Duration = Duration::from_millis(32);
 
-/// Buckets in all; about 30 seconds.
+/// Number of buckets; they cover about 33 seconds.
 const BUCKETS: u64 = 1024;
 
-/// Buckets kept for deadlines that passed a moment ago.
+/// Buckets kept for deadlines that passed recently; about 1 second.
 const PAST_BUCKETS: u64 = 32;
 
-/// Counts deadlines in a ring of buckets, as a Fenwick tree: adding, taking
-/// out and counting take a number of steps logarithmic in the buckets.
-/// Deadlines beyond the ring count as the last bucket's.
+/// Counts of deadlines in a ring of buckets, kept as a Fenwick tree: adding,
+/// removing and counting take a number of steps logarithmic in the number of
+/// buckets. Deadlines beyond the ring are counted in the last bucket.
 #[derive(Debug)]
 pub(super) struct DeadlineCounts {
     /// Start of bucket 0.
     epoch: Instant,
-    /// The tree, one-based.
+    /// The Fenwick tree, with indexes from 1.
     tree: Vec<u32>,
 }
 
-/// Where a deadline was counted, for taking it out again.
+/// The bucket in which a deadline was counted, needed to remove it again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Bucket(u64);
 
@@ -41,17 +41,17 @@
         }
     }
 
-    /// Counts a deadline in.
+    /// Adds a deadline.
     pub(super) fn add(&mut self, bucket: Bucket) {
         self.update(bucket, |count| *count += 1);
     }
 
-    /// Takes a deadline out.
+    /// Removes a deadline.
     pub(super) fn remove(&mut self, bucket: Bucket) {
         self.update(bucket, |count| *count = count.saturating_sub(1));
     }
 
-    /// How many deadlines stand in earlier buckets.
+    /// Number of deadlines in earlier buckets.
     pub(super) fn count_before(&self, now: Instant, bucket: Bucket) -> usize {
         let first = self.first(now);
         if bucket.0 <= first {
@@ -68,7 +68,7 @@
         count as usize
     }
 
-    /// The bucket in which a deadline counts.
+    /// The bucket in which a deadline is counted.
     pub(super) fn bucket(&self, now: Instant, due: Instant) -> Bucket {
         let first = self.first(now);
         let wanted = self.bucket_number(due);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sum of the ring's first `end` places.
+    /// Sum of the first `end` positions of the ring.
     fn prefix_sum(&self, end: u64) -> u32 {
         let (mut i, mut sum) = (end, 0);
         while i > 0 {
--- a/crates/policy/src/queue/guarantee.rs
+++ b/crates/policy/src/queue/guarantee.rs
@@ -1,4 +1,4 @@
-//! The share of starts that lower tiers get while higher ones wait.
+//! The share of starts guaranteed to lower tiers while higher ones wait.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -6,40 +6,41 @@
 
 use base::ids::Tier;
 
-/// Classes that wait for nothing are forgotten after this time.
+/// Classes with no waiting requests are removed after this time without an
+/// arrival or start.
 const CLASS_EXPIRY: Duration = Duration::from_secs(60);
 
-/// With more classes than this the forgotten ones are taken out.
+/// Number of classes above which unused ones are removed.
 const CLEANUP_THRESHOLD: usize = 32;
 
-/// A start is due when the credit has come to a whole one, but for rounding.
+/// Credit at which a start is due: 1, less a margin for rounding errors.
 const FULL_CREDIT: f64 = 1.0 - 1e-9;
 
-/// Counts the share of starts due to lower tiers and whose turn it is.
+/// Tracks the credit of the lower tiers and which class gets the next start.
+/// Every regular start earns `share`; a full credit buys one start out of
+/// order. The credit is capped at 1, so a higher tier is passed over at most
+/// once before it gets starts again.
 ///
-/// Each start earns the share; a whole credit buys one start out of order. It
-/// never grows beyond one, so that a higher tier is passed over once at the
-/// most before it gets starts again.
 #[derive(Debug)]
 pub(super) struct Guarantee {
-    /// What each start earns.
+    /// Credit earned by each regular start.
     share: f64,
-    /// What was earned and not spent.
+    /// Credit earned and not spent.
     credit: f64,
     /// Classes by tier and name.
     classes: BTreeMap<(Tier, Rc<str>), ClassState>,
 }
 
-/// One class's claim.
+/// The state of one class.
 #[derive(Debug)]
 struct ClassState {
-    /// Since when requests came and none started.
+    /// Time of the first arrival since the last start.
     unserved_since: Instant,
-    /// Whether any came since one started.
+    /// Whether a request arrived since the last start.
     unserved: bool,
-    /// When one came or started last.
+    /// Time of the last arrival or start.
     seen: Instant,
-    /// Waiting requests, in the order in which they came.
+    /// Sequence numbers of waiting requests, in order of arrival.
     waiting: BTreeSet<u64>,
 }
 
@@ -60,17 +61,17 @@
         self.share
     }
 
-    /// What was earned and not spent, up to 1.
+    /// Credit earned and not spent, at most 1.
     pub(super) fn credit(&self) -> f64 {
         self.credit
     }
 
-    /// Notes that a request of a class came, whether or not it is queued.
+    /// Records the arrival of a request, whether or not it is queued.
     pub(super) fn record_arrival(&mut self, now: Instant, tier: Tier, class: &Rc<str>) {
         if self.classes.len() > CLEANUP_THRESHOLD {
-            let lately = |c: &ClassState| now.saturating_duration_since(c.seen) < CLASS_EXPIRY;
+            let recent = |c: &ClassState| now.saturating_duration_since(c.seen) < CLASS_EXPIRY;
             self.classes
-                .retain(|_, c| !c.waiting.is_empty() || lately(c));
+                .retain(|_, c| !c.waiting.is_empty() || recent(c));
         }
         let entry = self.classes.entry((tier, Rc::clone(class)));
         let class = entry.or_insert_with(|| ClassState {
@@ -86,7 +87,7 @@
         class.seen = now;
     }
 
-    /// How long a class has asked in vain.
+    /// Time for which a class has had arrivals but no start.
     pub(super) fn unserved(&self, now: Instant, tier: Tier, class: &Rc<str>) -> Duration {
         let found = self.classes.get(&(tier, Rc::clone(class)));
         let found = found.filter(|c| c.unserved);
@@ -95,13 +96,13 @@
         })
     }
 
-    /// How many requests of a class wait.
+    /// Number of waiting requests of a class.
     pub(super) fn waiting(&self, tier: Tier, class: &Rc<str>) -> usize {
         let found = self.classes.get(&(tier, Rc::clone(class)));
         found.map_or(0, |c| c.waiting.len())
     }
 
-    /// How many classes below `top` wait.
+    /// Number of classes below tier `top` with waiting requests.
     pub(super) fn waiting_classes(&self, top: Tier) -> usize {
         let below = self.classes.iter().filter(|((tier, _), _)| *tier > top);
         below.filter(|(_, c)| !c.waiting.is_empty()).count()
@@ -119,10 +120,11 @@
         }
     }
 
-    /// The request that starts out of order now, if one is due: the oldest of
-    /// the class below `top` that has gone without a start longest. By class
-    /// and not by request, or a class with long targets, whose requests can
-    /// wait long, would take every turn of one with short targets.
+    /// The request that starts out of order now, if one is due: the oldest
+    /// request of the class below `top` that has gone longest without a start.
+    /// The choice is by class because a class with long targets, whose
+    /// requests can wait long, would otherwise take every turn from a class
+    /// with short targets.
     pub(super) fn next_out_of_turn(&self, top: Tier) -> Option<u64> {
         if self.credit < FULL_CREDIT {
             return None;
@@ -133,7 +135,7 @@
         class.waiting.first().copied()
     }
 
-    /// Notes a start of a class.
+    /// Records a start of a class.
     pub(super) fn record_start(&mut self, now: Instant, tier: Tier, class: &Rc<str>) {
         if let Some(class) = self.classes.get_mut(&(tier, Rc::clone(class))) {
             class.unserved_since = now;
@@ -142,24 +144,24 @@
         }
     }
 
-    /// Earns the share of one start.
+    /// Adds the credit of one regular start.
     pub(super) fn earn(&mut self) {
         self.credit = (self.credit + self.share).min(1.0);
     }
 
-    /// Takes back what was earned by a start that did not happen.
+    /// Takes back the credit of a regular start that did not happen.
     pub(super) fn unearn(&mut self) {
         self.credit = (self.credit - self.share).max(0.0);
     }
 
-    /// Spends a whole credit.
+    /// Spends a full credit.
     pub(super) fn spend(&mut self) {
         self.credit = (self.credit - 1.0).max(0.0);
     }
 
-    /// Gives back a credit that was spent on a start that did not happen, but
-    /// for one start's share: the higher tier has waited for the hold already
-    /// and gets a start before it is passed over again.
+    /// Refunds a credit spent on a start that did not happen, capped one
+    /// `share` below a full credit: the higher tier has already waited for
+    /// that hold and gets a start before it is passed over again.
     pub(super) fn unspend(&mut self) {
         self.credit = (self.credit + 1.0).min(1.0 - self.share);
     }
--- a/crates/policy/src/queue/headroom.rs
+++ b/crates/policy/src/queue/headroom.rs
@@ -1,4 +1,4 @@
-//! Slots kept free for the top tier.
+//! Slots reserved for the top tier.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,43 +8,43 @@
 use crate::estimate::averages::MovingAverage;
 use crate::estimate::histogram::WindowedHistogram;
 
-/// A tier that asked for nothing this long is not counted as the top one.
+/// A tier without a request for this long does not count as the top tier.
 const ACTIVE_PERIOD: Duration = Duration::from_secs(10);
 
-/// The need is looked up over the last one to two of these.
+/// The demand is measured over the last one to two of these periods.
 const HISTOGRAM_PERIOD: Duration = Duration::from_secs(5);
 
-/// How often the kept slots are worked out anew.
+/// Interval at which the number of reserved slots is recomputed.
 const RESIZE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Probability that a request of the top tier may find no slot in its time
-/// here. Its entry asks at two servers, so that it finds none at both far more
-/// rarely; and then a lower-tier run is stopped for it.
+/// Accepted probability that a top-tier request finds no slot in time at this
+/// server. Its entry asks two servers, so it rarely finds none at both; if it
+/// does, a lower-tier run is preempted for it.
 const MAX_MISS_RATE: f64 = 0.02;
 
-/// Sizes the slots kept free for the top tier.
+/// Sizes the slots reserved for the top tier.
 ///
-/// A request of the top tier waits too long only if the tier needs more slots
-/// than are kept and none of the others falls free in its time. Slots fall
-/// free at a rate of those in lower hands over the mean service time; where
-/// that is fast against the tier's slack, nothing has to stand idle.
+/// A top-tier request waits too long only if the tier needs more slots than
+/// are reserved and no other slot becomes free in time. The other slots become
+/// free at a rate of their number over the mean service time; where that is
+/// fast compared with the tier's slack, no slot has to stay idle.
 #[derive(Debug)]
 pub(super) struct Headroom {
-    /// Largest number of slots that may be kept.
+    /// Maximum number of reserved slots.
     max_reserved: usize,
-    /// Slots kept for the top tier, in use or free.
+    /// Slots reserved for the top tier, including those that it uses.
     reserved_slots: usize,
-    /// How many slots the top tier could have used, sampled over time. One
-    /// more than the need, as the histogram has no zero.
+    /// Samples of the number of slots that the top tier could have used. Each
+    /// is stored plus 1, as the histogram cannot hold 0.
     demand: WindowedHistogram,
-    /// Time that the top tier's requests could wait when they came, in
-    /// microseconds.
+    /// Moving average of the time that the top tier's requests could wait on
+    /// arrival, in microseconds.
     slack: MovingAverage,
-    /// The tier that `needs` and `slack` are about.
+    /// The tier that `demand` and `slack` were measured for.
     measured_tier: Tier,
-    /// When each tier asked last.
+    /// Time of each tier's last request.
     last_arrival: BTreeMap<Tier, Instant>,
-    /// When `kept` was worked out.
+    /// When `reserved_slots` was last computed.
     resized_at: Instant,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Notes that a tier asked for a slot and could wait for `slack`.
+    /// Records a request of a tier that could wait for `slack`.
     pub(super) fn record_arrival(&mut self, now: Instant, tier: Tier, slack: Duration) {
         self.last_arrival.insert(tier, now);
         if self.top_tier(now) != Some(tier) {
@@ -75,15 +75,15 @@
         self.slack.add(slack.as_secs_f64() * 1e6);
     }
 
-    /// The highest tier that asked lately.
+    /// The highest tier with a recent request.
     pub(super) fn top_tier(&self, now: Instant) -> Option<Tier> {
-        let lately = |at: &Instant| now.saturating_duration_since(*at) < ACTIVE_PERIOD;
-        let found = self.last_arrival.iter().find(|(_, at)| lately(at));
+        let recent = |at: &Instant| now.saturating_duration_since(*at) < ACTIVE_PERIOD;
+        let found = self.last_arrival.iter().find(|(_, at)| recent(at));
         found.map(|(tier, _)| *tier)
     }
 
-    /// Samples how many slots the top tier could use, and works the kept
-    /// slots out anew now and then. `service` is the mean service time.
+    /// Records how many slots the top tier could use (`need`), and recomputes
+    /// the reserved slots at intervals. `service` is the mean service time.
     pub(super) fn sample_demand(
         &mut self,
         now: Instant,
@@ -99,7 +99,8 @@
         self.reserved_slots = service.map_or(0, |service| self.required_slots(now, slots, service));
     }
 
-    /// The smallest number of slots that keeps misses rare enough.
+    /// The smallest number of reserved slots that keeps the miss probability
+    /// within [`MAX_MISS_RATE`].
     fn required_slots(&mut self, now: Instant, slots: usize, service: Duration) -> usize {
         let slack = self.slack.get().unwrap_or(0.0);
         let service = (service.as_secs_f64() * 1e6).max(1.0);
@@ -114,7 +115,8 @@
         self.max_reserved
     }
 
-    /// Slots that a tier must leave free, when the top tier uses `used`.
+    /// Number of free slots that `tier` must leave to the top tier, which uses
+    /// `used` slots.
     pub(super) fn withheld_slots(&self, now: Instant, tier: Tier, used: usize) -> usize {
         match self.top_tier(now) {
             Some(top) if tier > top && top == self.measured_tier => {
--- a/crates/policy/src/queue/item.rs
+++ b/crates/policy/src/queue/item.rs
@@ -1,4 +1,4 @@
-//! Requests as the queue holds them.
+//! Queued requests and the outcome of offering one.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -9,35 +9,35 @@
 use super::deadline_counts::Bucket;
 use crate::estimate::CostFactors;
 
-/// A request as the queue sees it.
+/// A request for a slot.
 #[derive(Debug, Clone)]
 pub struct QueueRequest {
-    /// The request.
+    /// The request's ticket.
     pub ticket: Ticket,
     /// Its class.
     pub class: Rc<str>,
-    /// Its workspace, for the fair share.
+    /// Its workspace, the unit of fair queueing.
     pub workspace: Rc<str>,
-    /// The workspace's weight.
+    /// The workspace's weight in the fair share.
     pub weight: u32,
-    /// Its tier.
+    /// Its tier; 0 is the highest.
     pub tier: Tier,
-    /// When the first piece is due.
+    /// Deadline of the first piece.
     pub first_deadline: Instant,
-    /// When the whole answer is due.
+    /// Deadline of the complete answer.
     pub answer_deadline: Instant,
-    /// Size of the prompt, in tokens.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u32,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How often it was preempted before.
+    /// Number of earlier preemptions.
     pub preemptions: u32,
 }
 
 impl QueueRequest {
-    /// The request, as far as it decides what the request will take.
+    /// The properties that predict the request's service time.
     #[must_use]
     pub fn cost_factors(&self) -> CostFactors<'_> {
         CostFactors {
@@ -49,31 +49,30 @@
     }
 }
 
-/// What became of an offered request.
+/// The outcome of offering a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It waits.
+    /// It was queued.
     Queued,
-    /// It is refused and did not run.
+    /// It was refused and did not run.
     Refused(Rejection),
 }
 
-/// Why a request is refused, and when asking again may help.
+/// Why a request was refused, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// The reason.
     pub reason: Refusal,
-    /// When asking again here may help.
+    /// Time after which a retry at this server may succeed.
     pub retry_after: Duration,
 }
 
-/// The place of a waiting request in the order of deadlines; equal deadlines
-/// go by arrival.
+/// Sort key of a waiting request: by deadline, then by arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DeadlineKey {
-    /// What the order goes by.
+    /// The deadline; the arrival time under the FIFO policy.
     pub(super) deadline: Instant,
-    /// Grows by one with each request offered.
+    /// Sequence number, in order of arrival.
     pub(super) seq: u64,
 }
 
@@ -84,14 +83,14 @@
     pub(super) key: DeadlineKey,
     /// The tier that it is queued in.
     pub(super) tier: Tier,
-    /// The flow that it is queued in.
+    /// The flow (workspace) that it is queued in.
     pub(super) flow: Rc<str>,
-    /// Slot time that it is expected to take, in microseconds.
+    /// Expected slot time, in microseconds.
     pub(super) cost_us: u64,
-    /// Latest start with which the targets can be met.
+    /// Latest start at which the targets can still be met.
     pub(super) latest_start: Instant,
-    /// Admitted against the estimate, so that its class is seen at all.
+    /// Admitted despite the estimate, to get a new measurement of its class.
     pub(super) probe: bool,
-    /// Where its deadline is counted.
+    /// The bucket in which its deadline is counted.
     pub(super) bucket: Bucket,
 }
--- a/crates/policy/src/queue/settings.rs
+++ b/crates/policy/src/queue/settings.rs
@@ -1,18 +1,18 @@
-//! What the operators set for a queue.
+//! Settings of a queue.
 
 use serde::{Deserialize, Serialize};
 
-/// How a queue decides.
+/// Scheduling policy of a queue.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QueuePolicy {
     /// Tiers, deadlines, fair shares, admission, headroom and preemption.
     #[default]
     Full,
-    /// The full policy, but requests that cannot meet their target wait until
-    /// it has passed.
+    /// Like `Full` but without admission control: requests that cannot meet
+    /// their target wait until their deadline has passed.
     NoAdmission,
-    /// First come, first served; tiers, workspaces and targets are ignored.
+    /// First in, first out; tiers, workspaces and targets are ignored.
     Fifo,
 }
 
@@ -20,20 +20,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QueueSettings {
-    /// How the queue decides.
+    /// Scheduling policy.
     pub policy: QueuePolicy,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub limit: usize,
-    /// Share of starts that goes to lower-tier work while higher-tier work
-    /// waits, between 0 and 0.5; a bundle's share goes before it.
+    /// Share of starts guaranteed to lower-tier requests while higher-tier
+    /// requests wait, between 0 and 0.5; a share in the bundle overrides it.
     pub guaranteed: f64,
     /// Probability with which an admitted request should meet its target,
     /// between 0 and 1.
     pub confidence: f64,
-    /// Largest share of the slots that is kept for the top tier, between 0
+    /// Maximum share of the slots that is reserved for the top tier, between 0
     /// and 1.
     pub headroom: f64,
-    /// Whether lower-tier runs may be stopped for the top tier.
+    /// Whether lower-tier runs may be preempted for the top tier.
     pub preempt: bool,
 }
 
--- a/crates/policy/src/queue/slots.rs
+++ b/crates/policy/src/queue/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of a backend server: who holds one and who runs.
+//! The slots of a backend server that are held or running.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -9,8 +9,8 @@
 
 use super::item::QueueRequest;
 
-/// Who holds a slot and who runs. The number of slots in use is the number of
-/// entries here, so that no interleaving of calls can leak one.
+/// Requests that hold a slot or run. The number of slots in use is the number
+/// of entries here, so no interleaving of calls can leak a slot.
 #[derive(Debug)]
 pub(super) struct Slots {
     total: usize,
@@ -18,8 +18,8 @@
     running: HashMap<Ticket, SlotHolder>,
     /// Slots in use by tier.
     tiers: BTreeMap<Tier, usize>,
-    /// Sum of the running requests' starts, as time since `epoch`, so that
-    /// their mean age needs no walk over them.
+    /// Sum of the running requests' start times, each relative to `epoch`, so
+    /// that their mean age is computed without iterating.
     start_sum: Duration,
     epoch: Instant,
 }
@@ -30,21 +30,21 @@
     pub(super) request: QueueRequest,
     /// The tier that it was queued in.
     pub(super) tier: Tier,
-    /// The flow that was charged.
+    /// The flow (workspace) that was charged for the slot.
     pub(super) flow: Rc<str>,
-    /// What the flow was charged.
+    /// Slot time that the flow was charged, in microseconds.
     pub(super) cost_us: u64,
-    /// Whether it was let go before a higher tier.
+    /// Whether the guaranteed share put it ahead of a higher tier.
     pub(super) guaranteed: bool,
-    /// When it got the slot, or started.
+    /// When it got the slot; once running, when it started.
     pub(super) since: Instant,
-    /// When its newest piece came.
+    /// When its latest piece was produced.
     pub(super) last_piece: Option<Instant>,
-    /// Pieces made.
+    /// Number of pieces produced.
     pub(super) pieces: u32,
     /// Whether any piece has left the sidecar.
     pub(super) delivered: bool,
-    /// Whether it was told to stop for a higher tier.
+    /// Whether it was chosen for preemption.
     pub(super) stopping: bool,
 }
 
@@ -76,12 +76,12 @@
         self.running.len()
     }
 
-    /// Slots in use by one tier.
+    /// Number of slots that a tier uses.
     pub(super) fn used_by_tier(&self, tier: Tier) -> usize {
         self.tiers.get(&tier).copied().unwrap_or(0)
     }
 
-    /// Mean time since the start of those that run.
+    /// Mean time since the start of the running requests.
     pub(super) fn mean_age(&self, now: Instant) -> Duration {
         let Ok(count) = u32::try_from(self.running.len()) else {
             return Duration::ZERO;
@@ -93,26 +93,26 @@
         now.saturating_sub(self.start_sum / count)
     }
 
-    pub(super) fn hold(&mut self, grant: SlotHolder) {
-        *self.tiers.entry(grant.tier).or_default() += 1;
-        self.held.insert(grant.request.ticket, grant);
+    pub(super) fn hold(&mut self, holder: SlotHolder) {
+        *self.tiers.entry(holder.tier).or_default() += 1;
+        self.held.insert(holder.request.ticket, holder);
     }
 
-    /// Gives the slot of a request back that holds it and has not started.
+    /// Frees the slot of a request that holds one and has not started.
     pub(super) fn release_held(&mut self, ticket: Ticket) -> Option<SlotHolder> {
-        let grant = self.held.remove(&ticket)?;
-        self.release_in_tier(grant.tier);
-        Some(grant)
+        let holder = self.held.remove(&ticket)?;
+        self.release_in_tier(holder.tier);
+        Some(holder)
     }
 
-    /// Turns a hold into a run.
+    /// Starts a request that holds a slot; false if it holds none.
     pub(super) fn start(&mut self, now: Instant, ticket: Ticket) -> bool {
-        let Some(mut grant) = self.held.remove(&ticket) else {
+        let Some(mut holder) = self.held.remove(&ticket) else {
             return false;
         };
-        grant.since = now;
+        holder.since = now;
         self.start_sum += now.saturating_duration_since(self.epoch);
-        self.running.insert(ticket, grant);
+        self.running.insert(ticket, holder);
         true
     }
 
@@ -120,30 +120,35 @@
         self.running.get_mut(&ticket)
     }
 
-    /// Gives the slot of a run back.
+    /// Frees the slot of a run.
     pub(super) fn release_running(&mut self, ticket: Ticket) -> Option<SlotHolder> {
-        let grant = self.running.remove(&ticket)?;
-        let start = grant.since.saturating_duration_since(self.epoch);
+        let holder = self.running.remove(&ticket)?;
+        let start = holder.since.saturating_duration_since(self.epoch);
         self.start_sum = self.start_sum.saturating_sub(start);
-        self.release_in_tier(grant.tier);
-        Some(grant)
+        self.release_in_tier(holder.tier);
+        Some(holder)
     }
 
-    /// Whether a run was told to stop and has not ended.
+    /// Whether a preempted run has not ended yet.
     pub(super) fn stopping(&self) -> bool {
         self.running.values().any(|g| g.stopping)
     }
 
-    /// The run to stop for a request of tier `above`: of the lowest tier, the
-    /// one with the least done. Only one whose caller has seen nothing, which
-    /// may run again, and which was not stopped before; so each ends.
+    /// The run to preempt for a request of tier `above`: in the lowest tier,
+    /// the one with the fewest pieces. Only runs that are repeatable, of which
+    /// the caller has seen nothing and which were never preempted qualify, so
+    /// every request eventually finishes.
     pub(super) fn preemption_victim(&self, above: Tier) -> Option<Ticket> {
-        let fit = |g: &&SlotHolder| {
-            let fresh = g.request.preemptions == 0 && !g.delivered && !g.stopping;
-            g.tier > above && g.request.repeatable && fresh
+        let eligible = |g: &&SlotHolder| {
+            let unaffected = g.request.preemptions == 0 && !g.delivered && !g.stopping;
+            g.tier > above && g.request.repeatable && unaffected
         };
-        let worst = |g: &&SlotHolder| (g.tier, Reverse(g.pieces), g.since, g.request.ticket);
-        let found = self.running.values().filter(fit).max_by_key(worst);
+        let preference = |g: &&SlotHolder| (g.tier, Reverse(g.pieces), g.since, g.request.ticket);
+        let found = self
+            .running
+            .values()
+            .filter(eligible)
+            .max_by_key(preference);
         found.map(|g| g.request.ticket)
     }
 
