--- a/crates/policy/benches/queue.rs
+++ b/crates/policy/benches/queue.rs
@@ -1,7 +1,8 @@
-//! What one decision of the queue costs, and how it grows with the queue.
+//! Measures the cost of the queue's operations and how it grows with the
+//! queue's length.
 //!
-//! A round is one offer, one review, one grant and its end, at a queue that
-//! stays about as long as the first column says; 64 workspaces, three tiers.
+//! A round is one offer, one review, one grant and its end, at a queue of
+//! about the length in the first column, with 64 workspaces and three tiers.
 
 use std::hint::black_box;
 use std::rc::Rc;
@@ -11,14 +12,14 @@
 use hdrhistogram::Histogram;
 use policy::queue::{Queue, QueuePolicy, QueueRequest, QueueSettings};
 
-/// Rounds measured at each length.
+/// Number of rounds at each length.
 const ROUNDS: u32 = 20_000;
 
-/// Slots of the backend server.
+/// Number of slots of the backend server.
 const SLOTS: usize = 8;
 
-/// Longest time that is told apart, in nanoseconds.
-const LONGEST: u64 = 1_000_000_000;
+/// Largest time recorded, in nanoseconds.
+const MAX_NS: u64 = 1_000_000_000;
 
 fn main() {
     println!("microseconds a call, median and 99th percentile");
@@ -28,7 +29,7 @@
     );
     for queued in [10, 100, 1_000, 10_000] {
         let times = measure(queued);
-        let shown = times.map(|t| shown(&t));
+        let shown = times.map(|t| format_times(&t));
         println!(
             "{queued:>8} {:>16} {:>16} {:>16} {:>16}",
             shown[0], shown[1], shown[2], shown[3]
@@ -36,29 +37,30 @@
     }
 }
 
-/// Times of an offer, a review, a grant and an end.
+/// Durations of offers, reviews, grants and ends, in nanoseconds.
 fn measure(queued: u32) -> [Histogram<u64>; 4] {
-    // Time passes here by hand, so that the queue stays as long as it is.
+    // The clock is simulated, so that no request expires and the queue keeps
+    // its length.
     let mut now = Instant::now();
-    let rules = QueueSettings {
+    let settings = QueueSettings {
         policy: QueuePolicy::Full,
         limit: usize::MAX,
         ..QueueSettings::default()
     };
-    let mut queue = Queue::new(rules, SLOTS, now);
-    learn(&mut queue, &mut now);
+    let mut queue = Queue::new(settings, SLOTS, now);
+    warm_up(&mut queue, &mut now);
     let mut ticket = 0;
     while queue.waiting() < queued as usize {
         ticket += 1;
-        queue.offer(now, ask(ticket, now));
+        queue.offer(now, request(ticket, now));
     }
 
     let mut times = [0; 4].map(|_| histogram());
     for _ in 0..ROUNDS {
         ticket += 1;
         now += Duration::from_micros(20);
-        let ask = ask(ticket, now);
-        timed(&mut times[0], || black_box(queue.offer(now, ask)));
+        let request = request(ticket, now);
+        timed(&mut times[0], || black_box(queue.offer(now, request)));
         timed(&mut times[1], || black_box(queue.review(now)));
         let Some(granted) = timed(&mut times[2], || black_box(queue.grant_next(now))) else {
             continue;
@@ -70,10 +72,10 @@
     times
 }
 
-/// Has the queue see some service, so that it estimates.
-fn learn(queue: &mut Queue, now: &mut Instant) {
+/// Runs some requests, so that the queue has estimates.
+fn warm_up(queue: &mut Queue, now: &mut Instant) {
     for ticket in 0..300 {
-        queue.offer(*now, ask(u32::MAX - ticket, *now));
+        queue.offer(*now, request(u32::MAX - ticket, *now));
         let Some(granted) = queue.grant_next(*now) else {
             continue;
         };
@@ -85,8 +87,8 @@
     }
 }
 
-fn ask(ticket: u32, now: Instant) -> QueueRequest {
-    // Spread without order over workspaces, tiers and deadlines.
+fn request(ticket: u32, now: Instant) -> QueueRequest {
+    // Spread pseudo-randomly over workspaces, tiers and deadlines.
     let mixed = ticket.wrapping_mul(2_654_435_761);
     let target = Duration::from_secs(600) + Duration::from_micros(u64::from(mixed >> 8));
     QueueRequest {
@@ -105,18 +107,18 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, 3).expect("the bounds are constants")
+    Histogram::new_with_bounds(1, MAX_NS, 3).expect("the constant histogram bounds are valid")
 }
 
 fn timed<T>(times: &mut Histogram<u64>, call: impl FnOnce() -> T) -> T {
-    let began = Instant::now();
+    let start = Instant::now();
     let result = call();
-    let ns = u64::try_from(began.elapsed().as_nanos()).unwrap_or(LONGEST);
+    let ns = u64::try_from(start.elapsed().as_nanos()).unwrap_or(MAX_NS);
     times.saturating_record(ns.max(1));
     result
 }
 
-fn shown(times: &Histogram<u64>) -> String {
+fn format_times(times: &Histogram<u64>) -> String {
     let us = |q| times.value_at_quantile(q) as f64 / 1000.0;
     format!("{:.2} / {:.2}", us(0.5), us(0.99))
 }
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -1,18 +1,19 @@
-//! How long to wait before asking a rate-limited service again.
+//! Exponential backoff before asking a rate-limited service again.
 
 use std::time::Duration;
 
-/// The longest of the doubled waits.
+/// Maximum of the exponential delay.
 const MAX_DELAY: Duration = Duration::from_secs(30);
 
-/// The wait before attempt number `attempt`, counted from 1; `drawn` is a
-/// random number between 0 and 1.
+/// The delay before attempt number `attempt`, counted from 1; `random` is a
+/// uniform random number between 0 and 1.
 ///
-/// Many sidecars ask for the same new version at once. The whole wait is
-/// random, so that they spread out and none is favoured; what the service
-/// told (`after`) is added in front, since asking earlier is in vain.
+/// Many sidecars ask for the same new version at once. The whole delay is
+/// random (full jitter), so that their requests spread out evenly. The retry
+/// delay given by the service (`retry_after`) is added to it, since asking earlier
+/// would be refused.
 #[must_use]
-pub fn delay(attempt: u32, first: Duration, after: Duration, drawn: f64) -> Duration {
-    let doubled = first.saturating_mul(2_u32.saturating_pow(attempt.saturating_sub(1).min(16)));
-    after + doubled.min(MAX_DELAY).mul_f64(drawn.clamp(0.0, 1.0))
+pub fn delay(attempt: u32, base: Duration, retry_after: Duration, random: f64) -> Duration {
+    let exponential = base.saturating_mul(2_u32.saturating_pow(attempt.saturating_sub(1).min(16)));
+    retry_after + exponential.min(MAX_DELAY).mul_f64(random.clamp(0.0, 1.0))
 }
--- a/crates/policy/src/estimate/averages.rs
+++ b/crates/policy/src/estimate/averages.rs
@@ -1,21 +1,23 @@
-//! What is learned without a histogram: means and the cost of a prompt.
+//! Exponentially weighted averages and a linear fit.
 
-/// Weight of a new value in a mean once there are enough of them.
+/// Weight of a new value in an average of 16 values or more; with fewer it is
+/// the plain mean.
 const MEAN_WEIGHT: f64 = 1.0 / 16.0;
 
 /// Weight of a new event in a share.
 const SHARE_WEIGHT: f64 = 1.0 / 128.0;
 
-/// What is left of the older samples' weight after each new one.
+/// Factor by which each new sample reduces the weight of the older ones.
 const FIT_DECAY: f64 = 0.99;
 
-/// Samples wanted before a slope is trusted.
+/// Minimum sum of sample weights for a slope.
 const FIT_MIN_SAMPLES: f64 = 8.0;
 
-/// The samples must spread at least this much for a slope.
+/// Minimum standard deviation of the x values, such as prompt lengths, for a
+/// slope.
 const FIT_MIN_SPREAD: f64 = 1.0;
 
-/// A mean in which newer values weigh more.
+/// An exponentially weighted moving average.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct MovingAverage {
     value: f64,
@@ -29,7 +31,7 @@
         self.value += (value - self.value) * weight;
     }
 
-    /// The mean; `None` before the first value.
+    /// The average; `None` before the first value.
     pub(crate) fn get(&self) -> Option<f64> {
         (self.count > 0).then_some(self.value)
     }
@@ -39,7 +41,7 @@
     }
 }
 
-/// A share of events in which newer ones weigh more; 1 before the first.
+/// An exponentially weighted share of events; 1 before the first event.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MovingShare(f64);
 
@@ -58,8 +60,8 @@
     }
 }
 
-/// Time to the first token as a straight line over the prompt's length, by
-/// least squares in which older samples weigh less.
+/// A least-squares line in which older samples weigh less: here the time to
+/// the first token over the prompt's length.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LinearFit {
     n: f64,
@@ -70,7 +72,8 @@
 }
 
 impl LinearFit {
-    /// Takes in that a prompt of `tokens` had its first token after `us`.
+    /// Records that a prompt of `tokens` had its first token after `us`
+    /// microseconds.
     pub(crate) fn add(&mut self, tokens: u32, us: f64) {
         let x = f64::from(tokens);
         for (sum, new) in [
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Expected time in microseconds; `None` before the first sample.
+    /// Predicted time in microseconds; `None` before the first sample.
     pub(crate) fn predict(&self, tokens: u32) -> Option<f64> {
         if self.n <= 0.0 {
             return None;
@@ -95,16 +98,16 @@
         Some((base + slope * f64::from(tokens)).max(1.0))
     }
 
-    /// Microseconds for each token of the prompt, never negative.
+    /// Slope in microseconds per token, never negative.
     pub(crate) fn slope(&self) -> f64 {
         if self.n <= 0.0 {
             return 0.0;
         }
-        let spread = self.xx / self.n - (self.x / self.n).powi(2);
-        if self.n < FIT_MIN_SAMPLES || spread < FIT_MIN_SPREAD * FIT_MIN_SPREAD {
+        let variance = self.xx / self.n - (self.x / self.n).powi(2);
+        if self.n < FIT_MIN_SAMPLES || variance < FIT_MIN_SPREAD * FIT_MIN_SPREAD {
             return 0.0;
         }
-        let joint = self.xy / self.n - self.x * self.y / (self.n * self.n);
-        (joint / spread).max(0.0)
+        let covariance = self.xy / self.n - self.x * self.y / (self.n * self.n);
+        (covariance / variance).max(0.0)
     }
 }
--- a/crates/policy/src/estimate/histogram.rs
+++ b/crates/policy/src/estimate/histogram.rs
@@ -1,41 +1,41 @@
-//! A histogram that forgets.
+//! Quantiles of recent values.
 
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
 
-/// Largest value that is told apart.
+/// Largest value that is recorded exactly; larger ones are clamped to it.
 const MAX_VALUE: u64 = 6_000_000;
 
-/// Two digits tell a quantile within a hundredth, far closer than outputs of
-/// unknown length repeat themselves.
+/// Precision of the values. Two digits give quantiles to within 1%, far finer
+/// than the variation of outputs of unknown length.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// A quantile is computed anew after this many records, as computing it goes
-/// over all buckets.
+/// Number of records after which a cached quantile is recomputed, as that
+/// iterates over all buckets.
 const REFRESH_RECORDS: u32 = 16;
 
-/// Below this many records the quantile is computed anew after each.
+/// With fewer values than this, the quantile is recomputed after every record.
 const ALWAYS_REFRESH_BELOW: u64 = 64;
 
 /// Quantiles of the values of the last one to two periods.
 ///
-/// Two histograms take every value; the one that is read started a period
-/// before the other. After each period the read one is emptied and they swap,
-/// so that old values go without a list of their times.
+/// Every value is recorded in two histograms; the one that is read started one
+/// period earlier. After each period the one that is read is cleared and the
+/// two are swapped, so old values expire without storing their times.
 #[derive(Debug, Clone)]
 pub(crate) struct WindowedHistogram {
     /// The histogram that is read.
     current: Histogram<u32>,
-    /// The histogram that is read next.
+    /// The histogram that is read after the next swap.
     upcoming: Histogram<u32>,
-    /// How long each lives before the swap.
+    /// Time between two swaps.
     period: Duration,
-    /// When they were swapped last.
+    /// Time of the last swap.
     rotated_at: Instant,
-    /// Records since the quantile was computed.
+    /// Number of records since the quantile was computed.
     since_refresh: u32,
-    /// The quantile and its value as computed last.
+    /// The last computed quantile and its value.
     cached_quantile: Option<(f64, u64)>,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes a value in.
+    /// Records a value.
     pub(crate) fn record(&mut self, now: Instant, value: u64) {
         self.rotate(now);
         self.current.saturating_record(value);
@@ -59,23 +59,23 @@
         self.since_refresh += 1;
     }
 
-    /// How many values are read.
+    /// Number of values that are read.
     pub(crate) fn count(&mut self, now: Instant) -> u64 {
         self.rotate(now);
         self.current.len()
     }
 
-    /// The value that a share `q` of the values does not exceed; 0 when there
-    /// are none.
+    /// The value that a share `q` of the values does not exceed; 0 without
+    /// values.
     pub(crate) fn quantile(&mut self, now: Instant, q: f64) -> u64 {
         self.rotate(now);
-        let stale = if self.current.len() < ALWAYS_REFRESH_BELOW {
+        let refresh_after = if self.current.len() < ALWAYS_REFRESH_BELOW {
             1
         } else {
             REFRESH_RECORDS
         };
         match self.cached_quantile {
-            Some((known, value)) if known == q && self.since_refresh < stale => value,
+            Some((known, value)) if known == q && self.since_refresh < refresh_after => value,
             _ => {
                 let value = self.current.value_at_quantile(q);
                 self.cached_quantile = Some((q, value));
@@ -101,7 +101,8 @@
         }
         self.current.reset();
         std::mem::swap(&mut self.current, &mut self.upcoming);
-        // Nobody asked for so long that the other one is out of date too.
+        // After two periods without a call the other histogram is outdated
+        // too.
         if passed >= self.period * 2 {
             self.current.reset();
         }
@@ -111,5 +112,6 @@
 }
 
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, MAX_VALUE, SIGNIFICANT_DIGITS).expect("the bounds are constants")
+    Histogram::new_with_bounds(1, MAX_VALUE, SIGNIFICANT_DIGITS)
+        .expect("the constant histogram bounds are valid")
 }
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -1,26 +1,27 @@
-//! Who may give orders to a backend server, by claims in the platform's log.
-//! See docs/DECISIONS/0403-orders-and-fencing.md.
+//! Leases on the right to give orders to a backend server, claimed by records
+//! in the platform's log. See docs/DECISIONS/0403-orders-and-fencing.md.
 
 use std::time::{Duration, Instant};
 
 use base::ids::Offset;
 
-/// One claim of a lease, as a record of the log.
+/// A claim of a lease, as a record in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseClaim<'a> {
-    /// The record's place.
+    /// The record's offset.
     pub offset: Offset,
-    /// When it was appended, by the log's own clock, in milliseconds.
+    /// When the log appended it, by the log's clock, in milliseconds.
     pub time_ms: u64,
-    /// Who claims.
+    /// The claiming holder.
     pub holder: &'a str,
-    /// For how long, in milliseconds.
+    /// Duration of the lease, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// The claim in force after all of `claims`, in the log's order. A claim
-/// counts when it renews its holder's own lease or comes after the one in
-/// force has lapsed, by the log's clock alone: every reader decides the same.
+/// The claim that holds the lease after all of `claims`, in log order. A claim
+/// takes effect when it renews its holder's own lease or comes after the
+/// current one has expired. Only the log's clock counts, so every reader
+/// reaches the same result.
 #[must_use]
 pub fn current_claim<'a>(
     claims: impl IntoIterator<Item = LeaseClaim<'a>>,
@@ -34,50 +35,51 @@
 }
 
 impl LeaseClaim<'_> {
-    /// When it lapses, by the log's own clock.
+    /// When it expires, by the log's clock, in milliseconds.
     #[must_use]
     pub fn expires_ms(&self) -> u64 {
         self.time_ms.saturating_add(self.ttl_ms)
     }
 }
 
-/// A lease as its holder believes in it, on its own monotonic clock.
+/// A lease as known to its holder, on the holder's monotonic clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
-    /// The number that goes with each order: the claim's offset.
+    /// The fencing token sent with each order: the claim's offset.
     pub fencing_token: Offset,
-    /// When it lapses.
+    /// When it expires.
     expires_at: Instant,
     /// When it should be renewed.
     renew_at: Instant,
 }
 
 impl Lease {
-    /// A lease whose claim was sent at `sent`. The log stamped it later than
-    /// that, so that counting from here lapses before anyone else may claim,
-    /// however long the reply took.
+    /// Makes a lease whose claim was sent at `sent`. The log stamps the claim
+    /// later than that, so a lease counted from `sent` expires before anyone
+    /// else may claim it, however long the reply took.
     #[must_use]
-    pub fn new(fence: Offset, sent: Instant, ttl: Duration) -> Self {
-        // The two clocks may run apart by a little.
-        let sure = ttl - ttl / 10;
+    pub fn new(fencing_token: Offset, sent: Instant, ttl: Duration) -> Self {
+        // Margin for clock drift between the holder and the log.
+        let safe_ttl = ttl - ttl / 10;
         Self {
-            fencing_token: fence,
-            expires_at: sent + sure,
+            fencing_token,
+            expires_at: sent + safe_ttl,
             renew_at: sent + ttl / 2,
         }
     }
 
-    /// The number for an order given at `now`; none once the lease lapsed.
+    /// The fencing token for an order given at `now`; `None` once the lease
+    /// has expired.
     ///
-    /// A holder that was paused still believes in its lease and would order
-    /// what its successor has undone. It must ask here after each wait and
-    /// right before each order.
+    /// A holder that was paused still believes that it holds the lease and
+    /// could undo its successor's orders. It must call this after every wait
+    /// and directly before every order.
     #[must_use]
     pub fn fencing_token(&self, now: Instant) -> Option<Offset> {
         (now < self.expires_at).then_some(self.fencing_token)
     }
 
-    /// Whether to renew it.
+    /// Whether the lease is due for renewal.
     #[must_use]
     pub fn needs_renewal(&self, now: Instant) -> bool {
         now >= self.renew_at
--- a/crates/policy/src/lengths.rs
+++ b/crates/policy/src/lengths.rs
@@ -1,22 +1,22 @@
-//! How long answers are, learned from those that ended. Nobody knows a length
-//! in advance; comparing two servers needs only a fair guess.
+//! Estimates the length of answers from those that completed. A length is
+//! unknown in advance, but a rough estimate is enough to compare two servers.
 
 use std::collections::HashMap;
 
-/// The guess for a class of which no answer has ended yet, in tokens.
+/// Assumed length of answers of a class without completed ones, in tokens.
 const DEFAULT_TOKENS: f64 = 128.0;
 
-/// Weight of one more answer in the mean.
+/// Weight of a new answer in the mean.
 const WEIGHT: f64 = 1.0 / 16.0;
 
-/// The mean length of answers by class, in tokens, newer ones weighing more.
+/// Moving average of the answer length by class, in tokens.
 #[derive(Debug, Default)]
 pub struct AnswerLengths {
     means: HashMap<String, f64>,
 }
 
 impl AnswerLengths {
-    /// Notes an answer that ended.
+    /// Records a completed answer.
     pub fn record(&mut self, class: &str, tokens: u32) {
         let tokens = f64::from(tokens);
         if let Some(mean) = self.means.get_mut(class) {
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -1,56 +1,56 @@
-//! How loaded and how fast a backend server is, as last seen.
+//! Load and latency of a backend server, as last reported.
 
 use std::time::{Duration, Instant};
 
-/// How fast a backend server makes answers. Zero means not observed yet.
+/// Token latencies of a backend server. Zero means not measured yet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TokenLatency {
-    /// From a start to the first token.
+    /// Time from start to first token.
     pub first_token: Duration,
-    /// Between two tokens of one answer.
+    /// Time between two tokens of one answer.
     pub per_token: Duration,
 }
 
 impl TokenLatency {
-    /// Expected time from a start to the end of an answer of `tokens`.
+    /// Expected time from start to end of an answer of `tokens`.
     #[must_use]
     pub fn completion_time(&self, tokens: u32) -> Duration {
         self.first_token + self.per_token.saturating_mul(tokens)
     }
 
-    /// Whether anything was observed.
+    /// Whether latencies were measured.
     #[must_use]
     pub fn is_measured(&self) -> bool {
         !self.per_token.is_zero()
     }
 }
 
-/// The load of a backend server as its sidecar told it.
+/// The load of a backend server as reported by its sidecar.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that it can run at once.
+    /// Number of requests that it can run at once.
     pub slots: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Estimated wait of a request that came now; zero when a slot is free.
+    /// Estimated wait of a request that arrives now; zero when a slot is free.
     pub wait: Duration,
-    /// Its recent pace.
+    /// Its recent token latencies.
     pub latency: TokenLatency,
-    /// Whether it takes nothing new any more.
+    /// Whether it is draining and takes no new requests.
     pub draining: bool,
 }
 
 impl Load {
-    /// Whether every slot is taken.
+    /// Whether every slot is taken or will be by a waiting request.
     #[must_use]
     pub fn full(&self) -> bool {
         self.running + self.waiting >= self.slots.max(1)
     }
 
-    /// Requests for each slot, counting one more. Zero for a server that was
-    /// not heard yet, so that it is tried.
+    /// Requests per slot, including the one to be placed. Zero for a server
+    /// without a report yet, so that it is tried.
     #[must_use]
     pub fn load_per_slot(&self) -> f64 {
         if self.slots == 0 {
@@ -60,21 +60,21 @@
     }
 }
 
-/// The load reports of one server: the newest, and the one that a router
-/// would know whose reports arrive with a lag.
+/// The load reports of one server: the newest one, and the one known to a
+/// router whose reports arrive with a simulated lag.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LoadReports {
-    /// The newest report and when it came.
+    /// The newest report and its time of arrival.
     newest: Option<(Instant, Load)>,
-    /// The report on its way, and when it was sent.
+    /// The report in transit and when it was sent.
     in_transit: Option<(Instant, Load)>,
-    /// The last report that arrived.
+    /// The last report that arrived after the lag.
     arrived: Load,
 }
 
 impl LoadReports {
-    /// Takes in a report. With a `lag`, reports are sent one after the other,
-    /// so what is known is between one and two lags old.
+    /// Records a report. With a `lag`, reports are sent one after the other,
+    /// so the known report is between one and two lags old.
     pub fn record(&mut self, now: Instant, load: Load, lag: Duration) {
         self.newest = Some((now, load));
         match self.in_transit {
@@ -87,19 +87,19 @@
         }
     }
 
-    /// The newest report; an idle server until there is one.
+    /// The newest report; the default (idle) load before the first.
     #[must_use]
     pub fn newest(&self) -> Load {
         self.newest.map_or_else(Load::default, |(_, load)| load)
     }
 
-    /// How old the newest report is.
+    /// Age of the newest report.
     #[must_use]
     pub fn newest_age(&self, now: Instant) -> Option<Duration> {
         self.newest.map(|(at, _)| now.saturating_duration_since(at))
     }
 
-    /// The report as known with a `lag`.
+    /// The report known to a router with a `lag`.
     #[must_use]
     pub fn lagged(&self, now: Instant, lag: Duration) -> Load {
         match self.in_transit {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -253,8 +253,7 @@
 
     /// Removes a request that waits or holds a slot without having started.
     /// `lapsed` means that its hold timed out: its turn then stays spent,
-    /// otherwise a workspace whose requests never start could take turn after
-    /// turn.
+    /// otherwise requests that never start could take turn after turn.
     pub fn cancel(&mut self, now: Instant, ticket: Ticket, lapsed: bool) -> bool {
         if let Some(seq) = self.by_ticket.get(&ticket).copied() {
             self.start_share.add(false);
@@ -401,7 +400,7 @@
         self.requests.len()
     }
 
-    /// Slots that are held or running.
+    /// Number of slots that are held or running.
     #[must_use]
     pub fn busy(&self) -> usize {
         self.slots.busy()
--- a/crates/policy/src/queue/admission.rs
+++ b/crates/policy/src/queue/admission.rs
@@ -194,8 +194,8 @@
         work += ahead as f64 * each - free as f64 * each;
 
         // Higher tiers keep using their share of the slots while it waits.
-        let reserve = self.withheld_slots(now, tier);
-        let slots = self.slots.total().saturating_sub(reserve).max(1) as f64;
+        let withheld = self.withheld_slots(now, tier);
+        let slots = self.slots.total().saturating_sub(withheld).max(1) as f64;
         let above = self.usage.share_above(now, tier, self.slots.total());
         let left = (1.0 - above).max(MIN_CAPACITY_LEFT);
         let work = work.max(0.0) * self.start_share.get();
--- a/crates/policy/src/urgency.rs
+++ b/crates/policy/src/urgency.rs
@@ -1,9 +1,10 @@
-//! On what terms a call asks the sidecars of engines for a place.
+//! The rank of a call and the limits on its expected latency, with which an
+//! entry asks the sidecars of engines to admit it.
 //!
-//! Load pattern: a burst lasts for seconds, callers who are turned away come
-//! back within it, and bring less time each. A call that can yet be in time
-//! goes before one that cannot, and nobody of a higher tier is turned away for
-//! being late. See docs/DECISIONS/0603-grants.md and
+//! Load pattern: a burst lasts for seconds, and refused callers retry within
+//! it, each time with less time left. A call that can still be on time goes
+//! before one that cannot, and no call of a higher tier is refused for being
+//! late. See docs/DECISIONS/0603-grants.md and
 //! docs/DECISIONS/0606-full-engines.md.
 
 use std::time::Duration;
@@ -12,30 +13,33 @@
 
 use crate::wait_estimate::FIRST_LOW_TIER;
 
-/// Ranks of routes within one tier: engines know ten ranks, and three tiers of
-/// each fit.
+/// Number of ranks within one tier: engines have ten ranks, which fit three
+/// tiers of three.
 const RANKS_PER_TIER: u8 = 3;
 
-/// Part of the route's timeout that the least patient of callers bring: what
-/// one waits is its own choice, and fresh calls come with less than the whole.
+/// Smallest fraction of the route's timeout that fresh callers bring: each
+/// caller chooses its own timeout, and even first attempts come with less than
+/// the full one.
 const MIN_TIMEOUT_SHARE: f64 = 0.85;
 
-/// Part of what is left of its target within which a call's first event must
-/// be expected. Nine of ten come within twice what was expected.
+/// Fraction of the time left to its target within which a call's first event
+/// must be expected. Nine of ten calls take at most twice the expected time.
 const TIMELY_SHARE: f64 = 0.5;
 
-/// The same part of its whole target for a call whose target has passed. It
-/// should be served while there is room, and not take the place of one that
-/// can yet be in time: where calls are turned away, queues stand above this.
+/// The same fraction, of the whole target, for a call whose target has passed.
+/// It should be served while there is capacity but not displace a call that
+/// can still be on time: where calls are refused, expected waits exceed this
+/// limit.
 const LATE_SHARE: f64 = 0.3;
 
-/// Part of its time left that a call of the tiers above the lowest may take.
+/// Fraction of its time left that the expected latency of a high-tier call may
+/// take.
 const HIGH_TIER_SHARE: f64 = 0.6;
 
 /// The rank of a call for engines; 0 is the most urgent. The tier of its
-/// workspace goes first, which is its route's where the workspace has none.
-/// Within it the route's decides, or an engine that runs out of memory could
-/// preempt a live stream for the bulk work of an equal workspace.
+/// workspace goes first, or the route's tier if the workspace has none. Within
+/// it the route's tier decides; otherwise an engine that runs out of memory
+/// could preempt a live stream for batch work of a workspace of equal tier.
 #[must_use]
 pub fn rank(workspace: Option<Tier>, route: Tier) -> u8 {
     let tier = workspace.unwrap_or(route);
@@ -43,47 +47,49 @@
     tier.0.saturating_mul(RANKS_PER_TIER).saturating_add(within)
 }
 
-/// A call, as far as its terms depend on it.
+/// The properties of a call that decide its limits.
 #[derive(Debug, Clone, Copy)]
 pub struct CallTiming {
     /// Its route's tier; 0 is the highest.
     pub tier: u8,
-    /// Time to the first event that callers of its route want.
+    /// Target time to the first event on its route.
     pub target: Duration,
-    /// How long its route keeps a caller waiting at the most.
+    /// Timeout of its route.
     pub timeout: Duration,
-    /// How long the caller said that it waits.
+    /// Timeout stated by the caller.
     pub caller_timeout: Option<Duration>,
-    /// Whether no server has had it, and its caller has nothing of it.
+    /// Whether it has been sent to no server and its caller has received
+    /// nothing.
     pub first_attempt: bool,
 }
 
 impl CallTiming {
-    /// Whether the caller has spent its target elsewhere before, as those do
-    /// who were turned away: its time is shorter than that of the least
-    /// patient by more than its target.
+    /// Whether the caller is probably retrying after a refusal: its timeout is
+    /// below the minimum that fresh callers bring by more than the target,
+    /// which the first attempt has used up.
     #[must_use]
     pub fn is_retry(&self) -> bool {
-        let least = self.timeout.mul_f64(MIN_TIMEOUT_SHARE);
-        self.caller_timeout.is_some_and(|p| p + self.target < least)
+        let shortest = self.timeout.mul_f64(MIN_TIMEOUT_SHARE);
+        self.caller_timeout
+            .is_some_and(|p| p + self.target < shortest)
     }
 
-    /// How long the first event may be expected to take for an engine to be
-    /// asked for a place, `age` after the call came and `left` before it is
-    /// given up.
+    /// Maximum expected time to the first event with which an engine may be
+    /// asked to admit the call, `age` after its arrival and `left` before it
+    /// is abandoned.
     #[must_use]
     pub fn latency_limit(&self, age: Duration, left: Duration) -> Duration {
         let target = self.target.saturating_sub(age);
-        let timely = self.first_attempt && !self.is_retry() && !target.is_zero();
-        let allowed = match timely {
+        let on_time = self.first_attempt && !self.is_retry() && !target.is_zero();
+        let allowed = match on_time {
             true => target.mul_f64(TIMELY_SHARE),
             false => self.target.mul_f64(LATE_SHARE),
         };
         allowed.min(left)
     }
 
-    /// Whether an engine has to take a reading call that every one has turned
-    /// away, the first event being `expected` at the soonest.
+    /// Whether an engine must admit a prefill call that all engines have
+    /// refused, when its first event takes at least `expected`.
     #[must_use]
     pub fn must_accept(&self, expected: Duration, left: Duration) -> bool {
         !self.first_attempt
--- a/crates/policy/src/wait_estimate.rs
+++ b/crates/policy/src/wait_estimate.rs
@@ -1,10 +1,11 @@
-//! How long a call would wait for its first event, and whether it should.
+//! Predicts how long a call waits for its first event, and refuses calls that
+//! would be late.
 //!
-//! Load pattern: prompts come faster than the engines read them, for as long
-//! as a burst lasts. Sent on all the same, they queue inside the engines;
-//! three quarters come late or are worked on until their callers give up, and
-//! the engines spend the burst on answers that nobody takes. Refused at once,
-//! the excess costs nothing, and the rest is on time. See
+//! Load pattern: during a burst, prompts arrive faster than the engines can
+//! prefill them. If all are sent, they queue inside the engines; three
+//! quarters are late or are processed until their callers give up, so the
+//! engines spend the burst on answers that nobody receives. If the excess is
+//! refused at once it costs no engine time, and the rest is on time. See
 //! docs/DECISIONS/0602-admission.md.
 
 use std::collections::HashMap;
@@ -13,82 +14,84 @@
 
 use crate::estimate::averages::LinearFit;
 
-/// Part of its target that a call of the lowest tiers may be expected to take.
-/// In a burst the queue stands at whatever is allowed; allowed more than the
-/// target, every call that is sent would be late (replayed: 58 of 273 in time
-/// at 1.2).
+/// Fraction of its target that the expected wait of a low-tier call may take.
+/// In a burst the queue grows to whatever is allowed; with more than the
+/// target, every call that is sent would be late (in a replay, 58 of 273 calls
+/// were on time at 1.2).
 const LOW_TIER_SHARE: f64 = 0.8;
 
-/// Part of its time left that a call of the tiers above may be expected to
-/// take. They go first inside the engine, so that the estimate, which counts
-/// all that waits, is too high for them; and no lower call gains by it. The
-/// same holds for a caller that was turned away before: turned away again it
-/// would have come back for nothing.
+/// Fraction of the time left that the expected wait of a high-tier call may
+/// take. Such calls go first inside the engine, so the estimate, which counts
+/// every waiting call, is too high for them; and refusing them would not help
+/// any low-tier call. The same limit applies to retries: a caller refused
+/// twice would have retried for nothing.
 const HIGH_TIER_SHARE: f64 = 0.6;
 
-/// The first of the lowest tiers.
+/// The highest of the low tiers.
 pub const FIRST_LOW_TIER: u8 = 2;
 
-/// The soonest return: a refused caller must not be back within the same
+/// Minimum retry delay: a refused caller must not return within the same
 /// moment of the burst.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Returns are spread over so many times the wait that was expected, or all
-/// who were refused together would come back together.
+/// Jitter of the retry delay, as a multiple of the expected wait; without it,
+/// callers refused together would return together.
 const RETRY_JITTER: f64 = 1.0;
 
-/// Part of a wait for servers over which those who are told of it are spread.
+/// Jitter of the wait for a server to become available, as a fraction of that
+/// wait.
 const WAIT_JITTER: f64 = 0.5;
 
-/// What is known about waiting at the engines of each service.
+/// Measured waits at the engines of each service.
 #[derive(Debug, Default)]
 pub struct WaitEstimator {
-    /// Time to the first event by the calls that waited before it, for each
-    /// service and rank: an engine takes the most urgent first, so that under
-    /// load the least urgent wait ten times as long as the mean.
+    /// Time to the first event over the number of calls waiting ahead, for
+    /// each service and rank. Ranks are separate because an engine takes the
+    /// most urgent calls first: under load the least urgent wait ten times the
+    /// mean.
     fits: HashMap<(Rc<str>, u8), LinearFit>,
 }
 
-/// What decides how long a call may wait.
+/// The properties of a call that limit its wait.
 #[derive(Debug, Clone, Copy)]
 pub struct CallDeadline {
     /// Its route's tier; 0 is the highest.
     pub tier: u8,
     /// Its rank for engines; 0 is the most urgent.
     pub rank: u8,
-    /// When its first event should be there.
+    /// Target time to its first event.
     pub target: Duration,
-    /// How long until it is given up.
+    /// Time until it is abandoned.
     pub left: Duration,
-    /// Whether the caller was turned away before.
+    /// Whether the caller retries after a refusal.
     pub is_retry: bool,
 }
 
-/// Whether a call should be sent on.
+/// Whether a call is sent on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It is expected in time.
+    /// The first event is expected in time.
     Send,
-    /// It would be late; the caller may come back after this time.
+    /// The first event would be late.
     Refuse {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
-        /// How long the first event would have taken.
+        /// Expected time to the first event.
         expected: Duration,
     },
 }
 
 impl WaitEstimator {
-    /// Notes that the first event of a call came after `took`, with `ahead`
-    /// calls waiting at the server when it was sent.
+    /// Records that the first event of a call arrived after `took`, with
+    /// `ahead` calls waiting at the server when it was sent.
     pub fn record(&mut self, service: &Rc<str>, rank: u8, ahead: u32, took: Duration) {
         let us = took.as_secs_f64() * 1e6;
         let key = (Rc::clone(service), rank);
         self.fits.entry(key).or_default().add(ahead, us);
     }
 
-    /// How long the first event of a call would take with `ahead` calls
-    /// waiting before it; zero before anything was seen.
+    /// Expected time to the first event of a call with `ahead` calls waiting
+    /// before it; zero before the first measurement.
     #[must_use]
     pub fn expected(&self, service: &Rc<str>, rank: u8, ahead: u32) -> Duration {
         let us = self.fits.get(&(Rc::clone(service), rank));
@@ -96,45 +99,45 @@
         Duration::from_secs_f64(us * 1e-6)
     }
 
-    /// Judges a call with `ahead` calls waiting before it. `drawn` is a number
-    /// drawn evenly from 0 to 1.
+    /// Decides whether to send a call with `ahead` calls waiting before it.
+    /// `random` is a uniform random number between 0 and 1.
     #[must_use]
     pub fn decide(
         &self,
         service: &Rc<str>,
-        claim: CallDeadline,
+        call: CallDeadline,
         ahead: u32,
-        drawn: f64,
+        random: f64,
     ) -> Decision {
-        let expected = self.expected(service, claim.rank, ahead);
-        let patient = claim.tier < FIRST_LOW_TIER || claim.is_retry;
-        let allowed = match patient {
-            true => claim.target.max(claim.left.mul_f64(HIGH_TIER_SHARE)),
-            false => claim.target.mul_f64(LOW_TIER_SHARE),
+        let expected = self.expected(service, call.rank, ahead);
+        let lenient = call.tier < FIRST_LOW_TIER || call.is_retry;
+        let allowed = match lenient {
+            true => call.target.max(call.left.mul_f64(HIGH_TIER_SHARE)),
+            false => call.target.mul_f64(LOW_TIER_SHARE),
         };
         if expected <= allowed {
             return Decision::Send;
         }
-        let after = retry_after(expected, allowed, drawn);
+        let retry_after = retry_after(expected, allowed, random);
         Decision::Refuse {
-            retry_after: after,
+            retry_after,
             expected,
         }
     }
 }
 
-/// When to come back for a call that is expected to take `expected` where
-/// `allowed` is fine. `drawn` is a number drawn evenly from 0 to 1.
+/// Retry delay of a call that is expected to take `expected` where `allowed`
+/// is acceptable. `random` is a uniform random number between 0 and 1.
 #[must_use]
-pub fn retry_after(expected: Duration, allowed: Duration, drawn: f64) -> Duration {
+pub fn retry_after(expected: Duration, allowed: Duration, random: f64) -> Duration {
     let excess = expected.saturating_sub(allowed);
-    MIN_RETRY_AFTER + excess + expected.mul_f64(RETRY_JITTER * drawn)
+    MIN_RETRY_AFTER + excess + expected.mul_f64(RETRY_JITTER * random)
 }
 
-/// When to come back for a call that no server takes for `wait`: callers who are
-/// all told the same moment would all come back in it. `drawn` as in
-/// [`retry_after`].
+/// Retry delay of a call that no server takes for `wait`, with jitter, as
+/// callers who are all told the same time would all return at once. `random`
+/// as in [`retry_after`].
 #[must_use]
-pub fn jitter(wait: Duration, drawn: f64) -> Duration {
-    wait.mul_f64(1.0 + WAIT_JITTER * drawn)
+pub fn jitter(wait: Duration, random: f64) -> Duration {
+    wait.mul_f64(1.0 + WAIT_JITTER * random)
 }
--- a/crates/policy/tests/queue_props.rs
+++ b/crates/policy/tests/queue_props.rs
@@ -1,5 +1,5 @@
-//! The queue's promises over random arrivals. The seeds are fixed, so every
-//! run sees the same ones.
+//! Property tests of the queue over random sequences of calls. The seeds are
+//! fixed, so that every run tests the same sequences.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 /// Slots of the backend server.
 const SLOTS: usize = 3;
 
-/// One thing that happens.
+/// One call or the passing of time.
 #[derive(Debug, Clone)]
 enum Step {
     Offer {
@@ -25,7 +25,8 @@
         target_ms: u32,
         repeatable: bool,
     },
-    /// Grants what can be granted and starts all but `unstarted` of it.
+    /// Grants every available slot and starts all but `unstarted` of the
+    /// requests.
     Next {
         unstarted: usize,
     },
@@ -79,29 +80,29 @@
     }
 }
 
-/// The real queue, and what a caller outside believes of it.
+/// The real queue, and the state that its caller expects.
 struct Model {
     queue: Queue,
     now: Instant,
-    last: u128,
-    asks: HashMap<Ticket, QueueRequest>,
+    last_ticket: u128,
+    requests: HashMap<Ticket, QueueRequest>,
     waiting: HashSet<Ticket>,
     held: Vec<Ticket>,
     running: Vec<Ticket>,
-    /// Higher-tier work passed over since a start in order.
+    /// Number of guaranteed starts since the last regular one.
     passed_over: u32,
     starts: u32,
     guaranteed: HashSet<Ticket>,
 }
 
 impl Model {
-    fn new(rules: QueueSettings) -> Self {
+    fn new(settings: QueueSettings) -> Self {
         let now = Instant::now();
         Self {
-            queue: Queue::new(rules, SLOTS, now),
+            queue: Queue::new(settings, SLOTS, now),
             now,
-            last: 0,
-            asks: HashMap::new(),
+            last_ticket: 0,
+            requests: HashMap::new(),
             waiting: HashSet::new(),
             held: Vec::new(),
             running: Vec::new(),
@@ -112,7 +113,7 @@
     }
 
     fn tier(&self, ticket: Ticket) -> Tier {
-        self.asks[&ticket].tier
+        self.requests[&ticket].tier
     }
 
     fn apply(&mut self, step: &Step) -> Result<(), TestCaseError> {
@@ -144,10 +145,10 @@
             }
             Step::Wait { ms } => self.now += ms * MS,
         }
-        let given_up = self.queue.review(self.now);
-        self.give_up(&given_up)?;
+        let evicted = self.queue.review(self.now);
+        self.apply_evicted(&evicted)?;
         self.preempt()?;
-        self.count()
+        self.check_counts()
     }
 
     fn offer(
@@ -157,9 +158,9 @@
         target_ms: u32,
         repeatable: bool,
     ) -> Result<(), TestCaseError> {
-        self.last += 1;
-        let ask = QueueRequest {
-            ticket: Ticket(self.last),
+        self.last_ticket += 1;
+        let request = QueueRequest {
+            ticket: Ticket(self.last_ticket),
             class: Rc::from(format!("class-{tier}")),
             workspace: Rc::from(format!("workspace-{workspace}")),
             weight: u32::from(workspace),
@@ -171,40 +172,38 @@
             repeatable,
             preemptions: u32::from(target_ms.is_multiple_of(7)),
         };
-        self.asks.insert(ask.ticket, ask.clone());
-        let (ticket, before) = (ask.ticket, self.waiting.clone());
-        match self.queue.offer(self.now, ask) {
+        self.requests.insert(request.ticket, request.clone());
+        let (ticket, others) = (request.ticket, self.waiting.clone());
+        match self.queue.offer(self.now, request) {
             Admission::Queued => {
                 self.waiting.insert(ticket);
             }
-            Admission::Refused(verdict) => self.refused(ticket, verdict, &before)?,
+            Admission::Refused(rejection) => self.check_refused(ticket, rejection, &others)?,
         }
         Ok(())
     }
 
-    /// A request that is refused for want of a slot has none of a lower tier
-    /// waiting behind it that stays, and one refused by estimate has work of
-    /// its own tier or a higher one before it, or is late in any case.
-    fn refused(
+    /// A request may only be shed when no lower-tier request waits.
+    fn check_refused(
         &self,
         ticket: Ticket,
-        verdict: Rejection,
+        rejection: Rejection,
         others: &HashSet<Ticket>,
     ) -> Result<(), TestCaseError> {
         let tier = self.tier(ticket);
-        if verdict.reason == Refusal::Shed {
+        if rejection.reason == Refusal::Shed {
             let lower = others.iter().any(|t| self.tier(*t) > tier);
             prop_assert!(!lower, "shed while a lower tier waits");
         }
         Ok(())
     }
 
-    fn give_up(&mut self, given_up: &[(Ticket, Rejection)]) -> Result<(), TestCaseError> {
-        for (ticket, _) in given_up {
-            prop_assert!(self.waiting.remove(ticket), "given up but not waiting");
+    fn apply_evicted(&mut self, evicted: &[(Ticket, Rejection)]) -> Result<(), TestCaseError> {
+        for (ticket, _) in evicted {
+            prop_assert!(self.waiting.remove(ticket), "evicted but not waiting");
         }
-        for (ticket, verdict) in given_up {
-            self.refused(*ticket, *verdict, &self.waiting)?;
+        for (ticket, rejection) in evicted {
+            self.check_refused(*ticket, *rejection, &self.waiting)?;
         }
         Ok(())
     }
@@ -219,7 +218,7 @@
                 true => {
                     self.passed_over += 1;
                     self.guaranteed.insert(ticket);
-                    prop_assert!(higher, "guaranteed without need");
+                    prop_assert!(higher, "guaranteed start although no higher tier waits");
                     prop_assert!(self.passed_over <= 1, "passed over twice in a row");
                 }
                 false => {
@@ -250,7 +249,7 @@
         };
         let known = self.waiting.remove(&ticket) || self.held.contains(&ticket);
         self.held.retain(|t| *t != ticket);
-        // Given back, it counts for nothing; one that lapsed keeps its turn.
+        // A cancelled start is refunded; one whose hold lapsed stays spent.
         if known && !lapsed {
             self.guaranteed.remove(&ticket);
         }
@@ -263,16 +262,20 @@
         let Some(victim) = self.queue.preempt(self.now) else {
             return Ok(());
         };
-        let ask = self.asks[&victim].clone();
+        let request = self.requests[&victim].clone();
         prop_assert!(self.running.contains(&victim));
-        prop_assert!(ask.repeatable && ask.preemptions == 0);
+        prop_assert!(request.repeatable && request.preemptions == 0);
         let wanted = self.waiting.iter().map(|t| self.tier(*t)).min();
-        prop_assert!(wanted.is_some_and(|t| t < ask.tier), "nothing higher waits");
+        prop_assert!(
+            wanted.is_some_and(|t| t < request.tier),
+            "nothing higher waits"
+        );
         self.finish(victim, false);
-        // The slot goes to the tier that it was taken for.
+        // The slot must go to the tier that it was preempted for.
         let granted = self.queue.grant_next(self.now);
-        let granted = granted.ok_or_else(|| TestCaseError::fail("stopped in vain"))?;
-        prop_assert!(granted.tier < ask.tier);
+        let granted = granted
+            .ok_or_else(|| TestCaseError::fail("no request was granted the preempted slot"))?;
+        prop_assert!(granted.tier < request.tier);
         self.waiting.remove(&granted.ticket);
         self.held.push(granted.ticket);
         self.passed_over = 0;
@@ -287,7 +290,7 @@
         self.queue.finish(self.now, ticket, whole);
     }
 
-    fn count(&self) -> Result<(), TestCaseError> {
+    fn check_counts(&self) -> Result<(), TestCaseError> {
         prop_assert_eq!(self.queue.busy(), self.held.len() + self.running.len());
         prop_assert!(self.queue.busy() <= SLOTS);
         prop_assert_eq!(self.queue.waiting(), self.waiting.len());
@@ -295,11 +298,11 @@
     }
 }
 
-fn nth(of: &[Ticket], which: usize) -> Option<Ticket> {
-    of.get(which % of.len().max(1)).copied()
+fn nth(tickets: &[Ticket], which: usize) -> Option<Ticket> {
+    tickets.get(which % tickets.len().max(1)).copied()
 }
 
-fn rules(policy: QueuePolicy) -> QueueSettings {
+fn settings(policy: QueuePolicy) -> QueueSettings {
     QueueSettings {
         policy,
         limit: 12,
@@ -308,25 +311,28 @@
     }
 }
 
-// Callers of all tiers come, leave, lapse and end in any order. No caller of
-// a higher tier is shed or stopped for a lower one, none of a lower tier goes
-// first but by its share, and no slot leaks.
+// Requests of all tiers arrive, are cancelled, lapse and end in any order. No
+// request is shed or preempted for one of a lower tier, lower tiers overtake
+// only within the guaranteed share, and no slot leaks.
 #[test]
 fn queue_order_and_slots() {
     for (seed, policy) in [(1, QueuePolicy::Full), (2, QueuePolicy::NoAdmission)] {
         check(seed, 300, |steps| {
-            let mut model = Model::new(rules(policy));
+            let mut model = Model::new(settings(policy));
             steps.iter().try_for_each(|step| model.apply(step))?;
-            let most = 1.0 + 0.2 * f64::from(model.starts);
-            prop_assert!(model.guaranteed.len() as f64 <= most, "more than the share");
+            let max_starts = 1.0 + 0.2 * f64::from(model.starts);
+            prop_assert!(
+                model.guaranteed.len() as f64 <= max_starts,
+                "more guaranteed starts than the share allows"
+            );
             Ok(())
         });
     }
 }
 
-// Callers of the higher tiers come faster than the server can answer, without
-// end. Callers of each lower class still get an answer in every stretch of
-// time, as the guaranteed share and the probes see to it.
+// Requests of the higher tiers alone arrive faster than the server can serve
+// them. Each class must still be served in every interval, through the
+// guaranteed share and the probes.
 #[test]
 fn queue_serves_every_class() {
     for seed in 0..4 {
@@ -339,21 +345,24 @@
         let mut served = [0; 3];
         for tick in 0..12_000u32 {
             model.now += MS;
-            // Twice the capacity of 3 slots at 30 ms a run, in each tier.
+            // Twice the capacity of 3 slots at 30 ms a run, over all tiers
+            // together.
             if rng.random_bool(0.2) {
                 let (tier, workspace) = (rng.random_range(0..3), rng.random_range(0..4));
                 let target = 200 + 1000 * u32::from(tier);
-                model.offer(tier, workspace, target, false).expect("holds");
+                model
+                    .offer(tier, workspace, target, false)
+                    .expect("property holds");
             }
-            let given_up = model.queue.review(model.now);
-            model.give_up(&given_up).expect("holds");
+            let evicted = model.queue.review(model.now);
+            model.apply_evicted(&evicted).expect("property holds");
             if tick.is_multiple_of(10)
                 && let Some(ticket) = model.running.first().copied()
             {
                 served[usize::from(model.tier(ticket).0)] += 1;
                 model.finish(ticket, true);
             }
-            model.next(0).expect("holds");
+            model.next(0).expect("property holds");
             for ticket in model.running.clone() {
                 model.queue.record_piece(model.now, ticket, 1);
             }
@@ -365,10 +374,10 @@
     }
 }
 
-// Workspaces of unlike size and weight ask for more than there is. Slot time
-// is shared by weight: over any stretch in which two wait, what they got over
-// their weights differs by no more than a few requests, however near the
-// larger one's deadlines are.
+// Workspaces of different size and weight overload the server. Slot time must
+// be shared by weight: while two workspaces wait, their slot time divided by
+// weight differs by no more than a few requests, even if the larger one has
+// the earliest deadlines.
 #[test]
 fn queue_fair_between_workspaces() {
     for seed in 0..4 {
@@ -377,17 +386,18 @@
         let mut queue = Queue::new(
             QueueSettings {
                 limit: 10_000,
-                ..rules(QueuePolicy::NoAdmission)
+                ..settings(QueuePolicy::NoAdmission)
             },
             1,
             now,
         );
-        let mut asks = HashMap::new();
+        let mut requests = HashMap::new();
         for ticket in 0..3000u128 {
-            // The first workspace asks for most and with the nearest deadlines.
+            // The first workspace has the most requests and the earliest
+            // deadlines.
             let which: u128 = rng.random_range(0..10);
             let workspace = which.saturating_sub(6) as u32;
-            let ask = QueueRequest {
+            let request = QueueRequest {
                 ticket: Ticket(ticket),
                 class: Rc::from("class"),
                 workspace: Rc::from(format!("workspace-{workspace}")),
@@ -400,8 +410,8 @@
                 repeatable: true,
                 preemptions: 0,
             };
-            asks.insert(ask.ticket, workspace);
-            queue.offer(now, ask);
+            requests.insert(request.ticket, workspace);
+            queue.offer(now, request);
         }
 
         let mut got = [0u32; 4];
@@ -409,7 +419,7 @@
             let granted = queue.grant_next(now).expect("a slot is free");
             queue.start(now, granted.ticket);
             queue.finish(now, granted.ticket, false);
-            got[asks[&granted.ticket] as usize] += 1;
+            got[requests[&granted.ticket] as usize] += 1;
         }
         let shares: Vec<f64> = (1..)
             .zip(got)
