--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -9,9 +9,9 @@
 /// uniform random number between 0 and 1.
 ///
 /// Many sidecars ask for the same new version at once. The whole delay is
-/// random (full jitter), so that their requests spread out evenly. The retry
-/// delay given by the service (`retry_after`) is added to it, since asking earlier
-/// would be refused.
+/// random (full jitter), so that their requests spread out evenly. The delay
+/// demanded by the service (`retry_after`) is added to it, since asking
+/// earlier would be refused.
 #[must_use]
 pub fn delay(attempt: u32, base: Duration, retry_after: Duration, random: f64) -> Duration {
     let exponential = base.saturating_mul(2_u32.saturating_pow(attempt.saturating_sub(1).min(16)));
--- a/crates/policy/src/estimate/histogram.rs
+++ b/crates/policy/src/estimate/histogram.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 
-/// Largest value that is recorded exactly; larger ones are clamped to it.
+/// Largest value that can be recorded; larger values are recorded as this one.
 const MAX_VALUE: u64 = 6_000_000;
 
 /// Precision of the values. Two digits give quantiles to within 1%, far finer
