--- a/crates/policy/src/queue/headroom.rs
+++ b/crates/policy/src/queue/headroom.rs
@@ -104,12 +104,12 @@
     fn required_slots(&mut self, now: Instant, slots: usize, service: Duration) -> usize {
         let slack = self.slack.get().unwrap_or(0.0);
         let service = (service.as_secs_f64() * 1e6).max(1.0);
-        for kept in 0..self.max_reserved {
-            let short = self.demand.share_above(now, kept as u64 + 1);
-            let others = (slots - kept) as f64;
+        for reserved in 0..self.max_reserved {
+            let demand_above = self.demand.share_above(now, reserved as u64 + 1);
+            let others = (slots - reserved) as f64;
             let none_free = (-slack * others / service).exp();
-            if short * none_free <= MAX_MISS_RATE {
-                return kept;
+            if demand_above * none_free <= MAX_MISS_RATE {
+                return reserved;
             }
         }
         self.max_reserved
