--- a/crates/base/src/admin.rs
+++ b/crates/base/src/admin.rs
@@ -1,7 +1,7 @@
-//! The operators' address of a daemon: health, status and metrics.
+//! The admin address of a daemon: health, status and metrics.
 //!
-//! It stands apart from the callers' address, so that neither a burst of
-//! callers nor the platform's balancer can reach it by mistake.
+//! It is separate from the address for callers, so that neither a burst of
+//! calls nor the platform's load balancer reaches it by mistake.
 
 use std::io;
 use std::rc::Rc;
@@ -13,25 +13,25 @@
 use crate::stop::StopSignal;
 use crate::{http, telemetry};
 
-/// What a daemon shows its operators.
+/// The state of a daemon as its admin address reports it.
 pub trait DaemonStatus {
-    /// The daemon's own view, as a JSON object.
+    /// The body of `/status`, serialised as a JSON object.
     type Status: Serialize;
 
-    /// What the daemon believes right now.
+    /// The current state of the daemon.
     fn status(&self) -> Self::Status;
 
-    /// Whether the daemon takes new requests.
+    /// Whether the daemon accepts new requests.
     fn ready(&self) -> bool;
 }
 
 /// Serves `/health/live`, `/health/ready`, `/status` and `/metrics` until
-/// `stop` is asked. Handed the flag of the process's very end, not that of
-/// its drain, it goes on showing the drain.
+/// `stop` is triggered. Pass the signal for the end of the process rather
+/// than the one for its drain, so that the drain stays observable.
 ///
 /// # Errors
 ///
-/// Returns the error when the address cannot be served.
+/// Returns an error when the HTTP service cannot be started.
 pub async fn serve<T: DaemonStatus + 'static>(
     listener: TcpListener,
     daemon: Rc<T>,
@@ -67,18 +67,18 @@
     HttpResponse::Ok().json(daemon.status())
 }
 
-/// Answers what this daemon has counted.
+/// Returns the metrics of this daemon in the Prometheus text format.
 pub async fn metrics() -> HttpResponse {
     HttpResponse::Ok()
         .content_type("text/plain; version=0.0.4")
         .body(telemetry::render())
 }
 
-/// Serves `/metrics` alone until `stop` is asked.
+/// Serves only `/metrics` until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the address cannot be served.
+/// Returns an error when the HTTP service cannot be started.
 pub async fn serve_metrics(listener: TcpListener, stop: StopSignal) -> io::Result<()> {
     let app = App::new().route("/metrics", web::get().to(metrics));
     http::serve(listener, app, stop).await
--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -1,22 +1,24 @@
-//! The clock as an interface, so that tests decide what time it is.
+//! An abstract clock, so that tests can control time.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A source of time. Decisions never read the time themselves; the caller
-/// reads it here once and hands it in.
+/// A source of time. Decision logic never reads the clock itself; its caller
+/// reads the time once and passes it in.
 pub trait Clock {
-    /// Monotonic time, for every timeout, lease and estimate.
+    /// Monotonic time, for timeouts, leases and estimates. It does not advance
+    /// while the host is suspended.
     fn now(&self) -> Instant;
 
-    /// Monotonic time that goes on while the host is suspended. A lease that
-    /// was counted by [`Clock::now`] would seem to hold after a suspension in
-    /// which it has lapsed. Not to be compared with [`Clock::now`].
+    /// Monotonic time that also advances while the host is suspended, for
+    /// leases that other processes observe. Measured with [`Clock::now`], a
+    /// lease that expired during a suspension would still seem valid. Not
+    /// comparable with [`Clock::now`].
     fn now_boottime(&self) -> Instant;
 
-    /// Wall-clock time, for records that leave the process.
+    /// Wall-clock time, for records that other processes read.
     fn wall(&self) -> SystemTime;
 
     /// Wall-clock time in milliseconds since the Unix epoch.
@@ -36,12 +38,12 @@
     }
 
     fn now_boottime(&self) -> Instant {
-        static START: OnceLock<(Instant, Duration)> = OnceLock::new();
-        let Some(booted) = since_boot() else {
+        static REFERENCE: OnceLock<(Instant, Duration)> = OnceLock::new();
+        let Some(uptime) = time_since_boot() else {
             return Instant::now();
         };
-        let (instant, then) = *START.get_or_init(|| (Instant::now(), booted));
-        instant + booted.saturating_sub(then)
+        let (instant, reference_uptime) = *REFERENCE.get_or_init(|| (Instant::now(), uptime));
+        instant + uptime.saturating_sub(reference_uptime)
     }
 
     fn wall(&self) -> SystemTime {
@@ -49,50 +51,50 @@
     }
 }
 
-/// Time since the host was started, suspensions included; none on systems
-/// without such a clock.
-fn since_boot() -> Option<Duration> {
+/// Time since boot, including suspensions. `None` on systems without such a
+/// clock.
+fn time_since_boot() -> Option<Duration> {
     use nix::time::{ClockId, clock_gettime};
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?;
     Some(Duration::from(time))
 }
 
-/// A clock that moves only when told to, for tests and scenarios.
+/// A clock that advances only on request, for tests and scenarios.
 #[derive(Debug, Clone)]
 pub struct ManualClock {
-    /// Where this clock started; all readings are relative to it.
+    /// The reading at creation; all readings are relative to it.
     start: Instant,
-    /// Time passed since the start, shared by all clones.
-    passed: Rc<Cell<Duration>>,
-    /// Time for which the host was suspended, which is not in `passed`.
+    /// Time since the start without suspensions, shared by all clones.
+    elapsed: Rc<Cell<Duration>>,
+    /// Total time of simulated suspensions, not included in `elapsed`.
     suspended: Rc<Cell<Duration>>,
 }
 
 impl ManualClock {
-    /// Makes a clock that stands at its start.
+    /// Creates a clock with no time elapsed.
     #[must_use]
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
-            passed: Rc::default(),
+            elapsed: Rc::default(),
             suspended: Rc::default(),
         }
     }
 
-    /// Suspends the host for `span`.
-    pub fn suspend(&self, span: Duration) {
-        self.suspended.set(self.suspended.get() + span);
+    /// Simulates a suspension of the host for `duration`.
+    pub fn suspend(&self, duration: Duration) {
+        self.suspended.set(self.suspended.get() + duration);
     }
 
-    /// Moves the clock forward by `step`.
+    /// Advances the clock by `step`.
     pub fn advance(&self, step: Duration) {
-        self.passed.set(self.passed.get() + step);
+        self.elapsed.set(self.elapsed.get() + step);
     }
 
-    /// Time passed since the start.
+    /// Time since the start, without suspensions.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
-        self.passed.get()
+        self.elapsed.get()
     }
 }
 
@@ -104,7 +106,7 @@
 
 impl Clock for ManualClock {
     fn now(&self) -> Instant {
-        self.start + self.passed.get()
+        self.start + self.elapsed.get()
     }
 
     fn now_boottime(&self) -> Instant {
@@ -112,6 +114,6 @@
     }
 
     fn wall(&self) -> SystemTime {
-        UNIX_EPOCH + self.passed.get() + self.suspended.get()
+        UNIX_EPOCH + self.elapsed.get() + self.suspended.get()
     }
 }
--- a/crates/base/src/http.rs
+++ b/crates/base/src/http.rs
@@ -1,8 +1,8 @@
-//! Serving an actix-web application on the daemon's own thread.
+//! Serving an actix-web application on the daemon's thread.
 //!
-//! actix-web's own server runs applications on worker threads. A daemon here
-//! keeps its whole state on one thread without locks, so it accepts the
-//! connections itself and hands them to the library's HTTP service. See
+//! The server of actix-web runs applications on worker threads. A daemon keeps
+//! its entire state on one thread without locks, so this module accepts the
+//! connections itself and passes them to the HTTP service of actix. See
 //! docs/DECISIONS/0001-one-thread.md.
 
 use std::io;
@@ -18,30 +18,30 @@
 
 use crate::stop::StopSignal;
 
-/// A caller that opens a connection and sends no request holds it this long.
+/// A new connection on which no request arrives is closed after this time.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An idle connection is kept this long for a caller's next request.
+/// An idle connection stays open for this time for the caller's next request.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// How long connections that were made just before the stop may still send
-/// their first request. Closed at once, they would look to their callers like
-/// a request that went out and was lost.
-const LAST_REQUEST: Duration = Duration::from_millis(200);
+/// How long connections opened just before the shutdown may still send their
+/// first request. If they were closed at once, a caller could not tell whether
+/// the request it just sent was executed.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(200);
 
-/// How long accepting pauses after it failed.
+/// Pause before accepting again after `accept` failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How often the end of the last connections is looked for.
+/// Interval of the checks whether all connections are closed.
 const CLOSE_POLL: Duration = Duration::from_millis(10);
 
-/// Accepts connections until `stop` is asked and returns at once then. Idle
-/// connections close, and those with a request in progress go on for as long
-/// as the process does.
+/// Accepts connections until `stop` is triggered, then returns immediately.
+/// Idle connections are closed; those with a request in progress continue until
+/// the process ends.
 ///
 /// # Errors
 ///
-/// Returns the error when the application cannot be set up.
+/// Returns an error when the application cannot be initialised.
 pub async fn serve<F, A, B>(listener: TcpListener, app: F, stop: StopSignal) -> io::Result<()>
 where
     F: IntoServiceFactory<A, actix_http::Request> + 'static,
@@ -58,17 +58,16 @@
     Ok(())
 }
 
-/// Accepts connections until `stop` is asked, then waits until every answer
-/// in progress has left whole and its connection is closed, for `limit` at
-/// the most.
+/// Accepts connections until `stop` is triggered, then waits for at most
+/// `limit` until every response in progress is sent and its connection closed.
 ///
-/// Without this wait a process that has made its last answer would end while
-/// that answer still stands in the connection's buffer, and its caller would
-/// see it cut. Idle connections are closed at once, so they hold nothing up.
+/// Without this wait, the process could end while its last response is still
+/// in the connection's buffer, and the caller would receive it truncated. Idle
+/// connections are closed immediately and cause no delay.
 ///
 /// # Errors
 ///
-/// Returns the error when the application cannot be set up.
+/// Returns an error when the application cannot be initialised.
 pub async fn serve_and_drain<F, A, B>(
     listener: TcpListener,
     app: F,
@@ -86,9 +85,9 @@
         > + 'static,
     B: MessageBody + 'static,
 {
-    let open = accept(listener, app, stop).await?;
+    let connections = accept(listener, app, stop).await?;
     let closed = async {
-        while Rc::strong_count(&open) > 1 {
+        while Rc::strong_count(&connections) > 1 {
             tokio::time::sleep(CLOSE_POLL).await;
         }
     };
@@ -96,8 +95,8 @@
     Ok(())
 }
 
-/// Accepts connections until `stop` is asked. Each connection that is open
-/// holds a clone of the result.
+/// Accepts connections until `stop` is triggered. Each open connection holds a
+/// clone of the returned `Rc`, so its strong count tells how many are open.
 async fn accept<F, A, B>(listener: TcpListener, app: F, stop: StopSignal) -> io::Result<Rc<()>>
 where
     F: IntoServiceFactory<A, actix_http::Request> + 'static,
@@ -118,29 +117,30 @@
     let factory = HttpService::build()
         .client_request_timeout(REQUEST_TIMEOUT)
         .keep_alive(KEEP_ALIVE)
-        // A caller that closes its side has gone away. Kept half open, its
-        // request would go on waiting and running for nobody; dropping the
-        // handler at once is enough, since that cancels down to the engine.
+        // A caller that closes its side is treated as disconnected. If the
+        // connection stayed half connections, its request would keep waiting and
+        // running unused. Dropping the handler cancels it down to the engine.
         .h1_allow_half_closed(false)
-        // Closes idle connections, and others after the answer in progress.
+        // Closes idle connections at once, others after the current response.
         .graceful_shutdown_signal(closing)
         .h1(map_config(app, |()| AppConfig::default()))
         .tcp();
     let service = factory.new_service(()).await;
     let service = Rc::new(service.map_err(|()| io::Error::other("step=start_http"))?);
 
-    let open = Rc::new(());
-    let take = |stream: TcpStream| {
-        // Pieces are small and wanted at once, so they must not wait for an
-        // acknowledgement of the piece before.
+    let connections = Rc::new(());
+    let spawn_connection = |stream: TcpStream| {
+        // Streamed chunks are small and urgent; with Nagle's algorithm they
+        // would wait for the acknowledgement of the previous chunk.
         let _ = stream.set_nodelay(true);
-        let (service, stop, open) = (Rc::clone(&service), stop.clone(), Rc::clone(&open));
+        let (service, stop, connections) =
+            (Rc::clone(&service), stop.clone(), Rc::clone(&connections));
         actix_rt::spawn(async move {
-            if begun(&stream, &stop).await {
-                // An error here ends this one connection; its caller sees that.
+            if has_request(&stream, &stop).await {
+                // An error only ends this connection, which the caller notices.
                 let _ = service.call(stream).await;
             }
-            drop(open);
+            drop(connections);
         });
     };
     loop {
@@ -149,32 +149,33 @@
             () = stop.wait() => break,
         };
         match accepted {
-            Ok((stream, _)) => take(stream),
-            // Out of file descriptors, for one: others may close meanwhile.
+            Ok((stream, _)) => spawn_connection(stream),
+            // For example out of file descriptors, until other connections close.
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
 
-    // Connections that the system made for us already may have brought a
-    // request; closing the listener would reset them. The runtime may not
-    // have heard of them yet, so the system is asked.
+    // Connections in the kernel's accept queue may already carry a request, and
+    // closing the listener would reset them. The runtime may not have seen them
+    // yet, so they are accepted directly from the socket.
     let listener = listener.into_std()?;
     while let Ok((stream, _)) = listener.accept() {
         stream.set_nonblocking(true)?;
-        take(TcpStream::from_std(stream)?);
+        spawn_connection(TcpStream::from_std(stream)?);
     }
-    Ok(open)
+    Ok(connections)
 }
 
-/// Waits for a connection's first bytes. The library keeps a connection that
-/// has sent nothing for the whole request timeout, also when it is closing.
-async fn begun(stream: &TcpStream, stop: &StopSignal) -> bool {
+/// Waits for the first bytes of a connection and returns whether they arrived.
+/// Without this check, actix keeps a connection that has sent nothing open for
+/// the entire request timeout, even during shutdown.
+async fn has_request(stream: &TcpStream, stop: &StopSignal) -> bool {
     let readable = tokio::time::timeout(REQUEST_TIMEOUT, stream.readable());
     tokio::select! {
         biased;
         readable = readable => return matches!(readable, Ok(Ok(()))),
         () = stop.wait() => {}
     }
-    let readable = tokio::time::timeout(LAST_REQUEST, stream.readable()).await;
+    let readable = tokio::time::timeout(FIRST_REQUEST_GRACE, stream.readable()).await;
     matches!(readable, Ok(Ok(())))
 }
--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -1,17 +1,18 @@
-//! Identities that travel between processes.
+//! Identifiers that processes exchange.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// The identity of one request. Every inner call about a request carries it,
-/// which makes the calls idempotent.
+/// The identifier of one request, called the ticket on the wire and in logs.
+/// Every internal call about a request carries it, which makes the calls
+/// idempotent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub u128);
 
 impl RequestId {
-    /// Draws a new ticket at random.
+    /// Generates a random request id.
     #[must_use]
     pub fn random() -> Self {
         Self(uuid::Uuid::new_v4().as_u128())
@@ -24,14 +25,15 @@
     }
 }
 
-/// One random number for each life of a process. A start meant for an earlier
-/// life is refused, so a delayed packet cannot run a request twice.
+/// A random number that identifies one run of a process, from its start to its
+/// end. A request to start that names an earlier incarnation is rejected, so
+/// that a delayed packet cannot execute a request twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Draws a new incarnation at random.
+    /// Generates a random incarnation.
     #[must_use]
     pub fn random() -> Self {
         Self(rand::random())
@@ -44,7 +46,7 @@
     }
 }
 
-/// The number of an accepted bundle; grows by one with each.
+/// The sequence number of an accepted bundle; each bundle adds one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,17 +1,18 @@
-//! The ground shared by every package: time, identities, reasons, settings,
+//! Shared foundations of all packages: time, identifiers, reasons, settings,
 //! logs, metrics and HTTP serving.
 //!
-//! - [`clock`]: the clock as an interface, with a real and a manual one.
-//! - [`ids`]: tickets, incarnations, sequence numbers and log offsets.
+//! - [`clock`]: an abstract clock, with a system and a manual implementation.
+//! - [`ids`]: request ids, incarnations, bundle sequence numbers, log offsets
+//!   and priority tiers.
 //! - [`reason`]: the closed sets of refusal and retry reasons.
-//! - [`settings`]: JSON settings with errors that name the place.
-//! - [`logging`]: one line of key=value pairs for each event.
-//! - [`timeline`]: the story of one request, from the logs.
+//! - [`settings`]: JSON settings with errors that name the offending key.
+//! - [`logging`]: structured logs, one line of key=value pairs per event.
+//! - [`timeline`]: the events of one request, collected from logs.
 //! - [`telemetry`]: the metrics recorder of one daemon.
-//! - [`mod@listen`]: listening on an address from the settings.
-//! - [`admin`]: health, status and metrics of one daemon.
-//! - [`http`]: serving an actix-web application on the daemon's own thread.
-//! - [`stop`]: a shared flag and wake-up for graceful shutdown.
+//! - [`mod@listen`]: binding a listener to an address from the settings.
+//! - [`admin`]: the admin address with health, status and metrics.
+//! - [`http`]: serving an actix-web application on the daemon's thread.
+//! - [`stop`]: a shared signal for graceful shutdown and settings reload.
 
 pub mod admin;
 pub mod clock;
--- a/crates/base/src/listen.rs
+++ b/crates/base/src/listen.rs
@@ -1,15 +1,15 @@
-//! Listening on an address from the settings.
+//! Binding a TCP listener to an address from the settings.
 
 use std::io;
 use std::net::SocketAddr;
 
 use tokio::net::TcpListener;
 
-/// Listens on `addr`, which stands under `key` in the settings.
+/// Listens on `addr`, which the settings give under `key`.
 ///
 /// # Errors
 ///
-/// Returns an error that names the key, the address and what would help.
+/// Returns an error that names the key, the address and a hint.
 pub async fn listen(key: &str, addr: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(addr).await.map_err(|e| {
         let hint = match e.kind() {
--- a/crates/base/src/logging.rs
+++ b/crates/base/src/logging.rs
@@ -1,8 +1,8 @@
-//! Logs: one line of key=value pairs for each event.
+//! Structured logs: each event is one line of key=value pairs.
 //!
-//! - [`bounded`]: output that is bounded and never waited for.
+//! - [`bounded`]: a non-blocking log writer with a bounded buffer.
 //!
-//! Every call site uses spdlog-rs with its `kv` part, as in
+//! Call sites use the macros of spdlog-rs with `kv` pairs, as in
 //! `info!("bundle accepted", kv: { sequence = 7, operator = "awa" })`.
 
 pub mod bounded;
@@ -18,20 +18,20 @@
 use spdlog::sink::{Sink, StdStreamSink, WriteSink};
 use spdlog::{LevelFilter, Record, StringBuf};
 
-/// How much is logged.
+/// The least severe level that is logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
-    /// Nothing at all.
+    /// Logs nothing.
     Off,
-    /// Only what needs a person.
+    /// Failures that need an operator's action.
     Error,
-    /// What may need a person.
+    /// Conditions that may need an operator's action.
     Warn,
-    /// What an operator reads every day.
+    /// Events of normal operation.
     #[default]
     Info,
-    /// What a developer reads.
+    /// Details for developers.
     Debug,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends logs of a command to standard error at the given level.
+/// Sets up logging to standard error for a command.
 pub fn init(level: Level) {
     let sink = StdStreamSink::builder()
         .stderr()
@@ -62,26 +62,29 @@
     }
 }
 
-/// Sends logs of a daemon to standard output at the given level, bounded and
-/// without waiting for whoever reads them.
+/// Sets up logging to standard output for a daemon. The buffer is bounded, and
+/// a slow reader of the output never blocks the daemon.
 ///
 /// # Errors
 ///
-/// Returns the error when the thread that writes them cannot be started.
+/// Returns an error when the writer thread cannot be started.
 pub fn init_daemon(level: Level) -> io::Result<()> {
-    let out = BoundedWriter::start(io::stdout())?;
-    let sink = WriteSink::builder().formatter(KeyValue).target(out).build();
+    let writer = BoundedWriter::start(io::stdout())?;
+    let sink = WriteSink::builder()
+        .formatter(KeyValue)
+        .target(writer)
+        .build();
     let sink = sink.map_err(io::Error::other)?;
     install(level, Arc::new(sink), LevelFilter::Off);
     Ok(())
 }
 
-/// Changes the level of the logs.
+/// Changes the log level of the process.
 pub fn set_level(level: Level) {
     spdlog::default_logger().set_level_filter(level.filter());
 }
 
-/// Writes out what was logged; for the end of a process.
+/// Flushes buffered log lines. Call it before the process ends.
 pub fn flush() {
     spdlog::default_logger().flush();
 }
@@ -97,7 +100,7 @@
     }
 }
 
-/// Writes `time=… level=… event="…" key=value …` on one line.
+/// Formats a record as one line: `time=… level=… event="…" key=value …`.
 #[derive(Debug, Clone)]
 struct KeyValue;
 
@@ -117,15 +120,21 @@
 
         write!(dest, "time={ms} level={level} event={:?}", record.payload()).map_err(fail)?;
         for (key, value) in record.key_values() {
-            write!(dest, " {}={}", key.as_str(), quoted(&value.to_string())).map_err(fail)?;
+            write!(
+                dest,
+                " {}={}",
+                key.as_str(),
+                quote_value(&value.to_string())
+            )
+            .map_err(fail)?;
         }
         dest.write_char('\n').map_err(fail)
     }
 }
 
-/// A value as it stands in a log line: quoted when it would not read as one
-/// word, so that a caller's text cannot break the line or forge a key.
-fn quoted(value: &str) -> String {
+/// Formats a value for a log line. Anything but a single plain word is quote_value
+/// and escaped, so that text from callers cannot inject line breaks or keys.
+fn quote_value(value: &str) -> String {
     let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=';
     if !value.is_empty() && value.chars().all(plain) {
         return value.to_owned();
--- a/crates/base/src/logging/bounded.rs
+++ b/crates/base/src/logging/bounded.rs
@@ -1,27 +1,27 @@
-//! Log output that is bounded and never waited for.
+//! A non-blocking log writer with a bounded buffer.
 //!
-//! A reader of standard output that stops reading would otherwise stop the
-//! daemon at its next line, and every call with it. Lines wait in a buffer
-//! and a thread of its own writes them; lines that do not fit are left out
-//! and counted, and the count is logged.
+//! When the reader of standard output stops reading, a blocking write would
+//! stop the daemon at its next log line, and every call with it. Instead,
+//! lines go into a buffer that a separate thread writes out. Lines that do not
+//! fit are dropped and counted, and the count is logged.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Most bytes that wait, so that with [`GATHER`] a daemon logs 256 kB a second
-/// at the most: about 1,500 lines, ten for each call on a busy entry.
-const LIMIT: usize = 64 << 10;
+/// Capacity of the buffer in bytes. With [`FLUSH_INTERVAL`] it limits a daemon
+/// to 256 kB/s of logs: about 1,500 lines, ten for each call on a busy entry.
+const BUFFER_LIMIT: usize = 64 << 10;
 
-/// How long lines are gathered before they are written together. Each write
-/// is a system call and a wake-up, which cost more than the lines.
-const GATHER: Duration = Duration::from_millis(250);
+/// How long lines are batched before they are written. Each write costs a
+/// system call and a thread wake-up, which is more than the lines cost.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Bytes that a pipe takes in one piece, by POSIX.
-const PIECE: usize = 4096;
+/// Largest write to a pipe that is atomic (`PIPE_BUF`), in bytes.
+const ATOMIC_WRITE: usize = 4096;
 
-/// The writing side, for a log sink.
+/// A handle to the buffer, for use as the target of a log sink.
 #[derive(Debug, Clone)]
 pub struct BoundedWriter(Arc<Shared>);
 
@@ -34,39 +34,39 @@
 #[derive(Debug, Default)]
 struct State {
     buffer: Vec<u8>,
-    /// Lines that did not fit since the last write.
-    left_out: u64,
-    /// Whether lines were taken that are not written yet.
+    /// Lines dropped since the last write because they did not fit.
+    dropped: u64,
+    /// Whether lines were taken from the buffer that are not written yet.
     writing: bool,
 }
 
 impl BoundedWriter {
-    /// Starts the thread that writes to `out`.
+    /// Starts the thread that writes buffered lines to `out`.
     ///
     /// # Errors
     ///
-    /// Returns the error when no thread can be started.
+    /// Returns an error when the thread cannot be started.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
-        let own = Arc::clone(&shared);
+        let worker = Arc::clone(&shared);
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || own.run(out))?;
+            .spawn(move || worker.run(out))?;
         Ok(Self(shared))
     }
 
-    /// Lines that are left out and not told of yet.
+    /// Number of dropped lines that are not yet reported in the log.
     #[must_use]
     pub fn dropped_lines(&self) -> u64 {
-        self.0.lock().left_out
+        self.0.lock().dropped
     }
 }
 
 impl Write for BoundedWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut state = self.0.lock();
-        match state.buffer.len() + line.len() > LIMIT {
-            true => state.left_out += 1,
+        match state.buffer.len() + line.len() > BUFFER_LIMIT {
+            true => state.dropped += 1,
             false => state.buffer.extend_from_slice(line),
         }
         drop(state);
@@ -74,12 +74,15 @@
         Ok(line.len())
     }
 
-    /// Waits until all lines are written; called when the process ends.
+    /// Waits until all lines are written; called before the process ends.
     fn flush(&mut self) -> io::Result<()> {
         let state = self.0.lock();
         let busy = |s: &mut State| s.writing || !s.buffer.is_empty();
-        // A reader that never reads must not keep the process from ending.
-        let waited = self.0.wake.wait_timeout_while(state, GATHER * 4, busy);
+        // Bounded, so that a stalled reader does not keep the process from ending.
+        let waited = self
+            .0
+            .wake
+            .wait_timeout_while(state, FLUSH_INTERVAL * 4, busy);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
         Ok(())
     }
@@ -87,27 +90,27 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A line is whole or not there, whatever a panicking thread did.
+        // The buffer holds only complete lines, even if a thread panicked.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn run(&self, mut out: impl Write) {
         loop {
-            let idle = |s: &mut State| s.buffer.is_empty() && s.left_out == 0;
+            let idle = |s: &mut State| s.buffer.is_empty() && s.dropped == 0;
             let state = self.wake.wait_while(self.lock(), idle);
             drop(state.unwrap_or_else(PoisonError::into_inner));
-            thread::sleep(GATHER);
+            thread::sleep(FLUSH_INTERVAL);
 
-            let (lines, left_out) = {
+            let (lines, dropped) = {
                 let mut state = self.lock();
                 state.writing = true;
                 let lines = std::mem::take(&mut state.buffer);
-                (lines, std::mem::take(&mut state.left_out))
+                (lines, std::mem::take(&mut state.dropped))
             };
-            // Nobody could be told of a failure to write logs.
-            let _ = write(&mut out, &lines);
-            if left_out > 0 {
-                let _ = write(&mut out, note(left_out).as_bytes());
+            // A failure to write logs cannot be reported anywhere.
+            let _ = write_lines(&mut out, &lines);
+            if dropped > 0 {
+                let _ = write_lines(&mut out, dropped_event(dropped).as_bytes());
             }
             self.lock().writing = false;
             self.wake.notify_all();
@@ -115,22 +118,22 @@
     }
 }
 
-/// Writes whole lines, at most as many at once as a pipe takes in one piece.
-/// Several daemons may share one pipe, and longer writes would be torn.
-fn write(out: &mut impl Write, mut lines: &[u8]) -> io::Result<()> {
+/// Writes complete lines in writes that are atomic on a pipe. Several daemons
+/// may share one pipe, where longer writes would be interleaved.
+fn write_lines(out: &mut impl Write, mut lines: &[u8]) -> io::Result<()> {
     while !lines.is_empty() {
-        let most = lines.len().min(PIECE);
-        let end = lines[..most].iter().rposition(|b| *b == b'\n');
-        let (piece, rest) = lines.split_at(end.map_or(most, |at| at + 1));
-        out.write_all(piece)?;
+        let limit = lines.len().min(ATOMIC_WRITE);
+        let end = lines[..limit].iter().rposition(|b| *b == b'\n');
+        let (batch, rest) = lines.split_at(end.map_or(limit, |at| at + 1));
+        out.write_all(batch)?;
         out.flush()?;
         lines = rest;
     }
     Ok(())
 }
 
-fn note(left_out: u64) -> String {
+fn dropped_event(dropped: u64) -> String {
     let ms = SystemTime::now().duration_since(UNIX_EPOCH);
     let ms = ms.map_or(0, |d| d.as_millis());
-    format!("time={ms} level=warn event=\"log lines left out\" count={left_out}\n")
+    format!("time={ms} level=warn event=\"log lines left out\" count={dropped}\n")
 }
--- a/crates/base/src/reason.rs
+++ b/crates/base/src/reason.rs
@@ -1,24 +1,27 @@
-//! The closed sets of reasons, so that each has a counter and none can be
-//! made up on the way. See docs/OPERATORS.md for how to read them.
+//! The closed sets of refusal and retry reasons.
+//!
+//! As enums, all reasons are known in advance, so that each has a counter.
+//! See docs/OPERATORS.md for their meaning to operators.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about whether a request ran, as told to its caller.
+/// Whether a request was executed, as far as this process knows. Reported to
+/// the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Executed {
-    /// The request did not run and never will.
+    /// The request was not executed and never will be.
     No,
-    /// The request may have run; its outcome cannot be told.
+    /// The request may have been executed; its outcome is unknown.
     Unknown,
-    /// Part of the answer was made.
+    /// Part of the response was generated.
     Partial,
 }
 
 impl Executed {
-    /// The word used in answers and labels.
+    /// The name used in responses and metric labels.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -35,15 +38,15 @@
     }
 }
 
-/// Why a request was refused or ended without its whole answer.
+/// Why a request was refused or ended without a complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// The body or a header could not be understood.
+    /// The body or a header is malformed.
     BadRequest,
     /// The body is larger than the settings allow.
     TooLarge,
-    /// No token, or one that no workspace owns.
+    /// The API token is missing or belongs to no workspace.
     BadToken,
     /// The class is not declared in the bundle.
     UnknownClass,
@@ -53,45 +56,45 @@
     NotEntitled,
     /// No bundle has been accepted yet.
     NoBundle,
-    /// The class's target cannot be met with what is queued.
+    /// The latency target of the class cannot be met given the current queue.
     TargetUnreachable,
-    /// The queue is full and this request stands last.
+    /// The queue is full and this request has the lowest rank in it.
     Shed,
-    /// The run was stopped for a request of a higher tier.
+    /// The running request was stopped in favour of one of a higher tier.
     Preempted,
-    /// The target passed while the request was waiting.
+    /// The deadline passed while the request was queued.
     Expired,
-    /// No backend server can take the request.
+    /// No backend server can accept the request.
     NoServer,
-    /// The retry budget of the class is spent.
+    /// The retry budget of the class is exhausted.
     RetryBudget,
     /// This process is draining.
     Draining,
     /// The backend server failed.
     BackendFailed,
-    /// The backend server's outcome cannot be told.
+    /// The outcome at the backend server is unknown.
     OutcomeUnknown,
-    /// The answer broke off after its first piece.
+    /// The response was cut off after its first chunk.
     #[serde(rename = "broken_off")]
     Truncated,
-    /// Backend servers crash when they run the request.
+    /// The request crashes the backend servers that run it.
     CrashesServers,
-    /// All backend servers have asked for fewer requests or for none.
+    /// All backend servers asked for fewer requests or none (backpressure).
     ServersBusy,
-    /// The platform's log is needed and cannot be reached.
+    /// The platform's log is required and unreachable.
     #[serde(rename = "log_down")]
     LogUnavailable,
     /// The idempotency key is in use by another entry.
     #[serde(rename = "key_taken")]
     KeyInUse,
-    /// The idempotency key was used with another request body.
+    /// The idempotency key was used with a different request body.
     KeyReused,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
 impl Refusal {
-    /// Every reason, for setting up counters.
+    /// Every reason, to initialise the counters.
     pub const ALL: [Self; 23] = [
         Self::BadRequest,
         Self::TooLarge,
@@ -118,7 +121,7 @@
         Self::CallerGone,
     ];
 
-    /// The word used in answers, labels and logs.
+    /// The name used in responses, metric labels and logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -148,7 +151,7 @@
         }
     }
 
-    /// The HTTP status that goes with the reason.
+    /// The HTTP status code for the reason.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -179,34 +182,34 @@
     }
 }
 
-/// Why a request was granted again, or a call repeated.
+/// Why a request was scheduled again or a call was repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryReason {
-    /// The sidecar could not be reached before the start.
+    /// The sidecar was unreachable before the request started.
     Unreachable,
-    /// The connection went silent and was dialled anew.
+    /// The connection stopped responding and was replaced.
     Silent,
     /// The sidecar refused the reservation.
     Refused,
-    /// The reservation lapsed before the start.
+    /// The reservation expired before the request started.
     #[serde(rename = "lapsed")]
     ReservationExpired,
-    /// The sidecar started a new life since the reservation.
+    /// The sidecar restarted after the reservation, under a new incarnation.
     #[serde(rename = "incarnation")]
     SidecarRestarted,
-    /// The backend server failed before the first piece.
+    /// The backend server failed before the first chunk.
     BackendFailed,
     /// The outcome is unknown and the request may be repeated.
     Unknown,
     /// The sidecar is draining.
     Draining,
-    /// The request was preempted for a higher tier.
+    /// The request was preempted by one of a higher tier.
     Preempted,
 }
 
 impl RetryReason {
-    /// Every reason, for setting up counters.
+    /// Every reason, to initialise the counters.
     pub const ALL: [Self; 9] = [
         Self::Unreachable,
         Self::Silent,
@@ -219,7 +222,7 @@
         Self::Preempted,
     ];
 
-    /// The word used in labels and logs.
+    /// The name used in metric labels and logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/base/src/settings.rs
+++ b/crates/base/src/settings.rs
@@ -1,5 +1,5 @@
-//! JSON settings, read as a whole; an error names the place, what was found
-//! and a hint.
+//! Settings in JSON. An error names the offending key, the value found and a
+//! hint.
 
 use std::fmt::{self, Display, Formatter};
 use std::path::Path;
@@ -9,23 +9,24 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use snafu::{ResultExt, Snafu};
 
-/// Reads settings of type `T` from a JSON file. Unknown keys are refused by
-/// `T` itself, with `#[serde(deny_unknown_fields)]` on the container.
+/// Reads settings of type `T` from a JSON file. To reject unknown keys, `T` must
+/// have the attribute `#[serde(deny_unknown_fields)]`.
 ///
 /// # Errors
 ///
-/// Returns [`Error`] when the file cannot be read or does not fit `T`.
+/// Returns [`Error`] when the file cannot be read or is not a valid `T`.
 pub fn load<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
-    let shown = path.display().to_string();
-    let text = std::fs::read_to_string(path).context(ReadSnafu { path: &shown })?;
-    parse(&shown, &text)
+    let name = path.display().to_string();
+    let text = std::fs::read_to_string(path).context(ReadSnafu { path: &name })?;
+    parse(&name, &text)
 }
 
-/// Parses settings of type `T` from JSON text; `name` says where it came from.
+/// Parses settings of type `T` from JSON text. `name` is the source of the text
+/// in errors.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Parse`] with the key's path when the text does not fit.
+/// Returns [`Error::Parse`] with the path of the key when the text is invalid.
 pub fn parse<T: DeserializeOwned>(name: &str, text: &str) -> Result<T, Error> {
     let mut de = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut de).map_err(|e| Error::Parse {
@@ -41,13 +42,13 @@
     Ok(value)
 }
 
-/// Checks one value: `fine` tells whether it is possible.
+/// Reports one value as invalid unless `valid` is set.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Check`] with the key, what was found and the hint.
-pub fn check(key: &str, found: impl Display, fine: bool, hint: &str) -> Result<(), Error> {
-    if fine {
+/// Returns [`Error::Check`] with the key, the value found and the hint.
+pub fn check(key: &str, found: impl Display, valid: bool, hint: &str) -> Result<(), Error> {
+    if valid {
         return Ok(());
     }
     CheckSnafu {
@@ -58,7 +59,7 @@
     .fail()
 }
 
-/// Why settings could not be used.
+/// Why settings were rejected.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
@@ -67,32 +68,32 @@
         "step=read_settings file={path}: {source} (hint: check the path given to --settings)"
     ))]
     Read {
-        /// The file that was asked for.
+        /// The path of the file.
         path: String,
-        /// What the system answered.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The text does not fit the settings.
+    /// The text is not valid JSON or does not match the settings type.
     #[snafu(display(
         "step=parse_settings file={file} key={key}: {found} \
          (hint: see docs/OPERATORS.md for the keys and their units)"
     ))]
     Parse {
-        /// Where the text came from.
+        /// The source of the text, usually a file.
         file: String,
         /// The path of the offending key.
         key: String,
-        /// What was found there.
+        /// The parser's error message.
         found: String,
     },
-    /// A value is well-formed but impossible.
+    /// A value is well-formed but out of range or inconsistent.
     #[snafu(display("step=check_settings key={key}: found {found} (hint: {hint})"))]
     Check {
         /// The path of the offending key.
         key: String,
-        /// What was found there.
+        /// The value found.
         found: String,
-        /// What would be accepted.
+        /// Which values are accepted.
         hint: String,
     },
 }
@@ -102,13 +103,13 @@
 pub struct HumanDuration(pub Duration);
 
 impl HumanDuration {
-    /// Makes a span of whole milliseconds.
+    /// Creates a duration of `ms` milliseconds.
     #[must_use]
     pub const fn ms(ms: u64) -> Self {
         Self(Duration::from_millis(ms))
     }
 
-    /// Makes a span of whole seconds.
+    /// Creates a duration of `secs` seconds.
     #[must_use]
     pub const fn secs(secs: u64) -> Self {
         Self(Duration::from_secs(secs))
@@ -124,22 +125,24 @@
             .unwrap_or(text.len());
         let (digits, unit) = text.split_at(unit_at);
 
-        let count: u64 = digits.parse().map_err(|_| bad_span(text))?;
+        let count: u64 = digits.parse().map_err(|_| duration_error(text))?;
         let unit_us: u64 = match unit {
             "us" => 1,
             "ms" => 1_000,
             "s" => 1_000_000,
             "m" => 60_000_000,
             "h" => 3_600_000_000,
-            _ => return Err(bad_span(text)),
+            _ => return Err(duration_error(text)),
         };
 
-        let us = count.checked_mul(unit_us).ok_or_else(|| bad_span(text))?;
+        let us = count
+            .checked_mul(unit_us)
+            .ok_or_else(|| duration_error(text))?;
         Ok(Self(Duration::from_micros(us)))
     }
 }
 
-fn bad_span(text: &str) -> String {
+fn duration_error(text: &str) -> String {
     format!(
         "bad duration {text:?}, expected a whole number with us, ms, s, m or h, as in \"250ms\""
     )
--- a/crates/base/src/stop.rs
+++ b/crates/base/src/stop.rs
@@ -1,13 +1,12 @@
-//! What a daemon is told from outside: to stop gracefully, or to read its
-//! settings again.
+//! A signal to a daemon to shut down gracefully or to reload its settings.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use tokio::sync::Notify;
 
-/// Says that a daemon should stop; all clones share one state, on whatever
-/// thread they live.
+/// A signal to shut down or to reload the settings. All clones share one state,
+/// also across threads.
 #[derive(Debug, Clone, Default)]
 pub struct StopSignal {
     inner: Arc<Inner>,
@@ -15,49 +14,49 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    asked: AtomicBool,
+    triggered: AtomicBool,
     notify: Notify,
     reload: Notify,
 }
 
 impl StopSignal {
-    /// Makes a flag that is not set.
+    /// Creates a signal that is not triggered.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the flag and wakes all who wait for it.
+    /// Triggers the shutdown and wakes all waiting tasks.
     pub fn trigger(&self) {
-        self.inner.asked.store(true, Ordering::Release);
+        self.inner.triggered.store(true, Ordering::Release);
         self.inner.notify.notify_waiters();
     }
 
-    /// Whether the flag is set.
+    /// Whether the shutdown is triggered.
     #[must_use]
     pub fn is_triggered(&self) -> bool {
-        self.inner.asked.load(Ordering::Acquire)
+        self.inner.triggered.load(Ordering::Acquire)
     }
 
-    /// Says that the settings may have changed.
+    /// Requests a reload of the settings.
     pub fn request_reload(&self) {
         self.inner.reload.notify_one();
     }
 
-    /// Waits until the settings may have changed.
+    /// Waits until a reload of the settings is requested.
     pub async fn wait_reload(&self) {
         self.inner.reload.notified().await;
     }
 
-    /// Waits until the flag is set.
+    /// Waits until the shutdown is triggered.
     pub async fn wait(&self) {
         loop {
-            // Enrolled before the flag is read, so that no wake-up is missed.
-            let woken = self.inner.notify.notified();
+            // Registered before the flag is read, so that no wake-up is missed.
+            let notified = self.inner.notify.notified();
             if self.is_triggered() {
                 return;
             }
-            woken.await;
+            notified.await;
         }
     }
 }
--- a/crates/base/src/telemetry.rs
+++ b/crates/base/src/telemetry.rs
@@ -1,8 +1,7 @@
 //! The metrics recorder of one daemon.
 //!
-//! Each daemon lives on a thread of its own, so that several of them fit into
-//! one process (the demo) without mixing their counters: the recorder is the
-//! thread's local one.
+//! Each daemon runs on its own thread. The recorder is thread-local, so that
+//! several daemons in one process (as in the demo) have separate metrics.
 
 mod recorder;
 
@@ -13,20 +12,20 @@
 
 use crate::reason::{Executed, Refusal, RetryReason};
 
-/// Name of the counter of refusals, by reason and by what was said about
-/// having run.
+/// Name of the counter of refusals, labelled by reason and by whether the
+/// request was executed.
 const REFUSALS: &str = "pimentocart_refusals_total";
 
-/// Name of the counter of retries, by reason.
+/// Name of the counter of retries, labelled by reason.
 const RETRIES: &str = "pimentocart_retries_total";
 
 thread_local! {
-    /// This thread's recorder.
+    /// The recorder of the daemon on this thread.
     static RECORDER: RefCell<Option<Recorder>> = const { RefCell::new(None) };
 }
 
-/// Runs `body` with a fresh recorder as the thread's own. Every reason starts
-/// at zero, so that a scrape shows those that have not happened too.
+/// Runs `body` with a new recorder for this thread. The counters of all reasons
+/// start at zero, so that a scrape includes reasons that have not occurred.
 pub fn with_recorder<T>(body: impl FnOnce() -> T) -> T {
     let recorder = Recorder::new();
     RECORDER.set(Some(recorder.clone()));
@@ -42,7 +41,7 @@
     })
 }
 
-/// What this thread's recorder counted, in the text format for scraping.
+/// Renders the metrics of this thread in the Prometheus text format.
 #[must_use]
 pub fn render() -> String {
     RECORDER.with_borrow(|recorder| recorder.as_ref().map_or_else(String::new, Recorder::render))
--- a/crates/base/src/telemetry/recorder.rs
+++ b/crates/base/src/telemetry/recorder.rs
@@ -1,4 +1,4 @@
-//! What one daemon counts, and its text for scraping.
+//! The metrics recorder of one daemon and its Prometheus text output.
 
 use std::collections::BTreeMap;
 use std::fmt::{Display, Write};
@@ -10,25 +10,25 @@
 use metrics_util::storage::Histogram as Buckets;
 use std::sync::atomic::Ordering;
 
-/// Bounds of the latency histograms in seconds, each about twice the one
-/// before: from the cost of a decision to the longest streams.
-const BOUNDS: [f64; 14] = [
+/// Upper bounds of the latency histogram buckets, in seconds. They roughly
+/// double and span from the cost of a routing decision to the longest streams.
+const HISTOGRAM_BOUNDS: [f64; 14] = [
     0.000_1, 0.000_5, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 4.0, 15.0,
 ];
 
-/// Counts of one daemon. It keeps no clock of its own: those of the ready-made
-/// recorders spin for up to 0.2 s to measure the processor's when they start,
-/// and on a thin host that is most of the time in which a daemon comes up.
+/// The metrics of one daemon. It has no clock: the recorders of existing
+/// exporters spin for up to 0.2 s at startup to calibrate the processor's
+/// clock, which is most of a daemon's startup time on a small host.
 #[derive(Clone)]
-pub(super) struct Recorder(Arc<Registry<Key, Kept>>);
+pub(super) struct Recorder(Arc<Registry<Key, MetricStorage>>);
 
-/// How each kind is kept.
-struct Kept;
+/// Chooses the storage for each kind of metric.
+struct MetricStorage;
 
-/// Samples by bucket.
-struct Samples(Mutex<Buckets>);
+/// A histogram that several handles share.
+struct SharedHistogram(Mutex<Buckets>);
 
-impl HistogramFn for Samples {
+impl HistogramFn for SharedHistogram {
     fn record(&self, value: f64) {
         self.0
             .lock()
@@ -37,10 +37,10 @@
     }
 }
 
-impl Storage<Key> for Kept {
+impl Storage<Key> for MetricStorage {
     type Counter = Arc<AtomicU64>;
     type Gauge = Arc<AtomicU64>;
-    type Histogram = Arc<Samples>;
+    type Histogram = Arc<SharedHistogram>;
 
     fn counter(&self, _: &Key) -> Self::Counter {
         Arc::new(AtomicU64::new(0))
@@ -51,8 +51,8 @@
     }
 
     fn histogram(&self, _: &Key) -> Self::Histogram {
-        let buckets = Buckets::new(&BOUNDS).expect("there are bounds");
-        Arc::new(Samples(Mutex::new(buckets)))
+        let buckets = Buckets::new(&HISTOGRAM_BOUNDS).expect("the list of bounds is not empty");
+        Arc::new(SharedHistogram(Mutex::new(buckets)))
     }
 }
 
@@ -80,76 +80,83 @@
 }
 
 impl Recorder {
-    /// Makes a recorder that has counted nothing.
+    /// Creates an empty recorder.
     pub(super) fn new() -> Self {
-        Self(Arc::new(Registry::new(Kept)))
+        Self(Arc::new(Registry::new(MetricStorage)))
     }
 
-    /// What was counted, in the text format for scraping.
+    /// Renders all metrics in the Prometheus text format.
     pub(super) fn render(&self) -> String {
         let mut text = String::new();
-        for (name, keys) in by_name(self.0.get_counter_handles()) {
-            start(&mut text, &name, "counter");
+        for (name, keys) in group_by_name(self.0.get_counter_handles()) {
+            write_type(&mut text, &name, "counter");
             for (key, value) in keys {
                 let value = value.load(Ordering::Relaxed);
-                line(&mut text, &name, &labels(&key, None), value);
+                write_sample(&mut text, &name, &format_labels(&key, None), value);
             }
         }
-        for (name, keys) in by_name(self.0.get_gauge_handles()) {
-            start(&mut text, &name, "gauge");
+        for (name, keys) in group_by_name(self.0.get_gauge_handles()) {
+            write_type(&mut text, &name, "gauge");
             for (key, value) in keys {
                 let value = f64::from_bits(value.load(Ordering::Relaxed));
-                line(&mut text, &name, &labels(&key, None), value);
+                write_sample(&mut text, &name, &format_labels(&key, None), value);
             }
         }
-        for (name, keys) in by_name(self.0.get_histogram_handles()) {
-            start(&mut text, &name, "histogram");
+        for (name, keys) in group_by_name(self.0.get_histogram_handles()) {
+            write_type(&mut text, &name, "histogram");
             for (key, samples) in keys {
                 let samples = samples.0.lock().unwrap_or_else(PoisonError::into_inner);
-                histogram(&mut text, &name, &key, &samples);
+                write_histogram(&mut text, &name, &key, &samples);
             }
         }
         text
     }
 }
 
-fn histogram(text: &mut String, name: &str, key: &Key, samples: &Buckets) {
+fn write_histogram(text: &mut String, name: &str, key: &Key, samples: &Buckets) {
     let bucket = format!("{name}_bucket");
     for (bound, count) in samples.buckets() {
         let bound = bound.to_string();
-        line(text, &bucket, &labels(key, Some(&bound)), count);
+        write_sample(text, &bucket, &format_labels(key, Some(&bound)), count);
     }
-    line(text, &bucket, &labels(key, Some("+Inf")), samples.count());
-    let labels = labels(key, None);
-    line(text, &format!("{name}_sum"), &labels, samples.sum());
-    line(text, &format!("{name}_count"), &labels, samples.count());
+    write_sample(
+        text,
+        &bucket,
+        &format_labels(key, Some("+Inf")),
+        samples.count(),
+    );
+    let labels = format_labels(key, None);
+    write_sample(text, &format!("{name}_sum"), &labels, samples.sum());
+    write_sample(text, &format!("{name}_count"), &labels, samples.count());
 }
 
-/// Keys with what they hold, by name and in the order of their labels.
-fn by_name<V>(handles: impl IntoIterator<Item = (Key, V)>) -> BTreeMap<String, Vec<(Key, V)>> {
+/// Groups metrics by name and sorts each group by labels.
+fn group_by_name<V>(
+    handles: impl IntoIterator<Item = (Key, V)>,
+) -> BTreeMap<String, Vec<(Key, V)>> {
     let mut names: BTreeMap<String, Vec<(Key, V)>> = BTreeMap::new();
     for (key, value) in handles {
         let keys = names.entry(key.name().to_owned()).or_default();
         keys.push((key, value));
     }
     for keys in names.values_mut() {
-        keys.sort_by_cached_key(|(key, _)| labels(key, None));
+        keys.sort_by_cached_key(|(key, _)| format_labels(key, None));
     }
     names
 }
 
-fn start(text: &mut String, name: &str, kind: &str) {
-    // Writing to a string does not fail, here and below.
+fn write_type(text: &mut String, name: &str, kind: &str) {
+    // Writing to a `String` never fails, here and in `write_sample`.
     let _ = writeln!(text, "# TYPE {name} {kind}");
 }
 
-fn line(text: &mut String, name: &str, labels: &str, value: impl Display) {
+fn write_sample(text: &mut String, name: &str, labels: &str, value: impl Display) {
     let _ = writeln!(text, "{name}{labels} {value}");
 }
 
-/// A key's labels in braces, with the upper bound of a bucket if there is one;
-/// nothing without any.
-fn labels(key: &Key, bound: Option<&str>) -> String {
+/// Formats the labels of a key in braces, with the upper bound of a bucket if
+/// given. Empty when there are no labels.
+fn format_labels(key: &Key, bound: Option<&str>) -> String {
     let escape = |value: &str| {
         let value = value.replace('\\', "\\\\").replace('"', "\\\"");
         value.replace('\n', "\\n")
