--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -114,7 +114,7 @@
 ) -> Result<(NeighbourClient, Option<Duration>), Error> {
     let link = match link.filter(|l| l.addr() == addr) {
         Some(link) => link,
-        None => NeighbourClient::dial(addr, DIAL).await?,
+        None => NeighbourClient::connect(addr, DIAL).await?,
     };
     let told = link.fetch_changes(question(state), MARGIN).await?;
     let age = take(state, &link, told)?;
--- a/crates/policy/src/duty.rs
+++ b/crates/policy/src/duty.rs
@@ -83,7 +83,7 @@
 }
 
 /// One daemon that may hold a duty. Times are of a clock that also counts
-/// while the host is suspended ([`base::clock::Clock::lasting`]).
+/// while the host is suspended ([`base::clock::Clock::now_boottime`]).
 #[derive(Debug)]
 pub struct Candidate {
     life: String,
--- a/crates/wire/src/duties.rs
+++ b/crates/wire/src/duties.rs
@@ -1,90 +1,92 @@
-//! What entries tell the candidates for a duty, and what its holder tells all
-//! entries, one datagram at a time.
+//! Datagrams between entries and the holder of a duty, over UDP.
 //!
-//! Counts of one life only grow and a holder's words name their place in the
-//! log, so that a datagram that is lost, late or repeated costs nothing but
-//! time.
+//! A duty is a task that one entry at a time performs under a lease. Entries
+//! send their usage counts to the candidates for the duty, and its holder
+//! announces itself to all entries. The counts of one incarnation only grow,
+//! and a holder's announcement carries its position in the log, so that a lost,
+//! late or repeated datagram only delays the information.
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
-/// First byte of each datagram; another one is not read.
+/// First byte of each datagram. Datagrams of another version are rejected.
 const VERSION: u8 = 1;
 
-/// Largest datagram, in bytes; it must fit one packet.
+/// Maximum size of a datagram, in bytes, such that it fits one IP packet.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// One datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// What an entry has counted.
+    /// Usage counts of an entry.
     Counts(UsageCounts),
-    /// That the sender holds the duty.
+    /// An announcement that the sender holds the duty.
     #[serde(rename = "Held")]
     Holder(HolderNotice),
 }
 
-/// What one life has counted in one window so far.
+/// The usage counts of one incarnation of an entry in one time window so far.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageCounts {
-    /// Who counted.
+    /// Incarnation of the entry that counted.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// All windows before this one are closed there.
+    /// All windows before this one are closed at the entry.
     #[serde(rename = "closed")]
     pub closed_before: u64,
-    /// The window that was counted.
+    /// The window of the counts.
     pub window: u64,
-    /// All its counts together, also those in other datagrams.
+    /// Total of the window's counts, including those in other datagrams.
     pub total: u64,
-    /// Workspaces with their requests.
+    /// Names of workspaces with their numbers of requests.
     pub counts: Vec<(String, u64)>,
 }
 
-/// The holder of a duty.
+/// An announcement by the holder of a duty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderNotice {
-    /// Its fencing token.
+    /// Fencing token of the holder's lease.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// Where the duty's log ends after its last record.
+    /// End of the duty's log after the holder's last record.
     #[serde(rename = "end")]
     pub log_end: u64,
-    /// The first window whose counts are still wanted.
+    /// The first window for which counts are still needed.
     #[serde(rename = "next")]
     pub next_window: u64,
-    /// Whether it has just given the duty up.
+    /// Whether the sender has just released the duty.
     pub released: bool,
 }
 
-/// Why a datagram was not read.
+/// Why a datagram could not be decoded.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It is of another version.
+    /// The datagram is of another version.
     #[snafu(display("step=read_duties: version {found:?}, expected {VERSION}"))]
     Version {
-        /// The first byte, if there was one.
+        /// The version byte; `None` when the datagram is empty.
         found: Option<u8>,
     },
-    /// Its bytes make no sense.
+    /// The datagram is malformed.
     #[snafu(display("step=read_duties: {source}"))]
     Bytes {
-        /// What is wrong with them.
+        /// The decoding error.
         source: postcard::Error,
     },
 }
 
-/// Writes a message. Counts that do not fit one packet go into several.
+/// Encodes a message. Counts that do not fit one packet are split into several
+/// datagrams.
 #[must_use]
 pub fn encode(message: &Message) -> Vec<Vec<u8>> {
     let bytes = postcard::to_allocvec(&(VERSION, message)).unwrap_or_default();
     match message {
-        Message::Counts(all) if bytes.len() > MAX_DATAGRAM_BYTES && all.counts.len() > 1 => {
-            let (first, second) = all.counts.split_at(all.counts.len() / 2);
+        Message::Counts(usage) if bytes.len() > MAX_DATAGRAM_BYTES && usage.counts.len() > 1 => {
+            let (first, second) = usage.counts.split_at(usage.counts.len() / 2);
             let half = |counts: &[(String, u64)]| {
                 encode(&Message::Counts(UsageCounts {
                     counts: counts.to_vec(),
-                    ..all.clone()
+                    ..usage.clone()
                 }))
             };
             [half(first), half(second)].concat()
@@ -93,11 +95,11 @@
     }
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
 ///
-/// Returns why it is not one of these.
+/// Returns an error when the version differs or the datagram is malformed.
 pub fn decode(bytes: &[u8]) -> Result<Message, Error> {
     match bytes.split_first() {
         Some((&VERSION, rest)) => postcard::from_bytes(rest).context(BytesSnafu),
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -1,184 +1,184 @@
-//! What entries tell each other about their own calls, one datagram at a time.
+//! Gossip between entries about their calls in progress, over UDP.
 //!
-//! A datagram replaces all that its sender said before, so that one that is
-//! lost costs nothing but time.
+//! Each datagram replaces all earlier ones of its sender, so that a lost
+//! datagram only delays the information.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
-/// First byte of each datagram; another one is not read.
+/// First byte of each datagram. Datagrams of another version are rejected.
 const VERSION: u8 = 6;
 
-/// Largest datagram, in bytes; it must fit one packet.
+/// Maximum size of a datagram, in bytes, such that it fits one IP packet.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// What one entry tells another.
+/// A datagram from one entry to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// What the sender has in progress, or several entries have.
+    /// The load of the sender or of several entries.
     #[serde(rename = "Saying")]
     Load(EntryLoad),
-    /// What the sender knows of other entries.
+    /// The entries that the sender knows.
     #[serde(rename = "Answer")]
     Membership(Membership),
 }
 
-/// Calls of one entry, or of several.
+/// The load of one entry, or the sum over several entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryLoad {
-    /// The life of the entry.
+    /// Incarnation of the entry.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Grows with each datagram of that life.
+    /// Sequence number; grows with each datagram of the incarnation.
     pub seq: u32,
-    /// How often the entry speaks, in milliseconds.
+    /// Interval between the datagrams of the entry, in milliseconds.
     #[serde(rename = "every_ms")]
     pub interval_ms: u32,
-    /// Its host's time of day, in milliseconds from the Unix epoch.
+    /// Wall-clock time of the entry's host, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
-    /// The availability zone that it stands in, by number.
+    /// Number of its availability zone.
     pub zone: u32,
-    /// What its link carries, in million bits a second.
+    /// Bandwidth of its network link, in Mbit/s.
     pub link_mbps: u32,
-    /// How long its copies of the store's tables have not been known to be
-    /// complete, in milliseconds; none while it has none.
+    /// Time since its replicas of the store's tables were last known to be up to
+    /// date, in milliseconds; `None` while it has no replicas.
     #[serde(rename = "age_ms")]
     pub staleness_ms: Option<u32>,
-    /// What it wants to be answered.
+    /// Which reply the sender requests.
     #[serde(rename = "asks")]
     pub wanted_reply: WantedReply,
-    /// Whose calls these are.
+    /// Over which entries the load is summed.
     pub scope: LoadScope,
-    /// How many entries these are.
+    /// Number of entries in the sum.
     pub entries: u32,
-    /// What there is for each service.
+    /// Load of each service.
     pub services: Vec<ServiceLoad>,
-    /// Servers by short number, with the open calls at each and those of them
-    /// that wait for their first event.
+    /// For each server: its short number, the open calls to it, and how many of
+    /// these wait for their first event.
     pub calls: Vec<(u16, u16, u16)>,
-    /// Crashes of servers under calls that the store has not taken yet.
+    /// Server crashes that the store has not recorded yet.
     pub crashes: Vec<CrashReport>,
 }
 
-/// What an entry wants to be answered.
+/// The reply that an entry requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WantedReply {
-    /// Nothing.
+    /// No reply.
     Nothing,
-    /// Which entries there are.
+    /// The known entries.
     Entries,
-    /// That, and what all of them have in progress.
+    /// The known entries and the sum of their loads.
     #[serde(rename = "Sums")]
     Totals,
 }
 
-/// Whose calls a saying tells of.
+/// The set of entries over which a load is summed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadScope {
-    /// The sender's.
+    /// The sender only.
     Own,
-    /// Those of its availability zone.
+    /// The entries of the sender's availability zone.
     Zone,
-    /// Those of all entries.
+    /// All entries.
     All,
 }
 
-/// What an entry knows of others.
+/// The entries that the sender knows, in reply to one of them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Membership {
-    /// How many entries it knows of, with itself and the one that asks.
+    /// Number of known entries, including the sender and the recipient.
     #[serde(rename = "all")]
     pub entry_count: u32,
-    /// Those of them in the zone of the one that asks.
+    /// Number of known entries in the recipient's zone.
     #[serde(rename = "near")]
     pub zone_count: u32,
-    /// Those that stand before the one that asks, in the order by zone and
-    /// address.
+    /// Position of the recipient among the known entries, ordered by zone and
+    /// address; starts at 0.
     #[serde(rename = "place")]
     pub position: u32,
-    /// Some of them, or all.
+    /// All or some of the known entries.
     #[serde(rename = "seats")]
     pub members: Vec<Member>,
-    /// What all of them have in progress.
+    /// The sum of the loads of all entries, if requested.
     #[serde(rename = "sums")]
     pub totals: Option<EntryLoad>,
 }
 
-/// An entry.
+/// A known entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where it hears others.
+    /// The address on which it receives gossip.
     pub addr: SocketAddr,
-    /// The availability zone that it stands in, by number.
+    /// Number of its availability zone.
     pub zone: u32,
-    /// What its link carries, in million bits a second.
+    /// Bandwidth of its network link, in Mbit/s.
     pub link_mbps: u32,
-    /// How much longer it counts as there, in milliseconds.
+    /// Time until it is considered gone if it sends nothing, in milliseconds.
     #[serde(rename = "left_ms")]
     pub ttl_ms: u32,
-    /// How long its copies of the store's tables have not been known to be
-    /// complete, in milliseconds; none while it has none.
+    /// Time since its replicas of the store's tables were last known to be up to
+    /// date, in milliseconds; `None` while it has no replicas.
     #[serde(rename = "age_ms")]
     pub staleness_ms: Option<u32>,
 }
 
-/// A server that has crashed under a call.
+/// A crash of a server while it ran a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The call's fingerprint.
+    /// Fingerprint of the call.
     pub fingerprint: [u8; 16],
-    /// The server's life, by number.
+    /// Number of the server's incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// How long ago it was seen, in milliseconds.
+    /// Time since the crash was detected, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Calls of one entry, or of several, for one service.
+/// The load of one service, for one entry or the sum over several.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service, by number.
+    /// Number of the service.
     #[serde(rename = "number")]
     pub service_number: u32,
-    /// Prompt tokens a second of calls that read.
+    /// Prompt tokens per second of calls dominated by prefill.
     #[serde(rename = "reading")]
     pub prefill_rate: f32,
-    /// Calls in progress that write.
+    /// Number of calls in progress dominated by decoding.
     #[serde(rename = "writing")]
     pub decoding_calls: f32,
-    /// Seconds that an engine takes to read a token, on the mean of those who
-    /// know.
+    /// Prefill time per token, in seconds, as the mean over the entries that
+    /// have an estimate.
     #[serde(rename = "pace")]
     pub prefill_pace: f32,
-    /// How many entries know it.
+    /// Number of entries with an estimate of the prefill time.
     #[serde(rename = "paced")]
     pub pace_sources: u32,
-    /// The pause that streams meet beside reading, in seconds.
+    /// Pause of streams while the engine prefills other prompts, in seconds.
     pub pause: f32,
 }
 
-/// Why a datagram was not read or written.
+/// Why a datagram could not be decoded.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It is of another version.
+    /// The datagram is of another version.
     #[snafu(display("step=read_gossip: version {found:?}, expected {VERSION}"))]
     Version {
-        /// The first byte, if there was one.
+        /// The version byte; `None` when the datagram is empty.
         found: Option<u8>,
     },
-    /// Its bytes make no sense.
+    /// The datagram is malformed.
     #[snafu(display("step=read_gossip: {source}"))]
     Bytes {
-        /// What is wrong with them.
+        /// The decoding error.
         source: postcard::Error,
     },
 }
 
-/// Writes a datagram. What does not fit one packet is left out from the end,
-/// so that the busiest servers and the entries that matter most should stand
-/// first.
+/// Encodes a datagram. If it does not fit one packet, servers and entries are
+/// dropped from the end of their lists, so callers must put the busiest servers
+/// and the most important entries first.
 #[must_use]
 pub fn encode(mut message: Message) -> Vec<u8> {
     loop {
@@ -189,30 +189,31 @@
     }
 }
 
-/// Leaves something out; returns whether there was anything.
+/// Drops the last quarter of a list; returns whether there was anything to
+/// drop.
 fn shorten(message: &mut Message) -> bool {
     let calls = match message {
-        Message::Load(saying) => &mut saying.calls,
-        Message::Membership(answer) => match &mut answer.totals {
-            Some(sums) if !sums.calls.is_empty() => &mut sums.calls,
+        Message::Load(load) => &mut load.calls,
+        Message::Membership(reply) => match &mut reply.totals {
+            Some(totals) if !totals.calls.is_empty() => &mut totals.calls,
             _ => {
-                let kept = answer.members.len() * 3 / 4;
-                let some = !answer.members.is_empty();
-                answer.members.truncate(kept);
-                return some;
+                let kept = reply.members.len() * 3 / 4;
+                let dropped = !reply.members.is_empty();
+                reply.members.truncate(kept);
+                return dropped;
             }
         },
     };
-    let some = !calls.is_empty();
+    let dropped = !calls.is_empty();
     calls.truncate(calls.len() * 3 / 4);
-    some
+    dropped
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
 ///
-/// Returns why it is not one of these.
+/// Returns an error when the version differs or the datagram is malformed.
 pub fn decode(bytes: &[u8]) -> Result<Message, Error> {
     match bytes.split_first() {
         Some((&VERSION, rest)) => postcard::from_bytes(rest).context(BytesSnafu),
--- a/crates/wire/src/grants.rs
+++ b/crates/wire/src/grants.rs
@@ -1,172 +1,178 @@
-//! What an entry asks the sidecar beside an engine, and its answers, one
-//! datagram each. A datagram that is lost is asked again; asked twice, a call
-//! is answered the same way.
+//! The protocol in which an entry asks the sidecar of an engine to admit calls.
+//!
+//! Requests and responses are one UDP datagram each. A request without a
+//! response is sent again, and a repeated request gets the same response.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 use crate::gossip::Error;
 
-/// First byte of each datagram; another one is not read.
+/// First byte of each datagram. Datagrams of another version are rejected.
 const VERSION: u8 = 3;
 
-/// Largest datagram, in bytes; it must fit one packet.
+/// Maximum size of a datagram, in bytes, such that it fits one IP packet.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// Most prompt parts that are told; a prompt has about three.
+/// Maximum number of prompt parts in a request; a prompt has about three.
 pub const MAX_PROMPT_PARTS: usize = 64;
 
-/// What an entry says about one of its calls.
+/// A datagram from an entry about one of its calls.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// The life of the entry.
+    /// Incarnation of the entry.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The call's number in that life.
+    /// Number of the call, unique in that incarnation.
     #[serde(rename = "number")]
     pub call_number: u32,
-    /// What it says.
+    /// What is requested or reported.
     #[serde(rename = "what")]
     pub kind: RequestKind,
 }
 
-/// What an entry may say or ask.
+/// What an entry requests or reports about a call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// It wants to be sent.
+    /// The call asks for admission.
     #[serde(rename = "Want")]
     Admission(AdmissionRequest),
-    /// It asks nothing but how much of its prompt the engine holds.
+    /// Asks only how much of the prompt the engine holds in its KV cache.
     #[serde(rename = "Look")]
     Lookup(PrefixLookup),
-    /// It was let in, and fetches what another engine holds of the first so
-    /// many tokens of its prompt.
+    /// The call was admitted and fetches the KV cache of this many tokens, from
+    /// the start of its prompt, from another engine.
     #[serde(rename = "Fetches")]
     Fetching(u32),
-    /// It has its first event.
+    /// The call received its first event.
     #[serde(rename = "Begun")]
     FirstEvent,
-    /// The engine has refused it as meant for another life.
+    /// The engine refused the call because it names another incarnation.
     #[serde(rename = "Gone")]
     ServerGone {
-        /// The life that was meant.
+        /// The incarnation that the call names.
         server: String,
-        /// Unix millisecond at which that life began, if it says.
+        /// Start of that incarnation in Unix milliseconds, if known.
         #[serde(rename = "born")]
         started_ms: Option<u64>,
     },
-    /// It has ended, or will not be sent.
+    /// The call has ended or will not be sent.
     Ended {
-        /// The longest pause between two of its events, in milliseconds.
+        /// Longest pause between two events of the call, in milliseconds.
         pause_ms: u32,
     },
-    /// Nothing about a call: the sender asks how busy the engine is.
+    /// Asks for the utilization of the engine; unrelated to a call.
     #[serde(rename = "Busy")]
     Utilization,
 }
 
-/// A call that wants to be sent.
+/// A request to admit a call to the engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionRequest {
-    /// The caller's identity of the call, for logs.
+    /// The request id given by the caller, for logs.
     #[serde(rename = "name")]
     pub request_id: String,
-    /// The server that is meant.
+    /// Id of the server incarnation that the call is for.
     pub server: String,
-    /// Unix millisecond at which its life began, if it says.
+    /// Start of that incarnation in Unix milliseconds, if known.
     #[serde(rename = "born")]
     pub started_ms: Option<u64>,
-    /// The prompt's parts with their tokens.
+    /// The parts of the prompt: the hash of each and its number of tokens.
     #[serde(rename = "parts")]
     pub prompt_parts: Vec<(u64, u32)>,
-    /// How long the first event may take, in milliseconds.
+    /// Maximum time to the first event, in milliseconds.
     #[serde(rename = "allowed_ms")]
     pub first_event_ms: u32,
-    /// How long the caller waits, in milliseconds.
+    /// Time after which the caller gives up, in milliseconds.
     #[serde(rename = "left_ms")]
     pub timeout_ms: u32,
-    /// The longest pause that the stream bears, in milliseconds, if its time
-    /// goes into writing.
+    /// Longest acceptable pause in the stream, in milliseconds. Set when the
+    /// call is dominated by decoding.
     #[serde(rename = "gap_ms")]
     pub max_gap_ms: Option<u32>,
-    /// Calls that the engine runs at once.
+    /// Number of calls that the engine runs concurrently.
     pub slots: u32,
-    /// Its rank inside the engine; 0 is the most urgent.
+    /// Priority of the call inside the engine; 0 is the most urgent.
     #[serde(rename = "rank")]
     pub priority: u8,
-    /// Whether the engine is the home of the prompt's shared parts.
+    /// Whether the engine is the preferred one (home) for the shared parts of
+    /// the prompt.
     #[serde(rename = "home")]
     pub is_home: bool,
-    /// Whether the call must be let in.
+    /// Whether the call must be admitted.
     #[serde(rename = "must")]
     pub forced: bool,
-    /// Tokens from the prompt's start that another engine is known to hold.
+    /// Number of tokens from the prompt's start that another engine is known to
+    /// hold in its KV cache.
     #[serde(rename = "source")]
     pub remote_tokens: u32,
-    /// Nanoseconds for copying a token between engines, as declared.
+    /// Declared time to copy the KV cache of one token between engines, in
+    /// nanoseconds.
     pub copy_ns: Option<u32>,
 }
 
-/// A question about a prompt.
+/// A question how much of a prompt the engine holds in its KV cache.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PrefixLookup {
-    /// The server that is meant.
+    /// Id of the server incarnation that the question is for.
     pub server: String,
-    /// The prompt's parts with their tokens.
+    /// The parts of the prompt: the hash of each and its number of tokens.
     #[serde(rename = "parts")]
     pub prompt_parts: Vec<(u64, u32)>,
 }
 
-/// What a sidecar answers about a call.
+/// The response of a sidecar to a [`GrantRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantResponse {
-    /// The call's number.
+    /// Number of the call in the request.
     #[serde(rename = "number")]
     pub call_number: u32,
-    /// What is decided.
+    /// The decision on the call.
     pub verdict: Verdict,
-    /// Tokens from the prompt's start that the engine holds.
+    /// Number of tokens from the prompt's start in the engine's KV cache.
     #[serde(rename = "held")]
     pub cached_tokens: u32,
-    /// Whether the engine should rather fetch a prompt than read it.
+    /// Whether fetching a prompt's KV cache from another engine is preferable to
+    /// prefilling the prompt.
     #[serde(rename = "fetch")]
     pub prefer_fetch: bool,
 }
 
-/// What is decided about a call.
+/// The decision of a sidecar on a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may be sent.
+    /// The call may be sent.
     Granted,
-    /// It will be let in; the first event is expected after so many
-    /// milliseconds.
+    /// The call is queued for admission; the value is the expected time to its
+    /// first event, in milliseconds.
     Queued(u32),
-    /// Its first event would take so many milliseconds.
+    /// The call is not admitted; the value is the expected time to its first
+    /// event, in milliseconds.
     Refused(u32),
-    /// The engine's life that is meant has ended.
+    /// The incarnation of the engine that the call names has ended.
     #[serde(rename = "Gone")]
     ServerGone,
-    /// Nothing was to be decided.
+    /// The report was received; it needed no decision.
     #[serde(rename = "Told")]
     Acknowledged,
-    /// Calls take so many thousandths of the engine's time, slots or memory.
+    /// Utilization of the engine's time, slots or memory, in thousandths.
     #[serde(rename = "Busy")]
     Utilization(u32),
-    /// The engine is about to end and takes no new calls.
+    /// The engine is shutting down and accepts no new calls.
     Leaving,
 }
 
-/// Writes a datagram.
+/// Encodes a datagram.
 #[must_use]
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     postcard::to_allocvec(&(VERSION, message)).unwrap_or_default()
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
 ///
-/// Returns why it is not one of these.
+/// Returns an error when the version differs or the datagram is malformed.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     match bytes.split_first() {
         Some((&VERSION, rest)) => {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,16 +1,18 @@
-//! The inner protocols: between an entry and a sidecar, and between entries.
+//! The internal protocols: between an entry and a sidecar, and between entries.
 //!
-//! Four idempotent calls by ticket, entry as client and sidecar as server;
-//! see docs/DECISIONS/0002-late-binding.md for why. The order of a request:
-//! `reserve` until `Ready`, `start`, `pull` until the last piece; `cancel` at
-//! any time.
+//! The sidecar protocol has four calls about a request, with the entry as the
+//! client and the sidecar as the server. All are idempotent by request id; see
+//! docs/DECISIONS/0002-late-binding.md for the reasons. A request takes these
+//! steps: `reserve` until the outcome is `Ready`, `start`, and `pull` until the
+//! last chunk; `cancel` is possible at any time.
 //!
-//! - [`message`]: what the calls carry.
-//! - [`peer`]: a connection that finds out when it has gone silent.
-//! - [`serve`]: answering the calls.
-//! - [`duties`]: what entries tell those who hold a duty, and what these say.
-//! - [`gossip`]: what entries tell each other about their own calls.
-//! - [`tables`]: what an entry asks a neighbour that reads the store.
+//! - [`message`]: the types of the sidecar protocol.
+//! - [`peer`]: the client of a sidecar, which detects unresponsive connections.
+//! - [`serve`]: serving the sidecar protocol.
+//! - [`grants`]: datagrams that ask a sidecar to admit calls to its engine.
+//! - [`duties`]: datagrams between entries and the holder of the duties.
+//! - [`gossip`]: datagrams with which entries exchange their load and members.
+//! - [`tables`]: fetching changes of the store's tables from a neighbour.
 
 pub mod duties;
 pub mod gossip;
@@ -23,30 +25,30 @@
 pub use message::*;
 pub use peer::{Peer, Timeouts};
 
-/// The calls that a sidecar answers. Each carries a [`Stamp`], so that
-/// whoever is behind on the bundle finds out before it decides.
+/// The calls that a sidecar serves. Each carries a [`CallHeader`], so that a
+/// side with an outdated bundle detects that before it makes a decision.
 #[tarpc::service]
 pub trait Sidecar {
-    /// Asks for a slot for a ticket, without the prompt. A long poll, bounded
-    /// by `wait_ms`; asking again with the same ticket goes on waiting.
-    async fn reserve(stamp: CallHeader, ask: ReserveRequest) -> Reply<ReserveOutcome>;
+    /// Reserves a slot for a request, without its prompt. This is a long poll,
+    /// bounded by `wait_ms`; a repeated call keeps the place in the queue.
+    async fn reserve(header: CallHeader, request: ReserveRequest) -> Reply<ReserveOutcome>;
 
-    /// Starts a ticket that holds a slot in this incarnation.
-    async fn start(stamp: CallHeader, order: StartRequest) -> Reply<StartOutcome>;
+    /// Starts a request that holds a slot in this incarnation of the sidecar.
+    async fn start(header: CallHeader, request: StartRequest) -> Reply<StartOutcome>;
 
-    /// Asks for the answer's pieces from a number on. A bounded long poll;
-    /// asking from N acknowledges all pieces before N.
-    async fn pull(stamp: CallHeader, ask: PullRequest) -> Reply<PullOutcome>;
+    /// Fetches chunks of the response from a number on. This is a bounded long
+    /// poll; a call with `from` = N acknowledges all chunks before N.
+    async fn pull(header: CallHeader, request: PullRequest) -> Reply<PullOutcome>;
 
-    /// Ends a ticket, whatever its state, and tells whether it ever started.
-    async fn cancel(stamp: CallHeader, ticket: base::ids::RequestId) -> Reply<CancelOutcome>;
+    /// Cancels a request in any state and returns whether it ever started.
+    async fn cancel(header: CallHeader, id: base::ids::RequestId) -> Reply<CancelOutcome>;
 
-    /// Fetches what leads from the bundle in the stamp to the newest one that
-    /// the other side holds; the `follow` package reads it. `None` when there
-    /// is nothing newer.
-    async fn fetch_bundle(stamp: CallHeader) -> Reply<Option<bytes::Bytes>>;
+    /// Fetches the records that lead from the bundle in the header to the
+    /// newest one of the sidecar; the `follow` package decodes them. `None`
+    /// when the sidecar has no newer bundle.
+    async fn fetch_bundle(header: CallHeader) -> Reply<Option<bytes::Bytes>>;
 
-    /// Hands over what leads to the bundle in the stamp, to a sidecar that
-    /// told of an earlier one. Answers whether it was taken.
-    async fn offer_bundle(stamp: CallHeader, transfer: bytes::Bytes) -> Reply<bool>;
+    /// Sends the records that lead to the bundle in the header, to a sidecar
+    /// that reported an earlier one. Returns whether it accepted them.
+    async fn offer_bundle(header: CallHeader, transfer: bytes::Bytes) -> Reply<bool>;
 }
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,248 +1,249 @@
-//! What the calls of the inner protocol carry.
+//! The types of the sidecar protocol.
+//!
+//! A field `ticket` holds the id of the request.
 
 use base::ids::{BundleSequence, Incarnation, RequestId, Tier};
 use base::reason::Refusal;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// What every call tells about its sender.
+/// The state of the sender that every call carries.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct CallHeader {
-    /// The bundle that the sender goes by.
+    /// Sequence number of the bundle that the sender has applied.
     pub sequence: BundleSequence,
 }
 
-/// What every answer tells about its sender, beside the answer itself.
+/// A response together with the state of its sender.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Reply<T> {
-    /// The bundle that the sender goes by.
+    /// Sequence number of the bundle that the sender has applied.
     pub sequence: BundleSequence,
-    /// The sender's life; a change means that its state is gone.
+    /// Incarnation of the sender; a change means that its state is lost.
     pub incarnation: Incarnation,
-    /// The sender's load, so that no message of its own has to carry it.
+    /// Load of the sender, included here to avoid a separate message.
     pub load: ServerLoad,
-    /// The answer.
+    /// The response.
     pub body: T,
 }
 
-/// How busy a backend server is, as its sidecar sees it.
+/// Load of a backend server, as observed by its sidecar.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that the backend server can run at once.
+    /// Number of requests that the backend server can run concurrently.
     pub slots: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Recent time between two tokens of one answer, in microseconds.
+    /// Recent time between two tokens of a response, in microseconds.
     pub token_us: u32,
-    /// Recent time from a start to the first token, in microseconds.
+    /// Recent time from start to first token, in microseconds.
     #[serde(rename = "first_us")]
     pub ttft_us: u32,
-    /// Estimated wait of a request that came now, in microseconds; 0 when a
-    /// slot is free or nothing was observed yet.
+    /// Estimated queueing time of a request that arrives now, in microseconds;
+    /// 0 when a slot is free or there are no observations yet.
     pub wait_us: u32,
-    /// Whether the sidecar takes no new requests any more.
+    /// Whether the sidecar has stopped accepting new requests.
     pub draining: bool,
 }
 
-/// Asks for a slot.
+/// A request for a slot.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReserveRequest {
-    /// The request.
+    /// Id of the request.
     pub ticket: RequestId,
-    /// Its class, by name.
+    /// Name of the request's class.
     pub class: String,
-    /// Its workspace, by name, for the fair share.
+    /// Name of the request's workspace, for fair sharing.
     pub workspace: String,
-    /// The workspace's weight in the fair share; 0 counts as 1.
+    /// Weight of the workspace in fair sharing; 0 counts as 1.
     pub weight: u32,
-    /// Its tier.
+    /// Priority tier of the request.
     pub tier: Tier,
-    /// Time left until the first piece is due, in microseconds.
+    /// Time left until the deadline of the first chunk, in microseconds.
     pub first_left_us: u64,
-    /// Time left until the whole answer is due, in microseconds.
+    /// Time left until the deadline of the complete response, in microseconds.
     pub whole_left_us: u64,
-    /// Size of the prompt, in tokens.
+    /// Length of the prompt, in tokens.
     #[serde(rename = "prompt")]
     pub prompt_tokens: u32,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the response, in tokens.
     pub max_tokens: u32,
-    /// Hash of the prompt's prefix, for cache affinity.
+    /// Hash of the prompt's prefix, for routing by cache affinity.
     #[serde(rename = "prefix")]
     pub prefix_hash: u64,
-    /// Whether the request may run more than once.
+    /// Whether the request may be executed more than once.
     pub repeatable: bool,
-    /// How often the request was preempted before; one that was is not
-    /// preempted again.
+    /// How often the request was preempted so far. A request that was preempted
+    /// once is not preempted again.
     #[serde(rename = "preempted")]
     pub preemptions: u32,
-    /// Longest time that the call may be held, in milliseconds.
+    /// Maximum time for which the long poll may block, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// What became of a reservation.
+/// The outcome of a [`ReserveRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReserveOutcome {
-    /// A slot is held for the ticket.
+    /// A slot is reserved for the request.
     Ready {
-        /// How long the slot is held, in milliseconds.
+        /// How long the slot stays reserved, in milliseconds.
         hold_ms: u32,
-        /// Expected time from a start to the first piece, in microseconds;
-        /// 0 when nothing was observed yet.
+        /// Expected time from start to first chunk, in microseconds; 0 when
+        /// there are no observations yet.
         #[serde(rename = "first_us")]
         ttft_us: u32,
-        /// Expected time between two tokens, in microseconds; 0 when nothing
-        /// was observed yet.
+        /// Expected time between two tokens, in microseconds; 0 when there are
+        /// no observations yet.
         token_us: u32,
-        /// Tokens of the prompt that the backend server's cache is believed
-        /// to hold.
+        /// Estimated number of prompt tokens in the backend server's KV cache.
         #[serde(rename = "cached")]
         cached_tokens: u32,
     },
-    /// The ticket is queued.
+    /// The request is queued.
     Waiting {
-        /// Estimated time until a slot is free, in microseconds.
+        /// Estimated time until a slot becomes free, in microseconds.
         estimate_us: u64,
     },
-    /// The ticket is not queued and will not run here.
+    /// The request is not queued and will not run here.
     Refused {
-        /// Why.
+        /// The reason of the refusal.
         reason: Refusal,
-        /// When asking here again may help, in milliseconds; 0 when it never
-        /// will.
+        /// Time after which a retry here may succeed, in milliseconds; 0 when
+        /// it never will.
         retry_after_ms: u32,
     },
-    /// The ticket already started here.
+    /// The request has already started here.
     AlreadyStarted,
 }
 
-/// Starts a ticket.
+/// Starts a request that holds a slot.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StartRequest {
-    /// The request.
+    /// Id of the request.
     pub ticket: RequestId,
-    /// The life of the sidecar that held the slot.
+    /// Incarnation of the sidecar that reserved the slot.
     pub incarnation: Incarnation,
-    /// What to run.
+    /// The request to the backend server.
     pub work: BackendRequest,
 }
 
-/// What a backend server is asked to run.
+/// A request to a backend server.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum BackendRequest {
-    /// A completion by a model engine: the caller's body as JSON bytes.
+    /// A completion by a model engine.
     Completion {
-        /// The body, in the shape of chat completions or completions.
+        /// The caller's JSON body, for chat completions or completions.
         body: Bytes,
-        /// Whether the body has the shape of chat completions.
+        /// Whether the body is for chat completions.
         chat: bool,
     },
-    /// A call of a plain service.
+    /// A call of a plain HTTP service.
     Call {
         /// The HTTP method.
         method: String,
-        /// The path below the service, with its query.
+        /// The path relative to the service, with the query string.
         path: String,
-        /// The content type, empty when there is none.
+        /// The content type; empty when there is none.
         content_type: String,
-        /// The body.
+        /// The request body.
         body: Bytes,
     },
 }
 
-/// What became of a start.
+/// The outcome of a [`StartRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartOutcome {
-    /// The ticket runs; also the answer to a repeated start.
+    /// The request is running. Also returned for a repeated start.
     Running,
-    /// The slot is no longer held; the ticket did not run.
+    /// The reservation has expired; the request was not executed.
     #[serde(rename = "Lapsed")]
     ReservationExpired,
-    /// The start was meant for an earlier life; the ticket did not run here
-    /// in this life.
+    /// The start names an earlier incarnation; the request was not executed in
+    /// the current one.
     #[serde(rename = "OtherIncarnation")]
     StaleIncarnation,
-    /// The ticket was cancelled before; it did not run.
+    /// The request was cancelled before; it was not executed.
     Cancelled,
-    /// The ticket did not run, for the given reason.
+    /// The request was not executed, for the given reason.
     Refused(Refusal),
 }
 
-/// Asks for pieces of an answer.
+/// A request for chunks of a response.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// The request.
+    /// Id of the request.
     pub ticket: RequestId,
-    /// The number of the first piece wanted.
+    /// Number of the first chunk to return.
     pub from: u32,
-    /// Longest time that the call may be held, in milliseconds.
+    /// Maximum time for which the long poll may block, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// Pieces of an answer.
+/// The outcome of a [`PullRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PullOutcome {
-    /// Consecutive pieces, possibly none yet.
+    /// Consecutive chunks, possibly none yet.
     #[serde(rename = "Pieces")]
     Chunks {
-        /// The number of the first piece.
+        /// Number of the first chunk.
         first: u32,
-        /// The pieces.
+        /// The chunks.
         #[serde(rename = "pieces")]
         chunks: Vec<Chunk>,
-        /// Set when the answer is complete or broken after these pieces.
+        /// Set when the response ends after these chunks.
         end: Option<ResponseEnd>,
     },
-    /// The ticket is not known here in this life.
+    /// This incarnation of the sidecar does not know the request.
     Unknown,
 }
 
-/// One piece of an answer.
+/// One chunk of a response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Tokens in the piece.
+    /// Number of tokens in the chunk.
     pub tokens: u32,
-    /// The text, or the bytes of a plain service's answer.
+    /// The text, or the bytes of a plain service's response body.
     pub data: Bytes,
 }
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResponseEnd {
-    /// The answer is whole.
+    /// The response is complete.
     #[serde(rename = "Whole")]
     Complete {
-        /// How many pieces it has in all.
+        /// Total number of chunks.
         #[serde(rename = "count")]
         chunk_count: u32,
-        /// HTTP status of a plain service's answer; 200 for an engine's.
+        /// HTTP status of a plain service's response; 200 for an engine's.
         status: u16,
-        /// Why the answer ended, in the engine's word, or the content type
-        /// of a plain service's answer.
+        /// The finish reason given by the engine, or the content type of a
+        /// plain service's response.
         #[serde(rename = "finish")]
         finish_reason: String,
-        /// Tokens of the prompt that the engine found in its cache.
+        /// Number of prompt tokens that the engine found in its KV cache.
         #[serde(rename = "cached")]
         cached_tokens: u32,
     },
-    /// The answer broke off.
+    /// The response was cut off.
     #[serde(rename = "Broken")]
     Interrupted {
-        /// Why.
+        /// The cause.
         reason: Refusal,
-        /// Whether the backend server may have run the request.
+        /// Whether the backend server may have executed the request.
         ran: base::reason::Executed,
     },
 }
 
-/// What a cancel found.
+/// The state in which a cancellation found the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancelOutcome {
-    /// The ticket never started and never will in this life.
+    /// The request never started and will not start in this incarnation.
     NeverStarted,
-    /// The ticket had started; it is being stopped.
+    /// The request had started and is being stopped.
     Started,
-    /// The ticket had ended.
+    /// The request had already ended.
     Ended,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! A connection to a sidecar that finds out when it has gone silent.
+//! The client of a sidecar, which detects unresponsive connections.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -23,33 +23,33 @@
     SidecarClient, StartOutcome, StartRequest,
 };
 
-/// Largest frame of the inner protocol, in bytes.
+/// Maximum size of a frame of the internal protocols, in bytes.
 const FRAME_LIMIT: usize = 32 << 20;
 
-/// Calls that one connection carries at once. Each open stream holds a long
-/// poll; with the library's 1,000, call 1,001 would wait unsent behind them
-/// until it looked like silence, and a good connection would be dropped.
+/// Maximum number of concurrent calls on one connection. Each open stream holds
+/// a long poll. With tarpc's default of 1,000, call 1,001 would wait unsent
+/// until it timed out, and a healthy connection would be dropped.
 const IN_FLIGHT_LIMIT: usize = 1 << 17;
 
-/// Calls that may wait for the connection's task to write them.
+/// Number of calls that may wait for the connection's task to send them.
 const PENDING_LIMIT: usize = 1024;
 
-/// How long a peer is left alone after one failure to connect; doubles with
-/// each further one.
-const BACKOFF_FIRST: Duration = Duration::from_millis(50);
+/// Backoff after the first failure to connect; doubles with each consecutive
+/// failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest time for which a peer is left alone.
-const BACKOFF_LIMIT: Duration = Duration::from_secs(2);
+/// Maximum backoff after failures to connect.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long to wait for whom.
+/// Timeouts of the connection to a sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timeouts {
-    /// Time allowed for an answer beyond what the call itself may be held.
+    /// Time allowed for a response beyond the maximum wait of the call itself.
     pub margin: Duration,
-    /// Time allowed for dialling.
+    /// Time allowed to establish a connection.
     pub connect: Duration,
-    /// A connection on which nothing came for so long is replaced before it
-    /// is used again.
+    /// A connection without a response for this time is replaced before its
+    /// next use.
     pub idle: Duration,
 }
 
@@ -63,84 +63,85 @@
     }
 }
 
-/// One sidecar as an entry reaches it. Dials when first needed and again
-/// after a failure; calls in flight share one connection.
+/// The client of one sidecar, used by an entry. Connects on first use and again
+/// after a failure; concurrent calls share one connection.
 #[derive(Debug)]
 pub struct Peer {
-    /// Where the sidecar listens.
+    /// The address on which the sidecar listens.
     addr: SocketAddr,
-    /// How long to wait for it.
-    timing: Timeouts,
-    /// The connection in use, if any.
-    link: RefCell<Option<Rc<Link>>>,
-    /// Lets one caller dial while the others wait for what it gets.
-    dialling: tokio::sync::Mutex<()>,
-    /// Failures to connect in a row.
+    /// Timeouts of the connection.
+    timeouts: Timeouts,
+    /// The current connection, if any.
+    connection: RefCell<Option<Rc<Connection>>>,
+    /// Lets one call connect while the others wait for the result.
+    connect_lock: tokio::sync::Mutex<()>,
+    /// Number of consecutive failures to connect.
     failures: Cell<u32>,
-    /// No dialling before this time.
-    rest: Cell<Option<Instant>>,
+    /// End of the backoff; no connection attempt before this time.
+    retry_at: Cell<Option<Instant>>,
 }
 
-/// One connection.
-struct Link {
-    /// The calls' way into the connection.
+/// An established connection.
+struct Connection {
+    /// The RPC client of the connection.
     client: SidecarClient,
-    /// When the last answer came, or the connection was made.
-    heard: Cell<Instant>,
-    /// Whether any answer ever came.
-    proven: Cell<bool>,
-    /// Tells the calls in flight that the connection is given up.
-    dead: StopSignal,
+    /// Time of the last response, or of the connection's establishment.
+    last_response: Cell<Instant>,
+    /// Whether any response arrived on the connection.
+    responded: Cell<bool>,
+    /// Aborts the calls in flight when the connection is discarded.
+    discarded: StopSignal,
 }
 
-impl std::fmt::Debug for Link {
+impl std::fmt::Debug for Connection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Link")
-            .field("heard", &self.heard)
-            .field("proven", &self.proven)
+        f.debug_struct("Connection")
+            .field("last_response", &self.last_response)
+            .field("responded", &self.responded)
             .finish_non_exhaustive()
     }
 }
 
-/// Why a call got no answer. In no case does the caller know whether the
-/// call took effect; the ticket settles that.
+/// Why a call got no response. Unless the call was never sent, the caller does
+/// not know whether it took effect; a repeated call with the same request id
+/// resolves that.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// No connection could be made, so the call was never sent.
+    /// No connection could be established, so the call was never sent.
     #[snafu(display("step={step} peer={peer}: no connection: {source}"))]
     Dial {
-        /// The call that was wanted.
+        /// The name of the call.
         step: &'static str,
         /// The sidecar.
         peer: SocketAddr,
-        /// What the system answered.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The connection failed while the call was out.
+    /// The connection failed while the call was in flight.
     #[snafu(display("step={step} peer={peer}: connection failed: {source}"))]
     Call {
-        /// The call that was out.
+        /// The name of the call.
         step: &'static str,
         /// The sidecar.
         peer: SocketAddr,
-        /// What the transport reported.
+        /// The error of the transport.
         source: RpcError,
     },
-    /// No answer came within the call's bound and the margin.
+    /// No response arrived within the call's maximum wait plus the margin.
     #[snafu(display("step={step} peer={peer}: silent for {waited:?}"))]
     Silent {
-        /// The call that was out.
+        /// The name of the call.
         step: &'static str,
         /// The sidecar.
         peer: SocketAddr,
-        /// How long the caller waited.
+        /// How long the call waited for a response.
         waited: Duration,
     },
 }
 
 impl Error {
-    /// Whether the call certainly never reached the sidecar.
+    /// Whether the call is known not to have reached the sidecar.
     #[must_use]
     pub fn never_sent(&self) -> bool {
         matches!(self, Self::Dial { .. })
@@ -148,87 +149,87 @@
 }
 
 impl Peer {
-    /// Makes a peer that is not connected yet.
+    /// Creates a client that connects on first use.
     #[must_use]
-    pub fn new(addr: SocketAddr, timing: Timeouts) -> Self {
+    pub fn new(addr: SocketAddr, timeouts: Timeouts) -> Self {
         Self {
             addr,
-            timing,
-            link: RefCell::default(),
-            dialling: tokio::sync::Mutex::default(),
+            timeouts,
+            connection: RefCell::default(),
+            connect_lock: tokio::sync::Mutex::default(),
             failures: Cell::new(0),
-            rest: Cell::new(None),
+            retry_at: Cell::new(None),
         }
     }
 
-    /// Where the sidecar listens.
+    /// The address on which the sidecar listens.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Asks for a slot; see [`crate::Sidecar::reserve`].
+    /// Reserves a slot; see [`crate::Sidecar::reserve`].
     ///
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
     pub async fn reserve(
         &self,
-        stamp: CallHeader,
-        ask: ReserveRequest,
+        header: CallHeader,
+        request: ReserveRequest,
     ) -> Result<Reply<ReserveOutcome>, Error> {
-        let hold = Duration::from_millis(u64::from(ask.wait_ms));
-        self.call("reserve", hold, async |client, ctx| {
-            client.reserve(ctx, stamp, ask).await
+        let max_wait = Duration::from_millis(u64::from(request.wait_ms));
+        self.call("reserve", max_wait, async |client, ctx| {
+            client.reserve(ctx, header, request).await
         })
         .await
     }
 
-    /// Starts a ticket; see [`crate::Sidecar::start`].
+    /// Starts a request; see [`crate::Sidecar::start`].
     ///
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
     pub async fn start(
         &self,
-        stamp: CallHeader,
-        order: StartRequest,
+        header: CallHeader,
+        request: StartRequest,
     ) -> Result<Reply<StartOutcome>, Error> {
         self.call("start", Duration::ZERO, async |client, ctx| {
-            client.start(ctx, stamp, order).await
+            client.start(ctx, header, request).await
         })
         .await
     }
 
-    /// Asks for pieces; see [`crate::Sidecar::pull`].
+    /// Fetches chunks of a response; see [`crate::Sidecar::pull`].
     ///
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
     pub async fn pull(
         &self,
-        stamp: CallHeader,
-        ask: PullRequest,
+        header: CallHeader,
+        request: PullRequest,
     ) -> Result<Reply<PullOutcome>, Error> {
-        let hold = Duration::from_millis(u64::from(ask.wait_ms));
-        self.call("pull", hold, async |client, ctx| {
-            client.pull(ctx, stamp, ask).await
+        let max_wait = Duration::from_millis(u64::from(request.wait_ms));
+        self.call("pull", max_wait, async |client, ctx| {
+            client.pull(ctx, header, request).await
         })
         .await
     }
 
-    /// Ends a ticket; see [`crate::Sidecar::cancel`].
+    /// Cancels a request; see [`crate::Sidecar::cancel`].
     ///
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
     pub async fn cancel(
         &self,
-        stamp: CallHeader,
-        ticket: RequestId,
+        header: CallHeader,
+        id: RequestId,
     ) -> Result<Reply<CancelOutcome>, Error> {
         self.call("cancel", Duration::ZERO, async |client, ctx| {
-            client.cancel(ctx, stamp, ticket).await
+            client.cancel(ctx, header, id).await
         })
         .await
     }
@@ -240,116 +241,127 @@
     /// Returns [`Error`] when no answer came.
     pub async fn fetch_bundle(
         &self,
-        stamp: CallHeader,
+        header: CallHeader,
     ) -> Result<Reply<Option<bytes::Bytes>>, Error> {
         self.call("fetch_bundle", Duration::ZERO, async |client, ctx| {
-            client.fetch_bundle(ctx, stamp).await
+            client.fetch_bundle(ctx, header).await
         })
         .await
     }
 
-    /// Hands over a bundle; see [`crate::Sidecar::offer_bundle`].
+    /// Sends a newer bundle; see [`crate::Sidecar::offer_bundle`].
     ///
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
     pub async fn offer_bundle(
         &self,
-        stamp: CallHeader,
+        header: CallHeader,
         transfer: bytes::Bytes,
     ) -> Result<Reply<bool>, Error> {
         self.call("offer_bundle", Duration::ZERO, async |client, ctx| {
-            client.offer_bundle(ctx, stamp, transfer).await
+            client.offer_bundle(ctx, header, transfer).await
         })
         .await
     }
 
-    /// Makes one call and gives the connection up if it failed or is silent.
+    /// Makes one call, and discards the connection if it failed or does not
+    /// respond.
     ///
-    /// A connection whose path has lost track of it stays open for TCP while
-    /// nothing passes. The caller would wait for ever. Each call has a bound
-    /// at the sidecar, so no answer to anything within bound and margin proves
-    /// the connection useless, and dialling anew is enough because every call
-    /// is idempotent by its ticket. An answer to another call meanwhile shows
-    /// that only this one was lost; the connection stays.
-    async fn call<T, F, Fut>(&self, step: &'static str, hold: Duration, make: F) -> Result<T, Error>
+    /// When a middlebox on the path drops the state of a connection, it stays
+    /// open for TCP as long as nothing is sent, and the caller would wait
+    /// forever. Each call has a maximum wait at the sidecar. If there is no
+    /// response to any call within that time plus the margin, the connection is
+    /// unusable. Connecting again is safe because every call is idempotent by
+    /// request id. A response to another call in the meantime shows that only
+    /// this call was lost, so the connection is kept.
+    async fn call<T, F, Fut>(
+        &self,
+        step: &'static str,
+        max_wait: Duration,
+        send: F,
+    ) -> Result<T, Error>
     where
         F: FnOnce(SidecarClient, tarpc::context::Context) -> Fut,
         Fut: Future<Output = Result<T, RpcError>>,
     {
         let peer = self.addr;
-        let link = self.link().await.context(DialSnafu { step, peer })?;
+        let connection = self.connection().await.context(DialSnafu { step, peer })?;
         let sent = Instant::now();
-        let waited = hold + self.timing.margin;
+        let waited = max_wait + self.timeouts.margin;
 
         let mut ctx = tarpc::context::current();
         ctx.deadline = std::time::Instant::now() + waited;
-        let answer = tokio::select! {
-            answer = tokio::time::timeout(waited, make(link.client.clone(), ctx)) => answer,
-            () = link.dead.wait() => return SilentSnafu { step, peer, waited: sent.elapsed() }.fail(),
+        let result = tokio::select! {
+            result = tokio::time::timeout(waited, send(connection.client.clone(), ctx)) => result,
+            () = connection.discarded.wait() => return SilentSnafu { step, peer, waited: sent.elapsed() }.fail(),
         };
 
-        match answer {
+        match result {
             Ok(Ok(reply)) => {
-                link.heard.set(Instant::now());
-                link.proven.set(true);
+                connection.last_response.set(Instant::now());
+                connection.responded.set(true);
                 self.failures.set(0);
                 Ok(reply)
             }
             Ok(Err(RpcError::DeadlineExceeded)) | Err(_) => {
-                if link.heard.get() <= sent {
-                    self.give_up(&link);
+                if connection.last_response.get() <= sent {
+                    self.discard(&connection);
                 }
                 SilentSnafu { step, peer, waited }.fail()
             }
             Ok(Err(source)) => {
-                self.give_up(&link);
+                self.discard(&connection);
                 Err(source).context(CallSnafu { step, peer })
             }
         }
     }
 
-    /// The connection in use, dialled now if there is none.
-    async fn link(&self) -> io::Result<Rc<Link>> {
-        if let Some(link) = self.usable() {
-            return Ok(link);
+    /// Returns the current connection, or connects if there is none.
+    async fn connection(&self) -> io::Result<Rc<Connection>> {
+        if let Some(connection) = self.live_connection() {
+            return Ok(connection);
         }
 
-        // A burst towards a sidecar that just came back would dial once for
-        // each request; one dials, and the others take what it gets.
-        let _turn = self.dialling.lock().await;
-        if let Some(link) = self.usable() {
-            return Ok(link);
+        // Without the lock, a burst of requests to a sidecar that just
+        // recovered would open one connection for each request.
+        let _guard = self.connect_lock.lock().await;
+        if let Some(connection) = self.live_connection() {
+            return Ok(connection);
         }
-        // Those who waited for a dial that failed do not dial in turn: each
-        // would pay the whole time again.
-        if self.rest.get().is_some_and(|until| Instant::now() < until) {
+        // Calls that waited for a failed attempt do not retry it one after the
+        // other, since each would wait for the full connection timeout.
+        if self
+            .retry_at
+            .get()
+            .is_some_and(|until| Instant::now() < until)
+        {
             return Err(io::ErrorKind::HostUnreachable.into());
         }
 
-        let link = self.dial().await.inspect_err(|_| self.back_off())?;
-        let link = Rc::new(link);
-        *self.link.borrow_mut() = Some(Rc::clone(&link));
-        Ok(link)
+        let connection = self.connect().await.inspect_err(|_| self.back_off())?;
+        let connection = Rc::new(connection);
+        *self.connection.borrow_mut() = Some(Rc::clone(&connection));
+        Ok(connection)
     }
 
-    /// The connection in use, unless it was idle for so long that the path may
-    /// have lost track of it. A request would find that out only by waiting
-    /// for the margin; a new connection costs one round trip.
-    fn usable(&self) -> Option<Rc<Link>> {
-        let link = self.link.borrow().clone()?;
-        if link.heard.get().elapsed() < self.timing.idle {
-            return Some(link);
+    /// The current connection, unless it was idle for so long that a middlebox
+    /// may have dropped its state. A request would detect that only by waiting
+    /// for the margin, whereas a new connection costs one round trip.
+    fn live_connection(&self) -> Option<Rc<Connection>> {
+        let connection = self.connection.borrow().clone()?;
+        if connection.last_response.get().elapsed() < self.timeouts.idle {
+            return Some(connection);
         }
-        // Calls still in flight keep the old connection until they end.
-        self.link.borrow_mut().take();
+        // Calls in flight keep the old connection alive until they end.
+        self.connection.borrow_mut().take();
         None
     }
 
-    async fn dial(&self) -> io::Result<Link> {
-        let dialled =
-            tokio::time::timeout(self.timing.connect, TcpStream::connect(self.addr)).await;
-        let stream = dialled.map_err(|_| io::ErrorKind::TimedOut)??;
+    async fn connect(&self) -> io::Result<Connection> {
+        let connected =
+            tokio::time::timeout(self.timeouts.connect, TcpStream::connect(self.addr)).await;
+        let stream = connected.map_err(|_| io::ErrorKind::TimedOut)??;
         stream.set_nodelay(true)?;
 
         let mut config = tarpc::client::Config::default();
@@ -357,45 +369,46 @@
         config.pending_request_buffer = PENDING_LIMIT;
         let new = SidecarClient::new(config, codec(stream));
         actix_rt::spawn(async move {
-            // The calls in flight report the failure; there is nothing to add.
+            // The calls in flight already report a failure of the connection.
             let _ = new.dispatch.await;
         });
-        Ok(Link {
+        Ok(Connection {
             client: new.client,
-            heard: Cell::new(Instant::now()),
-            proven: Cell::new(false),
-            dead: StopSignal::new(),
+            last_response: Cell::new(Instant::now()),
+            responded: Cell::new(false),
+            discarded: StopSignal::new(),
         })
     }
 
-    /// Stops using a connection and ends all calls in flight on it, which
-    /// would each find out by their own bound otherwise.
-    fn give_up(&self, link: &Rc<Link>) {
-        link.dead.trigger();
-        let mut current = self.link.borrow_mut();
-        if !current.as_ref().is_some_and(|c| Rc::ptr_eq(c, link)) {
+    /// Discards a connection and aborts all calls in flight on it, each of which
+    /// would otherwise wait for its own timeout.
+    fn discard(&self, connection: &Rc<Connection>) {
+        connection.discarded.trigger();
+        let mut current = self.connection.borrow_mut();
+        if !current.as_ref().is_some_and(|c| Rc::ptr_eq(c, connection)) {
             return;
         }
         current.take();
 
-        // A peer that accepts and resets at once would be dialled in a loop.
-        // A connection that had worked is replaced without delay.
-        if !link.proven.get() {
+        // Without backoff, a sidecar that accepts and immediately resets
+        // connections would be connected to in a loop. A connection that had
+        // worked is replaced without delay.
+        if !connection.responded.get() {
             self.back_off();
         }
     }
 
-    /// Leaves the peer alone for a while that grows with each failure.
+    /// Starts a backoff that doubles with each consecutive failure.
     fn back_off(&self) {
         let failures = self.failures.get();
         self.failures.set(failures.saturating_add(1));
-        let rest = BACKOFF_FIRST * 2u32.pow(failures.min(10));
-        self.rest
-            .set(Some(Instant::now() + rest.min(BACKOFF_LIMIT)));
+        let backoff = INITIAL_BACKOFF * 2u32.pow(failures.min(10));
+        self.retry_at
+            .set(Some(Instant::now() + backoff.min(MAX_BACKOFF)));
     }
 }
 
-/// Frames a stream for the inner protocol.
+/// Wraps a stream in the framing and encoding of the internal protocols.
 pub(crate) fn codec<Item, Out>(
     stream: TcpStream,
 ) -> tarpc::serde_transport::Transport<TcpStream, Item, Out, Bincode<Item, Out>>
--- a/crates/wire/src/serve.rs
+++ b/crates/wire/src/serve.rs
@@ -1,4 +1,4 @@
-//! Answering the calls of the inner protocol.
+//! Serving the internal protocols over TCP.
 
 use futures_util::StreamExt;
 use serde::{Serialize, de::DeserializeOwned};
@@ -10,16 +10,16 @@
 use crate::Sidecar;
 use crate::peer::codec;
 
-/// How long accepting pauses after it failed.
+/// Pause before accepting again after `accept` failed.
 const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// Answers that may wait for the connection to take them before their calls
-/// are held back.
+/// Number of responses that one connection buffers before further calls on it
+/// wait (backpressure).
 const PENDING_LIMIT: usize = 1024;
 
-/// Answers calls on `listener` by `service` until `stop` is asked.
-/// Connections already open go on after that, so that answers in progress
-/// can still be pulled.
+/// Serves the sidecar protocol on `listener` until `stop` is triggered. Open
+/// connections stay open after that, so that the remaining chunks of responses
+/// in progress can still be pulled.
 pub async fn serve<S>(listener: TcpListener, service: S, stop: StopSignal)
 where
     S: Sidecar + Clone + 'static,
@@ -27,7 +27,7 @@
     accept(listener, service.serve(), stop).await;
 }
 
-/// The same for any set of calls.
+/// Like [`serve`], for any tarpc service.
 pub(crate) async fn accept<S>(listener: TcpListener, serve: S, stop: StopSignal)
 where
     S: Serve + Clone + 'static,
@@ -44,12 +44,12 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        actix_rt::spawn(connection(stream, serve.clone()));
+        actix_rt::spawn(serve_connection(stream, serve.clone()));
     }
 }
 
-/// Answers the calls of one connection until it closes.
-async fn connection<S>(stream: tokio::net::TcpStream, serve: S)
+/// Serves the calls of one connection until it closes.
+async fn serve_connection<S>(stream: tokio::net::TcpStream, serve: S)
 where
     S: Serve + Clone + 'static,
     S::Req: DeserializeOwned + 'static,
--- a/crates/wire/src/tables.rs
+++ b/crates/wire/src/tables.rs
@@ -1,8 +1,8 @@
-//! What an entry asks a neighbour that keeps level with the store's tables.
+//! Fetching changes of the store's tables from a neighbour that replicates them.
 //!
-//! One call, a bounded long poll like the store's own. Positions are the
-//! store's, so that an entry goes on with whoever it asks next, neighbour or
-//! store, where it stood.
+//! The protocol is one bounded long poll, like that of the store. Positions are
+//! those of the store, so that an entry can continue from its position with
+//! another neighbour or with the store.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,94 +19,95 @@
 use crate::peer::codec;
 use crate::serve;
 
-/// How records are written. Entries of another one are not asked again before
-/// they have been passed over for a while, and their neighbours read the store.
+/// Version of the record encoding. A neighbour with another version is skipped
+/// for a while, during which the asking entry reads the store instead.
 pub const FORMAT_VERSION: u8 = 3;
 
-/// The calls that an entry answers its neighbours.
+/// The calls that an entry serves to its neighbours.
 #[tarpc::service]
 pub trait TableSync {
-    /// Asks what changed in the tables; held for `wait_ms` at most.
-    async fn fetch_changes(ask: ChangesRequest) -> TableChanges;
+    /// Returns what changed in the tables; blocks for at most `wait_ms`.
+    async fn fetch_changes(request: ChangesRequest) -> TableChanges;
 }
 
-/// Up to where the asking entry is complete.
+/// The positions up to which the asking entry has replicated the tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesRequest {
-    /// How it reads records.
+    /// Version of the record encoding that the entry reads.
     pub version: u8,
-    /// Its position in the catalog's table; none for the whole.
+    /// Position in the catalog table; `None` requests a snapshot.
     pub catalog: Option<u64>,
-    /// Its position in the servers' table; none for the whole.
+    /// Position in the server table; `None` requests a snapshot.
     pub servers: Option<u64>,
-    /// Its position in the table of servers that have crashed under calls; none
-    /// for the whole.
+    /// Position in the table of servers that crashed while running a call;
+    /// `None` requests a snapshot.
     pub crashes: Option<u64>,
-    /// How long it waits for the first change, in milliseconds.
+    /// Maximum wait for the first change, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// What the neighbour holds beyond that.
+/// The changes after the positions of a [`ChangesRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableChanges {
-    /// Of the catalog's table; none when the neighbour has no copy.
+    /// Changes of the catalog table; `None` when the neighbour has no replica.
     pub catalog: Option<TableDelta>,
-    /// The same of the servers' table.
+    /// Changes of the server table; `None` as above.
     pub servers: Option<TableDelta>,
-    /// The same of the servers that have crashed under calls.
+    /// Changes of the table of crashed servers; `None` as above.
     pub crashes: Option<TableDelta>,
-    /// For how much longer servers may be missing from the table though they
-    /// live, as the store has just come back; in milliseconds.
+    /// Time for which live servers may still be missing from the table because
+    /// the store has just recovered, in milliseconds.
     pub settling_ms: u32,
 }
 
-/// A part of one table.
+/// Changes of one table, or a snapshot of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableDelta {
-    /// Whether it is the whole table, and what it does not show is gone.
+    /// Whether the records are a snapshot of the table; keys that are not in it
+    /// are deleted.
     #[serde(rename = "whole")]
     pub snapshot: bool,
-    /// The position up to which the neighbour is complete.
+    /// Position up to which the neighbour's replica is complete.
     #[serde(rename = "next")]
     pub position: u64,
-    /// For how long the neighbour has not known whether it still is, in
+    /// Time since the neighbour last knew its replica to be up to date, in
     /// milliseconds.
     #[serde(rename = "age_ms")]
     pub staleness_ms: u32,
-    /// Keys with their values, written by [`write`].
+    /// Key-value pairs, encoded by [`encode_records`].
     pub records: Bytes,
 }
 
-/// Why a neighbour told nothing.
+/// Why fetching changes from a neighbour failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No connection could be made in time.
+    /// The connection could not be established in time.
     #[snafu(display("step=dial peer={peer}: {source}"))]
     Dial {
         /// The neighbour.
         peer: SocketAddr,
-        /// What the system answered.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The connection failed, or nothing came in time.
+    /// The connection failed or the response timed out.
     #[snafu(display("step=follow peer={peer}: {source}"))]
     Call {
         /// The neighbour.
         peer: SocketAddr,
-        /// What the transport reported.
+        /// The error of the transport.
         source: RpcError,
     },
-    /// Its records make no sense.
+    /// The records of the neighbour are malformed.
     #[snafu(display("step=read_records peer={peer}: {source}"))]
     Records {
         /// The neighbour.
         peer: SocketAddr,
-        /// What is wrong with them.
+        /// The decoding error.
         source: postcard::Error,
     },
 }
 
-/// A connection to one neighbour.
+/// A connection to one neighbour, with which to fetch changes.
 #[derive(Debug)]
 pub struct NeighbourClient {
     addr: SocketAddr,
@@ -118,15 +119,15 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when there is no connection `within` that time.
-    pub async fn dial(addr: SocketAddr, within: Duration) -> Result<Self, Error> {
-        let dialled = tokio::time::timeout(within, TcpStream::connect(addr)).await;
-        let stream = dialled.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
+    /// Returns an error when no connection is established timeout `timeout`.
+    pub async fn connect(addr: SocketAddr, timeout: Duration) -> Result<Self, Error> {
+        let connected = tokio::time::timeout(timeout, TcpStream::connect(addr)).await;
+        let stream = connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         let stream = stream.and_then(|s| s.set_nodelay(true).map(|()| s));
         let stream = stream.context(DialSnafu { peer: addr })?;
         let new = TableSyncClient::new(tarpc::client::Config::default(), codec(stream));
         actix_rt::spawn(async move {
-            // The call in flight reports the failure; there is nothing to add.
+            // The call in flight already reports a failure of the connection.
             let _ = new.dispatch.await;
         });
         Ok(Self {
@@ -135,37 +136,38 @@
         })
     }
 
-    /// Where the neighbour listens.
+    /// The address on which the neighbour listens.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Asks what changed.
+    /// Fetches the changes after the positions in `request`.
     ///
-    /// A connection that its path has lost track of stays open while nothing
-    /// passes. The neighbour answers after `wait_ms` at the latest, so one from
-    /// which nothing came for `margin` longer is of no more use.
+    /// When a middlebox on the path drops the state of a connection, it stays
+    /// open for TCP as long as nothing is sent. The neighbour responds after
+    /// `wait_ms` at the latest, so a connection without a response for `margin`
+    /// longer is unusable.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns an error when there is no response.
     pub async fn fetch_changes(
         &self,
-        ask: ChangesRequest,
+        request: ChangesRequest,
         margin: Duration,
     ) -> Result<TableChanges, Error> {
         let peer = self.addr;
-        let within = Duration::from_millis(u64::from(ask.wait_ms)) + margin;
+        let timeout = Duration::from_millis(u64::from(request.wait_ms)) + margin;
         let mut ctx = tarpc::context::current();
-        ctx.deadline = std::time::Instant::now() + within;
-        let asked = tokio::time::timeout(within, self.client.fetch_changes(ctx, ask)).await;
-        let answer = asked.unwrap_or(Err(RpcError::DeadlineExceeded));
-        answer.context(CallSnafu { peer })
+        ctx.deadline = std::time::Instant::now() + timeout;
+        let response = tokio::time::timeout(timeout, self.client.fetch_changes(ctx, request)).await;
+        let result = response.unwrap_or(Err(RpcError::DeadlineExceeded));
+        result.context(CallSnafu { peer })
     }
 }
 
-/// Answers neighbours on `listener` until `stop` is asked.
+/// Serves neighbours on `listener` until `stop` is triggered.
 pub async fn serve_tables<S>(listener: TcpListener, service: S, stop: StopSignal)
 where
     S: TableSync + Clone + 'static,
@@ -173,17 +175,17 @@
     serve::accept(listener, service.serve(), stop).await;
 }
 
-/// Writes keys with their values.
+/// Encodes key-value pairs.
 #[must_use]
 pub fn encode_records<R: Serialize>(records: &R) -> Bytes {
     postcard::to_allocvec(records).unwrap_or_default().into()
 }
 
-/// Reads what [`write`] has written at the neighbour `peer`.
+/// Decodes records that [`encode_records`] encoded at the neighbour `peer`.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the bytes.
+/// Returns an error when the bytes are malformed.
 pub fn decode_records<'a, R: Deserialize<'a>>(
     peer: SocketAddr,
     bytes: &'a [u8],
