--- a/crates/base/tests/http.rs
+++ b/crates/base/tests/http.rs
@@ -1,4 +1,4 @@
-//! How an HTTP application stops.
+//! Graceful shutdown of an HTTP application.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 
-/// Far longer than any test takes: a wait of this length has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout after which a test fails; far longer than any test takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Larger than what the kernel's buffers on loopback take.
-const LARGE: usize = 32 << 20;
+/// Size of a response in bytes, larger than the kernel's loopback buffers.
+const RESPONSE_SIZE: usize = 32 << 20;
 
-const REQUEST: &[u8] = b"GET /small HTTP/1.1\r\nhost: a\r\n\r\n";
+const SMALL_REQUEST: &[u8] = b"GET /small HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// An application that runs, and what tells that it has ended.
+/// Starts an application; the receiver completes when it has ended.
 async fn start(stop: &StopSignal) -> (SocketAddr, oneshot::Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -26,63 +26,65 @@
         .route("/small", web::get().to(async || "small"))
         .route(
             "/large",
-            web::get().to(async || HttpResponse::Ok().body(vec![b'x'; LARGE])),
+            web::get().to(async || HttpResponse::Ok().body(vec![b'x'; RESPONSE_SIZE])),
         );
-    let (ended, wait) = oneshot::channel();
+    let (ended_tx, ended_rx) = oneshot::channel();
     let stop = stop.clone();
     actix_rt::spawn(async move {
-        serve_and_drain(listener, app, stop, PATIENCE * 10)
+        serve_and_drain(listener, app, stop, TEST_TIMEOUT * 10)
             .await
             .unwrap();
-        let _ = ended.send(());
+        let _ = ended_tx.send(());
     });
-    (addr, wait)
+    (addr, ended_rx)
 }
 
-async fn ended(wait: oneshot::Receiver<()>) {
-    let ended = tokio::time::timeout(PATIENCE, wait).await;
-    ended.expect("the application holds on").unwrap();
+async fn wait_ended(ended_rx: oneshot::Receiver<()>) {
+    let ended = tokio::time::timeout(TEST_TIMEOUT, ended_rx).await;
+    ended.expect("the application ends in time").unwrap();
 }
 
-// A balancer keeps an idle connection open that served a request before.
-// The stop must not wait for the keep-alive time of over a minute.
+// Guards against a shutdown that waits for the keep-alive timeout of over a
+// minute: a load balancer keeps a connection open after a request.
 #[actix_rt::test]
-async fn serve_whole_idle_connection() {
+async fn shutdown_with_idle_connection() {
     let stop = StopSignal::new();
-    let (addr, wait) = start(&stop).await;
+    let (addr, ended_rx) = start(&stop).await;
     let mut idle = TcpStream::connect(addr).await.unwrap();
-    idle.write_all(REQUEST).await.unwrap();
-    let mut answer = [0; 5];
-    idle.read_exact(&mut answer).await.unwrap();
+    idle.write_all(SMALL_REQUEST).await.unwrap();
+    let mut body = [0; 5];
+    idle.read_exact(&mut body).await.unwrap();
 
     stop.trigger();
-    ended(wait).await;
+    wait_ended(ended_rx).await;
     let mut rest = Vec::new();
     idle.read_to_end(&mut rest).await.unwrap();
     assert!(rest.ends_with(b"small"));
 }
 
-// A balancer opens connections ahead of need and never used this one.
+// Guards against a shutdown that waits for a connection without any request:
+// load balancers open connections in advance.
 #[actix_rt::test]
-async fn serve_whole_unused_connection() {
+async fn shutdown_with_unused_connection() {
     let stop = StopSignal::new();
-    let (addr, wait) = start(&stop).await;
+    let (addr, ended_rx) = start(&stop).await;
     let mut unused = TcpStream::connect(addr).await.unwrap();
     let mut served = TcpStream::connect(addr).await.unwrap();
-    served.write_all(REQUEST).await.unwrap();
+    served.write_all(SMALL_REQUEST).await.unwrap();
     served.read_exact(&mut [0; 5]).await.unwrap();
 
     stop.trigger();
-    ended(wait).await;
+    wait_ended(ended_rx).await;
     assert_eq!(unused.read(&mut [0; 1]).await.unwrap(), 0);
 }
 
-// A caller reads a large answer slowly: the handler is done long before the
-// bytes have left. The stop comes between, and the caller still gets them all.
+// Guards against a truncated response: a caller reads a large response slowly,
+// and the shutdown happens after the handler has returned but before all bytes
+// are sent.
 #[actix_rt::test]
-async fn serve_whole_slow_reader() {
+async fn shutdown_with_slow_reader() {
     let stop = StopSignal::new();
-    let (addr, wait) = start(&stop).await;
+    let (addr, ended_rx) = start(&stop).await;
     let mut slow = TcpStream::connect(addr).await.unwrap();
     slow.write_all(b"GET /large HTTP/1.1\r\nhost: a\r\n\r\n")
         .await
@@ -93,28 +95,33 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut rest = Vec::new();
     slow.read_to_end(&mut rest).await.unwrap();
-    assert!(rest.len() > LARGE, "{} bytes", rest.len());
-    ended(wait).await;
+    assert!(rest.len() > RESPONSE_SIZE, "{} bytes", rest.len());
+    wait_ended(ended_rx).await;
 }
 
-// A caller never reads its answer. The stop waits for it, but not for ever.
+// Guards against a shutdown that never ends: a caller does not read its
+// response, and the wait for it must be bounded.
 #[actix_rt::test]
-async fn serve_whole_reader_gone() {
+async fn shutdown_with_stalled_reader() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let large = async || HttpResponse::Ok().body(vec![b'x'; LARGE]);
+    let large = async || HttpResponse::Ok().body(vec![b'x'; RESPONSE_SIZE]);
     let app = App::new().route("/large", web::get().to(large));
     let stop = StopSignal::new();
-    let asked = stop.clone();
+    let stop_clone = stop.clone();
     let limit = Duration::from_millis(50);
-    let served = actix_rt::spawn(serve_and_drain(listener, app, asked, limit));
+    let served = actix_rt::spawn(serve_and_drain(listener, app, stop_clone, limit));
 
-    let mut gone = TcpStream::connect(addr).await.unwrap();
-    gone.write_all(b"GET /large HTTP/1.1\r\nhost: a\r\n\r\n")
+    let mut stalled = TcpStream::connect(addr).await.unwrap();
+    stalled
+        .write_all(b"GET /large HTTP/1.1\r\nhost: a\r\n\r\n")
         .await
         .unwrap();
-    gone.read_exact(&mut [0; 5]).await.unwrap();
+    stalled.read_exact(&mut [0; 5]).await.unwrap();
     stop.trigger();
-    let served = tokio::time::timeout(PATIENCE, served).await;
-    served.expect("the application holds on").unwrap().unwrap();
+    let served = tokio::time::timeout(TEST_TIMEOUT, served).await;
+    served
+        .expect("the application ends in time")
+        .unwrap()
+        .unwrap();
 }
--- a/crates/base/tests/logging.rs
+++ b/crates/base/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log output that is never waited for, and the story that it tells later.
+//! The non-blocking log writer, and the timeline of a request from log lines.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -8,16 +8,16 @@
 use base::timeline::{LogLine, request_timeline};
 use rstest::rstest;
 
-/// Takes nothing until it is told to.
-struct Stuck {
-    go: Receiver<()>,
-    out: Sender<Vec<u8>>,
+/// A writer that blocks until the test lets it continue.
+struct BlockedWriter {
+    resume: Receiver<()>,
+    writes_tx: Sender<Vec<u8>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _ = self.go.recv();
-        let _ = self.out.send(bytes.to_vec());
+        let _ = self.resume.recv();
+        let _ = self.writes_tx.send(bytes.to_vec());
         Ok(bytes.len())
     }
 
@@ -26,34 +26,39 @@
     }
 }
 
-/// Whoever reads the daemon's output has stopped. The daemon must go on: its
-/// lines wait, then are left out, and once somebody reads again the count of
-/// those is told.
+/// Guards against a daemon that blocks on logging when the reader of its output
+/// stalls: lines must be buffered, then dropped, and the number of dropped lines
+/// logged once the reader continues.
 #[test]
-fn stuck_reader_holds_nothing_up() {
-    let (go, gone) = channel();
-    let (out, written) = channel();
-    let mut log = BoundedWriter::start(Stuck { go: gone, out }).expect("a thread");
+fn stalled_reader_does_not_block() {
+    let (resume, resume_rx) = channel();
+    let (writes_tx, writes_rx) = channel();
+    let mut log = BoundedWriter::start(BlockedWriter {
+        resume: resume_rx,
+        writes_tx,
+    })
+    .expect("the writer thread starts");
     let line = [b'x'; 1024];
     for _ in 0..1000 {
-        log.write_all(&line).expect("never fails");
+        log.write_all(&line)
+            .expect("writing to the buffer succeeds");
     }
     assert!(
         log.dropped_lines() > 0,
-        "nothing was left out of a full buffer"
+        "no line was dropped from a full buffer"
     );
-    drop(go);
+    drop(resume);
     let mut text = String::new();
     while !text.contains("event=\"log lines left out\" count=") {
-        let piece = written.recv_timeout(Duration::from_secs(20));
-        text += &String::from_utf8_lossy(&piece.expect("the count is told"));
+        let write = writes_rx.recv_timeout(Duration::from_secs(20));
+        text += &String::from_utf8_lossy(&write.expect("the count is logged"));
     }
 }
 
-/// Collects what is written, one piece for each write.
-struct Pieces(Sender<Vec<u8>>);
+/// A writer that records the bytes of each write separately.
+struct RecordingWriter(Sender<Vec<u8>>);
 
-impl Write for Pieces {
+impl Write for RecordingWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.send(bytes.to_vec());
         Ok(bytes.len())
@@ -64,21 +69,23 @@
     }
 }
 
-/// Several daemons write into one pipe. A write that is longer than a pipe
-/// takes at once is torn, and lines of one daemon end up inside another's.
+/// Guards against interleaved lines when several daemons share a pipe: writes
+/// longer than the pipe's atomic size are split between those of others.
 #[test]
 fn lines_are_not_torn() {
-    let (out, written) = channel();
-    let mut log = BoundedWriter::start(Pieces(out)).expect("a thread");
+    let (writes_tx, writes_rx) = channel();
+    let mut log =
+        BoundedWriter::start(RecordingWriter(writes_tx)).expect("the writer thread starts");
     for i in 0..500 {
         let line = format!("time={i} event=\"{}\"\n", "x".repeat(i % 90));
-        log.write_all(line.as_bytes()).expect("never fails");
+        log.write_all(line.as_bytes())
+            .expect("writing to the buffer succeeds");
     }
-    log.flush().expect("written");
-    let pieces: Vec<Vec<u8>> = written.try_iter().collect();
-    assert!(pieces.len() > 1);
-    assert!(pieces.iter().all(|p| p.len() <= 4096 && p.ends_with(b"\n")));
-    let lines = pieces.concat().iter().filter(|b| **b == b'\n').count();
+    log.flush().expect("flushing succeeds");
+    let writes: Vec<Vec<u8>> = writes_rx.try_iter().collect();
+    assert!(writes.len() > 1);
+    assert!(writes.iter().all(|p| p.len() <= 4096 && p.ends_with(b"\n")));
+    let lines = writes.concat().iter().filter(|b| **b == b'\n').count();
     assert_eq!(lines, 500);
 }
 
@@ -99,11 +106,11 @@
 }
 
 #[test]
-fn story_told_in_order() {
+fn timeline_is_ordered() {
     let lines = lines();
     assert_eq!(lines.len(), 7);
-    let told = request_timeline("7", &lines);
-    let events: Vec<_> = told.iter().filter_map(|l| l.get("event")).collect();
+    let timeline = request_timeline("7", &lines);
+    let events: Vec<_> = timeline.iter().filter_map(|l| l.get("event")).collect();
     assert_eq!(
         events,
         [
@@ -113,11 +120,11 @@
             "call answered"
         ]
     );
-    assert!(told.iter().all(|l| l.daemon == "front-1"));
+    assert!(timeline.iter().all(|l| l.daemon == "front-1"));
 }
 
 #[test]
-fn story_of_unknown_is_empty() {
+fn timeline_of_unknown_request_is_empty() {
     assert!(request_timeline("8", &lines()).is_empty());
 }
 
@@ -126,6 +133,6 @@
 #[case::quoted("detail", Some("a \\\"b\\\" c=d"))]
 #[case::inside_a_value("c", None)]
 #[case::start_of_a_key("m", None)]
-fn value_found(#[case] key: &str, #[case] wanted: Option<&str>) {
-    assert_eq!(lines()[2].get(key), wanted);
+fn value_of_key(#[case] key: &str, #[case] expected: Option<&str>) {
+    assert_eq!(lines()[2].get(key), expected);
 }
--- a/crates/base/tests/telemetry.rs
+++ b/crates/base/tests/telemetry.rs
@@ -1,10 +1,10 @@
-//! What a daemon counts, as it is scraped.
+//! The Prometheus text output of a daemon's metrics.
 
 use base::telemetry;
 
-/// Guards against text that those who scrape cannot read.
+/// Guards against output that a Prometheus scraper cannot parse.
 #[test]
-fn text_is_complete() {
+fn text_has_all_metrics() {
     let text = telemetry::with_recorder(|| {
         metrics::counter!("calls_total", "status" => "a\"b\\c\nd").increment(2);
         metrics::gauge!("open").set(1.5);
@@ -24,14 +24,17 @@
         r#"seconds_sum{kind="whole"} 99.03"#,
         r#"seconds_count{kind="whole"} 2"#,
     ] {
-        assert!(text.lines().any(|l| l == line), "{line:?} is not in {text}");
+        assert!(
+            text.lines().any(|l| l == line),
+            "{line:?} is missing in {text}"
+        );
     }
 }
 
-/// Guards against a daemon that burns processor time as it starts: a recorder
-/// that measures the speed of a clock spins until that is known.
+/// Guards against a daemon that spins at startup: a recorder that depends on
+/// `quanta` calibrates the processor's clock in a busy loop.
 #[test]
-fn recorder_brings_no_clock() {
+fn recorder_does_not_depend_on_quanta() {
     let lock = include_str!("../../../Cargo.lock");
     assert!(!lock.contains("name = \"quanta\""));
 }
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -25,7 +25,7 @@
     Membership(Membership),
 }
 
-/// The load of one entry, or the sum over several entries.
+/// The load of one entry, or the aggregate over several entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryLoad {
     /// Incarnation of the entry.
@@ -49,9 +49,9 @@
     /// Which reply the sender requests.
     #[serde(rename = "asks")]
     pub wanted_reply: WantedReply,
-    /// Over which entries the load is summed.
+    /// The entries that the load covers.
     pub scope: LoadScope,
-    /// Number of entries in the sum.
+    /// Number of entries that the load covers.
     pub entries: u32,
     /// Load of each service.
     pub services: Vec<ServiceLoad>,
@@ -69,12 +69,12 @@
     Nothing,
     /// The known entries.
     Entries,
-    /// The known entries and the sum of their loads.
+    /// The known entries and the aggregate of their loads.
     #[serde(rename = "Sums")]
     Totals,
 }
 
-/// The set of entries over which a load is summed.
+/// The set of entries that a load covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadScope {
     /// The sender only.
@@ -101,7 +101,7 @@
     /// All or some of the known entries.
     #[serde(rename = "seats")]
     pub members: Vec<Member>,
-    /// The sum of the loads of all entries, if requested.
+    /// The aggregate of the loads of all entries, if requested.
     #[serde(rename = "sums")]
     pub totals: Option<EntryLoad>,
 }
@@ -136,7 +136,7 @@
     pub age_ms: u32,
 }
 
-/// The load of one service, for one entry or the sum over several.
+/// The load of one service, of one entry or aggregated over several.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLoad {
     /// Number of the service.
@@ -149,13 +149,14 @@
     #[serde(rename = "writing")]
     pub decoding_calls: f32,
     /// Prefill time per token, in seconds, as the mean over the entries that
-    /// have an estimate.
+    /// have an estimate; 0 when none has.
     #[serde(rename = "pace")]
     pub prefill_pace: f32,
-    /// Number of entries with an estimate of the prefill time.
+    /// Number of entries that have an estimate of the prefill time.
     #[serde(rename = "paced")]
     pub pace_sources: u32,
-    /// Pause of streams while the engine prefills other prompts, in seconds.
+    /// Longest pause of streams while the engine prefills other prompts, in
+    /// seconds; 0 when unknown.
     pub pause: f32,
 }
 
--- a/crates/wire/src/grants.rs
+++ b/crates/wire/src/grants.rs
@@ -99,7 +99,7 @@
     /// the prompt.
     #[serde(rename = "home")]
     pub is_home: bool,
-    /// Whether the call must be admitted.
+    /// Whether the call must be admitted, since its entry found no better engine.
     #[serde(rename = "must")]
     pub forced: bool,
     /// Number of tokens from the prompt's start that another engine is known to
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -129,7 +129,7 @@
         source: RpcError,
     },
     /// No response arrived within the call's maximum wait plus the margin.
-    #[snafu(display("step={step} peer={peer}: silent for {waited:?}"))]
+    #[snafu(display("step={step} peer={peer}: no response for {waited:?}"))]
     Silent {
         /// The name of the call.
         step: &'static str,
--- a/crates/wire/tests/grants.rs
+++ b/crates/wire/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Datagrams between entries and sidecars.
+//! Encoding of the datagrams between entries and sidecars.
 
 use rstest::rstest;
 use wire::grants::{
@@ -6,7 +6,7 @@
     PrefixLookup, RequestKind, Verdict, decode, encode,
 };
 
-fn want() -> AdmissionRequest {
+fn admission_request() -> AdmissionRequest {
     AdmissionRequest {
         request_id: "9c41d07be2a35f68".to_owned(),
         server: "i-7f3a91c2".to_owned(),
@@ -25,46 +25,49 @@
 }
 
 #[rstest]
-#[case::want(RequestKind::Admission(want()))]
-#[case::look(RequestKind::Lookup(PrefixLookup { server: "i-1".to_owned(), prompt_parts: want().prompt_parts }))]
-#[case::fetches(RequestKind::Fetching(13_300))]
-#[case::begun(RequestKind::FirstEvent)]
+#[case::admission(RequestKind::Admission(admission_request()))]
+#[case::lookup(RequestKind::Lookup(PrefixLookup { server: "i-1".to_owned(), prompt_parts: admission_request().prompt_parts }))]
+#[case::fetching(RequestKind::Fetching(13_300))]
+#[case::first_event(RequestKind::FirstEvent)]
 #[case::ended(RequestKind::Ended { pause_ms: 70 })]
-fn ask_read_as_written(#[case] kind: RequestKind) {
-    let ask = GrantRequest {
+fn request_round_trip(#[case] kind: RequestKind) {
+    let request = GrantRequest {
         incarnation: u64::MAX,
         call_number: 7,
         kind,
     };
-    let bytes = encode(&ask);
+    let bytes = encode(&request);
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-    assert_eq!(decode::<GrantRequest>(&bytes).expect("understood"), ask);
+    assert_eq!(
+        decode::<GrantRequest>(&bytes).expect("the datagram decodes"),
+        request
+    );
 }
 
 #[rstest]
 #[case::granted(Verdict::Granted)]
 #[case::queued(Verdict::Queued(250))]
 #[case::refused(Verdict::Refused(900))]
-#[case::gone(Verdict::ServerGone)]
-#[case::told(Verdict::Acknowledged)]
-fn answer_read_as_written(#[case] verdict: Verdict) {
-    let answer = GrantResponse {
+#[case::server_gone(Verdict::ServerGone)]
+#[case::acknowledged(Verdict::Acknowledged)]
+fn response_round_trip(#[case] verdict: Verdict) {
+    let response = GrantResponse {
         call_number: 7,
         verdict,
         cached_tokens: 13_300,
         prefer_fetch: true,
     };
     assert_eq!(
-        decode::<GrantResponse>(&encode(&answer)).expect("understood"),
-        answer
+        decode::<GrantResponse>(&encode(&response)).expect("the datagram decodes"),
+        response
     );
 }
 
-/// A datagram of another version, or cut short, is an error and nothing else.
+/// Guards against accepting a datagram of another version or a truncated one.
 #[rstest]
 #[case::empty(&[])]
 #[case::version(&[9, 1, 2, 3])]
-#[case::short(&[2, 7])]
-fn odd_bytes_refused(#[case] bytes: &[u8]) {
+#[case::truncated(&[2, 7])]
+fn malformed_datagram_rejected(#[case] bytes: &[u8]) {
     assert!(decode::<GrantRequest>(bytes).is_err());
 }
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Connections that fail, fall silent or carry many calls.
+//! Connections to a sidecar that fail, stop responding or carry many calls.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,13 +19,14 @@
     ReserveRequest, ServerLoad, Sidecar, StartOutcome, StartRequest, Timeouts,
 };
 
-const STAMP: CallHeader = CallHeader {
+const HEADER: CallHeader = CallHeader {
     sequence: BundleSequence(0),
 };
 
-/// Answers pulls once so many are held at the same time, and cancels at once.
+/// Responds to pulls once `all` of them are held concurrently, and to cancels at
+/// once.
 #[derive(Clone)]
-struct Holding {
+struct HoldingSidecar {
     all: u32,
     held: Rc<Cell<u32>>,
 }
@@ -39,7 +40,7 @@
     }
 }
 
-impl Sidecar for Holding {
+impl Sidecar for HoldingSidecar {
     async fn reserve(self, _: Context, _: CallHeader, _: ReserveRequest) -> Reply<ReserveOutcome> {
         std::future::pending().await
     }
@@ -75,7 +76,7 @@
     (listener, addr)
 }
 
-fn timing() -> Timeouts {
+fn timeouts() -> Timeouts {
     Timeouts {
         margin: Duration::from_millis(300),
         ..Timeouts::default()
@@ -90,29 +91,29 @@
     }
 }
 
-// Three thousand streams each hold a long poll at one sidecar, as when all its
-// callers wait. The library stops sending at 1,000 calls in flight; the others
-// would look silent, and the good connection would be dropped.
+// Guards against a limit on the calls in flight: 3,000 streams each hold a long
+// poll at one sidecar. With tarpc's default limit of 1,000, the other calls would
+// time out and the healthy connection would be dropped.
 #[actix_rt::test]
 async fn pull_many() {
     const POLLS: u32 = 3000;
     let (listener, addr) = listen().await;
-    let holding = Holding {
+    let sidecar = HoldingSidecar {
         all: POLLS,
         held: Rc::default(),
     };
-    actix_rt::spawn(wire::serve::serve(listener, holding, StopSignal::new()));
+    actix_rt::spawn(wire::serve::serve(listener, sidecar, StopSignal::new()));
 
-    let peer = Peer::new(addr, timing());
-    let polls = (0..POLLS).map(|_| peer.pull(STAMP, pull(20_000)));
+    let peer = Peer::new(addr, timeouts());
+    let polls = (0..POLLS).map(|_| peer.pull(HEADER, pull(20_000)));
     let answers = join_all(polls).await;
     assert_eq!(answers.iter().filter(|a| a.is_ok()).count(), POLLS as usize);
 }
 
-// A burst of requests meets a sidecar to which there is no connection yet.
-// One is dialled and shared; a hundred would be a storm at every restart.
+// Guards against one connection per request when a burst of requests goes to a
+// sidecar that is not connected yet, as after each restart of it.
 #[actix_rt::test]
-async fn call_dials_once() {
+async fn burst_shares_one_connection() {
     let (listener, addr) = listen().await;
     let accepted = Rc::new(Cell::new(0));
     let count = Rc::clone(&accepted);
@@ -124,42 +125,43 @@
         }
     });
 
-    let peer = Peer::new(addr, timing());
-    let calls = (0..100).map(|i| peer.cancel(STAMP, RequestId(i)));
+    let peer = Peer::new(addr, timeouts());
+    let calls = (0..100).map(|i| peer.cancel(HEADER, RequestId(i)));
     let answers = join_all(calls).await;
     assert!(answers.iter().all(Result::is_err));
     assert_eq!(accepted.get(), 1);
 }
 
-// The first connection accepts everything and answers nothing, as when the
-// path has lost track of it; new connections work. All calls in flight learn
-// of it with the first that runs out of time, and the next call is answered.
+// Guards against calls that wait on a dead connection: the first connection
+// accepts everything and never responds, as when a middlebox dropped its state,
+// while new connections work. All calls in flight must fail with the first one
+// that times out, and the next call must succeed.
 #[actix_rt::test]
-async fn call_silent_connection() {
+async fn unresponsive_connection_replaced() {
     let (listener, addr) = listen().await;
     actix_rt::spawn(async move {
         let _first = listener.accept().await;
-        let holding = Holding {
+        let sidecar = HoldingSidecar {
             all: 0,
             held: Rc::default(),
         };
-        wire::serve::serve(listener, holding, StopSignal::new()).await;
+        wire::serve::serve(listener, sidecar, StopSignal::new()).await;
     });
 
-    let peer = Peer::new(addr, timing());
-    // A poll that may be held for minutes ends with the short call.
+    let peer = Peer::new(addr, timeouts());
+    // A long poll of up to 10 minutes must end together with the short call.
     let both = futures_util::future::join(
-        peer.cancel(STAMP, RequestId(1)),
-        peer.pull(STAMP, pull(600_000)),
+        peer.cancel(HEADER, RequestId(1)),
+        peer.pull(HEADER, pull(600_000)),
     );
     let both = tokio::time::timeout(Duration::from_secs(20), both).await;
-    let (short, long) = both.expect("both calls end");
+    let (short, long) = both.expect("both calls end in time");
     assert!(matches!(short, Err(Error::Silent { .. })));
     assert!(matches!(long, Err(Error::Silent { .. })));
 
     let again = loop {
-        match peer.cancel(STAMP, RequestId(1)).await {
-            // Left alone for a moment, since no connection has worked yet.
+        match peer.cancel(HEADER, RequestId(1)).await {
+            // In backoff, since no connection has worked yet.
             Err(Error::Dial { .. }) => tokio::time::sleep(Duration::from_millis(10)).await,
             answer => break answer,
         }
@@ -167,22 +169,22 @@
     assert!(again.is_ok());
 }
 
-// One call is lost at the sidecar while others on the same connection are
-// answered. Only that call fails; dropping the connection would cut off all.
+// Guards against dropping a healthy connection: one call is lost at the sidecar
+// while others on the same connection get responses. Only that call may fail.
 #[actix_rt::test]
-async fn call_lost_alone() {
+async fn lost_call_keeps_connection() {
     let (listener, addr) = listen().await;
-    let holding = Holding {
+    let sidecar = HoldingSidecar {
         all: 1000,
         held: Rc::default(),
     };
-    let held = Rc::clone(&holding.held);
-    actix_rt::spawn(wire::serve::serve(listener, holding, StopSignal::new()));
+    let held = Rc::clone(&sidecar.held);
+    actix_rt::spawn(wire::serve::serve(listener, sidecar, StopSignal::new()));
 
-    let peer = Peer::new(addr, timing());
+    let peer = Peer::new(addr, timeouts());
     let lost = async {
-        let answer = peer.pull(STAMP, pull(1000)).await;
-        // Both polls are answered now, if their connection is still there.
+        let answer = peer.pull(HEADER, pull(1000)).await;
+        // Both polls get their response now if the connection is still open.
         held.set(1000);
         answer
     };
@@ -190,25 +192,25 @@
         while held.get() < 2 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        peer.cancel(STAMP, RequestId(1)).await
+        peer.cancel(HEADER, RequestId(1)).await
     };
-    let kept = peer.pull(STAMP, pull(20_000));
+    let kept = peer.pull(HEADER, pull(20_000));
     let (lost, kept, other) = futures_util::join!(lost, kept, other);
     assert!(matches!(lost, Err(Error::Silent { .. })));
     assert!(kept.is_ok() && other.is_ok());
 }
 
-// Callers hammer a peer that accepts and resets, or refuses to connect. It is
-// left alone between tries for a time that grows, so that a host in trouble
-// is not dialled thousands of times a second.
+// Guards against thousands of connection attempts per second to a failing host:
+// calls are made continuously to a sidecar that resets or refuses connections.
+// The backoff between attempts must grow.
 #[rstest]
 #[case::resets(true)]
 #[case::refuses(false)]
 #[actix_rt::test]
-async fn call_backs_off(#[case] accepts: bool) {
+async fn failed_connection_backs_off(#[case] accepts: bool) {
     let (listener, addr) = listen().await;
-    let dialled = Rc::new(Cell::new(0u32));
-    let count = Rc::clone(&dialled);
+    let attempts = Rc::new(Cell::new(0u32));
+    let count = Rc::clone(&attempts);
     if accepts {
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -220,38 +222,43 @@
         drop(listener);
     }
 
-    let peer = Peer::new(addr, timing());
+    let peer = Peer::new(addr, timeouts());
     let until = Instant::now() + Duration::from_millis(500);
-    let mut refused_at_once = 0;
+    let mut backed_off = 0;
     while Instant::now() < until {
-        match peer.cancel(STAMP, RequestId(1)).await {
+        match peer.cancel(HEADER, RequestId(1)).await {
             Err(Error::Dial { source, .. })
                 if source.kind() == std::io::ErrorKind::HostUnreachable =>
             {
-                refused_at_once += 1;
+                backed_off += 1;
             }
             answer => assert!(answer.is_err()),
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    // At 50 ms, 150 ms and 350 ms after the first, and no more.
-    assert!(dialled.get() <= 4, "dialled {} times", dialled.get());
-    assert!(refused_at_once > 0);
+    // The retries come 50 ms, 150 ms and 350 ms after the first attempt, and none later.
+    assert!(
+        attempts.get() <= 4,
+        "{} connection attempts",
+        attempts.get()
+    );
+    assert!(backed_off > 0);
 }
 
-// A connection was idle for so long that the path may have lost track of it.
-// The next request gets a new one instead of waiting for the margin.
+// Guards against waiting for the margin on a connection that was idle for so
+// long that a middlebox may have dropped its state: the next call must use a new
+// connection.
 #[actix_rt::test]
-async fn call_after_idle() {
+async fn idle_connection_replaced() {
     let (listener, addr) = listen().await;
     let accepted = Rc::new(Cell::new(0));
     let count = Rc::clone(&accepted);
     let (inner, inner_addr) = listen().await;
-    let holding = Holding {
+    let sidecar = HoldingSidecar {
         all: 0,
         held: Rc::default(),
     };
-    actix_rt::spawn(wire::serve::serve(inner, holding, StopSignal::new()));
+    actix_rt::spawn(wire::serve::serve(inner, sidecar, StopSignal::new()));
     actix_rt::spawn(async move {
         while let Ok((mut near, _)) = listener.accept().await {
             count.set(count.get() + 1);
@@ -266,11 +273,11 @@
         addr,
         Timeouts {
             idle: Duration::ZERO,
-            ..timing()
+            ..timeouts()
         },
     );
     for n in 1..=3 {
-        assert!(peer.cancel(STAMP, RequestId(n)).await.is_ok());
+        assert!(peer.cancel(HEADER, RequestId(n)).await.is_ok());
     }
     assert_eq!(accepted.get(), 3);
 }
