--- a/crates/base/src/http.rs
+++ b/crates/base/src/http.rs
@@ -118,7 +118,7 @@
         .client_request_timeout(REQUEST_TIMEOUT)
         .keep_alive(KEEP_ALIVE)
         // A caller that closes its side is treated as disconnected. If the
-        // connection stayed half connections, its request would keep waiting and
+        // connection stayed half open, its request would keep waiting and
         // running unused. Dropping the handler cancels it down to the engine.
         .h1_allow_half_closed(false)
         // Closes idle connections at once, others after the current response.
--- a/crates/base/src/logging.rs
+++ b/crates/base/src/logging.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Formats a value for a log line. Anything but a single plain word is quote_value
+/// Formats a value for a log line. Anything but a single plain word is quoted
 /// and escaped, so that text from callers cannot inject line breaks or keys.
 fn quote_value(value: &str) -> String {
     let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=';
--- a/crates/base/src/telemetry/recorder.rs
+++ b/crates/base/src/telemetry/recorder.rs
@@ -161,11 +161,11 @@
         let value = value.replace('\\', "\\\\").replace('"', "\\\"");
         value.replace('\n', "\\n")
     };
-    let own = key
+    let key_labels = key
         .labels()
         .map(|label| format!("{}=\"{}\"", label.key(), escape(label.value())));
     let bound = bound.map(|bound| format!("le=\"{bound}\""));
-    let labels: Vec<String> = own.chain(bound).collect();
+    let labels: Vec<String> = key_labels.chain(bound).collect();
     match labels.is_empty() {
         true => String::new(),
         false => format!("{{{}}}", labels.join(",")),
--- a/crates/entry/benches/relay.rs
+++ b/crates/entry/benches/relay.rs
@@ -198,7 +198,7 @@
 impl Sidecar for Maker {
     async fn reserve(self, _: Context, _: CallHeader, _: ReserveRequest) -> Reply<ReserveOutcome> {
         reply(ReserveOutcome::Ready {
-            hold_ms: 250,
+            lease_ms: 250,
             ttft_us: 0,
             token_us: 0,
             cached_tokens: 0,
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -254,7 +254,7 @@
         let mut ask = self.request.ask(self.state.clock.now(), hold);
         ask.ticket = self.ticket;
         if let Some(left) = first_left {
-            ask.first_left_us = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
+            ask.ttft_budget_us = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
         }
         ask
     }
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -205,7 +205,7 @@
             Reserving::Ready { token_us } => {
                 count(&fake.offers);
                 fake.reply(ReserveOutcome::Ready {
-                    hold_ms: 250,
+                    lease_ms: 250,
                     ttft_us: token_us,
                     token_us,
                     cached_tokens: 0,
--- a/crates/scenario/tests/run/server.rs
+++ b/crates/scenario/tests/run/server.rs
@@ -171,8 +171,8 @@
                     workspace: words.key("workspace").unwrap_or("workspace").to_owned(),
                     weight: words.get("weight", 1)?,
                     tier: Tier(tier),
-                    first_left_us: 0,
-                    whole_left_us: 0,
+                    ttft_budget_us: 0,
+                    total_budget_us: 0,
                     prompt_tokens: words.get("prompt", 10)?,
                     max_tokens: 4096,
                     prefix_hash: 0,
@@ -363,8 +363,8 @@
         let call = &mut self.calls[i];
         let waited = now - call.arrives;
         let left = |target: Duration| target.saturating_sub(waited).as_micros() as u64;
-        call.ask.first_left_us = left(call.first);
-        call.ask.whole_left_us = left(call.whole);
+        call.ask.ttft_budget_us = left(call.first);
+        call.ask.total_budget_us = left(call.whole);
 
         let (ask, names) = (call.ask.clone(), call.servers.clone());
         let mut refused = None;
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -195,7 +195,7 @@
                 let left = until.saturating_duration_since(now);
                 let queue = self.queue.borrow();
                 ReserveOutcome::Ready {
-                    hold_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
+                    lease_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
                     ttft_us: number(queue.first_us(prompt)),
                     token_us: number(queue.standing(now).token_us),
                     cached_tokens: 0,
@@ -312,8 +312,8 @@
         workspace: Rc::from(ask.workspace.as_str()),
         weight: ask.weight,
         tier: ask.tier,
-        first_due: now + Duration::from_micros(ask.first_left_us),
-        whole_due: now + Duration::from_micros(ask.whole_left_us),
+        first_due: now + Duration::from_micros(ask.ttft_budget_us),
+        whole_due: now + Duration::from_micros(ask.total_budget_us),
         prompt: ask.prompt_tokens,
         tokens: ask.max_tokens,
         repeatable: ask.repeatable,
--- a/crates/sidecar/tests/state.rs
+++ b/crates/sidecar/tests/state.rs
@@ -64,8 +64,8 @@
         workspace: "workspace".to_owned(),
         weight: 1,
         tier: Tier(tier),
-        first_left_us: 2_000_000,
-        whole_left_us: 20_000_000,
+        ttft_budget_us: 2_000_000,
+        total_budget_us: 20_000_000,
         prompt_tokens: 10,
         max_tokens: 100,
         prefix_hash: 0,
@@ -372,7 +372,7 @@
     let (state, clock) = sidecar();
     let lower = running(&state, &ask(1, 1));
     let mut top = ask(2, 0);
-    top.first_left_us = 50_000;
+    top.ttft_budget_us = 50_000;
     reserve(&state, &top);
     state.push(&lower, piece(10));
     clock.advance(Duration::from_millis(29));
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -62,9 +62,11 @@
     /// Priority tier of the request.
     pub tier: Tier,
     /// Time left until the deadline of the first chunk, in microseconds.
-    pub first_left_us: u64,
+    #[serde(rename = "first_left_us")]
+    pub ttft_budget_us: u64,
     /// Time left until the deadline of the complete response, in microseconds.
-    pub whole_left_us: u64,
+    #[serde(rename = "whole_left_us")]
+    pub total_budget_us: u64,
     /// Length of the prompt, in tokens.
     #[serde(rename = "prompt")]
     pub prompt_tokens: u32,
@@ -89,7 +91,8 @@
     /// A slot is reserved for the request.
     Ready {
         /// How long the slot stays reserved, in milliseconds.
-        hold_ms: u32,
+        #[serde(rename = "hold_ms")]
+        lease_ms: u32,
         /// Expected time from start to first chunk, in microseconds; 0 when
         /// there are no observations yet.
         #[serde(rename = "first_us")]
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -172,7 +172,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no answer came.
+    /// Returns [`Error`] when there is no response.
     pub async fn reserve(
         &self,
         header: CallHeader,
@@ -189,7 +189,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no answer came.
+    /// Returns [`Error`] when there is no response.
     pub async fn start(
         &self,
         header: CallHeader,
@@ -205,7 +205,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no answer came.
+    /// Returns [`Error`] when there is no response.
     pub async fn pull(
         &self,
         header: CallHeader,
@@ -222,7 +222,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no answer came.
+    /// Returns [`Error`] when there is no response.
     pub async fn cancel(
         &self,
         header: CallHeader,
@@ -238,7 +238,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no answer came.
+    /// Returns [`Error`] when there is no response.
     pub async fn fetch_bundle(
         &self,
         header: CallHeader,
@@ -253,7 +253,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no answer came.
+    /// Returns [`Error`] when there is no response.
     pub async fn offer_bundle(
         &self,
         header: CallHeader,
--- a/crates/wire/src/tables.rs
+++ b/crates/wire/src/tables.rs
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when no connection is established timeout `timeout`.
+    /// Returns an error when no connection is established within `timeout`.
     pub async fn connect(addr: SocketAddr, timeout: Duration) -> Result<Self, Error> {
         let connected = tokio::time::timeout(timeout, TcpStream::connect(addr)).await;
         let stream = connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
