--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -124,8 +124,8 @@
             }
             StartOutcome::Refused(_) => Outcome::NotRun(RetryReason::Refused),
             // An earlier start may have run in the life that is gone.
-            StartOutcome::StaleIncarnation if sent => Outcome::Unknown,
-            StartOutcome::StaleIncarnation => Outcome::NotRun(RetryReason::SidecarRestarted),
+            StartOutcome::OtherIncarnation if sent => Outcome::Unknown,
+            StartOutcome::OtherIncarnation => Outcome::NotRun(RetryReason::SidecarRestarted),
         };
         self.over();
         outcome
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -225,7 +225,7 @@
             (Starting::Lapsed, _) => fake.reply(StartOutcome::ReservationExpired),
             (Starting::Reborn | Starting::RebornBefore, _) => {
                 fake.incarnation.set(2);
-                fake.reply(StartOutcome::StaleIncarnation)
+                fake.reply(StartOutcome::OtherIncarnation)
             }
         }
     }
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -214,7 +214,7 @@
         // A start meant for an earlier life could run a request a second
         // time: what that life did with it is not known here.
         if order.incarnation != self.incarnation {
-            return StartOutcome::StaleIncarnation;
+            return StartOutcome::OtherIncarnation;
         }
         let Some(entry) = self.find(order.ticket) else {
             let left = self.tombs.borrow().get(order.ticket);
--- a/crates/sidecar/tests/state.rs
+++ b/crates/sidecar/tests/state.rs
@@ -257,7 +257,7 @@
     let (state, _clock) = sidecar();
     reserve(&state, &ask(1, 0));
     let other = Incarnation(state.incarnation.0 ^ 1);
-    assert_eq!(start_in(&state, 1, other), StartOutcome::StaleIncarnation);
+    assert_eq!(start_in(&state, 1, other), StartOutcome::OtherIncarnation);
     assert_eq!(state.load().running, 1, "still held");
 }
 
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -165,8 +165,7 @@
     ReservationExpired,
     /// The start names an earlier incarnation; the request was not executed in
     /// the current one.
-    #[serde(rename = "OtherIncarnation")]
-    StaleIncarnation,
+    OtherIncarnation,
     /// The request was cancelled before; it was not executed.
     Cancelled,
     /// The request was not executed, for the given reason.
