--- a/crates/wire/src/grants.rs
+++ b/crates/wire/src/grants.rs
@@ -77,7 +77,7 @@
     /// Start of that incarnation in Unix milliseconds, if known.
     #[serde(rename = "born")]
     pub started_ms: Option<u64>,
-    /// The parts of the prompt: the hash of each and its number of tokens.
+    /// The parts of the prompt in order, each as its id and number of tokens.
     #[serde(rename = "parts")]
     pub prompt_parts: Vec<(u64, u32)>,
     /// Maximum time to the first event, in milliseconds.
@@ -116,7 +116,7 @@
 pub struct PrefixLookup {
     /// Id of the server incarnation that the question is for.
     pub server: String,
-    /// The parts of the prompt: the hash of each and its number of tokens.
+    /// The parts of the prompt in order, each as its id and number of tokens.
     #[serde(rename = "parts")]
     pub prompt_parts: Vec<(u64, u32)>,
 }
