--- a/crates/policy/src/duty.rs
+++ b/crates/policy/src/duty.rs
@@ -86,7 +86,7 @@
 }
 
 /// A daemon that may hold a duty. All times come from a clock that also advances while
-/// the host is suspended ([`base::clock::Clock::lasting`]).
+/// the host is suspended ([`base::clock::Clock::now_boottime`]).
 #[derive(Debug)]
 pub struct Candidate {
     incarnation: String,
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -195,7 +195,7 @@
                 let left = until.saturating_duration_since(now);
                 let queue = self.queue.borrow();
                 ReserveOutcome::Ready {
-                    hold_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
+                    lease_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
                     ttft_us: number(queue.expected_first_us(prompt)),
                     token_us: number(queue.status(now).token_us),
                     cached_tokens: 0,
@@ -214,7 +214,7 @@
         // A start meant for an earlier life could run a request a second
         // time: what that life did with it is not known here.
         if order.incarnation != self.incarnation {
-            return StartOutcome::StaleIncarnation;
+            return StartOutcome::OtherIncarnation;
         }
         let Some(entry) = self.find(order.ticket) else {
             let left = self.tombs.borrow().get(order.ticket);
@@ -312,8 +312,8 @@
         workspace: Rc::from(ask.workspace.as_str()),
         weight: ask.weight,
         tier: ask.tier,
-        first_deadline: now + Duration::from_micros(ask.first_left_us),
-        answer_deadline: now + Duration::from_micros(ask.whole_left_us),
+        first_deadline: now + Duration::from_micros(ask.ttft_budget_us),
+        answer_deadline: now + Duration::from_micros(ask.total_budget_us),
         prompt_tokens: ask.prompt_tokens,
         max_tokens: ask.max_tokens,
         repeatable: ask.repeatable,
