--- a/crates/forward/src/call.rs
+++ b/crates/forward/src/call.rs
@@ -25,24 +25,24 @@
 use rand::RngExt;
 use spdlog::info;
 
-use answer::good;
+use answer::is_valid_success;
 
 use crate::crashes;
-use crate::edge::Ask;
-use crate::exchange::{Body, Failure};
-use crate::reply::{Own, Reply};
+use crate::exchange::{ResponseBody, SendError};
+use crate::platform::CallHeaders;
+use crate::reply::{LocalReply, Reply};
 use crate::state::{Open, State};
 
 /// When to come back if no server takes the call: servers that were replaced
 /// are known about so long after.
-const AFTER_NO_SERVER: Duration = Duration::from_millis(400);
+const NO_SERVER_RETRY: Duration = Duration::from_millis(400);
 
 /// When to come back if the server was full: a slot falls free about that
 /// often on a busy server.
-const AFTER_FULL: Duration = Duration::from_millis(100);
+const SERVERS_FULL_RETRY: Duration = Duration::from_millis(100);
 
 /// When to come back if the catalog is not known yet.
-const AFTER_START: Duration = Duration::from_millis(500);
+const NO_CATALOG_RETRY: Duration = Duration::from_millis(500);
 
 /// A caller's call.
 #[derive(Debug)]
@@ -54,17 +54,17 @@
     /// The service that it goes to.
     pub service: Rc<str>,
     /// What its headers say.
-    pub ask: Ask,
+    pub parsed_headers: CallHeaders,
     /// Its workspace, if callers have keys.
     pub workspace: Option<Rc<Workspace>>,
     /// When it came.
-    pub came: Instant,
+    pub received_at: Instant,
     /// When the caller or the route gives it up.
-    pub until: Instant,
+    pub deadline: Instant,
     /// What its time goes into, if an engine serves it.
-    work: Option<Phase>,
+    phase: Option<Phase>,
     /// Whether a backend server has begun with it.
-    begin: Cell<Begun>,
+    billing: Cell<BillingState>,
     /// Its fingerprint, once it is needed.
     fingerprint: OnceCell<Fingerprint>,
     method: Method,
@@ -75,12 +75,12 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        if self.work == Some(Phase::Decode) {
+        if self.phase == Some(Phase::Decode) {
             let now = self.state.clock.now();
             self.state.pools.borrow_mut().call_ended(now, &self.service);
         }
-        if self.begin.get() == Begun::Perhaps {
-            self.count();
+        if self.billing.get() == BillingState::MaybeStarted {
+            self.record_usage();
         }
     }
 }
@@ -88,27 +88,27 @@
 /// Whether a backend server has begun with a call, which is what its workspace
 /// pays for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Begun {
+enum BillingState {
     /// No server has.
-    No,
+    NotStarted,
     /// It was sent to a plain service, which begins soon and does not say so.
-    Perhaps,
+    MaybeStarted,
     /// A server has, and it was counted.
     Counted,
 }
 
 /// Where a server begins with a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Begin {
+enum StartPoint {
     /// At its start.
-    Fresh,
+    Beginning,
     /// After the last event that the caller has of its stream, if any.
     After(Option<u64>),
 }
 
 /// A call as it came.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct IncomingRequest {
     /// The method.
     pub method: Method,
     /// The path with its query.
@@ -118,7 +118,7 @@
     /// The whole body.
     pub body: Bytes,
     /// When it came.
-    pub came: Instant,
+    pub received_at: Instant,
 }
 
 impl Call {
@@ -127,45 +127,45 @@
     /// # Errors
     ///
     /// Returns the answer for a call that is not served.
-    pub fn read(state: &Rc<State>, incoming: Incoming) -> Result<Self, Own> {
+    pub fn from_request(state: &Rc<State>, incoming: IncomingRequest) -> Result<Self, LocalReply> {
         let catalog = state.catalog.borrow().clone();
         let Some(catalog) = catalog else {
-            let after = wait_estimate::jitter(AFTER_START, rand::rng().random());
-            return Err(Own::refused(Refusal::NoBundle, after));
+            let after = wait_estimate::jitter(NO_CATALOG_RETRY, rand::rng().random());
+            return Err(LocalReply::refused(Refusal::NoBundle, after));
         };
-        let ask = state.dialect.ask(&incoming.headers);
-        let route = find(&catalog, &incoming)?;
-        let workspace = match catalog.access(&route, ask.key.as_deref()) {
+        let parsed_headers = state.dialect.parse_call(&incoming.headers);
+        let route = find_route(&catalog, &incoming)?;
+        let workspace = match catalog.access(&route, parsed_headers.api_key.as_deref()) {
             Access::Open => None,
             Access::Workspace(workspace) => Some(workspace),
-            Access::Denied => return Err(Own::denied(401, Refusal::BadToken)),
+            Access::Denied => return Err(LocalReply::denied(401, Refusal::BadToken)),
         };
         let Some(service) = route.pick_service(rand::rng().random()).cloned() else {
-            return Err(Own::refused(Refusal::NoServer, AFTER_NO_SERVER));
+            return Err(LocalReply::refused(Refusal::NoServer, NO_SERVER_RETRY));
         };
         let engine = catalog.service(&service).and_then(|s| s.engine);
-        let work = engine.map(|_| {
+        let phase = engine.map(|_| {
             let mut pools = state.pools.borrow_mut();
             let coming = IncomingCall {
                 route: &route.name,
-                prompt_tokens: fresh(&ask),
-                max_answer: ask.output,
+                prompt_tokens: unshared_tokens(&parsed_headers),
+                max_answer: parsed_headers.max_tokens,
                 max_gap: route.max_gap,
             };
-            pools.classify(incoming.came, &service, coming)
+            pools.classify(incoming.received_at, &service, coming)
         });
-        let patience = ask.patience.unwrap_or(route.call_timeout);
+        let patience = parsed_headers.caller_timeout.unwrap_or(route.call_timeout);
         Ok(Self {
             state: Rc::clone(state),
-            until: incoming.came + route.call_timeout.min(patience),
-            work,
-            begin: Cell::new(Begun::No),
+            deadline: incoming.received_at + route.call_timeout.min(patience),
+            phase,
+            billing: Cell::new(BillingState::NotStarted),
             fingerprint: OnceCell::new(),
             route,
             service,
-            ask,
+            parsed_headers,
             workspace,
-            came: incoming.came,
+            received_at: incoming.received_at,
             method: incoming.method,
             uri: incoming.uri,
             headers: incoming.headers,
@@ -175,8 +175,8 @@
 
     /// The caller's identity of the call, for logs.
     #[must_use]
-    pub fn name(&self) -> &str {
-        self.ask.id.as_deref().unwrap_or("-")
+    pub fn request_id(&self) -> &str {
+        self.parsed_headers.request_id.as_deref().unwrap_or("-")
     }
 
     /// Names what the caller sent, the same for each of its tries.
@@ -198,7 +198,7 @@
 
     /// For how long it is not to be sent to any server, as servers crash under
     /// it; none if it may be.
-    fn crashes_servers(&self) -> Option<Duration> {
+    fn blocked_for(&self) -> Option<Duration> {
         let crashes = &self.state.crashes;
         // Few calls need a fingerprint.
         if crashes.is_empty() {
@@ -208,20 +208,24 @@
     }
 
     /// Notes that a server has run it whole.
-    pub(crate) fn served(&self) {
+    pub(crate) fn record_completed(&self) {
         self.state.crashes.served(self.fingerprint());
     }
 
     /// Notes that its connection to `server` broke before the answer was
     /// whole.
-    pub(crate) fn broke(&self, server: &ServerRecord) {
+    pub(crate) fn record_broken(&self, server: &ServerRecord) {
         crashes::broke(&self.state, server, self.fingerprint());
     }
 
     /// Milliseconds since it came.
     #[must_use]
     pub fn age_ms(&self) -> u64 {
-        let age = self.state.clock.now().saturating_duration_since(self.came);
+        let age = self
+            .state
+            .clock
+            .now()
+            .saturating_duration_since(self.received_at);
         u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
     }
 
@@ -245,19 +249,19 @@
         self.state
             .budget
             .borrow_mut()
-            .record_call(self.came, &self.service);
+            .record_call(self.received_at, &self.service);
         let mut last = None;
         // A failure that a server vouches for, for the case that no other
         // server does better.
         let mut answered = None;
         for attempt in 1..=self.route.max_attempts.max(1) {
-            if attempt > 1 && !self.repeat() {
+            if attempt > 1 && !self.take_retry() {
                 break;
             }
-            let answer = self.send(&mut tried, Begin::Fresh).await;
+            let answer = self.send(&mut tried, StartPoint::Beginning).await;
             let failure = match answer {
                 Ok(answer) => match self.accept(answer, &tried).await {
-                    Ok(reply) if self.better(&reply, &tried) => {
+                    Ok(reply) if self.should_retry(&reply, &tried) => {
                         answered = Some(reply);
                         continue;
                     }
@@ -266,38 +270,38 @@
                 },
                 Err(failure) => failure,
             };
-            if matches!(failure, Failure::Unknown(_)) {
+            if matches!(failure, SendError::Unknown(_)) {
                 // Engines crash with calls of which nothing has come yet.
-                self.count();
+                self.record_usage();
             }
-            metrics::counter!("pimentocart_sends_failed_total", "cause" => failure.word())
+            metrics::counter!("pimentocart_sends_failed_total", "cause" => failure.label())
                 .increment(1);
             info!("send failed", kv: {
-                id = self.name(),
+                id = self.request_id(),
                 route = self.route.name.as_str(),
                 attempt,
                 server = tried.last().map_or("-", |s| &**s),
-                cause = failure.word(),
+                cause = failure.label(),
                 detail = format!("{failure:?}").as_str(),
                 ms = self.age_ms()
             });
             let again = failure.not_run() || self.route.kind.repeatable();
-            let over = failure.final_here();
+            let over = failure.is_final();
             // Once the call may have run somewhere, no later failure changes
             // that, and no refusal would be true.
-            if last.as_ref().is_none_or(Failure::not_run) {
+            if last.as_ref().is_none_or(SendError::not_run) {
                 last = Some(failure);
             }
             if !again || over {
                 break;
             }
         }
-        answered.unwrap_or_else(|| Reply::Own(self.given_up(last.as_ref())))
+        answered.unwrap_or_else(|| Reply::Local(self.final_reply(last.as_ref())))
     }
 
     /// Whether another server may well serve what this one failed.
-    fn better(&self, reply: &Reply, tried: &[Rc<str>]) -> bool {
-        let failed = matches!(reply, Reply::Whole { status, .. } if *status >= 500);
+    fn should_retry(&self, reply: &Reply, tried: &[Rc<str>]) -> bool {
+        let failed = matches!(reply, Reply::Buffered { status, .. } if *status >= 500);
         let spare = tried.len() < self.route.max_attempts as usize;
         failed && spare && self.route.kind == CallKind::Idempotent
     }
@@ -307,15 +311,15 @@
         self: Rc<Self>,
         last: Option<u64>,
         tried: &mut Vec<Rc<str>>,
-    ) -> Option<Body> {
+    ) -> Option<ResponseBody> {
         while tried.len() < self.route.max_attempts as usize {
-            if !self.repeat() {
+            if !self.take_retry() {
                 return None;
             }
-            match self.send(tried, Begin::After(last)).await {
-                Ok(answer) if good(&answer) => return Some(answer.body),
+            match self.send(tried, StartPoint::After(last)).await {
+                Ok(answer) if is_valid_success(&answer) => return Some(answer.body),
                 Ok(_) => {}
-                Err(failure) if failure.final_here() => return None,
+                Err(failure) if failure.is_final() => return None,
                 Err(_) => {}
             }
         }
@@ -323,8 +327,8 @@
     }
 
     /// Notes the longest pause of its stream, which has ended.
-    pub fn paused(&self, pause: Duration) {
-        if self.work == Some(Phase::Prefill) {
+    pub fn record_pause(&self, pause: Duration) {
+        if self.phase == Some(Phase::Prefill) {
             let now = self.state.clock.now();
             let mut pools = self.state.pools.borrow_mut();
             pools.record_pause(now, &self.service, pause);
@@ -332,8 +336,8 @@
     }
 
     /// Counts the call as used by its workspace, once.
-    fn count(&self) {
-        if self.begin.replace(Begun::Counted) == Begun::Counted {
+    fn record_usage(&self) {
+        if self.billing.replace(BillingState::Counted) == BillingState::Counted {
             return;
         }
         let duties = self.state.duties.borrow();
@@ -343,21 +347,21 @@
     }
 
     /// Notes that the call goes out to a server.
-    fn note_sent(&self) {
-        if self.work.is_none() && self.begin.get() == Begun::No {
-            self.begin.set(Begun::Perhaps);
+    fn record_sent(&self) {
+        if self.phase.is_none() && self.billing.get() == BillingState::NotStarted {
+            self.billing.set(BillingState::MaybeStarted);
         }
     }
 
     /// Notes what a send has shown of the call having begun.
-    fn note_failed(&self, failure: &Failure) {
-        if self.begin.get() == Begun::Perhaps && failure.not_run() {
-            self.begin.set(Begun::No);
+    fn record_failed(&self, failure: &SendError) {
+        if self.billing.get() == BillingState::MaybeStarted && failure.not_run() {
+            self.billing.set(BillingState::NotStarted);
         }
     }
 
     /// Takes one repeat from the budget.
-    fn repeat(&self) -> bool {
+    fn take_retry(&self) -> bool {
         let now = self.state.clock.now();
         let left = self
             .state
@@ -367,32 +371,41 @@
         let outcome = if left { "taken" } else { "none_left" };
         metrics::counter!("pimentocart_repeats_total", "outcome" => outcome).increment(1);
         if !left {
-            info!("no repeat left", kv: { id = self.name(), service = &*self.service });
+            info!("no repeat left", kv: { id = self.request_id(), service = &*self.service });
         }
         left
     }
 
     /// The answer when no server has served the call.
-    fn given_up(&self, last: Option<&Failure>) -> Own {
+    fn final_reply(&self, last: Option<&SendError>) -> LocalReply {
         match last {
-            Some(Failure::Late) => Own::failed(504, Refusal::Expired),
-            Some(Failure::Waited) => {
-                Own::refused(Refusal::TargetUnreachable, self.after(AFTER_FULL))
+            Some(SendError::TimedOut) => LocalReply::failed(504, Refusal::Expired),
+            Some(SendError::TimedOutUnsent) => LocalReply::refused(
+                Refusal::TargetUnreachable,
+                self.retry_after(SERVERS_FULL_RETRY),
+            ),
+            Some(SendError::Unknown(_)) => LocalReply::failed(502, Refusal::OutcomeUnknown),
+            Some(SendError::CrashesServers(after)) => {
+                LocalReply::refused(Refusal::CrashesServers, *after)
+            }
+            Some(SendError::TooLate(after)) => {
+                LocalReply::refused(Refusal::TargetUnreachable, *after)
+            }
+            Some(SendError::ServersBusy(wait)) => {
+                LocalReply::refused(Refusal::ServersBusy, self.retry_after(*wait))
+            }
+            Some(SendError::NotRun(_)) => {
+                LocalReply::refused(Refusal::Shed, self.retry_after(SERVERS_FULL_RETRY))
             }
-            Some(Failure::Unknown(_)) => Own::failed(502, Refusal::OutcomeUnknown),
-            Some(Failure::CrashesServers(after)) => Own::refused(Refusal::CrashesServers, *after),
-            Some(Failure::TooLate(after)) => Own::refused(Refusal::TargetUnreachable, *after),
-            Some(Failure::Busy(wait)) => Own::refused(Refusal::ServersBusy, self.after(*wait)),
-            Some(Failure::NotRun(_)) => Own::refused(Refusal::Shed, self.after(AFTER_FULL)),
-            Some(Failure::NeverSent(_) | Failure::Elsewhere) | None => {
-                Own::refused(Refusal::NoServer, self.after(AFTER_NO_SERVER))
+            Some(SendError::NeverSent(_) | SendError::WrongServer) | None => {
+                LocalReply::refused(Refusal::NoServer, self.retry_after(NO_SERVER_RETRY))
             }
         }
     }
 
     /// When to come back: not before a server takes calls or is tried again, and
     /// not in the same moment as others that are refused now.
-    fn after(&self, least: Duration) -> Duration {
+    fn retry_after(&self, least: Duration) -> Duration {
         let now = self.state.clock.now();
         let balance = self.state.balance.borrow();
         let turn = balance.next_turn(now, &self.service);
@@ -402,14 +415,17 @@
     }
 }
 
-fn find(catalog: &Catalog, incoming: &Incoming) -> Result<Rc<Route>, Own> {
+fn find_route(catalog: &Catalog, incoming: &IncomingRequest) -> Result<Rc<Route>, LocalReply> {
     let host = incoming.headers.get(http::header::HOST);
     let host = host.and_then(|h| h.to_str().ok()).unwrap_or("");
     let route = catalog.route(host, incoming.uri.path()).cloned();
-    route.ok_or(Own::denied(404, Refusal::UnknownTarget))
+    route.ok_or(LocalReply::denied(404, Refusal::UnknownTarget))
 }
 
 /// Tokens of a prompt that no earlier call can have left in a cache.
-fn fresh(ask: &Ask) -> u32 {
-    ask.parts.last().map_or(ask.prompt, |own| own.tokens)
+fn unshared_tokens(parsed_headers: &CallHeaders) -> u32 {
+    parsed_headers
+        .prompt_parts
+        .last()
+        .map_or(parsed_headers.prompt_tokens, |own| own.tokens)
 }
--- a/crates/forward/src/call/answer.rs
+++ b/crates/forward/src/call/answer.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use policy::pools::Phase;
 
-use super::{Call, fresh};
-use crate::exchange::{Answer, Body, Failure};
+use super::{Call, unshared_tokens};
+use crate::exchange::{ResponseBody, SendError, ServerResponse};
 use crate::relay::Relay;
 use crate::reply::Reply;
 use crate::state::Open;
@@ -15,28 +15,29 @@
 /// Largest answer that is held until it is whole. Larger ones of calls that
 /// are no streams are a fault of the server: plain services answer with a
 /// few kilobytes, and an entry has about a hundred megabytes in all.
-const WHOLE_LIMIT: usize = 8 << 20;
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
 impl Call {
     /// Takes an answer whose head has come.
     pub(super) async fn accept(
         self: &Rc<Self>,
-        mut answer: Answer,
+        mut answer: ServerResponse,
         tried: &[Rc<str>],
-    ) -> Result<Reply, Failure> {
+    ) -> Result<Reply, SendError> {
         let success = (200..300).contains(&answer.status);
-        if success && !good(&answer) {
-            return Err(Failure::Unknown(
+        if success && !is_valid_success(&answer) {
+            return Err(SendError::Unknown(
                 "an answer that nobody vouches for".to_owned(),
             ));
         }
         if success && self.route.kind.streams() {
-            let first = self.within(answer.body.next()).await;
-            let first = first.inspect_err(|_| self.note_late(answer.sent, answer.ahead))?;
-            let first = first.map_err(|e| self.cut(&answer.body, e))?;
+            let first = self.before_deadline(answer.body.next()).await;
+            let first =
+                first.inspect_err(|_| self.record_timeout(answer.sent_at, answer.waiting_calls))?;
+            let first = first.map_err(|e| self.response_broken(&answer.body, e))?;
             let first = first.unwrap_or_default();
-            self.note_first(&answer);
-            self.count();
+            self.record_first_event(&answer);
+            self.record_usage();
             let relay = Relay::new(
                 Rc::clone(self),
                 answer.body,
@@ -49,12 +50,12 @@
                 relay: Box::new(relay),
             });
         }
-        self.count();
-        let body = self.whole(&mut answer.body).await?;
+        self.record_usage();
+        let body = self.read_body(&mut answer.body).await?;
         if answer.status < 500 && answer.body.framed {
-            self.served();
+            self.record_completed();
         }
-        Ok(Reply::Whole {
+        Ok(Reply::Buffered {
             status: answer.status,
             headers: answer.headers,
             body,
@@ -62,21 +63,26 @@
     }
 
     /// Notes how long the first event took.
-    fn note_first(&self, answer: &Answer) {
-        if self.work == Some(Phase::Prefill) {
+    fn record_first_event(&self, answer: &ServerResponse) {
+        if self.phase == Some(Phase::Prefill) {
             let now = self.state.clock.now();
-            let took = now.saturating_duration_since(answer.sent);
+            let took = now.saturating_duration_since(answer.sent_at);
             let mut pools = self.state.pools.borrow_mut();
-            pools.record_first_event(now, &self.service, fresh(&self.ask), took);
+            pools.record_first_event(
+                now,
+                &self.service,
+                unshared_tokens(&self.parsed_headers),
+                took,
+            );
             let mut waits = self.state.waits.borrow_mut();
-            waits.record(&self.service, self.rank(), answer.ahead, took);
+            waits.record(&self.service, self.rank(), answer.waiting_calls, took);
         }
     }
 
     /// Notes that no first event came in all the time that the call had. Left
     /// out, only those that were served would say how long calls wait.
-    pub(super) fn note_late(&self, sent: Instant, ahead: u32) {
-        if self.work == Some(Phase::Prefill) {
+    pub(super) fn record_timeout(&self, sent: Instant, ahead: u32) {
+        if self.phase == Some(Phase::Prefill) {
             let took = self.state.clock.now().saturating_duration_since(sent);
             let mut waits = self.state.waits.borrow_mut();
             waits.record(&self.service, self.rank(), ahead, took);
@@ -85,15 +91,15 @@
 
     /// Reads an answer to its end, so that a broken one can be told from a
     /// whole one before the caller sees anything of it.
-    async fn whole(&self, body: &mut Body) -> Result<Bytes, Failure> {
+    async fn read_body(&self, body: &mut ResponseBody) -> Result<Bytes, SendError> {
         let mut all = Vec::new();
         loop {
-            let next = self.within(body.next()).await?;
-            let Some(bytes) = next.map_err(|e| self.cut(body, e))? else {
+            let next = self.before_deadline(body.next()).await?;
+            let Some(bytes) = next.map_err(|e| self.response_broken(body, e))? else {
                 break;
             };
-            if all.len() + bytes.len() > WHOLE_LIMIT {
-                return Err(Failure::Unknown("an answer beyond all bounds".to_owned()));
+            if all.len() + bytes.len() > MAX_BUFFERED_BYTES {
+                return Err(SendError::Unknown("an answer beyond all bounds".to_owned()));
             }
             all.extend_from_slice(&bytes);
         }
@@ -101,19 +107,22 @@
     }
 
     /// Notes that an answer broke off.
-    fn cut(&self, body: &Body, cause: String) -> Failure {
-        self.broke(&body.server);
-        Failure::Unknown(cause)
+    fn response_broken(&self, body: &ResponseBody, cause: String) -> SendError {
+        self.record_broken(&body.server);
+        SendError::Unknown(cause)
     }
 
-    async fn within<T>(&self, step: impl Future<Output = T>) -> Result<T, Failure> {
-        let done = tokio::time::timeout_at(self.until.into(), step).await;
-        done.map_err(|_| Failure::Late)
+    async fn before_deadline<T>(&self, step: impl Future<Output = T>) -> Result<T, SendError> {
+        let done = tokio::time::timeout_at(self.deadline.into(), step).await;
+        done.map_err(|_| SendError::TimedOut)
     }
 }
 
 /// Whether a success may be passed on.
-pub(super) fn good(answer: &Answer) -> bool {
-    let signs = &answer.signs;
-    (200..300).contains(&answer.status) && signs.sealed && signs.id.is_some() && !signs.encoded
+pub(super) fn is_valid_success(answer: &ServerResponse) -> bool {
+    let parsed_headers = &answer.parsed_headers;
+    (200..300).contains(&answer.status)
+        && parsed_headers.sealed
+        && parsed_headers.request_id.is_some()
+        && !parsed_headers.encoded
 }
--- a/crates/forward/src/call/attempt.rs
+++ b/crates/forward/src/call/attempt.rs
@@ -10,14 +10,14 @@
 use policy::balance::{ServerFeedback, ServerRecord};
 use spdlog::{info, warn};
 
-use super::place::Place;
-use super::{Begin, Call};
-use crate::edge::Order;
-use crate::exchange::{self, Answer, Failure};
+use super::place::Placement;
+use super::{Call, StartPoint};
+use crate::exchange::{self, SendError, ServerResponse};
+use crate::platform::AddedHeaders;
 
 /// Connections that are tried before a call is given up that could not be
 /// sent anywhere: a region that lost some hosts has others.
-const DIALS: usize = 4;
+const MAX_CONNECTS: usize = 4;
 
 /// The part of its target that a call may wait for servers that have asked for
 /// fewer calls.
@@ -29,28 +29,28 @@
     pub(super) async fn send(
         &self,
         tried: &mut Vec<Rc<str>>,
-        begin: Begin,
-    ) -> Result<Answer, Failure> {
-        let mut failure = Failure::NeverSent("no server".to_owned());
+        begin: StartPoint,
+    ) -> Result<ServerResponse, SendError> {
+        let mut failure = SendError::NeverSent("no server".to_owned());
         let mut unreachable = Vec::new();
-        for _ in 0..DIALS {
+        for _ in 0..MAX_CONNECTS {
             let now = self.state.clock.now();
-            if now >= self.until {
-                return Err(Failure::Late);
+            if now >= self.deadline {
+                return Err(SendError::TimedOut);
             }
             self.check_crashes()?;
             let avoid: Vec<Rc<str>> = tried.iter().chain(&unreachable).cloned().collect();
             // A call that waits for its turn past its time was never sent.
             let place = self.place(now, &avoid, begin);
-            let place = tokio::time::timeout_at(self.until.into(), place).await;
+            let place = tokio::time::timeout_at(self.deadline.into(), place).await;
             metrics::histogram!("pimentocart_place_seconds")
                 .record(self.state.clock.now().saturating_duration_since(now));
-            let Some(place) = place.unwrap_or(Err(Failure::Waited))? else {
+            let Some(place) = place.unwrap_or(Err(SendError::TimedOutUnsent))? else {
                 let Some(wait) = self.next_turn(now) else {
                     break;
                 };
-                failure = Failure::Busy(wait);
-                if !self.waits(now, wait) {
+                failure = SendError::ServersBusy(wait);
+                if !self.may_wait(now, wait) {
                     break;
                 }
                 tokio::time::sleep(wait).await;
@@ -58,55 +58,56 @@
             };
             // Servers may have crashed under another try while this one waited.
             self.check_crashes()?;
-            let Place {
+            let Placement {
                 server,
-                ahead,
+                waiting_calls,
                 grant,
-                fetch,
+                fetch_from,
             } = place;
             let now = self.state.clock.now();
             if !self.state.balance.borrow_mut().take_turn(now, &server.id) {
                 // Another call took the turn while this one was placed, or the
                 // server has asked for rest or begun to leave.
-                failure = self.next_turn(now).map_or(failure, Failure::Busy);
+                failure = self.next_turn(now).map_or(failure, SendError::ServersBusy);
                 continue;
             }
-            let request = self.request(now, &server, begin, fetch);
-            let id = self.ask.id.as_deref();
-            self.note_sent();
-            let sent = exchange::send(&self.state, &server, request, id, self.until, grant).await;
-            let sent = sent.map(|answer| Answer {
-                sent: now,
-                ahead,
+            let request = self.build_request(now, &server, begin, fetch_from);
+            let id = self.parsed_headers.request_id.as_deref();
+            self.record_sent();
+            let sent =
+                exchange::send(&self.state, &server, request, id, self.deadline, grant).await;
+            let sent = sent.map(|answer| ServerResponse {
+                sent_at: now,
+                waiting_calls,
                 ..answer
             });
-            if sent.as_ref().is_err_and(|e| *e == Failure::Late) {
-                self.note_late(now, ahead);
+            if sent.as_ref().is_err_and(|e| *e == SendError::TimedOut) {
+                self.record_timeout(now, waiting_calls);
             }
             if let Err(failure) = &sent {
-                self.note_failed(failure);
+                self.record_failed(failure);
             }
             match sent {
-                Err(Failure::NeverSent(e)) => {
+                Err(SendError::NeverSent(e)) => {
                     warn!("server unreachable", kv: {
-                        id = self.name(), server = &*server.id, cause = e.as_str()
+                        id = self.request_id(), server = &*server.id, cause = e.as_str()
                     });
                     unreachable.push(Rc::clone(&server.id));
-                    failure = Failure::NeverSent(e);
+                    failure = SendError::NeverSent(e);
                 }
-                Err(Failure::Elsewhere) => {
-                    self.gone(now, &server);
+                Err(SendError::WrongServer) => {
+                    self.mark_replaced(now, &server);
                     unreachable.push(Rc::clone(&server.id));
-                    failure = Failure::Elsewhere;
+                    failure = SendError::WrongServer;
                     // It reached a server all the same. When many servers are
                     // replaced at once, calls that go from one to the next
                     // would double the load of those that are left.
-                    if !self.repeat() {
+                    if !self.take_retry() {
                         break;
                     }
                 }
                 sent => {
-                    self.note(&server, &sent);
+                    self.record_outcome(&server, &sent);
                     tried.push(Rc::clone(&server.id));
                     return sent;
                 }
@@ -116,9 +117,9 @@
     }
 
     /// Fails if servers crash under the call.
-    fn check_crashes(&self) -> Result<(), Failure> {
-        self.crashes_servers()
-            .map_or(Ok(()), |left| Err(Failure::CrashesServers(left)))
+    fn check_crashes(&self) -> Result<(), SendError> {
+        self.blocked_for()
+            .map_or(Ok(()), |left| Err(SendError::CrashesServers(left)))
     }
 
     /// How long it is until a server takes a call, if all that are there have
@@ -129,17 +130,17 @@
 
     /// Whether the call may wait that long for a turn. Callers come back once or
     /// twice, so a short wait serves more of them than a refusal.
-    fn waits(&self, now: Instant, wait: Duration) -> bool {
-        let age = now.saturating_duration_since(self.came);
+    fn may_wait(&self, now: Instant, wait: Duration) -> bool {
+        let age = now.saturating_duration_since(self.received_at);
         age + wait <= self.route.latency_target.mul_f64(TURN_SHARE)
     }
 
     /// Notes that another server has the address of `server` by now. The list
     /// shows the old one for seconds, in which every call to it would be
     /// refused; it counts as missing from here on.
-    pub(super) fn gone(&self, now: Instant, server: &ServerRecord) {
+    pub(super) fn mark_replaced(&self, now: Instant, server: &ServerRecord) {
         info!("server replaced", kv: {
-            id = self.name(), server = &*server.id, addr = server.addr.to_string().as_str()
+            id = self.request_id(), server = &*server.id, addr = server.addr.to_string().as_str()
         });
         self.state
             .balance
@@ -148,53 +149,53 @@
     }
 
     /// Notes that the sidecar beside `server` says that it leaves.
-    pub(super) fn leaves(&self, server: &ServerRecord) {
+    pub(super) fn mark_leaving(&self, server: &ServerRecord) {
         let word = ServerFeedback {
             leaving: true,
             ..ServerFeedback::default()
         };
-        exchange::note_word(&self.state, server, self.state.clock.now(), &word);
+        exchange::apply_feedback(&self.state, server, self.state.clock.now(), &word);
     }
 
-    fn request(
+    fn build_request(
         &self,
         now: Instant,
         server: &ServerRecord,
-        begin: Begin,
-        fetch: Option<SocketAddr>,
+        begin: StartPoint,
+        fetch_from: Option<SocketAddr>,
     ) -> Request<Full<Bytes>> {
-        let order = Order {
-            left: self.until.saturating_duration_since(now),
+        let order = AddedHeaders {
+            time_left: self.deadline.saturating_duration_since(now),
             server: &server.id,
             workspace: self.workspace.as_ref().map(|w| w.name.as_str()),
-            rank: Some(self.rank()),
+            priority: Some(self.rank()),
             last_event: match begin {
-                Begin::Fresh => None,
-                Begin::After(last) => last,
+                StartPoint::Beginning => None,
+                StartPoint::After(last) => last,
             },
-            fetch,
+            fetch_from,
         };
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
-        *request.headers_mut() = self.state.dialect.outgoing(&self.headers, &order);
+        *request.headers_mut() = self.state.dialect.forwarded_headers(&self.headers, &order);
         request
     }
 
     /// Notes what a send tells about the server.
-    fn note(&self, server: &ServerRecord, sent: &Result<Answer, Failure>) {
+    fn record_outcome(&self, server: &ServerRecord, sent: &Result<ServerResponse, SendError>) {
         let now = self.state.clock.now();
         let mut balance = self.state.balance.borrow_mut();
         match sent {
             Ok(answer) if answer.status < 500 => balance.call_succeeded(&server.id),
             Ok(_) => balance.call_failed(now, &server.id),
-            Err(Failure::Unknown(_)) => balance.call_failed(now, &server.id),
-            Err(Failure::NotRun(_)) => balance.call_rejected(now, &server.id),
+            Err(SendError::Unknown(_)) => balance.call_failed(now, &server.id),
+            Err(SendError::NotRun(_)) => balance.call_rejected(now, &server.id),
             Err(_) => {}
         }
         drop(balance);
-        if matches!(sent, Err(Failure::Unknown(_))) {
-            self.broke(server);
+        if matches!(sent, Err(SendError::Unknown(_))) {
+            self.record_broken(server);
         }
     }
 }
--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -21,9 +21,9 @@
 use tokio::sync::Notify;
 use wire::gossip;
 
-use crate::edge;
 use crate::follow::retry;
-use crate::pool::{Conn, Pool};
+use crate::platform;
+use crate::pool::{Connection, ConnectionPool};
 use crate::state::State;
 
 /// Connections that are tried to find out whether a server has crashed.
@@ -191,14 +191,14 @@
 
 /// Connects to `server`, again where nothing comes back: on a link that loses
 /// packets a server that has crashed would else count as cut off.
-async fn dial(now: Instant, server: &ServerRecord) -> io::Result<Conn> {
-    let mut dialled = Pool::dial(now, server.addr).await;
+async fn dial(now: Instant, server: &ServerRecord) -> io::Result<Connection> {
+    let mut dialled = ConnectionPool::connect(now, server.addr).await;
     for _ in 1..DIALS {
         match &dialled {
             Err(e) if e.kind() == io::ErrorKind::TimedOut => {}
             _ => break,
         }
-        dialled = Pool::dial(now, server.addr).await;
+        dialled = ConnectionPool::connect(now, server.addr).await;
     }
     dialled
 }
@@ -315,7 +315,7 @@
 }
 
 /// Tells the store until `end`.
-pub async fn write<E: edge::Crashes>(state: Rc<State>, table: E, end: StopSignal) {
+pub async fn write<E: platform::CrashTable>(state: Rc<State>, table: E, end: StopSignal) {
     let mut failures = 0;
     while !end.is_triggered() {
         let batch = state.crashes.batch();
--- a/crates/forward/src/duties/hold.rs
+++ b/crates/forward/src/duties/hold.rs
@@ -9,7 +9,7 @@
 use spdlog::{info, warn};
 
 use super::{Duties, TICK};
-use crate::edge::{Kept, Records};
+use crate::platform::{DutyRecord, DutyStore};
 use crate::state::State;
 
 /// Ticks after which the holder says again that it is there.
@@ -20,7 +20,7 @@
 const AWAY: Duration = Duration::from_secs(10);
 
 /// Holds the duties while it is this entry's turn, until `end`.
-pub async fn run<R: Records>(state: Rc<State>, duties: Rc<Duties>, records: R, end: StopSignal) {
+pub async fn run<R: DutyStore>(state: Rc<State>, duties: Rc<Duties>, records: R, end: StopSignal) {
     let mut leaving = false;
     for tick in 0u32.. {
         tokio::time::sleep(TICK).await;
@@ -44,7 +44,7 @@
 
 impl Duties {
     /// One look at what is due.
-    async fn round<R: Records>(&self, records: &R) {
+    async fn round<R: DutyStore>(&self, records: &R) {
         let now = self.clock.now_boottime();
         let step = self.candidate.borrow().next_step(now, self.place());
         let step = match step {
@@ -68,7 +68,7 @@
 
     /// Reads the record and takes over what it keeps if the duties are to be
     /// taken.
-    async fn read<R: Records>(&self, records: &R) -> Step {
+    async fn read<R: DutyStore>(&self, records: &R) -> Step {
         let read = records.read().await;
         let now = self.clock.now_boottime();
         let mut candidate = self.candidate.borrow_mut();
@@ -100,14 +100,14 @@
     }
 
     /// Writes the record, and notes what the store keeps since.
-    async fn write<R: Records>(&self, records: &R, term: Term) {
+    async fn write<R: DutyStore>(&self, records: &R, term: Term) {
         let time = self.time();
         let usage = {
             let account = self.account.borrow();
             self.books.borrow().snapshot(time, &account)
         };
         let (fixed, next) = (usage.finalized.clone(), usage.next_window);
-        let kept = Kept {
+        let kept = DutyRecord {
             term: term.clone(),
             usage,
         };
@@ -160,7 +160,7 @@
     }
 
     /// Gives the duties up, so that another entry takes them at once.
-    async fn give_up<R: Records>(&self, records: &R, pause: Option<Duration>) {
+    async fn give_up<R: DutyStore>(&self, records: &R, pause: Option<Duration>) {
         let now = self.clock.now_boottime();
         let term = self.candidate.borrow_mut().resign(now, pause);
         let Some(term) = term else { return };
--- a/crates/forward/src/duties/report.rs
+++ b/crates/forward/src/duties/report.rs
@@ -12,7 +12,7 @@
 use spdlog::{info, warn};
 
 use super::{Duties, TICK};
-use crate::edge::{DutyApi, Outcome};
+use crate::platform::{DutyApi, DutyOutcome};
 
 /// The pause after a call that was not carried out; it doubles up to
 /// [`RETRY_MOST`].
@@ -76,21 +76,21 @@
     }
 
     /// Notes what became of a report; whether the interface has answered.
-    fn note(&self, window: u64, counts: &WorkspaceCounts, outcome: &Outcome) -> bool {
+    fn note(&self, window: u64, counts: &WorkspaceCounts, outcome: &DutyOutcome) -> bool {
         let time = self.time();
         let end = self.books.borrow().windows().end(window);
         let late_ms = time.saturating_sub(end).as_millis() as u64;
-        let word = outcome.word();
+        let word = outcome.label();
         metrics::counter!("pimentocart_usage_reports_total", "outcome" => word).increment(1);
         let requests: u64 = counts.values().sum();
-        if *outcome != Outcome::Accepted {
+        if *outcome != DutyOutcome::Accepted {
             warn!("usage not reported", kv: {
                 window = window, outcome = word, after_ms = late_ms,
                 detail = format!("{outcome:?}").as_str()
             });
         }
         match outcome {
-            Outcome::Accepted => {
+            DutyOutcome::Accepted => {
                 info!("usage reported", kv: {
                     window = window, requests = requests, workspaces = counts.len(),
                     missing = self.books.borrow().pending_incarnations(self.clock.now_boottime(), window),
@@ -99,12 +99,12 @@
                 self.recorded.borrow_mut().remove(&window);
                 self.account.borrow_mut().finalized.remove(&window);
             }
-            Outcome::Fenced(token) => {
+            DutyOutcome::Fenced(token) => {
                 let now = self.clock.now_boottime();
                 self.candidate.borrow_mut().reject_token(now, *token);
             }
-            Outcome::Refused(_) | Outcome::Lost(_) | Outcome::NotHeld => {}
+            DutyOutcome::Refused(_) | DutyOutcome::Unanswered(_) | DutyOutcome::NotHeld => {}
         }
-        outcome.heard()
+        outcome.is_conclusive()
     }
 }
--- a/crates/forward/src/duties/scale.rs
+++ b/crates/forward/src/duties/scale.rs
@@ -13,7 +13,7 @@
 
 use super::Duties;
 use super::report::UNHEARD;
-use crate::edge::{DutyApi, Outcome};
+use crate::platform::{DutyApi, DutyOutcome};
 use crate::state::State;
 
 /// How often the load is looked at. A server takes longer than that to boot.
@@ -105,8 +105,8 @@
                 .order(&self.name, &service.name, &order, token)
                 .await;
             self.note_order(&service.name, &order, zones.get(&order.zone), &outcome);
-            if outcome != Outcome::Accepted {
-                return outcome.heard();
+            if outcome != DutyOutcome::Accepted {
+                return outcome.is_conclusive();
             }
             scaler.mark_accepted(state.clock.now(), &order);
             tokio::time::sleep(self.spacing()).await;
@@ -120,9 +120,9 @@
         service: &str,
         order: &ServerOrder,
         seen: Option<&ZoneLoad>,
-        outcome: &Outcome,
+        outcome: &DutyOutcome,
     ) {
-        let word = outcome.word();
+        let word = outcome.label();
         metrics::counter!("pimentocart_server_orders_total", "outcome" => word).increment(1);
         let seen = seen.copied().unwrap_or_default();
         info!("servers ordered", kv: {
@@ -130,15 +130,15 @@
             serving = seen.serving, busy = format!("{:.2}", seen.busy_servers).as_str()
         });
         match outcome {
-            Outcome::Accepted => {
+            DutyOutcome::Accepted => {
                 let key = format!("{service}/{}", order.zone);
                 self.ordered.borrow_mut().insert(key, order.count);
             }
-            Outcome::Fenced(token) => {
+            DutyOutcome::Fenced(token) => {
                 let now = self.clock.now_boottime();
                 self.candidate.borrow_mut().reject_token(now, *token);
             }
-            Outcome::Refused(_) | Outcome::Lost(_) | Outcome::NotHeld => {
+            DutyOutcome::Refused(_) | DutyOutcome::Unanswered(_) | DutyOutcome::NotHeld => {
                 warn!("servers not ordered", kv: { service, detail = format!("{outcome:?}").as_str() });
             }
         }
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -11,39 +11,39 @@
 use rand::RngExt;
 use spdlog::info;
 
-use crate::edge::Signs;
 use crate::grants::Grant;
-use crate::pool::{Conn, Pool};
+use crate::platform::ResponseHeaders;
+use crate::pool::{Connection, ConnectionPool};
 use crate::relay::millis;
 use crate::state::State;
 
 /// What of a failed send is known about the call having run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Failure {
+pub enum SendError {
     /// No byte of the call has left this process.
     NeverSent(String),
     /// The server says that it did not run the call and never will.
     NotRun(u16),
     /// Another server has the address by now, and did not run the call.
-    Elsewhere,
+    WrongServer,
     /// The call may have run.
     Unknown(String),
     /// The caller's time is over; the call may have run.
-    Late,
+    TimedOut,
     /// The caller's time is over, and the call was never sent.
-    Waited,
+    TimedOutUnsent,
     /// The call was not sent, since it would have come too late; the caller
     /// may come back after this time.
     TooLate(Duration),
     /// The call was not sent, since all servers that are there have asked for
     /// fewer calls or for none; the first of them takes one after this time.
-    Busy(Duration),
+    ServersBusy(Duration),
     /// The call was not sent, since servers crash under it; it will not be for
     /// this long.
     CrashesServers(Duration),
 }
 
-impl Failure {
+impl SendError {
     /// Whether the call has certainly not run.
     #[must_use]
     pub fn not_run(&self) -> bool {
@@ -51,10 +51,10 @@
             self,
             Self::NeverSent(_)
                 | Self::NotRun(_)
-                | Self::Elsewhere
-                | Self::Waited
+                | Self::WrongServer
+                | Self::TimedOutUnsent
                 | Self::TooLate(_)
-                | Self::Busy(_)
+                | Self::ServersBusy(_)
                 | Self::CrashesServers(_)
         )
     }
@@ -62,22 +62,22 @@
     /// Whether sending the call to yet another server makes no sense: its time
     /// is over, or all servers that could be reached were tried.
     #[must_use]
-    pub fn final_here(&self) -> bool {
+    pub fn is_final(&self) -> bool {
         !matches!(self, Self::NotRun(_) | Self::Unknown(_))
     }
 
     /// One word for logs and labels.
     #[must_use]
-    pub fn word(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
             Self::NeverSent(_) => "never_sent",
             Self::NotRun(_) => "not_run",
-            Self::Elsewhere => "elsewhere",
+            Self::WrongServer => "elsewhere",
             Self::Unknown(_) => "unknown",
-            Self::Late => "late",
-            Self::Waited => "waited",
+            Self::TimedOut => "late",
+            Self::TimedOutUnsent => "waited",
             Self::TooLate(_) => "too_late",
-            Self::Busy(_) => "servers_busy",
+            Self::ServersBusy(_) => "servers_busy",
             Self::CrashesServers(_) => "crashes_servers",
         }
     }
@@ -85,30 +85,30 @@
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ServerResponse {
     /// The status.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
     /// What the headers say.
-    pub signs: Signs,
+    pub parsed_headers: ResponseHeaders,
     /// When it was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// Calls that were waiting at the server then.
-    pub ahead: u32,
+    pub waiting_calls: u32,
     /// The rest.
-    pub body: Body,
+    pub body: ResponseBody,
 }
 
 /// The body of an answer and the connection that it comes on. Dropped before
 /// its end, it closes the connection, and the server stops working on it.
 #[derive(Debug)]
-pub struct Body {
+pub struct ResponseBody {
     state: Rc<State>,
     /// The server that makes it.
     pub server: ServerRecord,
     incoming: Incoming,
-    conn: Option<Conn>,
+    conn: Option<Connection>,
     reusable: bool,
     /// Whether its end is marked, and not only by the connection's.
     pub framed: bool,
@@ -118,7 +118,7 @@
     grant: Option<Grant>,
 }
 
-impl Body {
+impl ResponseBody {
     /// The next bytes; none at the end. Bytes end without an error only where
     /// the answer is whole by its framing.
     ///
@@ -129,15 +129,15 @@
         loop {
             match self.incoming.frame().await {
                 None => {
-                    self.end();
+                    self.release_connection();
                     return Ok(None);
                 }
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data()
                         && !data.is_empty()
                     {
-                        self.begun();
-                        self.heard();
+                        self.record_start();
+                        self.record_activity();
                         return Ok(Some(data));
                     }
                 }
@@ -150,7 +150,7 @@
     }
 
     /// Notes that the call does not wait any more.
-    fn begun(&mut self) {
+    fn record_start(&mut self) {
         if std::mem::take(&mut self.waiting) {
             self.state
                 .balance
@@ -163,14 +163,14 @@
     }
 
     /// Notes a pause between two events.
-    pub fn paused(&self, pause: Duration) {
+    pub fn record_pause(&self, pause: Duration) {
         if let Some(grant) = &self.grant {
             grant.paused(pause);
         }
     }
 
     /// Notes that the server is alive.
-    fn heard(&self) {
+    fn record_activity(&self) {
         let now = self.state.clock.now();
         self.state
             .balance
@@ -179,7 +179,7 @@
     }
 
     /// Gives the connection back for the next call.
-    fn end(&mut self) {
+    fn release_connection(&mut self) {
         let Some(conn) = self.conn.take() else { return };
         if self.reusable {
             let now = self.state.clock.now();
@@ -188,7 +188,7 @@
     }
 }
 
-impl Drop for Body {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
         let mut balance = self.state.balance.borrow_mut();
         if self.waiting {
@@ -211,51 +211,51 @@
     id: Option<&str>,
     until: Instant,
     grant: Option<Grant>,
-) -> Result<Answer, Failure> {
-    let out = Out::new(state, &server.id);
+) -> Result<ServerResponse, SendError> {
+    let out = InFlight::new(state, &server.id);
     let begun = state.clock.now();
     let sent = tokio::time::timeout_at(until.into(), deliver(state, server, request)).await;
     let (response, mut conn) = match sent {
         Ok(sent) => sent?,
-        Err(_) => return Err(Failure::Late),
+        Err(_) => return Err(SendError::TimedOut),
     };
     let status = response.status().as_u16();
     let now = state.clock.now();
-    let signs = state.dialect.signs(status, response.headers());
+    let parsed_headers = state.dialect.parse_response(status, response.headers());
     state.balance.borrow_mut().bytes_received(now, &server.id);
-    if let Some(keep) = signs.keep {
-        conn.keep_for(keep);
+    if let Some(keep) = parsed_headers.idle_timeout {
+        conn.set_idle_timeout(keep);
     }
     // Another server at the address speaks for itself only.
-    if !signs.elsewhere {
-        note_word(state, server, begun, &signs.word);
+    if !parsed_headers.wrong_server {
+        apply_feedback(state, server, begun, &parsed_headers.feedback);
     }
 
     // A server may send a second answer to an earlier call late, just where
     // the answer to this one is expected. Its identity tells; the connection
     // is of no use any more, since the true answer may follow at any time.
-    if signs.id.is_some() && signs.id.as_deref() != id {
-        return Err(Failure::Unknown("answer to another call".to_owned()));
+    if parsed_headers.request_id.is_some() && parsed_headers.request_id.as_deref() != id {
+        return Err(SendError::Unknown("answer to another call".to_owned()));
     }
-    let reusable = !signs.close && !signs.word.leaving;
-    if signs.not_run {
+    let reusable = !parsed_headers.close && !parsed_headers.feedback.leaving;
+    if parsed_headers.not_run {
         // Its body has no use, but its connection may have.
         if reusable {
-            drain(state, server, response, conn).await;
+            drain_refusal(state, server, response, conn).await;
         }
-        if !signs.elsewhere {
-            return Err(Failure::NotRun(status));
+        if !parsed_headers.wrong_server {
+            return Err(SendError::NotRun(status));
         }
         if let Some(grant) = &grant {
             grant.gone(server);
         }
-        return Err(Failure::Elsewhere);
+        return Err(SendError::WrongServer);
     }
     let (parts, incoming) = response.into_parts();
     let marks = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
     let framed = marks.iter().any(|m| parts.headers.contains_key(m));
-    out.keep();
-    let body = Body {
+    out.hand_over();
+    let body = ResponseBody {
         state: Rc::clone(state),
         server: server.clone(),
         incoming,
@@ -265,19 +265,19 @@
         conn: Some(conn),
         grant,
     };
-    Ok(Answer {
+    Ok(ServerResponse {
         status,
         headers: parts.headers,
-        signs,
-        sent: now,
-        ahead: 0,
+        parsed_headers,
+        sent_at: now,
+        waiting_calls: 0,
         body,
     })
 }
 
 /// Notes what a server says of itself in its answer to a call that was sent at
 /// `sent`.
-pub(crate) fn note_word(
+pub(crate) fn apply_feedback(
     state: &State,
     server: &ServerRecord,
     sent: Instant,
@@ -292,7 +292,7 @@
     if news.leaving {
         metrics::counter!("pimentocart_servers_leaving_total").increment(1);
         info!("server leaves", kv: { server = &*server.id });
-        state.pool.forget(&server.id);
+        state.pool.close_idle(&server.id);
     }
     if let Some(rest) = news.backoff {
         metrics::counter!("pimentocart_rests_asked_total").increment(1);
@@ -308,31 +308,31 @@
 }
 
 /// Counts a call at a server until its answer's body takes over.
-struct Out<'a> {
+struct InFlight<'a> {
     state: &'a State,
     id: &'a str,
-    kept: bool,
+    handed_over: bool,
 }
 
-impl<'a> Out<'a> {
+impl<'a> InFlight<'a> {
     fn new(state: &'a State, id: &'a str) -> Self {
         let now = state.clock.now();
         state.balance.borrow_mut().call_sent(now, id);
         Self {
             state,
             id,
-            kept: false,
+            handed_over: false,
         }
     }
 
-    fn keep(mut self) {
-        self.kept = true;
+    fn hand_over(mut self) {
+        self.handed_over = true;
     }
 }
 
-impl Drop for Out<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        if !self.kept {
+        if !self.handed_over {
             let mut balance = self.state.balance.borrow_mut();
             balance.call_started(self.id);
             balance.call_ended(self.id);
@@ -347,45 +347,50 @@
     state: &Rc<State>,
     server: &ServerRecord,
     mut request: Request<Full<Bytes>>,
-) -> Result<(Response<Incoming>, Conn), Failure> {
+) -> Result<(Response<Incoming>, Connection), SendError> {
     while let Some(mut conn) = state.pool.take(state.clock.now(), &server.id) {
         match conn.sender.try_send_request(request).await {
             Ok(response) => return Ok((response, conn)),
             Err(mut e) => match e.take_message() {
                 Some(back) => request = back,
-                None => return Err(Failure::Unknown(describe(e.error()))),
+                None => return Err(SendError::Unknown(describe(e.error()))),
             },
         }
     }
 
     let now = state.clock.now();
-    let dialled = Pool::dial(now, server.addr).await;
+    let dialled = ConnectionPool::connect(now, server.addr).await;
     let mut conn = dialled.map_err(|e| {
         state.balance.borrow_mut().connect_failed(now, &server.id);
-        Failure::NeverSent(e.to_string())
+        SendError::NeverSent(e.to_string())
     })?;
     metrics::counter!("pimentocart_dials_total").increment(1);
     match conn.sender.try_send_request(request).await {
         Ok(response) => Ok((response, conn)),
         Err(mut e) => match e.take_message() {
-            Some(_) => Err(Failure::NeverSent(describe(e.error()))),
-            None => Err(Failure::Unknown(describe(e.error()))),
+            Some(_) => Err(SendError::NeverSent(describe(e.error()))),
+            None => Err(SendError::Unknown(describe(e.error()))),
         },
     }
 }
 
 /// Reads the short body of a refusal, so that the connection can be used
 /// again.
-async fn drain(state: &Rc<State>, server: &ServerRecord, response: Response<Incoming>, conn: Conn) {
+async fn drain_refusal(
+    state: &Rc<State>,
+    server: &ServerRecord,
+    response: Response<Incoming>,
+    conn: Connection,
+) {
     let read = response.into_body().collect();
-    let read = tokio::time::timeout(REFUSAL_LIMIT, read).await;
+    let read = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, read).await;
     if matches!(read, Ok(Ok(_))) {
         state.pool.put(state.clock.now(), &server.id, conn);
     }
 }
 
 /// How long the body of a refusal is waited for; it is a few bytes.
-const REFUSAL_LIMIT: Duration = Duration::from_millis(20);
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// An error with its causes on one line.
 fn describe(e: &hyper::Error) -> String {
--- a/crates/forward/src/finding.rs
+++ b/crates/forward/src/finding.rs
@@ -7,8 +7,8 @@
 use policy::discovery::DiscoveryStep;
 use spdlog::warn;
 
-use crate::edge::Directory;
 use crate::gossip::Voice;
+use crate::platform::Directory;
 use crate::state::State;
 
 /// An entry that was asked takes this one to speak again within that time.
--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/follow.rs
@@ -14,7 +14,7 @@
 use spdlog::{info, warn};
 
 use crate::crashes;
-use crate::edge::{Changes, Source, SourceError};
+use crate::platform::{Changes, Source, SourceError};
 use crate::state::State;
 use crate::tables::{use_catalogs, use_servers};
 
@@ -324,7 +324,7 @@
         wait: Duration,
     ) -> Result<Changes<S::Item>, SourceError> {
         match from {
-            None => self.source.newest().await,
+            None => self.source.snapshot().await,
             Some(from) => self.source.changes(from, wait).await,
         }
     }
--- a/crates/forward/src/http.rs
+++ b/crates/forward/src/http.rs
@@ -16,8 +16,8 @@
 use spdlog::info;
 use tokio::net::TcpListener;
 
-use crate::call::{Call, Incoming};
-use crate::reply::{Own, Reply};
+use crate::call::{Call, IncomingRequest};
+use crate::reply::{LocalReply, Reply};
 use crate::state::State;
 use crate::status::Status;
 
@@ -40,25 +40,25 @@
 
 async fn handle(state: Data<Rc<State>>, request: HttpRequest, payload: Payload) -> HttpResponse {
     let state = Rc::clone(&state);
-    let came = state.clock.now();
+    let received_at = state.clock.now();
     let limit = state.catalog.borrow().as_ref().map(|c| c.limits.max_body);
-    let reply = match body(payload, limit.unwrap_or_default().max(1 << 20)).await {
-        Ok(body) => match incoming(&request, note(&state, body), came) {
-            Some(incoming) => answer(&state, incoming).await,
-            None => Reply::Own(Own::denied(400, Refusal::BadRequest)),
+    let reply = match read_body(payload, limit.unwrap_or_default().max(1 << 20)).await {
+        Ok(body) => match convert_request(&request, count_body(&state, body), received_at) {
+            Some(incoming) => run_call(&state, incoming).await,
+            None => Reply::Local(LocalReply::denied(400, Refusal::BadRequest)),
         },
-        Err(own) => Reply::Own(own),
+        Err(own) => Reply::Local(own),
     };
     // A caller that is told so opens its next connection elsewhere, before
     // this entry closes.
-    reply.write(state.stopping.is_triggered() || state.crowded())
+    reply.into_response(state.stopping.is_triggered() || state.crowded())
 }
 
-async fn answer(state: &Rc<State>, incoming: Incoming) -> Reply {
+async fn run_call(state: &Rc<State>, incoming: IncomingRequest) -> Reply {
     state.wait_for_tables().await;
-    let id = state.dialect.ask(&incoming.headers).id;
+    let id = state.dialect.parse_call(&incoming.headers).request_id;
     let version = state.catalog.borrow().as_ref().map_or(0, |c| c.version);
-    let call = match Call::read(state, incoming) {
+    let call = match Call::from_request(state, incoming) {
         Ok(call) => Rc::new(call),
         Err(own) => {
             info!("call denied", kv: {
@@ -67,26 +67,29 @@
                 reason = own.reason.as_str(),
                 version
             });
-            return Reply::Own(own);
+            return Reply::Local(own);
         }
     };
     let reply = Rc::clone(&call).run().await;
     let status = match &reply {
-        Reply::Whole { status, .. } => *status,
+        Reply::Buffered { status, .. } => *status,
         Reply::Stream { .. } => 200,
-        Reply::Own(own) => own.status,
+        Reply::Local(own) => own.status,
     };
     let reason = match &reply {
-        Reply::Own(own) => own.reason.as_str(),
+        Reply::Local(own) => own.reason.as_str(),
         _ => "-",
     };
     metrics::counter!("pimentocart_calls_total", "status" => status.to_string()).increment(1);
-    if matches!(reply, Reply::Whole { .. }) {
-        let age = state.clock.now().saturating_duration_since(call.came);
+    if matches!(reply, Reply::Buffered { .. }) {
+        let age = state
+            .clock
+            .now()
+            .saturating_duration_since(call.received_at);
         metrics::histogram!("pimentocart_answer_seconds", "kind" => "whole").record(age);
     }
     info!("call answered", kv: {
-        id = call.name(),
+        id = call.request_id(),
         route = call.route.name.as_str(),
         service = &*call.service,
         tier = call.tier().0,
@@ -98,7 +101,7 @@
 }
 
 /// Counts a body that has come over the link.
-fn note(state: &State, body: Bytes) -> Bytes {
+fn count_body(state: &State, body: Bytes) -> Bytes {
     if let Some(link) = state.link.borrow_mut().as_mut() {
         link.record_bytes(state.clock.now(), body.len());
     }
@@ -106,12 +109,12 @@
 }
 
 /// Reads a whole body of at most `limit` bytes.
-async fn body(mut payload: Payload, limit: usize) -> Result<Bytes, Own> {
+async fn read_body(mut payload: Payload, limit: usize) -> Result<Bytes, LocalReply> {
     let mut all = BytesMut::new();
     while let Some(part) = payload.next().await {
-        let part = part.map_err(|_| Own::denied(400, Refusal::BadRequest))?;
+        let part = part.map_err(|_| LocalReply::denied(400, Refusal::BadRequest))?;
         if all.len() + part.len() > limit {
-            return Err(Own::denied(413, Refusal::TooLarge));
+            return Err(LocalReply::denied(413, Refusal::TooLarge));
         }
         all.extend_from_slice(&part);
     }
@@ -120,7 +123,11 @@
 }
 
 /// The call in the types of the library that speaks to servers.
-fn incoming(request: &HttpRequest, body: Bytes, came: std::time::Instant) -> Option<Incoming> {
+fn convert_request(
+    request: &HttpRequest,
+    body: Bytes,
+    received_at: std::time::Instant,
+) -> Option<IncomingRequest> {
     let method = Method::from_bytes(request.method().as_str().as_bytes()).ok()?;
     let path = request.uri().path_and_query()?;
     let uri: Uri = path.as_str().parse().ok()?;
@@ -129,12 +136,12 @@
         let name = HeaderName::from_bytes(name.as_str().as_bytes()).ok()?;
         headers.append(name, HeaderValue::from_bytes(value.as_bytes()).ok()?);
     }
-    Some(Incoming {
+    Some(IncomingRequest {
         method,
         uri,
         headers,
         body,
-        came,
+        received_at,
     })
 }
 
@@ -143,7 +150,11 @@
 /// # Errors
 ///
 /// Returns the error when the application cannot be set up.
-pub async fn operators(listener: TcpListener, state: Rc<State>, end: StopSignal) -> io::Result<()> {
+pub async fn serve_operators(
+    listener: TcpListener,
+    state: Rc<State>,
+    end: StopSignal,
+) -> io::Result<()> {
     let path = state.settings.ready_path.clone();
     let app = App::new()
         .app_data(Data::new(state))
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -2,7 +2,7 @@
 //! answer straight back. See docs/DECISIONS/0601-on-the-platform.md.
 //!
 //! - [`settings`]: what the operators set.
-//! - [`edge`]: what a platform has to translate for this package.
+//! - [`platform`]: what a platform has to translate for this package.
 //! - [`follow`]: reading the platform's tables from the store.
 //! - [`neighbours`]: asking a neighbour for them, and answering neighbours.
 //! - [`tables`]: what they say, put to use.
@@ -27,7 +27,6 @@
 pub mod crashes;
 pub mod drain;
 pub mod duties;
-pub mod edge;
 pub mod events;
 pub mod exchange;
 pub mod finding;
@@ -36,6 +35,7 @@
 pub mod grants;
 pub mod http;
 pub mod neighbours;
+pub mod platform;
 pub mod pool;
 pub mod relay;
 pub mod reload;
@@ -52,8 +52,8 @@
 use base::listen;
 use base::stop::StopSignal;
 use duties::Duties;
-use edge::{Dialect, Platform};
 use gossip::Voice;
+use platform::{Dialect, Platform};
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
 
@@ -121,7 +121,11 @@
     ));
     actix_rt::spawn(state::sweep(Rc::clone(&state), end.clone()));
     for listener in [Some(ready), metrics].into_iter().flatten() {
-        actix_rt::spawn(http::operators(listener, Rc::clone(&state), end.clone()));
+        actix_rt::spawn(http::serve_operators(
+            listener,
+            Rc::clone(&state),
+            end.clone(),
+        ));
     }
     info!("entry started", kv: {
         name = state.settings.name.as_str(),
@@ -147,7 +151,7 @@
     end: &StopSignal,
 ) {
     *state.duties.borrow_mut() = Some(Rc::clone(&duties));
-    let (records, duty_api) = (platform.records(), platform.duty_api(duties.platform()));
+    let (records, duty_api) = (platform.duty_store(), platform.duty_api(duties.platform()));
     actix_rt::spawn(duties::scale::run(
         Rc::clone(state),
         Rc::clone(&duties),
--- a/crates/forward/src/edge.rs
+++ b/crates/forward/src/platform.rs
@@ -23,9 +23,9 @@
     /// Where entries find each other.
     type Directory: Directory + 'static;
     /// Servers that have crashed under calls.
-    type Crashes: Crashes + 'static;
+    type Crashes: CrashTable + 'static;
     /// Where the duties' record is kept.
-    type Records: Records + 'static;
+    type DutyStore: DutyStore + 'static;
     /// Where duties go to.
     type DutyApi: DutyApi + 'static;
 
@@ -42,7 +42,7 @@
     fn crashes(&self) -> Self::Crashes;
 
     /// The duties' record.
-    fn records(&self) -> Self::Records;
+    fn duty_store(&self) -> Self::DutyStore;
 
     /// The interface for duties at `addr`.
     fn duty_api(&self, addr: SocketAddr) -> Self::DutyApi;
@@ -51,42 +51,42 @@
 /// How callers and backend servers are spoken to.
 pub trait Dialect {
     /// What a caller's headers say.
-    fn ask(&self, headers: &HeaderMap) -> Ask;
+    fn parse_call(&self, headers: &HeaderMap) -> CallHeaders;
 
     /// The headers for a backend server: the caller's, without those that
     /// concern one connection only or that callers must not set, and with
     /// what `order` says.
-    fn outgoing(&self, headers: &HeaderMap, order: &Order<'_>) -> HeaderMap;
+    fn forwarded_headers(&self, headers: &HeaderMap, order: &AddedHeaders<'_>) -> HeaderMap;
 
     /// What a backend server's headers say.
-    fn signs(&self, status: u16, headers: &HeaderMap) -> Signs;
+    fn parse_response(&self, status: u16, headers: &HeaderMap) -> ResponseHeaders;
 }
 
 /// What a caller's headers say about its call.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct CallHeaders {
     /// The caller's identity of this try.
-    pub id: Option<String>,
+    pub request_id: Option<String>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The caller's key.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Size of the prompt, in tokens; 0 when it was not said.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Most tokens that the answer may have; 0 when it was not said.
-    pub output: u32,
+    pub max_tokens: u32,
     /// The caller's guess of the answer's tokens.
-    pub hint: Option<u32>,
+    pub length_hint: Option<u32>,
     /// The parts of the prompt in order; the last one belongs to the call
     /// itself or its session.
-    pub parts: Vec<Part>,
+    pub prompt_parts: Vec<PromptPart>,
     /// The number of the last event that the caller has of a stream.
     pub last_event: Option<u64>,
 }
 
 /// A part of a prompt that other calls may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Equal for equal parts.
     pub id: u64,
     /// Its size.
@@ -95,41 +95,41 @@
 
 /// What a backend server is told beside the caller's own headers.
 #[derive(Debug, Clone, Copy)]
-pub struct Order<'a> {
+pub struct AddedHeaders<'a> {
     /// How long the caller goes on waiting.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The life of the server that is meant; another one refuses.
     pub server: &'a str,
     /// The caller's workspace.
     pub workspace: Option<&'a str>,
     /// The call's rank for engines; 0 is the most urgent.
-    pub rank: Option<u8>,
+    pub priority: Option<u8>,
     /// The last event that the caller has of a stream that goes on.
     pub last_event: Option<u64>,
     /// Another server that holds parts of the prompt, from which they may be
     /// copied instead of being read again.
-    pub fetch: Option<SocketAddr>,
+    pub fetch_from: Option<SocketAddr>,
 }
 
 /// What a backend server's headers say about its answer.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Signs {
+pub struct ResponseHeaders {
     /// The call that the answer belongs to.
-    pub id: Option<String>,
+    pub request_id: Option<String>,
     /// Whether the server has made this answer itself, and vouches for it.
     pub sealed: bool,
     /// Whether the server says that it did not run the call.
     pub not_run: bool,
     /// Whether the server says that the call was meant for another one.
-    pub elsewhere: bool,
+    pub wrong_server: bool,
     /// Whether the body was encoded on the way, which no caller asked for.
     pub encoded: bool,
     /// How long the server keeps an idle connection.
-    pub keep: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// Whether the server closes the connection after this answer.
     pub close: bool,
     /// What it says of the server itself.
-    pub word: ServerFeedback,
+    pub feedback: ServerFeedback,
 }
 
 /// A table in the platform's store: the newest record of each key, and what
@@ -139,7 +139,7 @@
     type Item;
 
     /// Everything that the table holds.
-    fn newest(&self) -> impl Future<Output = Result<Changes<Self::Item>, SourceError>>;
+    fn snapshot(&self) -> impl Future<Output = Result<Changes<Self::Item>, SourceError>>;
 
     /// What changed from position `from` on; waits up to `wait` for the first
     /// change.
@@ -165,7 +165,7 @@
 
 /// The store's table of servers that have crashed under calls, each with the Unix
 /// millisecond at which it was seen.
-pub trait Crashes: Source<Item = u64> {
+pub trait CrashTable: Source<Item = u64> {
     /// Writes some of them, all or none; those without a time are dropped.
     fn write(
         &self,
@@ -175,7 +175,7 @@
 
 /// What the store keeps of the duties of one daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct DutyRecord {
     /// Who holds them.
     pub term: Term,
     /// What was used, and is to be reported.
@@ -183,12 +183,12 @@
 }
 
 /// Where the duties' record is kept.
-pub trait Records {
+pub trait DutyStore {
     /// The record, and where its log ends.
-    fn read(&self) -> impl Future<Output = Result<(Option<Kept>, u64), SourceError>>;
+    fn read(&self) -> impl Future<Output = Result<(Option<DutyRecord>, u64), SourceError>>;
 
     /// Writes the record if its log still ends at `at`.
-    fn write(&self, at: u64, kept: &Kept) -> impl Future<Output = WriteOutcome>;
+    fn write(&self, at: u64, kept: &DutyRecord) -> impl Future<Output = WriteOutcome>;
 }
 
 /// The platform's interface that duties go to.
@@ -201,7 +201,7 @@
         window: u64,
         counts: &WorkspaceCounts,
         token: impl FnOnce() -> Option<u64>,
-    ) -> impl Future<Output = Outcome>;
+    ) -> impl Future<Output = DutyOutcome>;
 
     /// Orders how many servers `service` should have in an availability zone;
     /// `token` as in [`DutyApi::report`].
@@ -211,12 +211,12 @@
         service: &str,
         order: &scaling::ServerOrder,
         token: impl FnOnce() -> Option<u64>,
-    ) -> impl Future<Output = Outcome>;
+    ) -> impl Future<Output = DutyOutcome>;
 }
 
 /// What became of a call of a duty.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum DutyOutcome {
     /// It was carried out, or had been before.
     Accepted,
     /// A higher token than this one was seen; it was not carried out.
@@ -224,28 +224,28 @@
     /// It was refused with this status, and not carried out.
     Refused(u16),
     /// It was not answered; it may be carried out at any time.
-    Lost(String),
+    Unanswered(String),
     /// The duty was not held any more, and nothing was sent.
     NotHeld,
 }
 
-impl Outcome {
+impl DutyOutcome {
     /// It in one word, for logs and metrics.
     #[must_use]
-    pub fn word(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
             Self::Fenced(_) => "fenced",
             Self::Refused(_) => "refused",
-            Self::Lost(_) => "lost",
+            Self::Unanswered(_) => "lost",
             Self::NotHeld => "not_held",
         }
     }
 
     /// Whether the interface was heard, or need not have been.
     #[must_use]
-    pub fn heard(&self) -> bool {
-        !matches!(self, Self::Lost(_) | Self::Refused(_))
+    pub fn is_conclusive(&self) -> bool {
+        !matches!(self, Self::Unanswered(_) | Self::Refused(_))
     }
 }
 
--- a/crates/forward/src/pool.rs
+++ b/crates/forward/src/pool.rs
@@ -20,70 +20,70 @@
 use tokio::net::TcpStream;
 
 /// How long an idle connection is kept when the server does not say.
-const KEEP: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Part of the time that the server keeps a connection after which it is not
 /// used any more: a call sent as the server closes would be lost.
-const KEEP_SHARE: f64 = 0.6;
+const IDLE_TIMEOUT_SHARE: f64 = 0.6;
 
 /// A new connection is one round trip; within a region anything longer means
 /// that the host does not answer.
-pub const DIAL_LIMIT: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Bytes that are sent and not acknowledged for so long mean that the path
 /// has lost track of the connection. Without this a call on such a connection
 /// would wait for its whole timeout.
-const SILENCE: Duration = Duration::from_secs(2);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Idle connections are probed this often, so that one that went silent is
 /// found before a call is sent on it.
-const PROBE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Header bytes and lines that a server's answer may have.
 const READ_BUFFER: usize = 64 << 10;
 
 /// Idle connections by server.
 #[derive(Debug, Default)]
-pub struct Pool {
-    idle: RefCell<HashMap<Rc<str>, VecDeque<Conn>>>,
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<Rc<str>, VecDeque<Connection>>>,
 }
 
 /// One connection to a backend server. Dropping it closes it, which also
 /// tells the server to stop working on the call in progress.
 #[derive(Debug)]
-pub struct Conn {
+pub struct Connection {
     /// The way in.
     pub(crate) sender: SendRequest<Full<Bytes>>,
     /// Reads and writes the socket.
     task: JoinHandle<()>,
     /// When it becomes useless if it is not used.
-    until: Instant,
+    expires_at: Instant,
     /// How long the server keeps it idle, as far as it said.
-    keep: Duration,
+    idle_timeout: Duration,
 }
 
-impl Drop for Conn {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Conn {
+impl Connection {
     /// Notes how long the server keeps the connection idle.
-    pub fn keep_for(&mut self, keep: Duration) {
-        self.keep = keep.mul_f64(KEEP_SHARE);
+    pub fn set_idle_timeout(&mut self, keep: Duration) {
+        self.idle_timeout = keep.mul_f64(IDLE_TIMEOUT_SHARE);
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     /// An idle connection to a server, if there is a sound one. The one that
     /// was idle longest goes first: a late second answer to its last call has
     /// come by then, and shows as unread bytes.
-    pub fn take(&self, now: Instant, id: &str) -> Option<Conn> {
+    pub fn take(&self, now: Instant, id: &str) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let conns = idle.get_mut(id)?;
         while let Some(conn) = conns.pop_front() {
-            if now < conn.until && conn.sender.is_ready() && !conn.sender.is_closed() {
+            if now < conn.expires_at && conn.sender.is_ready() && !conn.sender.is_closed() {
                 return Some(conn);
             }
         }
@@ -91,24 +91,24 @@
     }
 
     /// Gives a connection back whose answer was read to its end.
-    pub fn put(&self, now: Instant, id: &Rc<str>, mut conn: Conn) {
+    pub fn put(&self, now: Instant, id: &Rc<str>, mut conn: Connection) {
         if conn.sender.is_closed() {
             return;
         }
-        conn.until = now + conn.keep;
+        conn.expires_at = now + conn.idle_timeout;
         let mut idle = self.idle.borrow_mut();
         idle.entry(Rc::clone(id)).or_default().push_back(conn);
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, id: &str) {
+    pub fn close_idle(&self, id: &str) {
         self.idle.borrow_mut().remove(id);
     }
 
     /// Closes idle connections whose time has passed.
-    pub fn sweep(&self, now: Instant) {
+    pub fn remove_expired(&self, now: Instant) {
         self.idle.borrow_mut().retain(|_, conns| {
-            conns.retain(|c| now < c.until && !c.sender.is_closed());
+            conns.retain(|c| now < c.expires_at && !c.sender.is_closed());
             !conns.is_empty()
         });
     }
@@ -119,14 +119,16 @@
     ///
     /// Returns the error when no connection could be made in time; nothing
     /// was sent then.
-    pub async fn dial(now: Instant, addr: SocketAddr) -> io::Result<Conn> {
-        let dialled = tokio::time::timeout(DIAL_LIMIT, TcpStream::connect(addr)).await;
+    pub async fn connect(now: Instant, addr: SocketAddr) -> io::Result<Connection> {
+        let dialled = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
         let stream = dialled.map_err(|_| io::ErrorKind::TimedOut)??;
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
-        let probes = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE);
+        let probes = TcpKeepalive::new()
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL);
         socket.set_tcp_keepalive(&probes.with_retries(2))?;
-        socket.set_tcp_user_timeout(Some(SILENCE))?;
+        socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
 
         let shaken = http1::Builder::new()
             .max_buf_size(READ_BUFFER)
@@ -138,11 +140,11 @@
             // that ends is found closed when it would be used.
             let _ = conn.await;
         });
-        Ok(Conn {
+        Ok(Connection {
             sender,
             task,
-            until: now + KEEP,
-            keep: KEEP,
+            expires_at: now + DEFAULT_IDLE_TIMEOUT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         })
     }
 }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -11,33 +11,33 @@
 
 use crate::call::Call;
 use crate::events::Splitter;
-use crate::exchange::Body;
+use crate::exchange::ResponseBody;
 use crate::state::Open;
 
 /// A stream on its way to a caller.
 #[derive(Debug)]
 pub struct Relay {
     call: Rc<Call>,
-    body: Body,
+    body: ResponseBody,
     splitter: Splitter,
     /// Bytes that came before the caller was answered.
-    first: Option<Bytes>,
+    first_bytes: Option<Bytes>,
     /// The number of the last event that was passed on.
-    last: Option<u64>,
+    last_event: Option<u64>,
     /// Whether each event's number was one more than the one before.
-    steady: bool,
+    consecutive: bool,
     /// Whether the next event is the first from another server.
-    joined: bool,
+    just_resumed: bool,
     /// Whether a part of it came from another server.
     resumed: bool,
     /// Events passed on.
-    count: u64,
+    event_count: u64,
     /// When the last event was passed on, or the call came.
-    newest: Instant,
+    last_sent: Instant,
     /// How long after the call the first event was passed on.
-    first_after: Duration,
+    first_delay: Duration,
     /// The longest pause between two events.
-    pause: Duration,
+    max_pause: Duration,
     /// Servers that the call was sent to.
     tried: Vec<Rc<str>>,
     /// Keeps the entry from stopping meanwhile.
@@ -47,10 +47,10 @@
 /// Why a stream ended before its end.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum Cut {
+pub enum StreamError {
     /// The route's time is over.
     #[snafu(display("step=relay peer={server}: the route's timeout has passed"))]
-    Late {
+    TimedOut {
         /// The server.
         server: String,
     },
@@ -67,19 +67,25 @@
 impl Relay {
     /// Takes over a stream of which `first` has come.
     #[must_use]
-    pub fn new(call: Rc<Call>, body: Body, first: Bytes, tried: Vec<Rc<str>>, open: Open) -> Self {
+    pub fn new(
+        call: Rc<Call>,
+        body: ResponseBody,
+        first: Bytes,
+        tried: Vec<Rc<str>>,
+        open: Open,
+    ) -> Self {
         Self {
-            last: call.ask.last_event,
+            last_event: call.parsed_headers.last_event,
             body,
             splitter: Splitter::default(),
-            first: Some(first),
-            count: 0,
-            steady: true,
-            joined: false,
+            first_bytes: Some(first),
+            event_count: 0,
+            consecutive: true,
+            just_resumed: false,
             resumed: false,
-            newest: call.came,
-            first_after: Duration::ZERO,
-            pause: Duration::ZERO,
+            last_sent: call.received_at,
+            first_delay: Duration::ZERO,
+            max_pause: Duration::ZERO,
             tried,
             call,
             _open: open,
@@ -89,18 +95,18 @@
     /// The stream's bytes as they come. It ends with an error when it is not
     /// whole, which closes the caller's connection instead of ending the
     /// answer.
-    pub fn events(self) -> impl Stream<Item = Result<Bytes, Cut>> {
+    pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, StreamError>> {
         futures_util::stream::unfold(Some(Box::new(self)), |relay| async {
             let mut relay = relay?;
-            match relay.step().await {
+            match relay.next_chunk().await {
                 Ok(Some(bytes)) => Some((Ok(bytes), Some(relay))),
                 Ok(None) => {
                     // A stream of one event has no pause.
-                    if relay.count > 1 && !relay.resumed {
-                        relay.call.paused(relay.pause);
+                    if relay.event_count > 1 && !relay.resumed {
+                        relay.call.record_pause(relay.max_pause);
                     }
                     if relay.body.framed {
-                        relay.call.served();
+                        relay.call.record_completed();
                     }
                     relay.log("whole");
                     None
@@ -114,21 +120,21 @@
     }
 
     /// The next bytes for the caller; none at the end.
-    async fn step(&mut self) -> Result<Option<Bytes>, Cut> {
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
-            if let Some(bytes) = self.whole_events()? {
+            if let Some(bytes) = self.complete_events()? {
                 return Ok(Some(bytes));
             }
-            let next = match self.first.take() {
+            let next = match self.first_bytes.take() {
                 Some(first) => Ok(Ok(Some(first))),
                 None => {
-                    let until: Instant = self.call.until;
+                    let until: Instant = self.call.deadline;
                     tokio::time::timeout_at(until.into(), self.body.next()).await
                 }
             };
             match next {
                 Err(_) => {
-                    return LateSnafu {
+                    return TimedOutSnafu {
                         server: self.server(),
                     }
                     .fail();
@@ -140,27 +146,27 @@
                 Ok(Ok(None)) if self.body.framed && !self.resumed => {
                     return Ok(Some(self.splitter.take_rest()));
                 }
-                Ok(Ok(None)) => self.go_on("ended inside an event").await?,
-                Ok(Err(cause)) => self.go_on(&cause).await?,
+                Ok(Ok(None)) => self.fail_over("ended inside an event").await?,
+                Ok(Err(cause)) => self.fail_over(&cause).await?,
             }
         }
     }
 
     /// The events that are whole by now, as one piece.
-    fn whole_events(&mut self) -> Result<Option<Bytes>, Cut> {
+    fn complete_events(&mut self) -> Result<Option<Bytes>, StreamError> {
         let mut piece = Vec::new();
         while let Some(event) = self.splitter.event() {
-            if let (Some(last), Some(number)) = (self.last, event.number) {
-                self.check(last, number)?;
+            if let (Some(last), Some(number)) = (self.last_event, event.number) {
+                self.check_sequence(last, number)?;
             }
-            self.last = event.number.or(self.last);
-            self.count += 1;
+            self.last_event = event.number.or(self.last_event);
+            self.event_count += 1;
             piece.extend_from_slice(&event.bytes);
         }
         if piece.is_empty() {
             return Ok(None);
         }
-        self.time();
+        self.record_timing();
         Ok(Some(piece.into()))
     }
 
@@ -168,66 +174,66 @@
     /// same, the caller would have a stream with a hole or a doubled event
     /// that looks whole. Numbers only have to grow within one server's stream;
     /// where they grew by one, another server has to go on by one as well.
-    fn check(&mut self, last: u64, number: u64) -> Result<(), Cut> {
+    fn check_sequence(&mut self, last: u64, number: u64) -> Result<(), StreamError> {
         let next = number == last + 1;
-        let hole = std::mem::take(&mut self.joined) && self.steady && !next;
+        let hole = std::mem::take(&mut self.just_resumed) && self.consecutive && !next;
         if number <= last || hole {
             let cause = format!("event {number} after {last}");
             let server = self.server();
             return BrokenSnafu { server, cause }.fail();
         }
-        self.steady &= next;
+        self.consecutive &= next;
         Ok(())
     }
 
     /// Notes when events are passed on, which is what callers notice.
-    fn time(&mut self) {
+    fn record_timing(&mut self) {
         let now = self.call.state.clock.now();
-        let passed = now.saturating_duration_since(self.newest);
-        if self.first_after.is_zero() {
-            self.first_after = passed;
+        let passed = now.saturating_duration_since(self.last_sent);
+        if self.first_delay.is_zero() {
+            self.first_delay = passed;
             metrics::histogram!("pimentocart_first_event_seconds").record(passed);
         } else {
-            self.pause = self.pause.max(passed);
-            self.body.paused(passed);
+            self.max_pause = self.max_pause.max(passed);
+            self.body.record_pause(passed);
             metrics::histogram!("pimentocart_pause_seconds").record(passed);
         }
-        self.newest = now;
+        self.last_sent = now;
     }
 
     /// Goes on at another server after the last whole event, if that may be.
-    async fn go_on(&mut self, cause: &str) -> Result<(), Cut> {
-        let broken = |server: String, cause: &str| Cut::Broken {
+    async fn fail_over(&mut self, cause: &str) -> Result<(), StreamError> {
+        let broken = |server: String, cause: &str| StreamError::Broken {
             server,
             cause: cause.to_owned(),
         };
         let from = self.server();
-        self.call.broke(&self.body.server);
+        self.call.record_broken(&self.body.server);
         self.call
             .state
             .balance
             .borrow_mut()
             .call_failed(self.call.state.clock.now(), &from);
         let resumable = self.call.route.kind == policy::routes::CallKind::Resumable;
-        if !resumable || self.last.is_none() && self.count > 0 {
+        if !resumable || self.last_event.is_none() && self.event_count > 0 {
             return Err(broken(from, cause));
         }
         self.splitter.take_rest();
         let went = Rc::clone(&self.call)
-            .resume(self.last, &mut self.tried)
+            .resume(self.last_event, &mut self.tried)
             .await;
         let Some(body) = went else {
             return Err(broken(from, cause));
         };
         info!("stream resumed", kv: {
-            id = self.call.name(),
+            id = self.call.request_id(),
             from = from.as_str(),
             at = &*body.server.id,
-            after = self.last.unwrap_or(0),
+            after = self.last_event.unwrap_or(0),
             cause
         });
         self.body = body;
-        self.joined = true;
+        self.just_resumed = true;
         self.resumed = true;
         Ok(())
     }
@@ -238,15 +244,17 @@
     }
 
     fn log(&self, outcome: &str) {
-        let age = self.newest.saturating_duration_since(self.call.came);
+        let age = self
+            .last_sent
+            .saturating_duration_since(self.call.received_at);
         metrics::histogram!("pimentocart_answer_seconds", "kind" => "stream").record(age);
         info!("stream ended", kv: {
-            id = self.call.name(),
+            id = self.call.request_id(),
             route = self.call.route.name.as_str(),
             server = &*self.body.server.id,
-            events = self.count,
-            first_ms = millis(self.first_after),
-            pause_ms = millis(self.pause),
+            events = self.event_count,
+            first_ms = millis(self.first_delay),
+            pause_ms = millis(self.max_pause),
             ms = self.call.age_ms(),
             outcome
         });
--- a/crates/forward/src/reply.rs
+++ b/crates/forward/src/reply.rs
@@ -13,7 +13,7 @@
 use crate::relay::Relay;
 
 /// Headers of a server's answer that concern its own connection only.
-const HOP: [&str; 9] = [
+const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub enum Reply {
     /// A server's whole answer.
-    Whole {
+    Buffered {
         /// Its status.
         status: u16,
         /// Its headers.
@@ -45,31 +45,31 @@
         relay: Box<Relay>,
     },
     /// An answer of our own.
-    Own(Own),
+    Local(LocalReply),
 }
 
 /// A failure or refusal of our own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalReply {
     /// The status.
     pub status: u16,
     /// Why.
     pub reason: Refusal,
     /// What is known about the call having run.
-    pub ran: Executed,
+    pub executed: Executed,
     /// When asking again may help.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
-impl Own {
+impl LocalReply {
     /// An answer that promises nothing about the call having run.
     #[must_use]
     pub fn failed(status: u16, reason: Refusal) -> Self {
         Self {
             status,
             reason,
-            ran: Executed::Unknown,
-            after: None,
+            executed: Executed::Unknown,
+            retry_after: None,
         }
     }
 
@@ -79,8 +79,8 @@
         Self {
             status,
             reason,
-            ran: Executed::No,
-            after: None,
+            executed: Executed::No,
+            retry_after: None,
         }
     }
 
@@ -90,8 +90,8 @@
         Self {
             status: 503,
             reason,
-            ran: Executed::No,
-            after: Some(after),
+            executed: Executed::No,
+            retry_after: Some(after),
         }
     }
 }
@@ -100,18 +100,18 @@
     /// The answer as the HTTP library writes it. `close` ends the caller's
     /// connection after it.
     #[must_use]
-    pub fn write(self, close: bool) -> HttpResponse {
+    pub fn into_response(self, close: bool) -> HttpResponse {
         let mut response = match self {
-            Self::Whole {
+            Self::Buffered {
                 status,
                 headers,
                 body,
             } => build(status, &headers, body),
             Self::Stream { headers, relay } => {
-                let body = actix_web::body::BodyStream::new(relay.events());
+                let body = actix_web::body::BodyStream::new(relay.into_stream());
                 build(200, &headers, body)
             }
-            Self::Own(own) => own.write(),
+            Self::Local(own) => own.into_response(),
         };
         if close {
             response
@@ -122,11 +122,11 @@
     }
 }
 
-impl Own {
-    fn write(self) -> HttpResponse {
-        base::telemetry::count_refusal(self.reason, self.ran);
+impl LocalReply {
+    fn into_response(self) -> HttpResponse {
+        base::telemetry::count_refusal(self.reason, self.executed);
         let mut headers = HeaderMap::new();
-        if let Some(after) = self.after {
+        if let Some(after) = self.retry_after {
             let text = format!("{:.3}", after.as_secs_f64());
             if let Ok(value) = text.parse() {
                 headers.insert(http::header::RETRY_AFTER, value);
@@ -141,7 +141,7 @@
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::with_body(status, BoxBody::new(body));
     for (name, value) in headers {
-        if HOP.contains(&name.as_str()) {
+        if HOP_BY_HOP.contains(&name.as_str()) {
             continue;
         }
         let name = HeaderName::from_bytes(name.as_str().as_bytes());
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -22,9 +22,9 @@
 
 use crate::crashes::{self, Crashes};
 use crate::duties::Duties;
-use crate::edge::Dialect;
 use crate::grants::Sidecars;
-use crate::pool::Pool;
+use crate::platform::Dialect;
+use crate::pool::ConnectionPool;
 use crate::settings::Settings;
 use crate::tables::Tables;
 
@@ -72,7 +72,7 @@
     /// Servers that have crashed under calls.
     pub crashes: Crashes,
     /// Connections to servers.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Wakes those who wait for the store when it answers again.
     pub regained: Notify,
     /// Has the others told at once what this one has.
@@ -123,7 +123,7 @@
             sidecars: RefCell::default(),
             duties: RefCell::default(),
             crashes: Crashes::default(),
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             regained: Notify::new(),
             speak: Notify::new(),
             lost: Cell::new(false),
@@ -230,7 +230,7 @@
 pub async fn sweep(state: Rc<State>, end: StopSignal) {
     while !end.is_triggered() {
         tokio::time::sleep(SWEEP).await;
-        state.pool.sweep(state.clock.now());
+        state.pool.remove_expired(state.clock.now());
         crashes::expire(&state, state.clock.now());
     }
 }
--- a/crates/forward/src/tables.rs
+++ b/crates/forward/src/tables.rs
@@ -132,7 +132,7 @@
 /// Forgets the servers that have been missing for long.
 pub(crate) fn forget(state: &State, now: Instant) {
     for id in state.balance.borrow_mut().forget_missing(now, RETURN) {
-        state.pool.forget(&id);
+        state.pool.close_idle(&id);
         info!("server forgotten", kv: { server = &*id });
     }
 }
@@ -146,7 +146,7 @@
     }
     // Connections to its earlier life lead nowhere any more.
     if leaving || change == RecordChange::Restarted {
-        state.pool.forget(&id);
+        state.pool.close_idle(&id);
     }
     if !log {
         return;
--- a/crates/forward/tests/calls/common.rs
+++ b/crates/forward/tests/calls/common.rs
@@ -9,7 +9,7 @@
 use base::clock::SystemClock;
 use base::ids::Tier;
 use base::stop::StopSignal;
-use forward::edge::{Ask, Dialect, Order, Part, Signs};
+use forward::platform::{AddedHeaders, CallHeaders, Dialect, PromptPart, ResponseHeaders};
 use forward::settings::Settings;
 use forward::state::State;
 use http::{HeaderMap, HeaderValue};
@@ -31,21 +31,21 @@
 pub(crate) struct Plain;
 
 impl Dialect for Plain {
-    fn ask(&self, headers: &HeaderMap) -> Ask {
-        Ask {
-            id: text(headers, ID),
-            key: text(headers, "key"),
-            patience: text(headers, "patience-ms")
+    fn parse_call(&self, headers: &HeaderMap) -> CallHeaders {
+        CallHeaders {
+            request_id: text(headers, ID),
+            api_key: text(headers, "key"),
+            caller_timeout: text(headers, "patience-ms")
                 .and_then(|t| t.parse().ok())
                 .map(Duration::from_millis),
-            prompt: number(headers, "prompt"),
-            output: number(headers, "output"),
-            parts: parts(headers),
-            ..Ask::default()
+            prompt_tokens: number(headers, "prompt"),
+            max_tokens: number(headers, "output"),
+            prompt_parts: parts(headers),
+            ..CallHeaders::default()
         }
     }
 
-    fn outgoing(&self, headers: &HeaderMap, order: &Order<'_>) -> HeaderMap {
+    fn forwarded_headers(&self, headers: &HeaderMap, order: &AddedHeaders<'_>) -> HeaderMap {
         let mut out = headers.clone();
         for name in ["connection", "content-length", "transfer-encoding", "key"] {
             out.remove(name);
@@ -53,12 +53,12 @@
         let mut set = |name: &'static str, value: String| {
             out.insert(name, HeaderValue::from_str(&value).expect("a value"));
         };
-        set("left-ms", order.left.as_millis().to_string());
+        set("left-ms", order.time_left.as_millis().to_string());
         set("server", order.server.to_owned());
         if let Some(workspace) = order.workspace {
             set("workspace", workspace.to_owned());
         }
-        if let Some(holder) = order.fetch {
+        if let Some(holder) = order.fetch_from {
             set("fetch", holder.to_string());
         }
         if let Some(last) = order.last_event {
@@ -67,18 +67,18 @@
         out
     }
 
-    fn signs(&self, _status: u16, headers: &HeaderMap) -> Signs {
-        Signs {
-            id: text(headers, ID),
+    fn parse_response(&self, _status: u16, headers: &HeaderMap) -> ResponseHeaders {
+        ResponseHeaders {
+            request_id: text(headers, ID),
             sealed: headers.contains_key("seal"),
             not_run: headers.contains_key("not-run"),
-            elsewhere: headers.contains_key("elsewhere"),
+            wrong_server: headers.contains_key("elsewhere"),
             encoded: headers.contains_key("content-encoding"),
-            keep: text(headers, "keep-ms")
+            idle_timeout: text(headers, "keep-ms")
                 .and_then(|t| t.parse().ok())
                 .map(Duration::from_millis),
             close: text(headers, "connection").is_some_and(|c| c == "close"),
-            word: ServerFeedback {
+            feedback: ServerFeedback {
                 leaving: headers.contains_key("leaving"),
                 backoff: text(headers, "rest-ms")
                     .and_then(|t| t.parse().ok())
@@ -94,11 +94,11 @@
 }
 
 /// Prompt parts, as in `1:800,2:410`.
-fn parts(headers: &HeaderMap) -> Vec<Part> {
+fn parts(headers: &HeaderMap) -> Vec<PromptPart> {
     let text = text(headers, "parts").unwrap_or_default();
     let part = |part: &str| {
         let (id, tokens) = part.split_once(':')?;
-        Some(Part {
+        Some(PromptPart {
             id: id.parse().ok()?,
             tokens: tokens.parse().ok()?,
         })
--- a/crates/forward/tests/calls/main.rs
+++ b/crates/forward/tests/calls/main.rs
@@ -3,8 +3,8 @@
 
 mod callers;
 mod common;
+mod feedback;
 mod grants;
-mod repeats;
+mod retries;
 mod streams;
 mod usage;
-mod words;
--- a/crates/forward/tests/duties/common.rs
+++ b/crates/forward/tests/duties/common.rs
@@ -9,8 +9,8 @@
 use base::clock::{Clock, SystemClock};
 use base::stop::StopSignal;
 use forward::duties::{Duties, hold, report, scale, tell};
-use forward::edge::{Ask, Dialect, Signs};
-use forward::edge::{DutyApi, Kept, Outcome, Records, SourceError};
+use forward::platform::{CallHeaders, Dialect, ResponseHeaders};
+use forward::platform::{DutyApi, DutyOutcome, DutyRecord, DutyStore, SourceError};
 use forward::settings::Settings;
 use forward::state::State;
 use http::HeaderMap;
@@ -39,19 +39,19 @@
 /// The duties' record.
 #[derive(Default)]
 pub(crate) struct Store {
-    kept: RefCell<Option<Kept>>,
+    kept: RefCell<Option<DutyRecord>>,
     end: Cell<u64>,
     pub(crate) away: Cell<bool>,
 }
 
 impl Store {
-    pub(crate) fn kept(&self) -> Kept {
+    pub(crate) fn kept(&self) -> DutyRecord {
         self.kept.borrow().clone().expect("a record")
     }
 
     /// Has the store come back from a copy that holds `kept`. Positions grow all
     /// the same.
-    pub(crate) fn rewind(&self, kept: Kept) {
+    pub(crate) fn rewind(&self, kept: DutyRecord) {
         *self.kept.borrow_mut() = Some(kept);
         self.end.set(self.end.get() + (1 << 40));
     }
@@ -59,8 +59,8 @@
 
 struct Log(Rc<Store>);
 
-impl Records for Log {
-    async fn read(&self) -> Result<(Option<Kept>, u64), SourceError> {
+impl DutyStore for Log {
+    async fn read(&self) -> Result<(Option<DutyRecord>, u64), SourceError> {
         match self.0.away.get() {
             true => Err(SourceError::Unavailable {
                 step: "read",
@@ -71,7 +71,7 @@
         }
     }
 
-    async fn write(&self, at: u64, kept: &Kept) -> WriteOutcome {
+    async fn write(&self, at: u64, kept: &DutyRecord) -> WriteOutcome {
         if self.0.away.get() {
             return WriteOutcome::Refused;
         }
@@ -141,19 +141,19 @@
 
     /// Takes a call with the holder's token; returns that with what the caller
     /// is answered once it is carried out, or why it is not.
-    fn call(&self, token: impl FnOnce() -> Option<u64>) -> Result<(u64, Outcome), Outcome> {
-        let token = token().ok_or(Outcome::NotHeld)?;
+    fn call(&self, token: impl FnOnce() -> Option<u64>) -> Result<(u64, DutyOutcome), DutyOutcome> {
+        let token = token().ok_or(DutyOutcome::NotHeld)?;
         self.calls.set(self.calls.get() + 1);
         let highest = self.tokens.borrow().last().copied();
         if highest.is_some_and(|highest| token < highest) {
-            return Err(Outcome::Fenced(token));
+            return Err(DutyOutcome::Fenced(token));
         }
         self.tokens.borrow_mut().insert(token);
         let losing = self.losing.get();
         self.losing.set(losing.saturating_sub(1));
         let outcome = match losing {
-            0 => Outcome::Accepted,
-            _ => Outcome::Lost("no answer".to_owned()),
+            0 => DutyOutcome::Accepted,
+            _ => DutyOutcome::Unanswered("no answer".to_owned()),
         };
         Ok((token, outcome))
     }
@@ -168,7 +168,7 @@
         window: u64,
         counts: &WorkspaceCounts,
         token: impl FnOnce() -> Option<u64>,
-    ) -> Outcome {
+    ) -> DutyOutcome {
         let outcome = match self.0.call(token) {
             Ok((_, outcome)) => outcome,
             Err(outcome) => return outcome,
@@ -185,7 +185,7 @@
         _service: &str,
         order: &ServerOrder,
         token: impl FnOnce() -> Option<u64>,
-    ) -> Outcome {
+    ) -> DutyOutcome {
         let (token, outcome) = match self.0.call(token) {
             Ok(done) => done,
             Err(outcome) => return outcome,
@@ -194,7 +194,7 @@
             token,
             zone: order.zone.to_string(),
             count: order.count,
-            answered: outcome == Outcome::Accepted,
+            answered: outcome == DutyOutcome::Accepted,
         });
         outcome
     }
@@ -418,16 +418,20 @@
 struct Mute;
 
 impl Dialect for Mute {
-    fn ask(&self, _headers: &HeaderMap) -> Ask {
-        Ask::default()
+    fn parse_call(&self, _headers: &HeaderMap) -> CallHeaders {
+        CallHeaders::default()
     }
 
-    fn outgoing(&self, _headers: &HeaderMap, _order: &forward::edge::Order<'_>) -> HeaderMap {
+    fn forwarded_headers(
+        &self,
+        _headers: &HeaderMap,
+        _order: &forward::platform::AddedHeaders<'_>,
+    ) -> HeaderMap {
         HeaderMap::new()
     }
 
-    fn signs(&self, _status: u16, _headers: &HeaderMap) -> Signs {
-        Signs::default()
+    fn parse_response(&self, _status: u16, _headers: &HeaderMap) -> ResponseHeaders {
+        ResponseHeaders::default()
     }
 }
 
--- a/crates/forward/tests/tables/common.rs
+++ b/crates/forward/tests/tables/common.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use forward::edge::{Ask, Dialect, Order, Signs};
+use forward::platform::{AddedHeaders, CallHeaders, Dialect, ResponseHeaders};
 use http::HeaderMap;
 
 /// Long enough for any step here, so that a test that hangs fails instead.
@@ -12,16 +12,16 @@
 pub(crate) struct Mute;
 
 impl Dialect for Mute {
-    fn ask(&self, _headers: &HeaderMap) -> Ask {
-        Ask::default()
+    fn parse_call(&self, _headers: &HeaderMap) -> CallHeaders {
+        CallHeaders::default()
     }
 
-    fn outgoing(&self, _headers: &HeaderMap, _order: &Order<'_>) -> HeaderMap {
+    fn forwarded_headers(&self, _headers: &HeaderMap, _order: &AddedHeaders<'_>) -> HeaderMap {
         HeaderMap::new()
     }
 
-    fn signs(&self, _status: u16, _headers: &HeaderMap) -> Signs {
-        Signs::default()
+    fn parse_response(&self, _status: u16, _headers: &HeaderMap) -> ResponseHeaders {
+        ResponseHeaders::default()
     }
 }
 
--- a/crates/forward/tests/tables/crashes.rs
+++ b/crates/forward/tests/tables/crashes.rs
@@ -7,7 +7,7 @@
 
 use base::clock::{Clock, SystemClock};
 use base::stop::StopSignal;
-use forward::edge::{self, Changes, Source, SourceError};
+use forward::platform::{self, Changes, Source, SourceError};
 use forward::settings::Settings;
 use forward::state::State;
 use forward::{crashes, follow, neighbours};
@@ -56,7 +56,7 @@
 impl Source for Table {
     type Item = u64;
 
-    async fn newest(&self) -> Result<Changes<u64>, SourceError> {
+    async fn snapshot(&self) -> Result<Changes<u64>, SourceError> {
         self.check()?;
         let records = self.records().into_iter();
         Ok(Changes {
@@ -81,7 +81,7 @@
     }
 }
 
-impl edge::Crashes for Table {
+impl platform::CrashTable for Table {
     async fn write(&self, crashes: &[(Crash, Option<u64>)]) -> Result<(), SourceError> {
         self.check()?;
         let records = crashes.iter().map(|(crash, at)| (crash.to_string(), *at));
@@ -106,7 +106,7 @@
         )
     });
     let crashes: Vec<_> = crashes.collect();
-    edge::Crashes::write(table, &crashes)
+    platform::CrashTable::write(table, &crashes)
         .await
         .expect("written");
 }
--- a/crates/forward/tests/tables/follow.rs
+++ b/crates/forward/tests/tables/follow.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use base::clock::SystemClock;
-use forward::edge::{Changes, Source, SourceError};
 use forward::follow;
+use forward::platform::{Changes, Source, SourceError};
 use forward::settings::Settings;
 use forward::state::State;
 use policy::balance::ServerRecord;
@@ -69,7 +69,7 @@
 impl<T> Source for Table<T> {
     type Item = T;
 
-    async fn newest(&self) -> Result<Changes<T>, SourceError> {
+    async fn snapshot(&self) -> Result<Changes<T>, SourceError> {
         self.answer().await
     }
 
--- a/crates/forward/tests/tables/neighbours.rs
+++ b/crates/forward/tests/tables/neighbours.rs
@@ -7,7 +7,7 @@
 
 use base::clock::{Clock, ManualClock, SystemClock};
 use base::stop::StopSignal;
-use forward::edge::{Changes, Source, SourceError};
+use forward::platform::{Changes, Source, SourceError};
 use forward::settings::Settings;
 use forward::state::State;
 use forward::{follow, neighbours};
@@ -70,7 +70,7 @@
 impl<T: Clone> Source for Table<T> {
     type Item = T;
 
-    async fn newest(&self) -> Result<Changes<T>, SourceError> {
+    async fn snapshot(&self) -> Result<Changes<T>, SourceError> {
         self.answer(0).await
     }
 
@@ -88,8 +88,8 @@
 impl Source for Catalogs {
     type Item = Catalog;
 
-    async fn newest(&self) -> Result<Changes<Catalog>, SourceError> {
-        self.0.newest().await.map(catalogs)
+    async fn snapshot(&self) -> Result<Changes<Catalog>, SourceError> {
+        self.0.snapshot().await.map(catalogs)
     }
 
     async fn changes(&self, from: u64, wait: Duration) -> Result<Changes<Catalog>, SourceError> {
