--- a/crates/forward/src/call.rs
+++ b/crates/forward/src/call.rs
@@ -31,7 +31,7 @@
 use crate::edge::Ask;
 use crate::exchange::{Body, Failure};
 use crate::reply::{Own, Reply};
-use crate::state::{Open, State};
+use crate::state::{OpenCall, State};
 
 /// When to come back if no server takes the call: servers that were replaced
 /// are known about so long after.
@@ -77,7 +77,10 @@
     fn drop(&mut self) {
         if self.work == Some(Phase::Decode) {
             let now = self.state.clock.now();
-            self.state.pools.borrow_mut().call_ended(now, &self.service);
+            self.state
+                .phase_pools
+                .borrow_mut()
+                .call_ended(now, &self.service);
         }
         if self.begin.get() == Begun::Perhaps {
             self.count();
@@ -145,7 +148,7 @@
         };
         let engine = catalog.service(&service).and_then(|s| s.engine);
         let work = engine.map(|_| {
-            let mut pools = state.pools.borrow_mut();
+            let mut pools = state.phase_pools.borrow_mut();
             let coming = IncomingCall {
                 route: &route.name,
                 prompt_tokens: fresh(&ask),
@@ -240,10 +243,10 @@
 
     /// Gets the call to run and says what to answer.
     pub async fn run(self: Rc<Self>) -> Reply {
-        let _open = Open::new(&self.state);
+        let _open = OpenCall::new(&self.state);
         let mut tried = Vec::new();
         self.state
-            .budget
+            .repeat_budget
             .borrow_mut()
             .record_call(self.came, &self.service);
         let mut last = None;
@@ -326,7 +329,7 @@
     pub fn paused(&self, pause: Duration) {
         if self.work == Some(Phase::Prefill) {
             let now = self.state.clock.now();
-            let mut pools = self.state.pools.borrow_mut();
+            let mut pools = self.state.phase_pools.borrow_mut();
             pools.record_pause(now, &self.service, pause);
         }
     }
@@ -338,7 +341,7 @@
         }
         let duties = self.state.duties.borrow();
         if let (Some(duties), Some(workspace)) = (&*duties, &self.workspace) {
-            duties.began(&workspace.name);
+            duties.count_request(&workspace.name);
         }
     }
 
@@ -361,7 +364,7 @@
         let now = self.state.clock.now();
         let left = self
             .state
-            .budget
+            .repeat_budget
             .borrow_mut()
             .take_repeat(now, &self.service);
         let outcome = if left { "taken" } else { "none_left" };
@@ -394,7 +397,7 @@
     /// not in the same moment as others that are refused now.
     fn after(&self, least: Duration) -> Duration {
         let now = self.state.clock.now();
-        let balance = self.state.balance.borrow();
+        let balance = self.state.balancer.borrow();
         let turn = balance.next_turn(now, &self.service);
         let wait = turn.max(balance.cooldown_left(now, &self.service));
         let wait = wait.unwrap_or_default().max(least);
--- a/crates/forward/src/call/answer.rs
+++ b/crates/forward/src/call/answer.rs
@@ -10,7 +10,7 @@
 use crate::exchange::{Answer, Body, Failure};
 use crate::relay::Relay;
 use crate::reply::Reply;
-use crate::state::Open;
+use crate::state::OpenCall;
 
 /// Largest answer that is held until it is whole. Larger ones of calls that
 /// are no streams are a fault of the server: plain services answer with a
@@ -42,7 +42,7 @@
                 answer.body,
                 first,
                 tried.to_vec(),
-                Open::new(&self.state),
+                OpenCall::new(&self.state),
             );
             return Ok(Reply::Stream {
                 headers: answer.headers,
@@ -66,9 +66,9 @@
         if self.work == Some(Phase::Prefill) {
             let now = self.state.clock.now();
             let took = now.saturating_duration_since(answer.sent);
-            let mut pools = self.state.pools.borrow_mut();
+            let mut pools = self.state.phase_pools.borrow_mut();
             pools.record_first_event(now, &self.service, fresh(&self.ask), took);
-            let mut waits = self.state.waits.borrow_mut();
+            let mut waits = self.state.wait_estimator.borrow_mut();
             waits.record(&self.service, self.rank(), answer.ahead, took);
         }
     }
@@ -78,7 +78,7 @@
     pub(super) fn note_late(&self, sent: Instant, ahead: u32) {
         if self.work == Some(Phase::Prefill) {
             let took = self.state.clock.now().saturating_duration_since(sent);
-            let mut waits = self.state.waits.borrow_mut();
+            let mut waits = self.state.wait_estimator.borrow_mut();
             waits.record(&self.service, self.rank(), ahead, took);
         }
     }
--- a/crates/forward/src/call/attempt.rs
+++ b/crates/forward/src/call/attempt.rs
@@ -65,7 +65,7 @@
                 fetch,
             } = place;
             let now = self.state.clock.now();
-            if !self.state.balance.borrow_mut().take_turn(now, &server.id) {
+            if !self.state.balancer.borrow_mut().take_turn(now, &server.id) {
                 // Another call took the turn while this one was placed, or the
                 // server has asked for rest or begun to leave.
                 failure = self.next_turn(now).map_or(failure, Failure::Busy);
@@ -124,7 +124,7 @@
     /// How long it is until a server takes a call, if all that are there have
     /// asked for fewer.
     fn next_turn(&self, now: Instant) -> Option<Duration> {
-        self.state.balance.borrow().next_turn(now, &self.service)
+        self.state.balancer.borrow().next_turn(now, &self.service)
     }
 
     /// Whether the call may wait that long for a turn. Callers come back once or
@@ -142,7 +142,7 @@
             id = self.name(), server = &*server.id, addr = server.addr.to_string().as_str()
         });
         self.state
-            .balance
+            .balancer
             .borrow_mut()
             .mark_missing(now, &server.id, now);
     }
@@ -184,7 +184,7 @@
     /// Notes what a send tells about the server.
     fn note(&self, server: &ServerRecord, sent: &Result<Answer, Failure>) {
         let now = self.state.clock.now();
-        let mut balance = self.state.balance.borrow_mut();
+        let mut balance = self.state.balancer.borrow_mut();
         match sent {
             Ok(answer) if answer.status < 500 => balance.call_succeeded(&server.id),
             Ok(_) => balance.call_failed(now, &server.id),
--- a/crates/forward/src/call/place.rs
+++ b/crates/forward/src/call/place.rs
@@ -17,7 +17,7 @@
 use super::{Begin, Call};
 use crate::edge;
 use crate::exchange::Failure;
-use crate::grants::{Decided, Grant, Held, Sidecars};
+use crate::grants::{AdmissionDecision, CachedPrefix, Grant, SidecarClient};
 use crate::relay::millis;
 
 /// A server that sends nothing for so many times the route's target is taken
@@ -107,7 +107,7 @@
     ) -> Result<Option<Place>, Failure> {
         let part = self.part(now);
         let want = self.want(part, avoid);
-        let server = self.state.balance.borrow_mut().choose(now, &want);
+        let server = self.state.balancer.borrow_mut().choose(now, &want);
         let Some(server) = server else {
             return Ok(None);
         };
@@ -125,7 +125,7 @@
     async fn ask(
         &self,
         now: Instant,
-        sidecars: &Rc<Sidecars>,
+        sidecars: &Rc<SidecarClient>,
         work: Phase,
         avoid: &[Rc<str>],
         begin: Begin,
@@ -137,15 +137,15 @@
             let terms = if n == 0 { Terms::Home } else { Terms::Spill };
             let asked = self.ask_one(sidecars, server, begin, terms, &holder);
             match asked.await {
-                Decided::Granted(grant, held) => {
+                AdmissionDecision::Granted(grant, held) => {
                     let asked = &candidates[..=n];
                     let fetch = self.source(sidecars, &grant, held, holder, asked).await;
                     return Ok(self.granted(server, grant, fetch));
                 }
-                Decided::Silent => return Ok(None),
-                Decided::Gone => self.gone(now, server),
-                Decided::Leaving => self.leaves(server),
-                Decided::Refused(expected, held) => {
+                AdmissionDecision::NoResponse => return Ok(None),
+                AdmissionDecision::ServerGone => self.gone(now, server),
+                AdmissionDecision::Leaving => self.leaves(server),
+                AdmissionDecision::Refused(expected, held) => {
                     holder.note(held.tokens, server);
                     if least.as_ref().is_none_or(|(e, _)| expected < *e) {
                         least = Some((expected, server.clone()));
@@ -163,21 +163,21 @@
         }
         let asked = self.ask_one(sidecars, &server, begin, Terms::Must, &holder);
         match asked.await {
-            Decided::Granted(grant, held) => {
+            AdmissionDecision::Granted(grant, held) => {
                 let fetch = self.source(sidecars, &grant, held, holder, &candidates);
                 let fetch = fetch.await;
                 Ok(self.granted(&server, grant, fetch))
             }
-            Decided::Silent => Ok(None),
-            Decided::Gone => {
+            AdmissionDecision::NoResponse => Ok(None),
+            AdmissionDecision::ServerGone => {
                 self.gone(now, &server);
                 Ok(None)
             }
-            Decided::Leaving => {
+            AdmissionDecision::Leaving => {
                 self.leaves(&server);
                 Ok(None)
             }
-            Decided::Refused(expected, _) => Err(self.too_late(&server, expected)),
+            AdmissionDecision::Refused(expected, _) => Err(self.too_late(&server, expected)),
         }
     }
 
@@ -186,9 +186,9 @@
     /// of the homes of the shared parts. Not knowing costs one read.
     async fn source(
         &self,
-        sidecars: &Rc<Sidecars>,
+        sidecars: &Rc<SidecarClient>,
         grant: &Grant,
-        held: Held,
+        held: CachedPrefix,
         holder: Holder,
         asked: &[ServerRecord],
     ) -> Option<SocketAddr> {
@@ -197,7 +197,7 @@
         let shared = shared
             .iter()
             .fold(0, |sum: u32, p| sum.saturating_add(p.tokens));
-        if !held.fetch || shared < wanted {
+        if !held.prefer_fetch || shared < wanted {
             return None;
         }
         let known = holder.tokens >= wanted;
@@ -207,7 +207,7 @@
         };
         let found = holder.tokens >= wanted;
         if found && !known {
-            grant.fetches(holder.tokens);
+            grant.report_fetch(holder.tokens);
         }
         let outcome = match (known, found) {
             (true, _) => "refusal",
@@ -220,10 +220,10 @@
 
     /// Asks the homes of the prompt's shared parts, but those in `asked`, what
     /// they hold.
-    async fn find_holder(&self, sidecars: &Rc<Sidecars>, asked: &[ServerRecord]) -> Holder {
+    async fn find_holder(&self, sidecars: &Rc<SidecarClient>, asked: &[ServerRecord]) -> Holder {
         let now = self.state.clock.now();
         let holders = {
-            let balance = self.state.balance.borrow();
+            let balance = self.state.balancer.borrow();
             balance.prefix_holders(now, &self.want(Partition::All, &[]))
         };
         let fresh = |s: &ServerRecord| asked.iter().all(|a| a.id != s.id);
@@ -231,7 +231,7 @@
         let mut holder = Holder::default();
         let (one, two) = (fresh.next(), fresh.next());
         let look = async |server: &Option<ServerRecord>| match server {
-            Some(server) => sidecars.look(server, self.parts()).await,
+            Some(server) => sidecars.lookup_prefix(server, self.parts()).await,
             None => 0,
         };
         let held = futures_util::future::join(look(&one), look(&two)).await;
@@ -251,7 +251,7 @@
             Partition::Rest(count) => Partition::First(count),
             Partition::All => Partition::All,
         };
-        let mut balance = self.state.balance.borrow_mut();
+        let mut balance = self.state.balancer.borrow_mut();
         let mut ranked = balance.ranked(now, &self.want(part, avoid));
         ranked.truncate(HOMES);
         if work != Phase::Prefill {
@@ -274,12 +274,12 @@
     /// Asks one sidecar.
     async fn ask_one(
         &self,
-        sidecars: &Rc<Sidecars>,
+        sidecars: &Rc<SidecarClient>,
         server: &ServerRecord,
         begin: Begin,
         terms: Terms,
         holder: &Holder,
-    ) -> Decided {
+    ) -> AdmissionDecision {
         let now = self.state.clock.now();
         let age = now.saturating_duration_since(self.came);
         let left = self.until.saturating_duration_since(now);
@@ -304,7 +304,7 @@
             remote_tokens: holder.tokens,
             copy_ns: self.copy_ns(),
         };
-        sidecars.ask(now, server, want).await
+        sidecars.request_admission(now, server, want).await
     }
 
     /// The parts of the prompt, as sidecars are told.
@@ -331,7 +331,7 @@
         grant: Grant,
         fetch: Option<SocketAddr>,
     ) -> Option<Place> {
-        let balance = self.state.balance.borrow();
+        let balance = self.state.balancer.borrow();
         let ahead = balance.waiting_calls(&server.id);
         balance.accepts_calls(&server.id).then(|| Place {
             server: server.clone(),
@@ -398,12 +398,12 @@
 
     /// Whether the call may go to a server, or would come too late there.
     fn admit(&self, server: &ServerRecord, begin: Begin) -> Result<u32, Failure> {
-        let ahead = self.state.balance.borrow().waiting_calls(&server.id);
+        let ahead = self.state.balancer.borrow().waiting_calls(&server.id);
         // A caller that has a part of its stream is not turned away.
         if self.work != Some(Phase::Prefill) || begin != Begin::Fresh {
             return Ok(ahead);
         }
-        let waits = self.state.waits.borrow();
+        let waits = self.state.wait_estimator.borrow();
         let target = self.route.latency_target;
         let now = self.state.clock.now();
         let claim = CallDeadline {
@@ -438,8 +438,8 @@
         let Some(work) = self.work else {
             return Partition::All;
         };
-        let (engines, slots) = self.state.balance.borrow().serving_capacity(&self.service);
-        let mut pools = self.state.pools.borrow_mut();
+        let (engines, slots) = self.state.balancer.borrow().serving_capacity(&self.service);
+        let mut pools = self.state.phase_pools.borrow_mut();
         let writers = pools.decode_engines(now, &self.service, engines, slots);
         match (writers, work) {
             (0, _) => Partition::All,
--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -168,7 +168,7 @@
     let fingerprints = fingerprints.unwrap_or_default();
     let outcome = match dialled {
         Ok(conn) => {
-            state.pool.put(now, &server.id, conn);
+            state.connection_pool.put(now, &server.id, conn);
             "alive"
         }
         Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => "crashed",
@@ -311,7 +311,11 @@
 
 /// Whether this entry reads the store for itself or for others.
 fn reads(state: &State, now: Instant) -> bool {
-    state.readers.borrow_mut().preferred_peer(now).is_none()
+    state
+        .zone_readers
+        .borrow_mut()
+        .preferred_peer(now)
+        .is_none()
 }
 
 /// Tells the store until `end`.
--- a/crates/forward/src/drain.rs
+++ b/crates/forward/src/drain.rs
@@ -15,8 +15,8 @@
 pub async fn drain(state: Rc<State>, stop: StopSignal, closed: StopSignal) {
     stop.wait().await;
     state.stopping.trigger();
-    info!("entry drains", kv: { name = state.settings.name.as_str(), open = state.open.get() });
-    tokio::time::sleep(state.settings.notice()).await;
-    info!("entry closes", kv: { name = state.settings.name.as_str(), open = state.open.get() });
+    info!("entry drains", kv: { name = state.settings.name.as_str(), open = state.open_calls.get() });
+    tokio::time::sleep(state.settings.deregistration_delay()).await;
+    info!("entry closes", kv: { name = state.settings.name.as_str(), open = state.open_calls.get() });
     closed.trigger();
 }
--- a/crates/forward/src/duties.rs
+++ b/crates/forward/src/duties.rs
@@ -1,15 +1,15 @@
 //! Duties that one entry performs for all of them. See
 //! docs/DECISIONS/0701-duties.md.
 //!
-//! - [`hold`]: holding the duties through the store.
+//! - [`election`]: holding the duties through the store.
 //! - [`report`]: reporting the usage while they are held.
 //! - [`scale`]: ordering the number of backend servers meanwhile.
-//! - [`tell`]: what entries tell each other for it.
+//! - [`messages`]: what entries tell each other for it.
 
-pub mod hold;
+pub mod election;
+pub mod messages;
 pub mod report;
 pub mod scale;
-pub mod tell;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -35,7 +35,7 @@
 /// All that an entry knows of its duties.
 pub struct Duties {
     /// What the operators set.
-    settings: settings::Duties,
+    settings: settings::DutySettings,
     /// The daemon's name, for the platform.
     name: String,
     clock: Rc<dyn Clock>,
@@ -43,24 +43,24 @@
     addr: SocketAddr,
     socket: UdpSocket,
     candidate: RefCell<Candidate>,
-    books: RefCell<UsageCounter>,
+    counter: RefCell<UsageCounter>,
     time: RefCell<FleetTime>,
     /// What is reported, while this entry holds the duties.
-    account: RefCell<UsageState>,
+    usage: RefCell<UsageState>,
     /// Windows that the store keeps as they are reported.
-    recorded: RefCell<BTreeMap<u64, WorkspaceCounts>>,
+    stored_windows: RefCell<BTreeMap<u64, WorkspaceCounts>>,
     /// Since when this entry has held the duties.
-    since: Cell<Option<Instant>>,
+    held_since: Cell<Option<Instant>>,
     /// Whether the platform's interface does not answer here.
-    unheard: Cell<bool>,
+    api_unreachable: Cell<bool>,
     /// Servers that were ordered, by service and availability zone.
-    ordered: RefCell<BTreeMap<String, u32>>,
+    ordered_servers: RefCell<BTreeMap<String, u32>>,
     /// Who said last that it holds the duties.
     holder: Cell<Option<SocketAddr>>,
     /// The first window whose counts are still wanted: the store does not keep
     /// them as fixed.
-    next: Cell<u64>,
-    own: Rank,
+    next_window: Cell<u64>,
+    own_rank: Rank,
     /// The other entries, by their place in the order of all.
     peers: RefCell<HashMap<SocketAddr, Peer>>,
 }
@@ -70,9 +70,9 @@
 struct Peer {
     rank: Rank,
     /// Until when it counts as there unless it is heard again.
-    until: Instant,
+    expires_at: Instant,
     /// When it last told its counts.
-    told: Option<Instant>,
+    last_counts: Option<Instant>,
 }
 
 impl std::fmt::Debug for Duties {
@@ -90,7 +90,7 @@
     ///
     /// Returns the error when the port for them cannot be bound.
     pub async fn bind(own: &Settings, clock: Rc<dyn Clock>) -> io::Result<Option<Rc<Self>>> {
-        let any = |d: &settings::Duties| d.report() || d.scale();
+        let any = |d: &settings::DutySettings| d.reports_usage() || d.autoscales();
         let Some(settings) = own.duties.clone().filter(any) else {
             return Ok(None);
         };
@@ -109,16 +109,16 @@
             addr,
             socket,
             candidate: RefCell::new(Candidate::new(now, &life.to_string(), &host, away)),
-            books: RefCell::new(UsageCounter::new(life.0, windows)),
+            counter: RefCell::new(UsageCounter::new(life.0, windows)),
             time: RefCell::new(FleetTime::new(now)),
-            account: RefCell::default(),
-            recorded: RefCell::default(),
-            since: Cell::new(None),
-            unheard: Cell::new(false),
-            ordered: RefCell::default(),
+            usage: RefCell::default(),
+            stored_windows: RefCell::default(),
+            held_since: Cell::new(None),
+            api_unreachable: Cell::new(false),
+            ordered_servers: RefCell::default(),
             holder: Cell::new(None),
-            next: Cell::new(0),
-            own: own_rank(own),
+            next_window: Cell::new(0),
+            own_rank: own_rank(own),
             peers: RefCell::default(),
             settings,
             clock,
@@ -127,30 +127,39 @@
 
     /// Where the platform's interface for duties answers.
     #[must_use]
-    pub fn platform(&self) -> SocketAddr {
+    pub fn platform_addr(&self) -> SocketAddr {
         self.settings.platform
     }
 
     /// Counts a request of a workspace that a backend server has begun. Where
     /// nobody reports, nothing would ever be forgotten, and nothing is counted.
-    pub fn began(&self, workspace: &str) {
-        if !self.settings.report() {
+    pub fn count_request(&self, workspace: &str) {
+        if !self.settings.reports_usage() {
             return;
         }
         let time = self.time();
         let now = self.clock.now_boottime();
-        self.books.borrow_mut().count_request(now, time, workspace);
+        self.counter
+            .borrow_mut()
+            .count_request(now, time, workspace);
     }
 
     /// Notes another entry, which speaks again `within` that time, and what its
     /// host takes for the time of day.
-    pub fn hear(&self, from: SocketAddr, rank: Rank, within: Duration, wall_ms: u64) {
+    pub fn observe_peer(&self, from: SocketAddr, rank: Rank, within: Duration, wall_ms: u64) {
         let now = self.clock.now_boottime();
         let addr = SocketAddr::new(from.ip(), self.addr.port());
-        let until = now + within;
+        let expires_at = now + within;
         let mut peers = self.peers.borrow_mut();
-        let told = peers.get(&addr).and_then(|peer| peer.told);
-        peers.insert(addr, Peer { rank, until, told });
+        let last_counts = peers.get(&addr).and_then(|peer| peer.last_counts);
+        peers.insert(
+            addr,
+            Peer {
+                rank,
+                expires_at,
+                last_counts,
+            },
+        );
         drop(peers);
         let wall = Duration::from_millis(wall_ms);
         let peer = policy::rendezvous::hash_name(&addr.to_string());
@@ -165,30 +174,30 @@
 
     /// This life's number among the counts.
     #[must_use]
-    pub fn life(&self) -> IncarnationId {
-        self.books.borrow().own_incarnation()
+    pub fn incarnation(&self) -> IncarnationId {
+        self.counter.borrow().own_incarnation()
     }
 
     /// Requests that a life has told this entry of, of windows that are not
     /// settled.
     #[must_use]
-    pub fn heard(&self, life: IncarnationId) -> u64 {
-        self.books.borrow().requests_of(life)
+    pub fn requests_of(&self, life: IncarnationId) -> u64 {
+        self.counter.borrow().requests_of(life)
     }
 
     /// What the duties look like from here.
     #[must_use]
-    pub fn view(&self) -> View {
-        let account = self.account.borrow();
-        View {
+    pub fn status(&self) -> DutyStatus {
+        let account = self.usage.borrow();
+        DutyStatus {
             token: self.token(),
             holder: match self.token() {
                 Some(_) => Some(self.addr),
                 None => self.holder.get(),
             },
-            next: self.next.get(),
+            next_window: self.next_window.get(),
             unreported: account.finalized.keys().copied().collect(),
-            ordered: self.ordered.borrow().clone(),
+            ordered_servers: self.ordered_servers.borrow().clone(),
         }
     }
 
@@ -202,7 +211,7 @@
     fn peers(&self) -> Vec<(Rank, SocketAddr)> {
         let now = self.clock.now_boottime();
         let mut peers = self.peers.borrow_mut();
-        peers.retain(|_, peer| now < peer.until);
+        peers.retain(|_, peer| now < peer.expires_at);
         let mut peers: Vec<_> = peers.iter().map(|(a, p)| (p.rank, *a)).collect();
         peers.sort_unstable();
         peers
@@ -211,35 +220,37 @@
     /// Whether all entries that are there have told their counts since `then`.
     /// Lives that have ended stay in the books, so that their number says
     /// nothing of those that have yet to speak.
-    fn gathered(&self, then: Instant) -> bool {
+    fn all_peers_reported(&self, then: Instant) -> bool {
         let peers = self.peers.borrow();
         peers
             .values()
-            .all(|p| p.told.is_some_and(|told| told >= then))
+            .all(|p| p.last_counts.is_some_and(|told| told >= then))
     }
 
     /// Entries that go before this one in the order of all.
-    fn place(&self) -> usize {
+    fn peers_ahead(&self) -> usize {
         self.peers()
             .iter()
-            .filter(|(rank, _)| *rank < self.own)
+            .filter(|(rank, _)| *rank < self.own_rank)
             .count()
     }
 }
 
 /// What an entry says of the duties to those who ask.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
-pub struct View {
+pub struct DutyStatus {
     /// The fencing token, if this entry holds them.
     pub token: Option<u64>,
     /// Where the holder is heard, as far as this entry knows.
     pub holder: Option<SocketAddr>,
     /// The first window of usage whose counts are still open.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_window: u64,
     /// Windows whose counts are fixed and not yet accepted by the platform, if
     /// this entry holds the duties.
     pub unreported: Vec<u64>,
     /// Servers that this entry has ordered, by service and availability zone,
     /// while it holds the duties.
-    pub ordered: BTreeMap<String, u32>,
+    #[serde(rename = "ordered")]
+    pub ordered_servers: BTreeMap<String, u32>,
 }
--- a/crates/forward/src/duties/hold.rs
+++ b/crates/forward/src/duties/election.rs
@@ -30,7 +30,7 @@
         if state.stopping.is_triggered() && !leaving {
             leaving = true;
             duties.give_up(&records, None).await;
-        } else if duties.unheard.take() {
+        } else if duties.api_unreachable.take() {
             duties.give_up(&records, Some(AWAY)).await;
         }
         duties.round(&records).await;
@@ -46,7 +46,7 @@
     /// One look at what is due.
     async fn round<R: Records>(&self, records: &R) {
         let now = self.clock.now_boottime();
-        let step = self.candidate.borrow().next_step(now, self.place());
+        let step = self.candidate.borrow().next_step(now, self.peers_ahead());
         let step = match step {
             Step::Read => self.read(records).await,
             step => step,
@@ -62,8 +62,8 @@
             _ => {}
         }
         self.note_lost();
-        let next = self.next.get();
-        self.books.borrow_mut().expire(now, next);
+        let next = self.next_window.get();
+        self.counter.borrow_mut().expire(now, next);
     }
 
     /// Reads the record and takes over what it keeps if the duties are to be
@@ -85,16 +85,17 @@
         };
         let step = candidate.record_read(now, kept.as_ref().map(|k| &k.term), end);
         if let Some(kept) = &kept {
-            self.next.set(self.next.get().max(kept.usage.next_window));
+            self.next_window
+                .set(self.next_window.get().max(kept.usage.next_window));
         }
         if matches!(step, Step::Claim(_)) {
-            let window = self.books.borrow().windows().containing(self.time());
+            let window = self.counter.borrow().windows().containing(self.time());
             let mut usage = kept.map_or_else(|| UsageState::starting_at(window), |k| k.usage);
-            for window in usage.catch_up(self.next.get(), &self.account.borrow()) {
+            for window in usage.catch_up(self.next_window.get(), &self.usage.borrow()) {
                 warn!("usage window not in the store", kv: { window = window });
             }
-            *self.account.borrow_mut() = usage;
-            self.recorded.borrow_mut().clear();
+            *self.usage.borrow_mut() = usage;
+            self.stored_windows.borrow_mut().clear();
         }
         step
     }
@@ -103,8 +104,8 @@
     async fn write<R: Records>(&self, records: &R, term: Term) {
         let time = self.time();
         let usage = {
-            let account = self.account.borrow();
-            self.books.borrow().snapshot(time, &account)
+            let account = self.usage.borrow();
+            self.counter.borrow().snapshot(time, &account)
         };
         let (fixed, next) = (usage.finalized.clone(), usage.next_window);
         let kept = Kept {
@@ -121,34 +122,34 @@
         if !matches!(written, WriteOutcome::Stored(_)) || released {
             return;
         }
-        if self.since.get().is_none() {
-            self.since.set(Some(now));
+        if self.held_since.get().is_none() {
+            self.held_since.set(Some(now));
             self.holder.set(None);
-            info!("duties taken", kv: { token = token, place = self.place(), at = at });
+            info!("duties taken", kv: { token = token, place = self.peers_ahead(), at = at });
         }
         metrics::gauge!("pimentocart_duties_held").set(1.0);
-        let account = self.account.borrow();
+        let account = self.usage.borrow();
         let open = |(window, _): &(u64, _)| account.finalized.contains_key(window);
-        *self.recorded.borrow_mut() = fixed.into_iter().filter(open).collect();
+        *self.stored_windows.borrow_mut() = fixed.into_iter().filter(open).collect();
         drop(account);
-        self.next.set(self.next.get().max(next));
+        self.next_window.set(self.next_window.get().max(next));
         self.tell_held(token, false);
     }
 
     /// Fixes the counts of windows that are over; whether there were any.
     fn fix(&self) -> bool {
-        if !self.settings.report() {
+        if !self.settings.reports_usage() {
             return false;
         }
         let now = self.clock.now_boottime();
-        let (Some(since), Some(token)) = (self.since.get(), self.token()) else {
+        let (Some(since), Some(token)) = (self.held_since.get(), self.token()) else {
             return false;
         };
         let time = self.time();
-        let gathered = self.gathered(since);
+        let gathered = self.all_peers_reported(since);
         let held = now.saturating_duration_since(since);
-        let books = self.books.borrow();
-        let mut account = self.account.borrow_mut();
+        let books = self.counter.borrow();
+        let mut account = self.usage.borrow_mut();
         let before = account.finalized.len();
         let missed = books.finalize(time, held, gathered, &mut account);
         for window in missed {
@@ -173,10 +174,10 @@
     /// Notes that the duties are not held any more.
     fn note_lost(&self) {
         let held = self.candidate.borrow().term().is_some();
-        if !held && self.since.take().is_some() {
+        if !held && self.held_since.take().is_some() {
             info!("duties lost", kv: { end = self.candidate.borrow().log_end() });
             metrics::gauge!("pimentocart_duties_held").set(0.0);
-            self.recorded.borrow_mut().clear();
+            self.stored_windows.borrow_mut().clear();
         }
     }
 }
--- a/crates/forward/src/duties/tell.rs
+++ b/crates/forward/src/duties/messages.rs
@@ -28,7 +28,7 @@
 const RETRY: Duration = Duration::from_millis(100);
 
 /// Tells what this entry has counted until `end`.
-pub async fn counts(duties: Rc<Duties>, end: StopSignal) {
+pub async fn send_counts(duties: Rc<Duties>, end: StopSignal) {
     while !end.is_triggered() {
         tokio::time::sleep(EVERY).await;
         duties.tell_counts();
@@ -36,7 +36,7 @@
 }
 
 /// Hears the others.
-pub async fn hear(duties: Rc<Duties>) {
+pub async fn receive(duties: Rc<Duties>) {
     let mut buffer = vec![0; duties::MAX_DATAGRAM_BYTES + 1];
     loop {
         let (length, from) = match duties.socket.recv_from(&mut buffer).await {
@@ -66,9 +66,9 @@
     fn tell_counts(&self) {
         let (now, time) = (self.clock.now_boottime(), self.time());
         let told = self
-            .books
+            .counter
             .borrow_mut()
-            .own_counts(now, time, self.next.get());
+            .own_counts(now, time, self.next_window.get());
         let mut targets: Vec<SocketAddr> = self.peers().iter().take(TOLD).map(|p| p.1).collect();
         targets.extend(self.holder.get().filter(|holder| !targets.contains(holder)));
         for told in told {
@@ -83,7 +83,7 @@
             log_end: self.candidate.borrow().log_end(),
             // What the store does not keep yet may be fixed anew by a
             // successor, who needs the counts of all for it.
-            next_window: self.next.get(),
+            next_window: self.next_window.get(),
             released,
         };
         let peers: Vec<SocketAddr> = self.peers().into_iter().map(|p| p.1).collect();
@@ -102,7 +102,7 @@
     fn take_counts(&self, from: SocketAddr, counts: UsageCounts) {
         let now = self.clock.now_boottime();
         if let Some(peer) = self.peers.borrow_mut().get_mut(&from) {
-            peer.told = Some(now);
+            peer.last_counts = Some(now);
         }
         let told = WindowCounts {
             incarnation: counts.incarnation,
@@ -111,7 +111,7 @@
             total: counts.total,
             counts: counts.counts.into_iter().collect(),
         };
-        self.books.borrow_mut().observe(now, told);
+        self.counter.borrow_mut().observe(now, told);
     }
 
     fn take_held(&self, from: SocketAddr, held: HolderNotice) {
@@ -127,7 +127,8 @@
                 peer = from.to_string().as_str(), token = held.fencing_token, released = held.released
             });
         }
-        self.next.set(self.next.get().max(held.next_window));
+        self.next_window
+            .set(self.next_window.get().max(held.next_window));
     }
 }
 
--- a/crates/forward/src/duties/report.rs
+++ b/crates/forward/src/duties/report.rs
@@ -27,7 +27,7 @@
 
 /// Reports what is recorded until `end`.
 pub async fn run<B: DutyApi>(duties: Rc<Duties>, duty_api: B, end: StopSignal) {
-    if !duties.settings.report() {
+    if !duties.settings.reports_usage() {
         return;
     }
     let mut failures = 0;
@@ -43,7 +43,7 @@
             false => failures + 1,
         };
         if failures >= UNHEARD && !duties.peers().is_empty() {
-            duties.unheard.set(true);
+            duties.api_unreachable.set(true);
             failures = 0;
         }
     }
@@ -70,7 +70,7 @@
     /// The first window to report, while the duties are held.
     fn due(&self) -> Option<(u64, WorkspaceCounts)> {
         self.token()?;
-        let recorded = self.recorded.borrow();
+        let recorded = self.stored_windows.borrow();
         let (window, counts) = recorded.first_key_value()?;
         Some((*window, counts.clone()))
     }
@@ -78,7 +78,7 @@
     /// Notes what became of a report; whether the interface has answered.
     fn note(&self, window: u64, counts: &WorkspaceCounts, outcome: &Outcome) -> bool {
         let time = self.time();
-        let end = self.books.borrow().windows().end(window);
+        let end = self.counter.borrow().windows().end(window);
         let late_ms = time.saturating_sub(end).as_millis() as u64;
         let word = outcome.word();
         metrics::counter!("pimentocart_usage_reports_total", "outcome" => word).increment(1);
@@ -93,11 +93,11 @@
             Outcome::Accepted => {
                 info!("usage reported", kv: {
                     window = window, requests = requests, workspaces = counts.len(),
-                    missing = self.books.borrow().pending_incarnations(self.clock.now_boottime(), window),
+                    missing = self.counter.borrow().pending_incarnations(self.clock.now_boottime(), window),
                     after_ms = late_ms
                 });
-                self.recorded.borrow_mut().remove(&window);
-                self.account.borrow_mut().finalized.remove(&window);
+                self.stored_windows.borrow_mut().remove(&window);
+                self.usage.borrow_mut().finalized.remove(&window);
             }
             Outcome::Fenced(token) => {
                 let now = self.clock.now_boottime();
--- a/crates/forward/src/duties/scale.rs
+++ b/crates/forward/src/duties/scale.rs
@@ -24,7 +24,7 @@
 
 /// Orders servers where operators leave their number open, until `end`.
 pub async fn run<B: DutyApi>(state: Rc<State>, duties: Rc<Duties>, duty_api: B, end: StopSignal) {
-    if !duties.settings.scale() {
+    if !duties.settings.autoscales() {
         return;
     }
     let mut scalers = Scalers::new();
@@ -34,7 +34,7 @@
         if duties.token().is_none() {
             // Others may have ordered since, by loads that are not known here.
             scalers.clear();
-            duties.ordered.borrow_mut().clear();
+            duties.ordered_servers.borrow_mut().clear();
             continue;
         }
         for service in state.scaled() {
@@ -44,7 +44,7 @@
             failures = if heard { 0 } else { failures + 1 };
         }
         if failures >= UNHEARD && !duties.peers().is_empty() {
-            duties.unheard.set(true);
+            duties.api_unreachable.set(true);
             failures = 0;
         }
     }
@@ -60,7 +60,7 @@
 
     /// How busy the servers of a service are, by availability zone.
     async fn busy(&self, service: &str) -> BTreeMap<Rc<str>, ZoneLoad> {
-        let serving = self.balance.borrow().serving(service);
+        let serving = self.balancer.borrow().serving(service);
         let busy = serving.iter().map(|(s, open)| self.busy_at(s, *open));
         let busy = join_all(busy).await;
         let mut zones: BTreeMap<Rc<str>, ZoneLoad> = BTreeMap::new();
@@ -77,7 +77,7 @@
     async fn busy_at(&self, server: &ServerRecord, open: u32) -> f64 {
         let sidecars = self.sidecars.borrow().clone();
         let told = match sidecars {
-            Some(sidecars) => sidecars.busy(server.addr.ip()).await,
+            Some(sidecars) => sidecars.utilization(server.addr.ip()).await,
             None => None,
         };
         told.unwrap_or_else(|| f64::from(open) / f64::from(server.slots.max(1)))
@@ -132,7 +132,7 @@
         match outcome {
             Outcome::Accepted => {
                 let key = format!("{service}/{}", order.zone);
-                self.ordered.borrow_mut().insert(key, order.count);
+                self.ordered_servers.borrow_mut().insert(key, order.count);
             }
             Outcome::Fenced(token) => {
                 let now = self.clock.now_boottime();
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -153,11 +153,11 @@
     fn begun(&mut self) {
         if std::mem::take(&mut self.waiting) {
             self.state
-                .balance
+                .balancer
                 .borrow_mut()
                 .call_started(&self.server.id);
             if let Some(grant) = &self.grant {
-                grant.begun();
+                grant.report_first_event();
             }
         }
     }
@@ -165,7 +165,7 @@
     /// Notes a pause between two events.
     pub fn paused(&self, pause: Duration) {
         if let Some(grant) = &self.grant {
-            grant.paused(pause);
+            grant.record_gap(pause);
         }
     }
 
@@ -173,7 +173,7 @@
     fn heard(&self) {
         let now = self.state.clock.now();
         self.state
-            .balance
+            .balancer
             .borrow_mut()
             .bytes_received(now, &self.server.id);
     }
@@ -183,14 +183,14 @@
         let Some(conn) = self.conn.take() else { return };
         if self.reusable {
             let now = self.state.clock.now();
-            self.state.pool.put(now, &self.server.id, conn);
+            self.state.connection_pool.put(now, &self.server.id, conn);
         }
     }
 }
 
 impl Drop for Body {
     fn drop(&mut self) {
-        let mut balance = self.state.balance.borrow_mut();
+        let mut balance = self.state.balancer.borrow_mut();
         if self.waiting {
             balance.call_started(&self.server.id);
         }
@@ -222,7 +222,7 @@
     let status = response.status().as_u16();
     let now = state.clock.now();
     let signs = state.dialect.signs(status, response.headers());
-    state.balance.borrow_mut().bytes_received(now, &server.id);
+    state.balancer.borrow_mut().bytes_received(now, &server.id);
     if let Some(keep) = signs.keep {
         conn.keep_for(keep);
     }
@@ -247,7 +247,7 @@
             return Err(Failure::NotRun(status));
         }
         if let Some(grant) = &grant {
-            grant.gone(server);
+            grant.report_gone(server);
         }
         return Err(Failure::Elsewhere);
     }
@@ -286,13 +286,13 @@
     let now = state.clock.now();
     let news =
         state
-            .balance
+            .balancer
             .borrow_mut()
             .apply_feedback(now, server, sent, word, rand::rng().random());
     if news.leaving {
         metrics::counter!("pimentocart_servers_leaving_total").increment(1);
         info!("server leaves", kv: { server = &*server.id });
-        state.pool.forget(&server.id);
+        state.connection_pool.forget(&server.id);
     }
     if let Some(rest) = news.backoff {
         metrics::counter!("pimentocart_rests_asked_total").increment(1);
@@ -317,7 +317,7 @@
 impl<'a> Out<'a> {
     fn new(state: &'a State, id: &'a str) -> Self {
         let now = state.clock.now();
-        state.balance.borrow_mut().call_sent(now, id);
+        state.balancer.borrow_mut().call_sent(now, id);
         Self {
             state,
             id,
@@ -333,7 +333,7 @@
 impl Drop for Out<'_> {
     fn drop(&mut self) {
         if !self.kept {
-            let mut balance = self.state.balance.borrow_mut();
+            let mut balance = self.state.balancer.borrow_mut();
             balance.call_started(self.id);
             balance.call_ended(self.id);
         }
@@ -348,7 +348,7 @@
     server: &ServerRecord,
     mut request: Request<Full<Bytes>>,
 ) -> Result<(Response<Incoming>, Conn), Failure> {
-    while let Some(mut conn) = state.pool.take(state.clock.now(), &server.id) {
+    while let Some(mut conn) = state.connection_pool.take(state.clock.now(), &server.id) {
         match conn.sender.try_send_request(request).await {
             Ok(response) => return Ok((response, conn)),
             Err(mut e) => match e.take_message() {
@@ -361,7 +361,7 @@
     let now = state.clock.now();
     let dialled = Pool::dial(now, server.addr).await;
     let mut conn = dialled.map_err(|e| {
-        state.balance.borrow_mut().connect_failed(now, &server.id);
+        state.balancer.borrow_mut().connect_failed(now, &server.id);
         Failure::NeverSent(e.to_string())
     })?;
     metrics::counter!("pimentocart_dials_total").increment(1);
@@ -380,7 +380,9 @@
     let read = response.into_body().collect();
     let read = tokio::time::timeout(REFUSAL_LIMIT, read).await;
     if matches!(read, Ok(Ok(_))) {
-        state.pool.put(state.clock.now(), &server.id, conn);
+        state
+            .connection_pool
+            .put(state.clock.now(), &server.id, conn);
     }
 }
 
--- a/crates/forward/src/finding.rs
+++ b/crates/forward/src/finding.rs
@@ -24,13 +24,13 @@
         // A store that came back from an old copy may lack the address.
         let seen = state.tables.rewinds.get();
         if std::mem::replace(&mut rewinds, seen) != seen {
-            state.finder.borrow_mut().announcement_lost();
+            state.discovery.borrow_mut().announcement_lost();
         }
         let (first, relayed) = {
             let roster = state.roster.borrow();
             (roster.is_relay(), roster.uses_relays())
         };
-        let step = state.finder.borrow_mut().next_step(now, first, relayed);
+        let step = state.discovery.borrow_mut().next_step(now, first, relayed);
         let failed = match step {
             DiscoveryStep::Ask(addr) => {
                 voice.ask(addr, WITHIN);
@@ -44,7 +44,7 @@
                 let announced = directory.announce(&state.settings.name, addr).await;
                 let now = state.clock.now();
                 state
-                    .finder
+                    .discovery
                     .borrow_mut()
                     .announce_finished(now, announced.is_ok());
                 announced.err()
@@ -57,7 +57,7 @@
                 };
                 let others = found.map(|f| f.into_iter().filter(|a| *a != addr).collect());
                 let now = state.clock.now();
-                state.finder.borrow_mut().directory_read(now, others);
+                state.discovery.borrow_mut().directory_read(now, others);
                 error
             }
         };
--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/follow.rs
@@ -91,7 +91,7 @@
             tokio::time::sleep(spare).await;
             continue;
         }
-        let wait = if state.shares() {
+        let wait = if state.shares_reads() {
             CATALOG_WAIT_SHARED
         } else {
             CATALOG_WAIT
@@ -137,7 +137,7 @@
             .apply_store_update(update, asked);
         use_servers(&state, now, news);
         let away = !state.tables.settling(now).is_zero();
-        tokio::time::sleep(pause(away, state.rivals())).await;
+        tokio::time::sleep(pause(away, state.competing_readers())).await;
     }
 }
 
@@ -149,8 +149,12 @@
         // A neighbour tells at once, and how old its copy is shows in the
         // other tables.
         let now = state.clock.now();
-        let told = state.readers.borrow_mut().preferred_peer(now).is_some();
-        if told || !state.finder.borrow().is_settled(now) {
+        let told = state
+            .zone_readers
+            .borrow_mut()
+            .preferred_peer(now)
+            .is_some();
+        if told || !state.discovery.borrow().is_settled(now) {
             tokio::time::sleep(LOOK).await;
             continue;
         }
@@ -178,7 +182,7 @@
 /// Keeps servers leaving that were known to leave before the store came back
 /// from a copy in which they still stay.
 fn keep_leaving(state: &State, records: &mut Records<ServerRecord>) {
-    let balance = state.balance.borrow();
+    let balance = state.balancer.borrow();
     for listed in records.iter_mut().filter_map(|(_, listed)| listed.as_mut()) {
         listed.leaving |= balance.is_leaving(listed);
     }
@@ -187,13 +191,19 @@
 /// Waits while the store is known not to answer, and then for neighbours, if
 /// there are any, to tell what has changed meanwhile.
 async fn wait_for_store(state: &State) {
-    let lost = state.lost.get();
-    while state.lost.get() {
+    let lost = state.store_lost.get();
+    while state.store_lost.get() {
         // Either way it is looked again.
-        let _ = tokio::time::timeout(LOST, state.regained.notified()).await;
+        let _ = tokio::time::timeout(LOST, state.store_recovered.notified()).await;
     }
     let now = state.clock.now();
-    if lost && state.readers.borrow_mut().store_retry_delay(now).is_some() {
+    if lost
+        && state
+            .zone_readers
+            .borrow_mut()
+            .store_retry_delay(now)
+            .is_some()
+    {
         tokio::time::sleep(TOLD).await;
     }
 }
@@ -202,8 +212,8 @@
 /// none when it is to be read now.
 fn spare(state: &State, age: Option<Duration>) -> Option<Duration> {
     let now = state.clock.now();
-    let finder = state.finder.borrow();
-    let mut readers = state.readers.borrow_mut();
+    let finder = state.discovery.borrow();
+    let mut readers = state.zone_readers.borrow_mut();
     let spare = match (readers.preferred_peer(now), age) {
         (None, None) if !finder.is_settled(now) => LOOK_FIRST,
         // Some neighbour tells it what there is sooner than the store would.
@@ -274,7 +284,7 @@
             return RETRY;
         }
         let aside = state
-            .readers
+            .zone_readers
             .borrow_mut()
             .store_retry_delay(state.clock.now());
         retry(self.failures).max(aside.unwrap_or_default())
@@ -295,7 +305,7 @@
         // store is back, and asking anew costs one question.
         let read = tokio::select! {
             read = self.read(from, wait) => read,
-            () = state.regained.notified() => self.read(from, wait).await,
+            () = state.store_recovered.notified() => self.read(from, wait).await,
         };
         match read {
             Ok(changes) => {
@@ -331,16 +341,16 @@
 
     fn answered(&mut self, state: &State, whole: bool) {
         if state
-            .readers
+            .zone_readers
             .borrow_mut()
             .preferred_peer(state.clock.now())
             .is_some()
         {
             // Those before this entry have lost the store and may ask it.
-            state.speak.notify_one();
+            state.gossip_now.notify_one();
         }
         if self.name == SERVERS {
-            state.lost.set(false);
+            state.store_lost.set(false);
         }
         self.whole = false;
         if self.failures == 0 {
@@ -351,7 +361,7 @@
         // Whatever lapsed meanwhile shows only in a whole table.
         self.whole = !whole;
         state.tables.regained(state.clock.now());
-        state.regained.notify_waiters();
+        state.store_recovered.notify_waiters();
     }
 
     fn failed(&mut self, state: &State, e: &SourceError) {
@@ -367,7 +377,7 @@
         // Servers report all the time, so that this table shows first that the
         // store is back.
         if self.name == SERVERS && !self.outdated {
-            state.lost.set(true);
+            state.store_lost.set(true);
         }
         // The first of a row is logged; the rest are counted.
         if self.failures == 1 {
--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -23,7 +23,7 @@
 use words::{calls_at, millis, number, read, service, write};
 
 use crate::crashes;
-use crate::state::{State, link_mbps, zone_number};
+use crate::state::{State, link_mbps, zone_hash};
 
 /// Bytes around the contents of a datagram.
 const FRAME: usize = 28;
@@ -95,7 +95,7 @@
                 } => self.tell_relays(now, &same_zone, &other_zones, members),
             };
             // Either way it is time to speak.
-            let _ = tokio::time::timeout(every, self.state.speak.notified()).await;
+            let _ = tokio::time::timeout(every, self.state.gossip_now.notified()).await;
             self.take_over(self.state.clock.now());
         }
     }
@@ -159,7 +159,7 @@
         };
         if !far.is_empty() {
             let own = read(&said);
-            let sum = self.state.others.borrow().sum_zone(now, &own);
+            let sum = self.state.peer_loads.borrow().sum_zone(now, &own);
             self.send(far, Message::Load(write(&said, sum)));
         }
         self.send(near, Message::Load(said));
@@ -178,8 +178,8 @@
     fn saying(&self, now: Instant) -> EntryLoad {
         let state = &self.state;
         self.seq.set(self.seq.get() + 1);
-        let services = state.pools.borrow_mut().local_demand(now);
-        let mut calls = state.balance.borrow().own_calls();
+        let services = state.phase_pools.borrow_mut().local_demand(now);
+        let mut calls = state.balancer.borrow().own_calls();
         calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
         let service = |(name, told): &(Rc<str>, ServiceDemand)| service(number(name), told);
         EntryLoad {
@@ -187,7 +187,7 @@
             seq: self.seq.get(),
             interval_ms: 0,
             wall_ms: state.clock.wall_ms(),
-            zone: zone_number(&state.settings.zone),
+            zone: zone_hash(&state.settings.zone),
             link_mbps: link_mbps(&state.settings),
             staleness_ms: state.tables.age(now).map(millis),
             wanted_reply: WantedReply::Nothing,
@@ -241,10 +241,10 @@
         state.roster.borrow_mut().mark_heard(from);
         self.note_age(now, from, said.staleness_ms);
         if let Some(duties) = &*state.duties.borrow() {
-            duties.hear(from, seat.rank(), within, said.wall_ms);
+            duties.observe_peer(from, seat.rank(), within, said.wall_ms);
         }
         crashes::hear(state, now, &said.crashes);
-        state.others.borrow_mut().observe(now, read(said));
+        state.peer_loads.borrow_mut().observe(now, read(said));
         match said.wanted_reply {
             WantedReply::Nothing => {}
             WantedReply::Entries => self.answer(now, &seat, None),
@@ -255,7 +255,7 @@
     /// Tells `asker` what this entry knows of others.
     fn answer(&self, now: Instant, asker: &EntryInfo, sums: Option<EntryLoad>) {
         let roster = self.state.roster.borrow();
-        let zones = self.state.others.borrow().entries_by_zone();
+        let zones = self.state.peer_loads.borrow().entries_by_zone();
         let count = roster.count_for(asker, &zones);
         let named = roster.entries_for(now, asker, self.state.tables.age(now));
         drop(roster);
@@ -294,7 +294,7 @@
         }
         let said = self.saying(now);
         let own = read(&said);
-        let sum = self.state.others.borrow().sum_all(now, &own);
+        let sum = self.state.peer_loads.borrow().sum_all(now, &own);
         let members = self.state.roster.borrow().count().same_zone;
         let sums = EntryLoad {
             interval_ms: millis(Intervals::to_relays(members).same_zone),
@@ -313,7 +313,7 @@
             same_zone: large(answer.zone_count),
             preceding: large(answer.position),
         };
-        state.finder.borrow_mut().peer_answered(now);
+        state.discovery.borrow_mut().peer_answered(now);
         state.roster.borrow_mut().record_counts(now, count);
         for seat in &answer.members {
             let left = Duration::from_millis(u64::from(seat.ttl_ms));
@@ -333,7 +333,7 @@
             return;
         };
         crashes::hear(state, now, &sums.crashes);
-        state.others.borrow_mut().observe(now, read(sums));
+        state.peer_loads.borrow_mut().observe(now, read(sums));
         metrics::counter!("pimentocart_sums_heard_total").increment(1);
     }
 
@@ -343,8 +343,8 @@
         let age = age_ms.map(|ms| Duration::from_millis(u64::from(ms)));
         state.roster.borrow_mut().set_copy_age(now, addr, age);
         if let Some(age) = age {
-            state.readers.borrow_mut().set_copy_age(now, addr, age);
-            state.finder.borrow_mut().found_running();
+            state.zone_readers.borrow_mut().set_copy_age(now, addr, age);
+            state.discovery.borrow_mut().found_running();
         }
     }
 
@@ -355,10 +355,10 @@
         if state.roster.borrow_mut().insert(seat, now + within) {
             info!("entry found", kv: { peer = seat.addr.to_string().as_str(), by });
         }
-        if seat.zone == zone_number(&state.settings.zone) {
+        if seat.zone == zone_hash(&state.settings.zone) {
             let rank = seat.rank();
             state
-                .readers
+                .zone_readers
                 .borrow_mut()
                 .observe(seat.addr, rank, now + reads);
         }
@@ -368,15 +368,18 @@
     fn take_over(&self, now: Instant) {
         let state = &self.state;
         let own = read(&self.saying(now));
-        let mut others = state.others.borrow_mut();
+        let mut others = state.peer_loads.borrow_mut();
         others.expire(now);
         let sum = others.sum(now, &own);
         drop(others);
         let count = state.roster.borrow().count();
         metrics::gauge!("pimentocart_entries_heard").set(count.total.saturating_sub(1) as f64);
         let calls = |server: u16| sum.calls.get(&server).copied().unwrap_or_default();
-        state.balance.borrow_mut().set_remote_calls(calls);
-        state.readers.borrow_mut().set_zone_size(count.same_zone);
+        state.balancer.borrow_mut().set_remote_calls(calls);
+        state
+            .zone_readers
+            .borrow_mut()
+            .set_zone_size(count.same_zone);
         self.share(now, count);
         let Some(catalog) = state.catalog.borrow().clone() else {
             return;
@@ -385,7 +388,7 @@
             let told = sum.services.get(&number(&service.name));
             let told = told.copied().unwrap_or_default();
             state
-                .pools
+                .phase_pools
                 .borrow_mut()
                 .set_remote(now, &service.name, told);
         }
@@ -396,9 +399,9 @@
     fn share(&self, now: Instant, count: EntryCounts) {
         let state = &self.state;
         let entries = state.entry_count.borrow_mut().record(now, count.total);
-        state.budget.borrow_mut().set_entries(entries);
+        state.repeat_budget.borrow_mut().set_entries(entries);
         let number = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
-        state.balance.borrow_mut().set_turns(TurnSchedule {
+        state.balancer.borrow_mut().set_turns(TurnSchedule {
             entries: number(entries),
             turn_index: number(count.preceding),
             instant: now,
--- a/crates/forward/src/grants.rs
+++ b/crates/forward/src/grants.rs
@@ -47,11 +47,11 @@
 
 /// The sidecars, as an entry talks to them.
 #[derive(Debug)]
-pub struct Sidecars {
+pub struct SidecarClient {
     socket: UdpSocket,
     /// The port at which each of them listens on its engine's host.
     port: u16,
-    life: u64,
+    incarnation: u64,
     next: Cell<u32>,
     /// Calls that wait for an answer, by their numbers.
     asked: RefCell<HashMap<u32, UnboundedSender<GrantResponse>>>,
@@ -67,33 +67,33 @@
 
 /// What a sidecar has decided.
 #[derive(Debug)]
-pub enum Decided {
+pub enum AdmissionDecision {
     /// The call may be sent.
-    Granted(Grant, Held),
+    Granted(Grant, CachedPrefix),
     /// Its first event would take this long.
-    Refused(Duration, Held),
+    Refused(Duration, CachedPrefix),
     /// The life of the engine that was meant has ended.
-    Gone,
+    ServerGone,
     /// The engine is about to end and takes no new calls.
     Leaving,
     /// The sidecar says nothing.
-    Silent,
+    NoResponse,
 }
 
 /// What an engine holds of a call's prompt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct CachedPrefix {
     /// Tokens from the prompt's start.
     pub tokens: u32,
     /// Whether the engine should rather fetch the others than read them.
-    pub fetch: bool,
+    pub prefer_fetch: bool,
 }
 
 /// The right to send one call to one engine. Dropping it tells the sidecar
 /// that the call has ended or will not come.
 #[derive(Debug)]
 pub struct Grant {
-    sidecars: Rc<Sidecars>,
+    sidecars: Rc<SidecarClient>,
     to: SocketAddr,
     number: u32,
     /// The longest pause between two events of its stream.
@@ -102,21 +102,21 @@
 
 impl Grant {
     /// Tells the sidecar that the call has its first event.
-    pub fn begun(&self) {
+    pub fn report_first_event(&self) {
         self.sidecars
             .tell(self.to, self.number, RequestKind::FirstEvent);
     }
 
     /// Tells the sidecar that the call fetches what another engine holds of
     /// the first `source` tokens of its prompt.
-    pub fn fetches(&self, source: u32) {
+    pub fn report_fetch(&self, source: u32) {
         self.sidecars
             .tell(self.to, self.number, RequestKind::Fetching(source));
     }
 
     /// Tells the sidecar that the engine has refused the call as meant for
     /// another life than `server`.
-    pub fn gone(&self, server: &ServerRecord) {
+    pub fn report_gone(&self, server: &ServerRecord) {
         let gone = RequestKind::ServerGone {
             server: server.id.to_string(),
             started_ms: server.started_ms,
@@ -125,7 +125,7 @@
     }
 
     /// Notes a pause between two events of its stream.
-    pub fn paused(&self, pause: Duration) {
+    pub fn record_gap(&self, pause: Duration) {
         self.pause.set(self.pause.get().max(pause));
     }
 }
@@ -143,7 +143,7 @@
 /// Forgets a question once it is answered or nobody waits for it any more;
 /// callers that leave meanwhile would otherwise each leave an entry behind.
 struct Looking<'a> {
-    sidecars: &'a Sidecars,
+    sidecars: &'a SidecarClient,
     number: u32,
 }
 
@@ -153,7 +153,7 @@
     }
 }
 
-impl Sidecars {
+impl SidecarClient {
     /// Binds to `addr`, on whose port the sidecars listen too.
     ///
     /// # Errors
@@ -163,7 +163,7 @@
         let sidecars = Rc::new(Self {
             socket: UdpSocket::bind(addr).await?,
             port: addr.port(),
-            life: Incarnation::random().0,
+            incarnation: Incarnation::random().0,
             next: Cell::new(0),
             asked: RefCell::default(),
             silent: RefCell::default(),
@@ -173,12 +173,12 @@
     }
 
     /// Asks the sidecar beside `server` and waits until it has decided.
-    pub async fn ask(
+    pub async fn request_admission(
         self: &Rc<Self>,
         now: Instant,
         server: &ServerRecord,
         want: AdmissionRequest,
-    ) -> Decided {
+    ) -> AdmissionDecision {
         let host = server.addr.ip();
         if self
             .silent
@@ -186,7 +186,7 @@
             .get(&host)
             .is_some_and(|s| now < s.until)
         {
-            return Decided::Silent;
+            return AdmissionDecision::NoResponse;
         }
         let (number, mut answers) = self.asking();
         // Also tells the sidecar when the caller leaves while it waits.
@@ -198,27 +198,27 @@
         };
         let Some(answer) = self.decide(&grant, &want, &mut answers).await else {
             self.note_silent(now, host);
-            return Decided::Silent;
+            return AdmissionDecision::NoResponse;
         };
         self.silent.borrow_mut().remove(&host);
-        let held = Held {
+        let held = CachedPrefix {
             tokens: answer.cached_tokens,
-            fetch: answer.prefer_fetch,
+            prefer_fetch: answer.prefer_fetch,
         };
         match answer.verdict {
-            Verdict::Granted => Decided::Granted(grant, held),
+            Verdict::Granted => AdmissionDecision::Granted(grant, held),
             Verdict::Refused(ms) | Verdict::Queued(ms) => {
-                Decided::Refused(Duration::from_millis(u64::from(ms)), held)
+                AdmissionDecision::Refused(Duration::from_millis(u64::from(ms)), held)
             }
-            Verdict::ServerGone => Decided::Gone,
-            Verdict::Leaving => Decided::Leaving,
-            Verdict::Acknowledged | Verdict::Utilization(_) => Decided::Silent,
+            Verdict::ServerGone => AdmissionDecision::ServerGone,
+            Verdict::Leaving => AdmissionDecision::Leaving,
+            Verdict::Acknowledged | Verdict::Utilization(_) => AdmissionDecision::NoResponse,
         }
     }
 
     /// How many tokens from the start of a prompt the engine beside a sidecar
     /// holds; 0 when the sidecar does not say so at once.
-    pub async fn look(&self, server: &ServerRecord, prompt_parts: Vec<(u64, u32)>) -> u32 {
+    pub async fn lookup_prefix(&self, server: &ServerRecord, prompt_parts: Vec<(u64, u32)>) -> u32 {
         let (number, mut answers) = self.asking();
         let _open = Looking {
             sidecars: self,
@@ -236,7 +236,7 @@
 
     /// The part of its time, slots or memory that calls take of the engine
     /// beside the sidecar on `host`; none when the sidecar does not say.
-    pub async fn busy(&self, host: IpAddr) -> Option<f64> {
+    pub async fn utilization(&self, host: IpAddr) -> Option<f64> {
         let (number, mut answers) = self.asking();
         let _open = Looking {
             sidecars: self,
@@ -311,7 +311,7 @@
 
     fn tell(&self, to: SocketAddr, call_number: u32, kind: RequestKind) {
         let ask = grants::GrantRequest {
-            incarnation: self.life,
+            incarnation: self.incarnation,
             call_number,
             kind,
         };
--- a/crates/forward/src/http.rs
+++ b/crates/forward/src/http.rs
@@ -51,7 +51,7 @@
     };
     // A caller that is told so opens its next connection elsewhere, before
     // this entry closes.
-    reply.write(state.stopping.is_triggered() || state.crowded())
+    reply.write(state.stopping.is_triggered() || state.is_congested())
 }
 
 async fn answer(state: &Rc<State>, incoming: Incoming) -> Reply {
@@ -99,7 +99,7 @@
 
 /// Counts a body that has come over the link.
 fn note(state: &State, body: Bytes) -> Bytes {
-    if let Some(link) = state.link.borrow_mut().as_mut() {
+    if let Some(link) = state.link_load.borrow_mut().as_mut() {
         link.record_bytes(state.clock.now(), body.len());
     }
     body
@@ -154,7 +154,7 @@
 }
 
 async fn ready(state: Data<Rc<State>>) -> HttpResponse {
-    match state.ready() {
+    match state.is_ready() {
         true => HttpResponse::Ok().finish(),
         false => HttpResponse::ServiceUnavailable().finish(),
     }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -93,7 +93,7 @@
     };
     let state = State::new(settings, dialect, clock);
     if let Some(addr) = state.settings.grants {
-        let sidecars = grants::Sidecars::bind(addr).await?;
+        let sidecars = grants::SidecarClient::bind(addr).await?;
         *state.sidecars.borrow_mut() = Some(sidecars);
     }
 
@@ -132,9 +132,9 @@
     let closed = StopSignal::new();
     actix_rt::spawn(drain::drain(Rc::clone(&state), stop, closed.clone()));
     let app = http::app(Rc::clone(&state));
-    let limit = state.settings.last_wait();
+    let limit = state.settings.drain_timeout();
     base::http::serve_and_drain(listener, app, closed, limit).await?;
-    info!("entry stopped", kv: { name = state.settings.name.as_str(), open = state.open.get() });
+    info!("entry stopped", kv: { name = state.settings.name.as_str(), open = state.open_calls.get() });
     end.trigger();
     Ok(())
 }
@@ -147,21 +147,27 @@
     end: &StopSignal,
 ) {
     *state.duties.borrow_mut() = Some(Rc::clone(&duties));
-    let (records, duty_api) = (platform.records(), platform.duty_api(duties.platform()));
+    let (records, duty_api) = (
+        platform.records(),
+        platform.duty_api(duties.platform_addr()),
+    );
     actix_rt::spawn(duties::scale::run(
         Rc::clone(state),
         Rc::clone(&duties),
-        platform.duty_api(duties.platform()),
+        platform.duty_api(duties.platform_addr()),
+        end.clone(),
+    ));
+    actix_rt::spawn(duties::messages::receive(Rc::clone(&duties)));
+    actix_rt::spawn(duties::messages::send_counts(
+        Rc::clone(&duties),
         end.clone(),
     ));
-    actix_rt::spawn(duties::tell::hear(Rc::clone(&duties)));
-    actix_rt::spawn(duties::tell::counts(Rc::clone(&duties), end.clone()));
     actix_rt::spawn(duties::report::run(
         Rc::clone(&duties),
         duty_api,
         end.clone(),
     ));
-    actix_rt::spawn(duties::hold::run(
+    actix_rt::spawn(duties::election::run(
         Rc::clone(state),
         duties,
         records,
--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -56,7 +56,7 @@
     while !end.is_triggered() {
         let now = state.clock.now();
         let age = state.tables.age(now);
-        let addr = state.readers.borrow_mut().update_source(now, age);
+        let addr = state.zone_readers.borrow_mut().update_source(now, age);
         if before != Some(addr) {
             note_source(addr);
             before = Some(addr);
@@ -89,9 +89,12 @@
     match asked {
         Ok((link, age)) => {
             if age.is_some_and(|age| age <= TAKEOVER_AGE) {
-                state.lost.set(false);
+                state.store_lost.set(false);
             }
-            state.readers.borrow_mut().record_answer(now, addr, age);
+            state
+                .zone_readers
+                .borrow_mut()
+                .record_answer(now, addr, age);
             Some(link)
         }
         Err(e) => {
@@ -99,7 +102,7 @@
             info!("neighbour lost", kv: {
                 peer = addr.to_string().as_str(), cause = e.to_string().as_str()
             });
-            state.readers.borrow_mut().record_failure(now, addr);
+            state.zone_readers.borrow_mut().record_failure(now, addr);
             None
         }
     }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -12,7 +12,7 @@
 use crate::call::Call;
 use crate::events::Splitter;
 use crate::exchange::Body;
-use crate::state::Open;
+use crate::state::OpenCall;
 
 /// A stream on its way to a caller.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// Servers that the call was sent to.
     tried: Vec<Rc<str>>,
     /// Keeps the entry from stopping meanwhile.
-    _open: Open,
+    _open: OpenCall,
 }
 
 /// Why a stream ended before its end.
@@ -67,7 +67,13 @@
 impl Relay {
     /// Takes over a stream of which `first` has come.
     #[must_use]
-    pub fn new(call: Rc<Call>, body: Body, first: Bytes, tried: Vec<Rc<str>>, open: Open) -> Self {
+    pub fn new(
+        call: Rc<Call>,
+        body: Body,
+        first: Bytes,
+        tried: Vec<Rc<str>>,
+        open: OpenCall,
+    ) -> Self {
         Self {
             last: call.ask.last_event,
             body,
@@ -205,7 +211,7 @@
         self.call.broke(&self.body.server);
         self.call
             .state
-            .balance
+            .balancer
             .borrow_mut()
             .call_failed(self.call.state.clock.now(), &from);
         let resumable = self.call.route.kind == policy::routes::CallKind::Resumable;
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -61,11 +61,11 @@
     #[serde(default)]
     pub repeat_slack: f64,
     /// How often the balancer asks; two answers in a row decide.
-    #[serde(default = "ask_every")]
-    pub ask_every: HumanDuration,
+    #[serde(rename = "ask_every", default = "ask_every")]
+    pub probe_interval: HumanDuration,
     /// Duties that one entry performs for all, where the platform has any.
     #[serde(default)]
-    pub duties: Option<Duties>,
+    pub duties: Option<DutySettings>,
     /// How much is logged.
     #[serde(default)]
     pub log_level: Level,
@@ -74,7 +74,7 @@
 /// Settings of the duties that one entry performs for all.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Duties {
+pub struct DutySettings {
     /// The platform's interface for duties.
     pub platform: SocketAddr,
     /// Which duties there are.
@@ -104,16 +104,16 @@
     Autoscale,
 }
 
-impl Duties {
+impl DutySettings {
     /// Whether usage is to be reported.
     #[must_use]
-    pub fn report(&self) -> bool {
+    pub fn reports_usage(&self) -> bool {
         self.kinds.contains(&DutyKind::UsageReport)
     }
 
     /// Whether the number of backend servers is to be ordered.
     #[must_use]
-    pub fn scale(&self) -> bool {
+    pub fn autoscales(&self) -> bool {
         self.kinds.contains(&DutyKind::Autoscale)
     }
 
@@ -170,7 +170,7 @@
                 "a rate above zero",
             )?;
         }
-        self.duties.as_ref().map_or(Ok(()), Duties::check)?;
+        self.duties.as_ref().map_or(Ok(()), DutySettings::check)?;
         let ratio = self.repeat_ratio;
         let fine = (0.0..=1.0).contains(&ratio);
         check("repeat_ratio", ratio, fine, "a share from 0 to 1")?;
@@ -199,7 +199,7 @@
 
     /// The share of calls that may be repeated.
     #[must_use]
-    pub fn repeats(&self) -> repeat_budget::RepeatLimit {
+    pub fn repeat_limit(&self) -> repeat_budget::RepeatLimit {
         repeat_budget::RepeatLimit {
             ratio: self.repeat_ratio,
             window: Duration::from_secs_f64(self.repeat_window_s),
@@ -210,14 +210,14 @@
     /// How long the balancer may take to notice that the entry stops: two
     /// questions in a row, and half of one for connections on their way.
     #[must_use]
-    pub fn notice(&self) -> Duration {
-        self.ask_every.0 * 5 / 2
+    pub fn deregistration_delay(&self) -> Duration {
+        self.probe_interval.0 * 5 / 2
     }
 
     /// How long calls in progress are waited for once no new ones are taken.
     #[must_use]
-    pub fn last_wait(&self) -> Duration {
+    pub fn drain_timeout(&self) -> Duration {
         let grace = Duration::from_secs_f64(self.grace_s * (1.0 - CLOSE_SHARE));
-        grace.saturating_sub(self.notice())
+        grace.saturating_sub(self.deregistration_delay())
     }
 }
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -23,7 +23,7 @@
 use crate::crashes::{self, Crashes};
 use crate::duties::Duties;
 use crate::edge::Dialect;
-use crate::grants::Sidecars;
+use crate::grants::SidecarClient;
 use crate::pool::Pool;
 use crate::settings::Settings;
 use crate::tables::Tables;
@@ -46,54 +46,54 @@
     /// The catalog in force, once there is one.
     pub catalog: RefCell<Option<Rc<Catalog>>>,
     /// The known servers.
-    pub balance: RefCell<Balancer>,
+    pub balancer: RefCell<Balancer>,
     /// What calls load the engines with.
-    pub pools: RefCell<PhasePools>,
+    pub phase_pools: RefCell<PhasePools>,
     /// How long calls wait at engines.
-    pub waits: RefCell<WaitEstimator>,
+    pub wait_estimator: RefCell<WaitEstimator>,
     /// Copies of the store's tables.
     pub tables: Tables,
     /// Who reads the store in this availability zone.
-    pub readers: RefCell<ZoneReaders>,
+    pub zone_readers: RefCell<ZoneReaders>,
     /// What other entries have in progress.
-    pub others: RefCell<PeerLoads>,
+    pub peer_loads: RefCell<PeerLoads>,
     /// Other entries.
     pub roster: RefCell<Roster>,
     /// How they are found.
-    pub finder: RefCell<PeerDiscovery>,
+    pub discovery: RefCell<PeerDiscovery>,
     /// How many entries there are.
     pub entry_count: RefCell<PeakEntryCount>,
     /// Repeats that are left.
-    pub budget: RefCell<RepeatBudget>,
+    pub repeat_budget: RefCell<RepeatBudget>,
     /// The sidecars beside engines, if there are any.
-    pub sidecars: RefCell<Option<Rc<Sidecars>>>,
+    pub sidecars: RefCell<Option<Rc<SidecarClient>>>,
     /// What one entry does for all, if there is anything.
     pub duties: RefCell<Option<Rc<Duties>>>,
     /// Servers that have crashed under calls.
     pub crashes: Crashes,
     /// Connections to servers.
-    pub pool: Pool,
+    pub connection_pool: Pool,
     /// Wakes those who wait for the store when it answers again.
-    pub regained: Notify,
+    pub store_recovered: Notify,
     /// Has the others told at once what this one has.
-    pub speak: Notify,
+    pub gossip_now: Notify,
     /// Whether the store does not answer questions about servers.
-    pub lost: Cell<bool>,
+    pub store_lost: Cell<bool>,
     /// What the host's link carries towards the callers, if it matters.
-    pub link: RefCell<Option<LinkLoad>>,
+    pub link_load: RefCell<Option<LinkLoad>>,
     /// Whether the servers are known.
-    pub listed: Cell<bool>,
+    pub servers_loaded: Cell<bool>,
     /// Set when the entry is about to stop.
     pub stopping: StopSignal,
     /// Calls whose answers have not left whole.
-    pub open: Cell<usize>,
+    pub open_calls: Cell<usize>,
 }
 
 impl std::fmt::Debug for State {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("State")
             .field("name", &self.settings.name)
-            .field("open", &self.open)
+            .field("open", &self.open_calls)
             .finish_non_exhaustive()
     }
 }
@@ -103,50 +103,53 @@
     #[must_use]
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>, clock: Rc<dyn Clock>) -> Rc<Self> {
         Rc::new(Self {
-            balance: RefCell::new(Balancer::new(&settings.zone)),
-            pools: RefCell::default(),
-            waits: RefCell::default(),
+            balancer: RefCell::new(Balancer::new(&settings.zone)),
+            phase_pools: RefCell::default(),
+            wait_estimator: RefCell::default(),
             tables: Tables::default(),
-            readers: RefCell::new(ZoneReaders::new(own_rank(&settings))),
-            others: RefCell::default(),
-            roster: RefCell::new(Roster::new(own_seat(&settings), settings.duties.is_some())),
-            finder: RefCell::new(PeerDiscovery::new(
+            zone_readers: RefCell::new(ZoneReaders::new(own_rank(&settings))),
+            peer_loads: RefCell::default(),
+            roster: RefCell::new(Roster::new(
+                own_entry_info(&settings),
+                settings.duties.is_some(),
+            )),
+            discovery: RefCell::new(PeerDiscovery::new(
                 clock.now(),
                 settings.seed_addrs(),
                 settings.first_start,
             )),
             entry_count: RefCell::default(),
-            budget: RefCell::new(RepeatBudget::new(settings.repeats())),
+            repeat_budget: RefCell::new(RepeatBudget::new(settings.repeat_limit())),
             dialect,
             clock,
             catalog: RefCell::default(),
             sidecars: RefCell::default(),
             duties: RefCell::default(),
             crashes: Crashes::default(),
-            pool: Pool::default(),
-            regained: Notify::new(),
-            speak: Notify::new(),
-            lost: Cell::new(false),
-            link: RefCell::new(settings.link_mbps.map(LinkLoad::new)),
-            listed: Cell::new(false),
+            connection_pool: Pool::default(),
+            store_recovered: Notify::new(),
+            gossip_now: Notify::new(),
+            store_lost: Cell::new(false),
+            link_load: RefCell::new(settings.link_mbps.map(LinkLoad::new)),
+            servers_loaded: Cell::new(false),
             stopping: StopSignal::new(),
-            open: Cell::new(0),
+            open_calls: Cell::new(0),
             settings,
         })
     }
 
     /// Whether new connections should be sent here.
     #[must_use]
-    pub fn ready(&self) -> bool {
-        let known = self.listed.get() && self.catalog.borrow().is_some();
-        known && !self.stopping.is_triggered() && !self.crowded()
+    pub fn is_ready(&self) -> bool {
+        let known = self.servers_loaded.get() && self.catalog.borrow().is_some();
+        known && !self.stopping.is_triggered() && !self.is_congested()
     }
 
     /// Waits until the catalog and the servers are known, for a while. An entry
     /// that has started has them in a moment, and a caller that is turned away
     /// comes back later than that.
     pub async fn wait_for_tables(&self) {
-        let known = || self.catalog.borrow().is_some() && !self.balance.borrow().is_empty();
+        let known = || self.catalog.borrow().is_some() && !self.balancer.borrow().is_empty();
         let wait = async {
             while !known() {
                 self.tables.changed.notified().await;
@@ -161,14 +164,14 @@
     /// Whether the entries of this availability zone read the store for each
     /// other.
     #[must_use]
-    pub fn shares(&self) -> bool {
-        self.readers.borrow().shares_reads()
+    pub fn shares_reads(&self) -> bool {
+        self.zone_readers.borrow().shares_reads()
     }
 
     /// Other entries that read the store as often as this one.
     #[must_use]
-    pub fn rivals(&self) -> usize {
-        match self.shares() {
+    pub fn competing_readers(&self) -> usize {
+        match self.shares_reads() {
             true => 0,
             false => self.roster.borrow().count().total.saturating_sub(1),
         }
@@ -176,29 +179,29 @@
 
     /// Whether callers should rather open their next connection elsewhere.
     #[must_use]
-    pub fn crowded(&self) -> bool {
+    pub fn is_congested(&self) -> bool {
         let now = self.clock.now();
-        let mut link = self.link.borrow_mut();
+        let mut link = self.link_load.borrow_mut();
         link.as_mut().is_some_and(|link| link.congested(now))
     }
 }
 
 /// This entry as others know it.
-fn own_seat(settings: &Settings) -> EntryInfo {
+fn own_entry_info(settings: &Settings) -> EntryInfo {
     EntryInfo {
         addr: settings.gossip,
-        zone: zone_number(&settings.zone),
+        zone: zone_hash(&settings.zone),
         link_mbps: link_mbps(settings),
     }
 }
 
 /// Where this entry stands among those of its zone.
 pub(crate) fn own_rank(settings: &Settings) -> Rank {
-    own_seat(settings).rank()
+    own_entry_info(settings).rank()
 }
 
 /// An availability zone's number between entries.
-pub(crate) fn zone_number(zone: &str) -> u32 {
+pub(crate) fn zone_hash(zone: &str) -> u32 {
     rendezvous::hash_name(zone) as u32
 }
 
@@ -209,20 +212,22 @@
 
 /// Counts one open call for as long as it lives.
 #[derive(Debug)]
-pub struct Open(Rc<State>);
+pub struct OpenCall(Rc<State>);
 
-impl Open {
+impl OpenCall {
     /// Counts a call as open.
     #[must_use]
     pub fn new(state: &Rc<State>) -> Self {
-        state.open.set(state.open.get() + 1);
+        state.open_calls.set(state.open_calls.get() + 1);
         Self(Rc::clone(state))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenCall {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get().saturating_sub(1));
+        self.0
+            .open_calls
+            .set(self.0.open_calls.get().saturating_sub(1));
     }
 }
 
@@ -230,7 +235,7 @@
 pub async fn sweep(state: Rc<State>, end: StopSignal) {
     while !end.is_triggered() {
         tokio::time::sleep(SWEEP).await;
-        state.pool.sweep(state.clock.now());
+        state.connection_pool.sweep(state.clock.now());
         crashes::expire(&state, state.clock.now());
     }
 }
--- a/crates/forward/src/status.rs
+++ b/crates/forward/src/status.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::duties::View;
+use crate::duties::DutyStatus;
 use crate::state::State;
 
 /// What an entry believes.
@@ -15,43 +15,47 @@
     /// Whether new connections should be sent here.
     pub ready: bool,
     /// The version of the catalog in force.
-    pub catalog: Option<u64>,
+    #[serde(rename = "catalog")]
+    pub catalog_version: Option<u64>,
     /// Other entries that are heard.
-    pub entries: usize,
+    #[serde(rename = "entries")]
+    pub peers: usize,
     /// Backend servers that are known.
     pub servers: usize,
     /// Those of them that say in their answers that they leave.
     pub leaving: usize,
     /// Those that have asked for rest.
-    pub resting: usize,
+    #[serde(rename = "resting")]
+    pub backing_off: usize,
     /// Those that name how many calls they take.
     pub limited: usize,
     /// Crashes of servers that are held against calls.
     pub crashes: usize,
     /// Calls whose answers have not left whole.
-    pub open: usize,
+    #[serde(rename = "open")]
+    pub open_calls: usize,
     /// The duties of one entry for all, where there are any.
-    pub duties: Option<View>,
+    pub duties: Option<DutyStatus>,
 }
 
 impl Status {
     /// What `state` holds.
     #[must_use]
     pub fn of(state: &State) -> Self {
-        let said = state.balance.borrow().feedback_counts(state.clock.now());
+        let said = state.balancer.borrow().feedback_counts(state.clock.now());
         Self {
             name: state.settings.name.clone(),
             zone: state.settings.zone.clone(),
-            ready: state.ready(),
-            catalog: state.catalog.borrow().as_ref().map(|c| c.version),
-            entries: state.roster.borrow().count().total.saturating_sub(1),
-            servers: state.balance.borrow().ids().len(),
+            ready: state.is_ready(),
+            catalog_version: state.catalog.borrow().as_ref().map(|c| c.version),
+            peers: state.roster.borrow().count().total.saturating_sub(1),
+            servers: state.balancer.borrow().ids().len(),
             leaving: said.leaving,
-            resting: said.backing_off,
+            backing_off: said.backing_off,
             limited: said.limited,
             crashes: state.crashes.count(),
-            open: state.open.get(),
-            duties: state.duties.borrow().as_ref().map(|d| d.view()),
+            open_calls: state.open_calls.get(),
+            duties: state.duties.borrow().as_ref().map(|d| d.status()),
         }
     }
 }
--- a/crates/forward/src/tables.rs
+++ b/crates/forward/src/tables.rs
@@ -126,13 +126,13 @@
         }
     }
     forget(state, now);
-    state.listed.set(true);
+    state.servers_loaded.set(true);
 }
 
 /// Forgets the servers that have been missing for long.
 pub(crate) fn forget(state: &State, now: Instant) {
-    for id in state.balance.borrow_mut().forget_missing(now, RETURN) {
-        state.pool.forget(&id);
+    for id in state.balancer.borrow_mut().forget_missing(now, RETURN) {
+        state.connection_pool.forget(&id);
         info!("server forgotten", kv: { server = &*id });
     }
 }
@@ -140,13 +140,13 @@
 fn list(state: &State, now: Instant, listed: ServerRecord, log: bool) {
     let (id, leaving) = (Rc::clone(&listed.id), listed.leaving);
     let (addr, zone, born) = (listed.addr, Rc::clone(&listed.zone), listed.started_ms);
-    let change = state.balance.borrow_mut().upsert(now, listed);
+    let change = state.balancer.borrow_mut().upsert(now, listed);
     if change == RecordChange::Unchanged {
         return;
     }
     // Connections to its earlier life lead nowhere any more.
     if leaving || change == RecordChange::Restarted {
-        state.pool.forget(&id);
+        state.connection_pool.forget(&id);
     }
     if !log {
         return;
@@ -162,7 +162,7 @@
 }
 
 fn miss(state: &State, now: Instant, id: &str, until: Instant) {
-    if state.balance.borrow_mut().mark_missing(now, id, until) {
+    if state.balancer.borrow_mut().mark_missing(now, id, until) {
         info!("server missing", kv: { server = id });
     }
 }
--- a/crates/forward/tests/calls/callers.rs
+++ b/crates/forward/tests/calls/callers.rs
@@ -34,7 +34,7 @@
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "503");
     assert!(field(&answer, "retry-after").is_some());
-    assert!(!entry.state.ready());
+    assert!(!entry.state.is_ready());
 }
 
 /// Guards against callers being turned away by an entry that has started and is
@@ -97,10 +97,10 @@
 #[actix_rt::test]
 async fn stopping_ends_calls_whole() {
     let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
-    entry.state.listed.set(true);
-    assert!(entry.state.ready());
+    entry.state.servers_loaded.set(true);
+    assert!(entry.state.is_ready());
     entry.state.stopping.trigger();
-    assert!(!entry.state.ready());
+    assert!(!entry.state.is_ready());
     let mut stream = entry.connect().await;
     stream
         .write_all(request(ID, "").as_bytes())
--- a/crates/forward/tests/calls/common.rs
+++ b/crates/forward/tests/calls/common.rs
@@ -324,7 +324,7 @@
             let host = if plan.engine { ENGINES } else { "127.0.0.1" };
             let addr = servers.listen(host).await;
             state
-                .balance
+                .balancer
                 .borrow_mut()
                 .upsert(Instant::now(), listed(id, addr));
         }
@@ -332,7 +332,7 @@
         let service = Rc::from("app");
         for _ in 0..100 {
             state
-                .budget
+                .repeat_budget
                 .borrow_mut()
                 .record_call(state.clock.now(), &service);
         }
@@ -355,7 +355,7 @@
     pub(crate) fn lose_a_server(&self) {
         let addr = "127.0.0.1:1".parse().expect("an address");
         self.state
-            .balance
+            .balancer
             .borrow_mut()
             .upsert(Instant::now(), listed("s2", addr));
     }
@@ -369,7 +369,7 @@
             ..listed(id, addr)
         };
         self.state
-            .balance
+            .balancer
             .borrow_mut()
             .upsert(Instant::now(), leaving);
     }
@@ -385,7 +385,7 @@
     /// Takes all repeats that are left and returns how many.
     pub(crate) fn repeats_left(&self) -> usize {
         let (now, service) = (self.state.clock.now(), Rc::from("app"));
-        let mut budget = self.state.budget.borrow_mut();
+        let mut budget = self.state.repeat_budget.borrow_mut();
         (0..1000)
             .take_while(|_| budget.take_repeat(now, &service))
             .count()
--- a/crates/forward/tests/calls/grants.rs
+++ b/crates/forward/tests/calls/grants.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use forward::grants::Sidecars;
+use forward::grants::SidecarClient;
 use policy::routes::CallKind;
 use tokio::io::AsyncWriteExt;
 use tokio::net::UdpSocket;
@@ -50,7 +50,7 @@
         plan.engine = true;
         let entry = Entry::start(plan).await;
         let own = SocketAddr::from(([127, 0, 0, 1], port));
-        let sidecars = Sidecars::bind(own).await.expect("the same port");
+        let sidecars = SidecarClient::bind(own).await.expect("the same port");
         *entry.state.sidecars.borrow_mut() = Some(sidecars);
         (Self(socket), entry)
     }
@@ -228,7 +228,7 @@
     let (_, leaving) = sidecar.say(Verdict::Leaving, 0).await;
     sidecar.say(Verdict::Granted, 0).await;
     assert_eq!(status(&call.await.expect("an answer")), "200");
-    assert!(!entry.state.balance.borrow().accepts_calls(&leaving));
+    assert!(!entry.state.balancer.borrow().accepts_calls(&leaving));
     let requests = entry.servers.requests();
     assert_eq!(requests.len(), 1);
     assert_ne!(field(&requests[0], "server"), Some(leaving));
@@ -252,7 +252,7 @@
     assert_eq!(status(&call.await.expect("an answer")), "200");
     let requests = entry.servers.requests();
     assert_eq!(field(&requests[0], "server"), Some(second));
-    let holder = entry.state.balance.borrow().addr(&first);
+    let holder = entry.state.balancer.borrow().addr(&first);
     let holder = holder.map(|a| a.to_string());
     assert_eq!(field(&requests[0], "fetch"), holder);
 }
--- a/crates/forward/tests/calls/repeats.rs
+++ b/crates/forward/tests/calls/repeats.rs
@@ -167,7 +167,12 @@
     let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &acts)).await;
     let service = std::rc::Rc::from("app");
     let now = entry.state.clock.now();
-    while entry.state.budget.borrow_mut().take_repeat(now, &service) {}
+    while entry
+        .state
+        .repeat_budget
+        .borrow_mut()
+        .take_repeat(now, &service)
+    {}
     assert_eq!(status(&entry.call(ID).await), "500");
     assert_eq!(entry.servers.requests().len(), 1);
 }
@@ -312,7 +317,7 @@
 
 /// Has the entry know that there is no other one.
 fn share(entry: &Entry) {
-    entry.state.balance.borrow_mut().set_turns(TurnSchedule {
+    entry.state.balancer.borrow_mut().set_turns(TurnSchedule {
         entries: 1,
         turn_index: 0,
         instant: entry.state.clock.now(),
--- a/crates/forward/tests/calls/usage.rs
+++ b/crates/forward/tests/calls/usage.rs
@@ -50,5 +50,5 @@
     let entry = Entry::start(plan).await;
     let duties = count(&entry).await;
     entry.call(READS).await;
-    assert_eq!(duties.heard(duties.life()), wanted);
+    assert_eq!(duties.requests_of(duties.incarnation()), wanted);
 }
--- a/crates/forward/tests/calls/words.rs
+++ b/crates/forward/tests/calls/words.rs
@@ -65,7 +65,10 @@
     let entry = Entry::start(Plan::new(CallKind::Idempotent, 1, &[answer])).await;
     entry.call(ID).await;
     let now = entry.state.clock.now();
-    assert_eq!(entry.state.balance.borrow().feedback_counts(now).leaving, 0);
+    assert_eq!(
+        entry.state.balancer.borrow().feedback_counts(now).leaving,
+        0
+    );
 }
 
 /// Guards against rest being read from some refusals only.
--- a/crates/forward/tests/duties/common.rs
+++ b/crates/forward/tests/duties/common.rs
@@ -8,7 +8,7 @@
 
 use base::clock::{Clock, SystemClock};
 use base::stop::StopSignal;
-use forward::duties::{Duties, hold, report, scale, tell};
+use forward::duties::{Duties, election, messages, report, scale};
 use forward::edge::{Ask, Dialect, Signs};
 use forward::edge::{DutyApi, Kept, Outcome, Records, SourceError};
 use forward::settings::Settings;
@@ -247,7 +247,12 @@
                         let number = usize::from(last(settings) - 1);
                         if !lives[number].is_triggered() {
                             let rank = Rank::new(1, settings.gossip, u32::from(last(settings)));
-                            duties.hear(settings.gossip, rank, HEARD, SystemClock.wall_ms());
+                            duties.observe_peer(
+                                settings.gossip,
+                                rank,
+                                HEARD,
+                                SystemClock.wall_ms(),
+                            );
                         }
                     }
                     tokio::time::sleep(HEARD / 5).await;
@@ -268,7 +273,7 @@
     /// Counts requests at an entry.
     pub(crate) fn count(&self, entry: usize, workspace: &str, count: u32) {
         for _ in 0..count {
-            self.entries[entry].duties.began(workspace);
+            self.entries[entry].duties.count_request(workspace);
         }
     }
 
@@ -279,7 +284,7 @@
         let state = &self.entries[entry].state;
         *state.catalog.borrow_mut() = Some(Rc::new(catalog()));
         let now = state.clock.now();
-        let mut balance = state.balance.borrow_mut();
+        let mut balance = state.balancer.borrow_mut();
         for zone in ["a", "b"] {
             balance.upsert(now, server(zone));
             for _ in 0..calls {
@@ -297,14 +302,16 @@
     /// Other entries that have heard of the duty's holder and of its counts.
     pub(crate) fn told(&self, entry: usize) -> usize {
         let others = self.entries.iter().enumerate().filter(|(n, _)| *n != entry);
-        let life = self.entries[entry].duties.life();
-        others.filter(|(_, e)| e.duties.heard(life) > 0).count()
+        let life = self.entries[entry].duties.incarnation();
+        others
+            .filter(|(_, e)| e.duties.requests_of(life) > 0)
+            .count()
     }
 
     /// Requests that an entry has counted and not forgotten.
     pub(crate) fn counted(&self, entry: usize) -> u64 {
         let duties = &self.entries[entry].duties;
-        duties.heard(duties.life())
+        duties.requests_of(duties.incarnation())
     }
 
     /// Ends an entry without a word.
@@ -338,8 +345,8 @@
     let end = StopSignal::new();
     let (log, office) = (Log(Rc::clone(store)), Office(Rc::clone(platform)));
     let tasks = vec![
-        actix_rt::spawn(tell::hear(Rc::clone(&duties))),
-        actix_rt::spawn(tell::counts(Rc::clone(&duties), end.clone())),
+        actix_rt::spawn(messages::receive(Rc::clone(&duties))),
+        actix_rt::spawn(messages::send_counts(Rc::clone(&duties), end.clone())),
         actix_rt::spawn(report::run(Rc::clone(&duties), office, end.clone())),
         actix_rt::spawn(scale::run(
             Rc::clone(&state),
@@ -347,7 +354,7 @@
             Office(Rc::clone(platform)),
             end.clone(),
         )),
-        actix_rt::spawn(hold::run(
+        actix_rt::spawn(election::run(
             Rc::clone(&state),
             Rc::clone(&duties),
             log,
--- a/crates/forward/tests/tables/crashes.rs
+++ b/crates/forward/tests/tables/crashes.rs
@@ -139,7 +139,7 @@
 /// a zone that shares.
 fn hear(state: &State, first: &State) {
     let (until, addr) = (Instant::now() + PATIENCE, first.settings.gossip);
-    let mut readers = state.readers.borrow_mut();
+    let mut readers = state.zone_readers.borrow_mut();
     readers.observe(addr, Rank::new(0, addr, u32::MAX), until);
     for n in 2..=MIN_SHARING_ENTRIES {
         let addr = ([127, 0, 0, u8::try_from(n).expect("a few")], 1).into();
--- a/crates/forward/tests/tables/follow.rs
+++ b/crates/forward/tests/tables/follow.rs
@@ -182,7 +182,7 @@
     let asked = Rc::clone(&servers.asked);
     actix_rt::spawn(follow::servers(Rc::clone(&state), servers));
     until("all is read", || asked.get() > 5).await;
-    let serving = state.balance.borrow().serving("app");
+    let serving = state.balancer.borrow().serving("app");
     let names: Vec<&str> = serving.iter().map(|(s, _)| &*s.id).collect();
     assert_eq!(names, ["stays"]);
 }
@@ -194,12 +194,12 @@
     let state = state();
     let catalogs = Table::new(vec![Answer::Away, catalog(1)]);
     let servers = Table::new(vec![Answer::Away, Answer::Away, server("s1")]);
-    assert!(!state.ready());
+    assert!(!state.is_ready());
     actix_rt::spawn(follow::catalogs(Rc::clone(&state), catalogs));
     until("the catalog", || version(&state) == 1).await;
-    assert!(!state.ready());
+    assert!(!state.is_ready());
     actix_rt::spawn(follow::servers(Rc::clone(&state), servers));
-    until("ready", || state.ready()).await;
+    until("ready", || state.is_ready()).await;
 }
 
 /// The store is back, but the servers' entries lapsed while it was away, and
--- a/crates/forward/tests/tables/neighbours.rs
+++ b/crates/forward/tests/tables/neighbours.rs
@@ -181,7 +181,7 @@
     /// silent ones for a zone that shares.
     fn hear(&self, first: &Entry) {
         let until = Instant::now() + PATIENCE;
-        let mut readers = self.state.readers.borrow_mut();
+        let mut readers = self.state.zone_readers.borrow_mut();
         readers.observe(first.addr, Rank::new(0, first.addr, u32::MAX), until);
         for n in 2..=MIN_SHARING_ENTRIES {
             let n = u8::try_from(n).expect("a few");
@@ -203,7 +203,7 @@
     }
 
     fn server_open(&self) -> bool {
-        self.state.balance.borrow().accepts_calls("key")
+        self.state.balancer.borrow().accepts_calls("key")
     }
 }
 
@@ -223,7 +223,7 @@
     servers.away.set(true);
     let other = Entry::start(catalog, servers, true).await;
     other.hear(&first);
-    until("ready", || other.state.ready()).await;
+    until("ready", || other.state.is_ready()).await;
     assert!(other.server_open());
 
     // And it stays level: an entry that is cut off from the store is told of
@@ -244,14 +244,17 @@
     let clock: Rc<dyn Clock> = Rc::new(ManualClock::new());
     let start = |catalog, servers| Entry::start_by(Rc::clone(&clock), catalog, servers, true);
     let first = start(catalog.clone(), servers.clone()).await;
-    until("the first is ready", || first.state.ready()).await;
+    until("the first is ready", || first.state.is_ready()).await;
     let mut others = Vec::new();
     for _ in 0..3 {
         let other = start(catalog.elsewhere(), servers.elsewhere()).await;
         other.hear(&first);
         others.push(other);
     }
-    until("all are ready", || others.iter().all(|o| o.state.ready())).await;
+    until("all are ready", || {
+        others.iter().all(|o| o.state.is_ready())
+    })
+    .await;
     // A question that was out when the neighbour was heard still ends.
     let settled = first.asked() + 20;
     until("they settle", || first.asked() >= settled).await;
@@ -271,7 +274,7 @@
     let first = Entry::start(catalog.clone(), servers.clone(), false).await;
     let other = Entry::start(catalog.elsewhere(), servers.elsewhere(), true).await;
     other.hear(&first);
-    until("ready", || other.state.ready()).await;
+    until("ready", || other.state.is_ready()).await;
     catalog.write(Version(2));
     until("the new catalog", || other.version() == 2).await;
 }
@@ -286,7 +289,7 @@
     let other = Entry::start(catalog.elsewhere(), servers.elsewhere(), true).await;
     other.hear(&first);
     until("both are ready", || {
-        first.state.ready() && other.state.ready()
+        first.state.is_ready() && other.state.is_ready()
     })
     .await;
     first.catalog.away.set(true);
