--- a/crates/forward/src/call/place.rs
+++ b/crates/forward/src/call/place.rs
@@ -16,7 +16,7 @@
 
 use super::{Call, StartPoint};
 use crate::exchange::SendError;
-use crate::grants::{Decided, Grant, Held, Sidecars};
+use crate::grants::{AdmissionDecision, CachedPrefix, Grant, SidecarClient};
 use crate::platform;
 use crate::relay::millis;
 
@@ -110,7 +110,7 @@
     ) -> Result<Option<Placement>, SendError> {
         let part = self.partition(now);
         let want = self.server_query(part, avoid);
-        let server = self.state.balance.borrow_mut().choose(now, &want);
+        let server = self.state.balancer.borrow_mut().choose(now, &want);
         let Some(server) = server else {
             return Ok(None);
         };
@@ -128,7 +128,7 @@
     async fn request_grant(
         &self,
         now: Instant,
-        sidecars: &Rc<Sidecars>,
+        sidecars: &Rc<SidecarClient>,
         phase: Phase,
         avoid: &[Rc<str>],
         begin: StartPoint,
@@ -144,17 +144,17 @@
             };
             let asked = self.ask_sidecar(sidecars, server, begin, terms, &holder);
             match asked.await {
-                Decided::Granted(grant, held) => {
+                AdmissionDecision::Granted(grant, held) => {
                     let asked = &candidates[..=n];
                     let fetch_from = self
                         .fetch_source(sidecars, &grant, held, holder, asked)
                         .await;
                     return Ok(self.granted_placement(server, grant, fetch_from));
                 }
-                Decided::Silent => return Ok(None),
-                Decided::Gone => self.mark_replaced(now, server),
-                Decided::Leaving => self.mark_leaving(server),
-                Decided::Refused(expected, held) => {
+                AdmissionDecision::NoResponse => return Ok(None),
+                AdmissionDecision::ServerGone => self.mark_replaced(now, server),
+                AdmissionDecision::Leaving => self.mark_leaving(server),
+                AdmissionDecision::Refused(expected, held) => {
                     holder.record(held.tokens, server);
                     if least.as_ref().is_none_or(|(e, _)| expected < *e) {
                         least = Some((expected, server.clone()));
@@ -174,21 +174,21 @@
         }
         let asked = self.ask_sidecar(sidecars, &server, begin, AdmissionTerms::Forced, &holder);
         match asked.await {
-            Decided::Granted(grant, held) => {
+            AdmissionDecision::Granted(grant, held) => {
                 let fetch_from = self.fetch_source(sidecars, &grant, held, holder, &candidates);
                 let fetch_from = fetch_from.await;
                 Ok(self.granted_placement(&server, grant, fetch_from))
             }
-            Decided::Silent => Ok(None),
-            Decided::Gone => {
+            AdmissionDecision::NoResponse => Ok(None),
+            AdmissionDecision::ServerGone => {
                 self.mark_replaced(now, &server);
                 Ok(None)
             }
-            Decided::Leaving => {
+            AdmissionDecision::Leaving => {
                 self.mark_leaving(&server);
                 Ok(None)
             }
-            Decided::Refused(expected, _) => Err(self.refuse_late(&server, expected)),
+            AdmissionDecision::Refused(expected, _) => Err(self.refuse_late(&server, expected)),
         }
     }
 
@@ -197,9 +197,9 @@
     /// of the homes of the shared parts. Not knowing costs one read.
     async fn fetch_source(
         &self,
-        sidecars: &Rc<Sidecars>,
+        sidecars: &Rc<SidecarClient>,
         grant: &Grant,
-        held: Held,
+        held: CachedPrefix,
         holder: PrefixHolder,
         asked: &[ServerRecord],
     ) -> Option<SocketAddr> {
@@ -212,7 +212,7 @@
         let shared = shared
             .iter()
             .fold(0, |sum: u32, p| sum.saturating_add(p.tokens));
-        if !held.fetch || shared < wanted {
+        if !held.prefer_fetch || shared < wanted {
             return None;
         }
         let known = holder.tokens >= wanted;
@@ -222,7 +222,7 @@
         };
         let found = holder.tokens >= wanted;
         if found && !known {
-            grant.fetches(holder.tokens);
+            grant.report_fetch(holder.tokens);
         }
         let outcome = match (known, found) {
             (true, _) => "refusal",
@@ -235,10 +235,14 @@
 
     /// Asks the homes of the prompt's shared parts, but those in `asked`, what
     /// they hold.
-    async fn find_holder(&self, sidecars: &Rc<Sidecars>, asked: &[ServerRecord]) -> PrefixHolder {
+    async fn find_holder(
+        &self,
+        sidecars: &Rc<SidecarClient>,
+        asked: &[ServerRecord],
+    ) -> PrefixHolder {
         let now = self.state.clock.now();
         let holders = {
-            let balance = self.state.balance.borrow();
+            let balance = self.state.balancer.borrow();
             balance.prefix_holders(now, &self.server_query(Partition::All, &[]))
         };
         let fresh = |s: &ServerRecord| asked.iter().all(|a| a.id != s.id);
@@ -246,7 +250,7 @@
         let mut holder = PrefixHolder::default();
         let (one, two) = (fresh.next(), fresh.next());
         let look = async |server: &Option<ServerRecord>| match server {
-            Some(server) => sidecars.look(server, self.prompt_parts()).await,
+            Some(server) => sidecars.lookup_prefix(server, self.prompt_parts()).await,
             None => 0,
         };
         let held = futures_util::future::join(look(&one), look(&two)).await;
@@ -266,7 +270,7 @@
             Partition::Rest(count) => Partition::First(count),
             Partition::All => Partition::All,
         };
-        let mut balance = self.state.balance.borrow_mut();
+        let mut balance = self.state.balancer.borrow_mut();
         let mut ranked = balance.ranked(now, &self.server_query(part, avoid));
         ranked.truncate(HOME_ENGINES);
         if phase != Phase::Prefill {
@@ -289,12 +293,12 @@
     /// Asks one sidecar.
     async fn ask_sidecar(
         &self,
-        sidecars: &Rc<Sidecars>,
+        sidecars: &Rc<SidecarClient>,
         server: &ServerRecord,
         begin: StartPoint,
         terms: AdmissionTerms,
         holder: &PrefixHolder,
-    ) -> Decided {
+    ) -> AdmissionDecision {
         let now = self.state.clock.now();
         let age = now.saturating_duration_since(self.received_at);
         let left = self.deadline.saturating_duration_since(now);
@@ -319,7 +323,7 @@
             remote_tokens: holder.tokens,
             copy_ns: self.copy_ns(),
         };
-        sidecars.ask(now, server, want).await
+        sidecars.request_admission(now, server, want).await
     }
 
     /// The parts of the prompt, as sidecars are told.
@@ -350,7 +354,7 @@
         grant: Grant,
         fetch_from: Option<SocketAddr>,
     ) -> Option<Placement> {
-        let balance = self.state.balance.borrow();
+        let balance = self.state.balancer.borrow();
         let waiting_calls = balance.waiting_calls(&server.id);
         balance.accepts_calls(&server.id).then(|| Placement {
             server: server.clone(),
@@ -417,12 +421,12 @@
 
     /// Whether the call may go to a server, or would come too late there.
     fn check_wait(&self, server: &ServerRecord, begin: StartPoint) -> Result<u32, SendError> {
-        let ahead = self.state.balance.borrow().waiting_calls(&server.id);
+        let ahead = self.state.balancer.borrow().waiting_calls(&server.id);
         // A caller that has a part of its stream is not turned away.
         if self.phase != Some(Phase::Prefill) || begin != StartPoint::Beginning {
             return Ok(ahead);
         }
-        let waits = self.state.waits.borrow();
+        let waits = self.state.wait_estimator.borrow();
         let target = self.route.latency_target;
         let now = self.state.clock.now();
         let claim = CallDeadline {
@@ -457,8 +461,8 @@
         let Some(phase) = self.phase else {
             return Partition::All;
         };
-        let (engines, slots) = self.state.balance.borrow().serving_capacity(&self.service);
-        let mut pools = self.state.pools.borrow_mut();
+        let (engines, slots) = self.state.balancer.borrow().serving_capacity(&self.service);
+        let mut pools = self.state.phase_pools.borrow_mut();
         let writers = pools.decode_engines(now, &self.service, engines, slots);
         match (writers, phase) {
             (0, _) => Partition::All,
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -153,11 +153,11 @@
     fn record_start(&mut self) {
         if std::mem::take(&mut self.waiting) {
             self.state
-                .balance
+                .balancer
                 .borrow_mut()
                 .call_started(&self.server.id);
             if let Some(grant) = &self.grant {
-                grant.begun();
+                grant.report_first_event();
             }
         }
     }
@@ -165,7 +165,7 @@
     /// Notes a pause between two events.
     pub fn record_pause(&self, pause: Duration) {
         if let Some(grant) = &self.grant {
-            grant.paused(pause);
+            grant.record_gap(pause);
         }
     }
 
@@ -173,7 +173,7 @@
     fn record_activity(&self) {
         let now = self.state.clock.now();
         self.state
-            .balance
+            .balancer
             .borrow_mut()
             .bytes_received(now, &self.server.id);
     }
@@ -183,14 +183,14 @@
         let Some(conn) = self.conn.take() else { return };
         if self.reusable {
             let now = self.state.clock.now();
-            self.state.pool.put(now, &self.server.id, conn);
+            self.state.connection_pool.put(now, &self.server.id, conn);
         }
     }
 }
 
 impl Drop for ResponseBody {
     fn drop(&mut self) {
-        let mut balance = self.state.balance.borrow_mut();
+        let mut balance = self.state.balancer.borrow_mut();
         if self.waiting {
             balance.call_started(&self.server.id);
         }
@@ -222,7 +222,7 @@
     let status = response.status().as_u16();
     let now = state.clock.now();
     let parsed_headers = state.dialect.parse_response(status, response.headers());
-    state.balance.borrow_mut().bytes_received(now, &server.id);
+    state.balancer.borrow_mut().bytes_received(now, &server.id);
     if let Some(keep) = parsed_headers.idle_timeout {
         conn.set_idle_timeout(keep);
     }
@@ -247,7 +247,7 @@
             return Err(SendError::NotRun(status));
         }
         if let Some(grant) = &grant {
-            grant.gone(server);
+            grant.report_gone(server);
         }
         return Err(SendError::WrongServer);
     }
@@ -286,13 +286,13 @@
     let now = state.clock.now();
     let news =
         state
-            .balance
+            .balancer
             .borrow_mut()
             .apply_feedback(now, server, sent, word, rand::rng().random());
     if news.leaving {
         metrics::counter!("pimentocart_servers_leaving_total").increment(1);
         info!("server leaves", kv: { server = &*server.id });
-        state.pool.close_idle(&server.id);
+        state.connection_pool.close_idle(&server.id);
     }
     if let Some(rest) = news.backoff {
         metrics::counter!("pimentocart_rests_asked_total").increment(1);
@@ -317,7 +317,7 @@
 impl<'a> InFlight<'a> {
     fn new(state: &'a State, id: &'a str) -> Self {
         let now = state.clock.now();
-        state.balance.borrow_mut().call_sent(now, id);
+        state.balancer.borrow_mut().call_sent(now, id);
         Self {
             state,
             id,
@@ -333,7 +333,7 @@
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         if !self.handed_over {
-            let mut balance = self.state.balance.borrow_mut();
+            let mut balance = self.state.balancer.borrow_mut();
             balance.call_started(self.id);
             balance.call_ended(self.id);
         }
@@ -348,7 +348,7 @@
     server: &ServerRecord,
     mut request: Request<Full<Bytes>>,
 ) -> Result<(Response<Incoming>, Connection), SendError> {
-    while let Some(mut conn) = state.pool.take(state.clock.now(), &server.id) {
+    while let Some(mut conn) = state.connection_pool.take(state.clock.now(), &server.id) {
         match conn.sender.try_send_request(request).await {
             Ok(response) => return Ok((response, conn)),
             Err(mut e) => match e.take_message() {
@@ -361,7 +361,7 @@
     let now = state.clock.now();
     let dialled = ConnectionPool::connect(now, server.addr).await;
     let mut conn = dialled.map_err(|e| {
-        state.balance.borrow_mut().connect_failed(now, &server.id);
+        state.balancer.borrow_mut().connect_failed(now, &server.id);
         SendError::NeverSent(e.to_string())
     })?;
     metrics::counter!("pimentocart_dials_total").increment(1);
@@ -385,7 +385,9 @@
     let read = response.into_body().collect();
     let read = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, read).await;
     if matches!(read, Ok(Ok(_))) {
-        state.pool.put(state.clock.now(), &server.id, conn);
+        state
+            .connection_pool
+            .put(state.clock.now(), &server.id, conn);
     }
 }
 
--- a/crates/forward/src/http.rs
+++ b/crates/forward/src/http.rs
@@ -51,7 +51,7 @@
     };
     // A caller that is told so opens its next connection elsewhere, before
     // this entry closes.
-    reply.into_response(state.stopping.is_triggered() || state.crowded())
+    reply.into_response(state.stopping.is_triggered() || state.is_congested())
 }
 
 async fn run_call(state: &Rc<State>, incoming: IncomingRequest) -> Reply {
@@ -102,7 +102,7 @@
 
 /// Counts a body that has come over the link.
 fn count_body(state: &State, body: Bytes) -> Bytes {
-    if let Some(link) = state.link.borrow_mut().as_mut() {
+    if let Some(link) = state.link_load.borrow_mut().as_mut() {
         link.record_bytes(state.clock.now(), body.len());
     }
     body
@@ -165,7 +165,7 @@
 }
 
 async fn ready(state: Data<Rc<State>>) -> HttpResponse {
-    match state.ready() {
+    match state.is_ready() {
         true => HttpResponse::Ok().finish(),
         false => HttpResponse::ServiceUnavailable().finish(),
     }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -12,7 +12,7 @@
 use crate::call::Call;
 use crate::events::Splitter;
 use crate::exchange::ResponseBody;
-use crate::state::Open;
+use crate::state::OpenCall;
 
 /// A stream on its way to a caller.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// Servers that the call was sent to.
     tried: Vec<Rc<str>>,
     /// Keeps the entry from stopping meanwhile.
-    _open: Open,
+    _open: OpenCall,
 }
 
 /// Why a stream ended before its end.
@@ -72,7 +72,7 @@
         body: ResponseBody,
         first: Bytes,
         tried: Vec<Rc<str>>,
-        open: Open,
+        open: OpenCall,
     ) -> Self {
         Self {
             last_event: call.parsed_headers.last_event,
@@ -211,7 +211,7 @@
         self.call.record_broken(&self.body.server);
         self.call
             .state
-            .balance
+            .balancer
             .borrow_mut()
             .call_failed(self.call.state.clock.now(), &from);
         let resumable = self.call.route.kind == policy::routes::CallKind::Resumable;
