--- a/crates/cli/src/commands/daemons.rs
+++ b/crates/cli/src/commands/daemons.rs
@@ -5,7 +5,7 @@
 
 use base::{logging, settings};
 use bpaf::Bpaf;
-use forward::reload::Reload;
+use forward::reload::SettingsReloader;
 use platform::dialect::Headers;
 use platform::reports::Reports;
 use platform::site::Site;
@@ -68,7 +68,7 @@
             let site = Site {
                 store: settings.store,
             };
-            let reload = Reload::new(self.settings, &settings);
+            let reload = SettingsReloader::new(self.settings, &settings);
             actix_rt::spawn(reload.watch(stop.clone()));
             forward::run(settings, Rc::new(Headers), site, stop).await
         })
--- a/crates/forward/src/call.rs
+++ b/crates/forward/src/call.rs
@@ -204,18 +204,18 @@
         if crashes.is_empty() {
             return None;
         }
-        crashes.refused(self.state.clock.now(), self.fingerprint())
+        crashes.refusal_left(self.state.clock.now(), self.fingerprint())
     }
 
     /// Notes that a server has run it whole.
     pub(crate) fn served(&self) {
-        self.state.crashes.served(self.fingerprint());
+        self.state.crashes.request_served(self.fingerprint());
     }
 
     /// Notes that its connection to `server` broke before the answer was
     /// whole.
     pub(crate) fn broke(&self, server: &ServerRecord) {
-        crashes::broke(&self.state, server, self.fingerprint());
+        crashes::connection_broken(&self.state, server, self.fingerprint());
     }
 
     /// Milliseconds since it came.
--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -22,7 +22,7 @@
 use wire::gossip;
 
 use crate::edge;
-use crate::follow::retry;
+use crate::follow::retry_delay;
 use crate::pool::{Conn, Pool};
 use crate::state::State;
 
@@ -57,7 +57,7 @@
 
 /// What an entry knows of servers that have crashed under calls.
 #[derive(Debug, Default)]
-pub struct Crashes {
+pub struct CrashTracker {
     suspects: RefCell<CrashSuspects>,
     /// Calls whose connections broke, by server, until it is known why.
     broken: RefCell<HashMap<Rc<str>, Vec<Fingerprint>>>,
@@ -70,7 +70,7 @@
     wake: Notify,
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Whether anything is held against any call.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -85,12 +85,12 @@
 
     /// For how long a call is not to be sent to any server; none if it may be.
     #[must_use]
-    pub fn refused(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
+    pub fn refusal_left(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
         self.suspects.borrow().refusal_left(now, fingerprint)
     }
 
     /// Notes that a server has run a call whole.
-    pub fn served(&self, fingerprint: Fingerprint) {
+    pub fn request_served(&self, fingerprint: Fingerprint) {
         let cleared = self.suspects.borrow_mut().request_served(fingerprint);
         for crash in cleared {
             self.tell(crash, None);
@@ -110,7 +110,7 @@
     }
 
     /// What the other entries are told, as the store has not taken it.
-    pub(crate) fn untold(&self, wall_ms: u64) -> Vec<gossip::CrashReport> {
+    pub(crate) fn unstored_reports(&self, wall_ms: u64) -> Vec<gossip::CrashReport> {
         let unwritten = self.unwritten.borrow();
         let held = unwritten
             .iter()
@@ -150,7 +150,11 @@
 
 /// Notes that the connection of call `fingerprint` to `server` broke before its
 /// answer was whole. A lost connection alone says nothing of the call.
-pub(crate) fn broke(state: &Rc<State>, server: &ServerRecord, fingerprint: Fingerprint) {
+pub(crate) fn connection_broken(
+    state: &Rc<State>,
+    server: &ServerRecord,
+    fingerprint: Fingerprint,
+) {
     let mut broken = state.crashes.broken.borrow_mut();
     let fingerprints = broken.entry(Rc::clone(&server.id)).or_default();
     let first = fingerprints.is_empty();
@@ -223,13 +227,13 @@
 
 /// Logs a call that is refused from now on.
 fn note_refused(state: &State, now: Instant, fingerprint: Fingerprint) {
-    if state.crashes.refused(now, fingerprint).is_some() {
+    if state.crashes.refusal_left(now, fingerprint).is_some() {
         warn!("call crashes servers", kv: { fingerprint = fingerprint.to_string().as_str() });
     }
 }
 
 /// Puts news of the table to use; `whole` says whether it was read anew.
-pub(crate) fn take(state: &State, now: Instant, news: Records<u64>, whole: bool) {
+pub(crate) fn apply_changes(state: &State, now: Instant, news: Records<u64>, whole: bool) {
     if !news.is_empty() {
         state.tables.changed.notify_waiters();
     }
@@ -250,7 +254,7 @@
 }
 
 /// Holds crashes that another entry tells of.
-pub(crate) fn hear(state: &State, now: Instant, crashes: &[gossip::CrashReport]) {
+pub(crate) fn add_reports(state: &State, now: Instant, crashes: &[gossip::CrashReport]) {
     for said in crashes {
         let crash = Crash {
             fingerprint: Fingerprint(said.fingerprint),
@@ -315,7 +319,7 @@
 }
 
 /// Tells the store until `end`.
-pub async fn write<E: edge::Crashes>(state: Rc<State>, table: E, end: StopSignal) {
+pub async fn write_to_store<E: edge::Crashes>(state: Rc<State>, table: E, end: StopSignal) {
     let mut failures = 0;
     while !end.is_triggered() {
         let batch = state.crashes.batch();
@@ -333,7 +337,7 @@
             }
             Err(e) => {
                 failures += 1;
-                pause = pause.max(retry(failures));
+                pause = pause.max(retry_delay(failures));
                 if failures == 1 {
                     warn!("crashes not written", kv: {
                         count = batch.len(), cause = e.to_string().as_str()
--- a/crates/forward/src/finding.rs
+++ b/crates/forward/src/discovery.rs
@@ -8,21 +8,26 @@
 use spdlog::warn;
 
 use crate::edge::Directory;
-use crate::gossip::Voice;
+use crate::gossip::GossipEndpoint;
 use crate::state::State;
 
 /// An entry that was asked takes this one to speak again within that time.
 const WITHIN: Duration = Duration::from_secs(1);
 
 /// Finds other entries until `end`.
-pub async fn run<D: Directory>(state: Rc<State>, voice: Rc<Voice>, directory: D, end: StopSignal) {
+pub async fn run<D: Directory>(
+    state: Rc<State>,
+    endpoint: Rc<GossipEndpoint>,
+    directory: D,
+    end: StopSignal,
+) {
     let addr = state.settings.gossip;
     let mut rewinds = 0;
     let mut lost = false;
     while !end.is_triggered() {
         let now = state.clock.now();
         // A store that came back from an old copy may lack the address.
-        let seen = state.tables.rewinds.get();
+        let seen = state.tables.restore_count.get();
         if std::mem::replace(&mut rewinds, seen) != seen {
             state.finder.borrow_mut().announcement_lost();
         }
@@ -33,7 +38,7 @@
         let step = state.finder.borrow_mut().next_step(now, first, relayed);
         let failed = match step {
             DiscoveryStep::Ask(addr) => {
-                voice.ask(addr, WITHIN);
+                endpoint.request_members(addr, WITHIN);
                 continue;
             }
             DiscoveryStep::Wait(pause) => {
--- a/crates/forward/src/events.rs
+++ b/crates/forward/src/events.rs
@@ -14,7 +14,7 @@
 /// half would see it joined to the event with which another server goes on;
 /// handing out whole events only is enough to prevent that.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     buffer: BytesMut,
     /// Bytes of the buffer that were searched already.
     searched: usize,
@@ -26,17 +26,17 @@
     /// Its bytes, with the blank line that ends it.
     pub bytes: Bytes,
     /// Its number, if it has one.
-    pub number: Option<u64>,
+    pub id: Option<u64>,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes bytes in.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// The next whole event, if there is one.
-    pub fn event(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<Event> {
         let from = self.searched.saturating_sub(BLANK_MOST - 1);
         let Some(end) = blank(&self.buffer[from..]) else {
             self.searched = self.buffer.len();
@@ -44,18 +44,18 @@
         };
         self.searched = 0;
         let bytes = self.buffer.split_to(from + end).freeze();
-        let number = number(&bytes);
-        Some(Event { bytes, number })
+        let id = event_id(&bytes);
+        Some(Event { bytes, id })
     }
 
     /// Bytes that no event has ended yet.
     #[must_use]
-    pub fn rest(&self) -> usize {
+    pub fn pending_len(&self) -> usize {
         self.buffer.len()
     }
 
     /// Takes the bytes that no event has ended.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_pending(&mut self) -> Bytes {
         self.searched = 0;
         self.buffer.split().freeze()
     }
@@ -73,7 +73,7 @@
     blanks.next()
 }
 
-fn number(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|b| *b == b'\n')
         .find(|l| l.starts_with(NUMBER))?;
--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/follow.rs
@@ -16,7 +16,7 @@
 use crate::crashes;
 use crate::edge::{Changes, Source, SourceError};
 use crate::state::State;
-use crate::tables::{use_catalogs, use_servers};
+use crate::tables::{apply_catalogs, apply_servers};
 
 /// How long the store may hold a question for which there is no new catalog.
 /// A question that got lost with its link costs so long, which must stay well
@@ -106,7 +106,7 @@
             .catalog
             .borrow_mut()
             .apply_store_update(update, asked);
-        use_catalogs(&state, news);
+        apply_catalogs(&state, news);
     }
 }
 
@@ -135,9 +135,9 @@
             .servers
             .borrow_mut()
             .apply_store_update(update, asked);
-        use_servers(&state, now, news);
-        let away = !state.tables.settling(now).is_zero();
-        tokio::time::sleep(pause(away, state.rivals())).await;
+        apply_servers(&state, now, news);
+        let away = !state.tables.settling_left(now).is_zero();
+        tokio::time::sleep(poll_delay(away, state.rivals())).await;
     }
 }
 
@@ -170,7 +170,7 @@
         } else {
             GATHER_CRASHES
         };
-        crashes::take(&state, state.clock.now(), news, whole);
+        crashes::apply_changes(&state, state.clock.now(), news, whole);
         tokio::time::sleep(pause).await;
     }
 }
@@ -224,7 +224,7 @@
 
 /// How long to wait after so many failures in a row.
 #[must_use]
-pub fn retry(failures: u32) -> Duration {
+pub fn retry_delay(failures: u32) -> Duration {
     let doubled = RETRY.saturating_mul(1 << failures.saturating_sub(1).min(8));
     doubled.min(RETRY_MOST)
 }
@@ -232,7 +232,7 @@
 /// How long to wait before servers are read again: `away` says whether the
 /// store was away a moment ago, `entries` how many other entries read it too.
 #[must_use]
-pub fn pause(away: bool, entries: usize) -> Duration {
+pub fn poll_delay(away: bool, entries: usize) -> Duration {
     match (away, entries >= MANY) {
         (true, _) => GATHER_BACK,
         (false, true) => GATHER_MANY,
@@ -277,7 +277,7 @@
             .readers
             .borrow_mut()
             .store_retry_delay(state.clock.now());
-        retry(self.failures).max(aside.unwrap_or_default())
+        retry_delay(self.failures).max(aside.unwrap_or_default())
     }
 
     /// What the store says of a table that is held up to `from`; it may keep
@@ -350,7 +350,7 @@
         self.failures = 0;
         // Whatever lapsed meanwhile shows only in a whole table.
         self.whole = !whole;
-        state.tables.regained(state.clock.now());
+        state.tables.store_recovered(state.clock.now());
         state.regained.notify_waiters();
     }
 
@@ -359,7 +359,10 @@
         let rewound = matches!(e, SourceError::Rewound { .. });
         self.rewound |= rewound;
         if rewound {
-            state.tables.rewinds.set(state.tables.rewinds.get() + 1);
+            state
+                .tables
+                .restore_count
+                .set(state.tables.restore_count.get() + 1);
         }
         self.whole |= rewound || matches!(e, SourceError::Expired { .. });
         self.failures = self.failures.saturating_add(1);
--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -3,7 +3,7 @@
 //!
 //! Without any other entry it goes by its own calls.
 
-mod words;
+mod convert;
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -13,6 +13,7 @@
 
 use base::ids::Incarnation;
 use base::stop::StopSignal;
+use convert::{calls_at, millis, number, read, service, write};
 use policy::balance::TurnSchedule;
 use policy::peer_load::{EXPIRY_INTERVALS, Intervals};
 use policy::pools::ServiceDemand;
@@ -20,7 +21,6 @@
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
 use wire::gossip::{self, EntryLoad, LoadScope, Membership, Message, WantedReply};
-use words::{calls_at, millis, number, read, service, write};
 
 use crate::crashes;
 use crate::state::{State, link_mbps, zone_number};
@@ -45,7 +45,7 @@
 const RETRY: Duration = Duration::from_millis(400);
 
 /// How an entry speaks to others.
-pub struct Voice {
+pub struct GossipEndpoint {
     state: Rc<State>,
     socket: UdpSocket,
     life: u64,
@@ -54,15 +54,15 @@
     sums: RefCell<Option<(Instant, EntryLoad)>>,
 }
 
-impl std::fmt::Debug for Voice {
+impl std::fmt::Debug for GossipEndpoint {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Voice")
+        f.debug_struct("GossipEndpoint")
             .field("life", &self.life)
             .finish_non_exhaustive()
     }
 }
 
-impl Voice {
+impl GossipEndpoint {
     /// Makes the voice of an entry that hears others on `socket`.
     #[must_use]
     pub fn new(state: Rc<State>, socket: UdpSocket) -> Rc<Self> {
@@ -102,7 +102,7 @@
 
     /// Asks the entry at `addr` which others there are; it hears by that that
     /// this one is there, which asks again `within` that time.
-    pub fn ask(&self, addr: SocketAddr, within: Duration) {
+    pub fn request_members(&self, addr: SocketAddr, within: Duration) {
         let saying = EntryLoad {
             interval_ms: millis(within),
             wanted_reply: WantedReply::Entries,
@@ -195,7 +195,7 @@
             entries: 1,
             services: services.iter().map(service).collect(),
             calls: calls.into_iter().map(calls_at).collect(),
-            crashes: state.crashes.untold(state.clock.wall_ms()),
+            crashes: state.crashes.unstored_reports(state.clock.wall_ms()),
         }
     }
 
@@ -243,7 +243,7 @@
         if let Some(duties) = &*state.duties.borrow() {
             duties.hear(from, seat.rank(), within, said.wall_ms);
         }
-        crashes::hear(state, now, &said.crashes);
+        crashes::add_reports(state, now, &said.crashes);
         state.others.borrow_mut().observe(now, read(said));
         match said.wanted_reply {
             WantedReply::Nothing => {}
@@ -332,7 +332,7 @@
         let Some(sums) = &answer.totals else {
             return;
         };
-        crashes::hear(state, now, &sums.crashes);
+        crashes::add_reports(state, now, &sums.crashes);
         state.others.borrow_mut().observe(now, read(sums));
         metrics::counter!("pimentocart_sums_heard_total").increment(1);
     }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`tables`]: what they say, put to use.
 //! - [`state`]: the catalog in force, the known servers, what is open.
 //! - [`grants`]: asking the sidecars beside engines.
-//! - [`finding`]: finding the other entries.
+//! - [`discovery`]: finding the other entries.
 //! - [`gossip`]: what entries tell each other.
 //! - [`http`]: the callers' side.
 //! - [`call`]: one call, and getting it to run.
@@ -25,12 +25,12 @@
 
 pub mod call;
 pub mod crashes;
+pub mod discovery;
 pub mod drain;
 pub mod duties;
 pub mod edge;
 pub mod events;
 pub mod exchange;
-pub mod finding;
 pub mod follow;
 pub mod gossip;
 pub mod grants;
@@ -53,7 +53,7 @@
 use base::stop::StopSignal;
 use duties::Duties;
 use edge::{Dialect, Platform};
-use gossip::Voice;
+use gossip::GossipEndpoint;
 use spdlog::{info, warn};
 use tokio::net::UdpSocket;
 
@@ -101,21 +101,21 @@
     if let Some(duties) = duties {
         start_duties(&state, duties, &platform, &end);
     }
-    actix_rt::spawn(neighbours::serve(Rc::clone(&state), end.clone()));
+    actix_rt::spawn(neighbours::bind_and_answer(Rc::clone(&state), end.clone()));
     actix_rt::spawn(neighbours::follow(Rc::clone(&state), end.clone()));
     actix_rt::spawn(follow::catalogs(Rc::clone(&state), platform.catalogs()));
     actix_rt::spawn(follow::servers(Rc::clone(&state), platform.servers()));
     actix_rt::spawn(follow::crashes(Rc::clone(&state), platform.crashes()));
-    actix_rt::spawn(crashes::write(
+    actix_rt::spawn(crashes::write_to_store(
         Rc::clone(&state),
         platform.crashes(),
         end.clone(),
     ));
-    let voice = Voice::new(Rc::clone(&state), socket);
-    actix_rt::spawn(Rc::clone(&voice).run(end.clone()));
-    actix_rt::spawn(finding::run(
+    let endpoint = GossipEndpoint::new(Rc::clone(&state), socket);
+    actix_rt::spawn(Rc::clone(&endpoint).run(end.clone()));
+    actix_rt::spawn(discovery::run(
         Rc::clone(&state),
-        voice,
+        endpoint,
         platform.directory(),
         end.clone(),
     ));
--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -17,7 +17,7 @@
 
 use crate::crashes;
 use crate::state::State;
-use crate::tables::{forget, use_catalogs, use_servers};
+use crate::tables::{apply_catalogs, apply_servers, forget_missing};
 
 /// How long a neighbour may hold a question. What it tells is as old as its
 /// own last read, so a longer time would cost freshness without a change.
@@ -85,7 +85,7 @@
 ) -> Option<NeighbourClient> {
     let asked = exchange(state, addr, link).await;
     let now = state.clock.now();
-    forget(state, now);
+    forget_missing(state, now);
     match asked {
         Ok((link, age)) => {
             if age.is_some_and(|age| age <= TAKEOVER_AGE) {
@@ -151,21 +151,21 @@
 ) -> Result<Option<Duration>, Error> {
     let now = state.clock.now();
     let settling = Duration::from_millis(u64::from(told.settling_ms));
-    state.tables.settle(now, settling);
+    state.tables.extend_settling(now, settling);
     let ages = told.catalog.as_ref().zip(told.servers.as_ref());
     let age =
         ages.map(|(c, s)| Duration::from_millis(u64::from(c.staleness_ms.max(s.staleness_ms))));
     if let Some(part) = told.catalog {
         let news = merge(&mut state.tables.catalog.borrow_mut(), now, from, &part)?;
-        use_catalogs(state, news);
+        apply_catalogs(state, news);
     }
     if let Some(part) = told.servers {
         let news = merge(&mut state.tables.servers.borrow_mut(), now, from, &part)?;
-        use_servers(state, now, news);
+        apply_servers(state, now, news);
     }
     if let Some(part) = told.crashes {
         let news = merge(&mut state.tables.crashes.borrow_mut(), now, from, &part)?;
-        crashes::take(state, now, news, part.snapshot);
+        crashes::apply_changes(state, now, news, part.snapshot);
     }
     Ok(age)
 }
@@ -197,7 +197,7 @@
 struct Desk(Rc<State>);
 
 /// Answers neighbours on `listener` until `end`.
-pub async fn answer(listener: TcpListener, state: Rc<State>, end: StopSignal) {
+pub async fn answer_requests(listener: TcpListener, state: Rc<State>, end: StopSignal) {
     tables::serve_tables(listener, Desk(state), end).await;
 }
 
@@ -207,11 +207,11 @@
 /// Another process may have the port. An entry that ended for it would serve
 /// no caller for as long; without it, it serves them all, and its neighbours
 /// pass it over and ask the next one.
-pub(crate) async fn serve(state: Rc<State>, end: StopSignal) {
+pub(crate) async fn bind_and_answer(state: Rc<State>, end: StopSignal) {
     let mut warned = false;
     while !end.is_triggered() {
         match base::listen("tables", state.settings.gossip).await {
-            Ok(listener) => return answer(listener, state, end).await,
+            Ok(listener) => return answer_requests(listener, state, end).await,
             Err(e) if !warned => {
                 warn!("neighbours not answered", kv: { cause = e.to_string().as_str() });
                 warned = true;
@@ -231,7 +231,7 @@
         }
         let hold = Duration::from_millis(u64::from(ask.wait_ms)).min(HOLD_MOST);
         let news = async {
-            while !state.tables.newer(&ask) {
+            while !state.tables.has_changes_since(&ask) {
                 state.tables.changed.notified().await;
             }
         };
@@ -243,7 +243,7 @@
             catalog: part(&tables.catalog.borrow(), now, ask.catalog),
             servers: part(&tables.servers.borrow(), now, ask.servers),
             crashes: part(&tables.crashes.borrow(), now, ask.crashes),
-            settling_ms: millis(tables.settling(now)),
+            settling_ms: millis(tables.settling_left(now)),
         }
     }
 }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -10,7 +10,7 @@
 use spdlog::info;
 
 use crate::call::Call;
-use crate::events::Splitter;
+use crate::events::EventSplitter;
 use crate::exchange::Body;
 use crate::state::Open;
 
@@ -19,7 +19,7 @@
 pub struct Relay {
     call: Rc<Call>,
     body: Body,
-    splitter: Splitter,
+    splitter: EventSplitter,
     /// Bytes that came before the caller was answered.
     first: Option<Bytes>,
     /// The number of the last event that was passed on.
@@ -71,7 +71,7 @@
         Self {
             last: call.ask.last_event,
             body,
-            splitter: Splitter::default(),
+            splitter: EventSplitter::default(),
             first: Some(first),
             count: 0,
             steady: true,
@@ -134,11 +134,11 @@
                     .fail();
                 }
                 Ok(Ok(Some(bytes))) => self.splitter.push(&bytes),
-                Ok(Ok(None)) if self.splitter.rest() == 0 => return Ok(None),
+                Ok(Ok(None)) if self.splitter.pending_len() == 0 => return Ok(None),
                 // Whole by its framing, whatever its last bytes look like; what
                 // follows another server's part must be events.
                 Ok(Ok(None)) if self.body.framed && !self.resumed => {
-                    return Ok(Some(self.splitter.take_rest()));
+                    return Ok(Some(self.splitter.take_pending()));
                 }
                 Ok(Ok(None)) => self.go_on("ended inside an event").await?,
                 Ok(Err(cause)) => self.go_on(&cause).await?,
@@ -149,11 +149,11 @@
     /// The events that are whole by now, as one piece.
     fn whole_events(&mut self) -> Result<Option<Bytes>, Cut> {
         let mut piece = Vec::new();
-        while let Some(event) = self.splitter.event() {
-            if let (Some(last), Some(number)) = (self.last, event.number) {
+        while let Some(event) = self.splitter.next_event() {
+            if let (Some(last), Some(number)) = (self.last, event.id) {
                 self.check(last, number)?;
             }
-            self.last = event.number.or(self.last);
+            self.last = event.id.or(self.last);
             self.count += 1;
             piece.extend_from_slice(&event.bytes);
         }
@@ -212,7 +212,7 @@
         if !resumable || self.last.is_none() && self.count > 0 {
             return Err(broken(from, cause));
         }
-        self.splitter.take_rest();
+        self.splitter.take_pending();
         let went = Rc::clone(&self.call)
             .resume(self.last, &mut self.tried)
             .await;
--- a/crates/forward/src/reload.rs
+++ b/crates/forward/src/reload.rs
@@ -14,12 +14,12 @@
 
 /// Reads the settings of one entry again when told to.
 #[derive(Debug)]
-pub struct Reload {
+pub struct SettingsReloader {
     path: PathBuf,
     held: Settings,
 }
 
-impl Reload {
+impl SettingsReloader {
     /// Makes a reload of the settings at `path`, which are `held` now.
     #[must_use]
     pub fn new(path: PathBuf, held: &Settings) -> Self {
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -20,13 +20,13 @@
 
 use tokio::sync::Notify;
 
-use crate::crashes::{self, Crashes};
+use crate::crashes::{self, CrashTracker};
 use crate::duties::Duties;
 use crate::edge::Dialect;
 use crate::grants::Sidecars;
 use crate::pool::Pool;
 use crate::settings::Settings;
-use crate::tables::Tables;
+use crate::tables::TableReplicas;
 
 /// How often idle connections are looked through. Nothing waits for it: a
 /// connection whose time is over is not used either way.
@@ -52,7 +52,7 @@
     /// How long calls wait at engines.
     pub waits: RefCell<WaitEstimator>,
     /// Copies of the store's tables.
-    pub tables: Tables,
+    pub tables: TableReplicas,
     /// Who reads the store in this availability zone.
     pub readers: RefCell<ZoneReaders>,
     /// What other entries have in progress.
@@ -70,7 +70,7 @@
     /// What one entry does for all, if there is anything.
     pub duties: RefCell<Option<Rc<Duties>>>,
     /// Servers that have crashed under calls.
-    pub crashes: Crashes,
+    pub crashes: CrashTracker,
     /// Connections to servers.
     pub pool: Pool,
     /// Wakes those who wait for the store when it answers again.
@@ -106,7 +106,7 @@
             balance: RefCell::new(Balancer::new(&settings.zone)),
             pools: RefCell::default(),
             waits: RefCell::default(),
-            tables: Tables::default(),
+            tables: TableReplicas::default(),
             readers: RefCell::new(ZoneReaders::new(own_rank(&settings))),
             others: RefCell::default(),
             roster: RefCell::new(Roster::new(own_seat(&settings), settings.duties.is_some())),
@@ -122,7 +122,7 @@
             catalog: RefCell::default(),
             sidecars: RefCell::default(),
             duties: RefCell::default(),
-            crashes: Crashes::default(),
+            crashes: CrashTracker::default(),
             pool: Pool::default(),
             regained: Notify::new(),
             speak: Notify::new(),
--- a/crates/forward/src/tables.rs
+++ b/crates/forward/src/tables.rs
@@ -16,7 +16,7 @@
 
 /// Servers whose entries lapsed while the store was away write them anew
 /// within two seconds of its return. Those still missing then are gone.
-pub(crate) const RETURN: Duration = Duration::from_secs(2);
+pub(crate) const REREGISTRATION_TIME: Duration = Duration::from_secs(2);
 
 /// A server that goes missing while the store answers has left, and may take
 /// its last calls for about two seconds.
@@ -32,7 +32,7 @@
 
 /// Copies of the tables.
 #[derive(Debug, Default)]
-pub struct Tables {
+pub struct TableReplicas {
     /// What the operators declare.
     pub catalog: RefCell<Replica<Rc<Catalog>>>,
     /// The backend servers.
@@ -42,20 +42,20 @@
     /// Wakes those who wait for a change of any.
     pub changed: Notify,
     /// How often the store was seen to have come back from an old copy.
-    pub(crate) rewinds: Cell<u32>,
+    pub(crate) restore_count: Cell<u32>,
     /// Until when servers may be missing though they live.
     settling: Cell<Option<Instant>>,
 }
 
-impl Tables {
+impl TableReplicas {
     /// Notes that the store has come back.
-    pub fn regained(&self, now: Instant) {
-        self.settle(now, SETTLE);
+    pub fn store_recovered(&self, now: Instant) {
+        self.extend_settling(now, SETTLE);
     }
 
     /// Notes that it came back a while ago and `left` remains of the time in
     /// which servers may be missing.
-    pub(crate) fn settle(&self, now: Instant, left: Duration) {
+    pub(crate) fn extend_settling(&self, now: Instant, left: Duration) {
         let until = Some(now + left);
         self.settling.set(self.settling.get().max(until));
     }
@@ -69,7 +69,7 @@
     }
 
     /// Whether there is news for one who asks.
-    pub(crate) fn newer(&self, ask: &ChangesRequest) -> bool {
+    pub(crate) fn has_changes_since(&self, ask: &ChangesRequest) -> bool {
         let catalog = self.catalog.borrow().has_changes_since(ask.catalog);
         let servers = self.servers.borrow().has_changes_since(ask.servers);
         catalog || servers || self.crashes.borrow().has_changes_since(ask.crashes)
@@ -77,14 +77,14 @@
 
     /// For how much longer servers may be missing though they live.
     #[must_use]
-    pub fn settling(&self, now: Instant) -> Duration {
+    pub fn settling_left(&self, now: Instant) -> Duration {
         let until = self.settling.get();
         until.map_or(Duration::ZERO, |at| at.saturating_duration_since(now))
     }
 }
 
 /// Puts news of the catalog to use.
-pub(crate) fn use_catalogs(state: &State, news: Records<Rc<Catalog>>) {
+pub(crate) fn apply_catalogs(state: &State, news: Records<Rc<Catalog>>) {
     if !news.is_empty() {
         state.tables.changed.notify_waiters();
     }
@@ -109,12 +109,12 @@
 }
 
 /// Puts news of the servers to use.
-pub(crate) fn use_servers(state: &State, now: Instant, news: Records<ServerRecord>) {
+pub(crate) fn apply_servers(state: &State, now: Instant, news: Records<ServerRecord>) {
     if !news.is_empty() {
         state.tables.changed.notify_waiters();
     }
-    let away = !state.tables.settling(now).is_zero();
-    let until = now + if away { RETURN } else { LEAVE };
+    let away = !state.tables.settling_left(now).is_zero();
+    let until = now + if away { REREGISTRATION_TIME } else { LEAVE };
     let many = news.len() > LOGGED;
     if many {
         info!("servers listed", kv: { count = news.len() });
@@ -125,13 +125,17 @@
             None => miss(state, now, &id, until),
         }
     }
-    forget(state, now);
+    forget_missing(state, now);
     state.listed.set(true);
 }
 
 /// Forgets the servers that have been missing for long.
-pub(crate) fn forget(state: &State, now: Instant) {
-    for id in state.balance.borrow_mut().forget_missing(now, RETURN) {
+pub(crate) fn forget_missing(state: &State, now: Instant) {
+    for id in state
+        .balance
+        .borrow_mut()
+        .forget_missing(now, REREGISTRATION_TIME)
+    {
         state.pool.forget(&id);
         info!("server forgotten", kv: { server = &*id });
     }
--- a/crates/forward/tests/events.rs
+++ b/crates/forward/tests/events.rs
@@ -1,6 +1,6 @@
 //! Where the events of a stream end.
 
-use forward::events::Splitter;
+use forward::events::EventSplitter;
 use proptest::prelude::*;
 
 proptest! {
@@ -17,29 +17,29 @@
         let event = |(i, text): (usize, &String)| format!("id: {i}\ndata: {text}\n\n");
         let events: Vec<String> = texts.iter().enumerate().map(event).collect();
         let all = events.concat() + &tail;
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let (mut rest, mut out, mut cuts) = (all.as_bytes(), Vec::new(), cuts.iter().cycle());
         while !rest.is_empty() {
             let length = rest.len().min(*cuts.next().unwrap_or(&1));
             splitter.push(&rest[..length]);
             rest = &rest[length..];
-            while let Some(event) = splitter.event() {
-                out.push((event.number, String::from_utf8_lossy(&event.bytes).into_owned()));
+            while let Some(event) = splitter.next_event() {
+                out.push((event.id, String::from_utf8_lossy(&event.bytes).into_owned()));
             }
         }
         let wanted: Vec<_> = events.into_iter().enumerate().map(|(i, e)| (Some(i as u64), e)).collect();
         prop_assert_eq!(out, wanted);
-        prop_assert_eq!(splitter.take_rest(), tail.as_bytes());
+        prop_assert_eq!(splitter.take_pending(), tail.as_bytes());
     }
 
     #[test]
     fn any_bytes_are_taken(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         splitter.push(&bytes);
         let mut taken = 0;
-        while let Some(event) = splitter.event() {
+        while let Some(event) = splitter.next_event() {
             taken += event.bytes.len();
         }
-        prop_assert_eq!(taken + splitter.rest(), bytes.len());
+        prop_assert_eq!(taken + splitter.pending_len(), bytes.len());
     }
 }
--- a/crates/forward/tests/tables/crashes.rs
+++ b/crates/forward/tests/tables/crashes.rs
@@ -125,8 +125,12 @@
     let state = State::new(settings, Rc::new(Mute), Rc::new(SystemClock));
     let (follows, writes) = (Rc::clone(&state), Rc::clone(&state));
     actix_rt::spawn(follow::crashes(follows, table.clone()));
-    actix_rt::spawn(crashes::write(writes, table.clone(), StopSignal::new()));
-    actix_rt::spawn(neighbours::answer(
+    actix_rt::spawn(crashes::write_to_store(
+        writes,
+        table.clone(),
+        StopSignal::new(),
+    ));
+    actix_rt::spawn(neighbours::answer_requests(
         listener,
         Rc::clone(&state),
         StopSignal::new(),
@@ -148,7 +152,10 @@
 }
 
 fn refused(state: &State) -> bool {
-    state.crashes.refused(state.clock.now(), fatal()).is_some()
+    state
+        .crashes
+        .refusal_left(state.clock.now(), fatal())
+        .is_some()
 }
 
 /// Guards against a request being passed on by an entry that no server has
@@ -214,7 +221,7 @@
     until("refused", || refused(&state)).await;
     let other = entry(&table).await;
     until("refused there too", || refused(&other)).await;
-    other.crashes.served(fatal());
+    other.crashes.request_served(fatal());
     until("gone from the store", || table.records().is_empty()).await;
     until("let go", || !refused(&state)).await;
 }
--- a/crates/forward/tests/tables/follow.rs
+++ b/crates/forward/tests/tables/follow.rs
@@ -209,10 +209,10 @@
 #[test]
 fn servers_read_often_after_an_outage() {
     for entries in [0, 3, 100] {
-        assert!(follow::pause(true, entries) * 5 <= Duration::from_secs(1));
-        assert!(follow::pause(false, entries) * 2 >= Duration::from_secs(1));
+        assert!(follow::poll_delay(true, entries) * 5 <= Duration::from_secs(1));
+        assert!(follow::poll_delay(false, entries) * 2 >= Duration::from_secs(1));
     }
-    assert!(follow::pause(false, 100) > follow::pause(false, 3));
+    assert!(follow::poll_delay(false, 100) > follow::poll_delay(false, 3));
 }
 
 /// The store is away for seconds. The first questions follow each other soon,
@@ -223,5 +223,5 @@
 #[case::third(3, 600)]
 #[case::later(40, 600)]
 fn retry_backs_off(#[case] failures: u32, #[case] ms: u64) {
-    assert_eq!(follow::retry(failures), Duration::from_millis(ms));
+    assert_eq!(follow::retry_delay(failures), Duration::from_millis(ms));
 }
--- a/crates/forward/tests/tables/neighbours.rs
+++ b/crates/forward/tests/tables/neighbours.rs
@@ -158,7 +158,8 @@
         actix_rt::spawn(follow::servers(Rc::clone(&state), servers.clone()));
         match answers {
             true => {
-                let answer = neighbours::answer(listener, Rc::clone(&state), StopSignal::new());
+                let answer =
+                    neighbours::answer_requests(listener, Rc::clone(&state), StopSignal::new());
                 actix_rt::spawn(answer);
             }
             false => drop(actix_rt::spawn(async move {
