--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -1,7 +1,7 @@
-//! Telling the other entries what this one has in progress, and hearing what
-//! they have. `policy::roster` says whom it tells.
+//! Exchange of load reports and membership between entries over UDP.
+//! `policy::roster` selects the entries to which this one reports.
 //!
-//! Without any other entry it goes by its own calls.
+//! While no other entry is known, decisions use only this entry's own load.
 
 mod convert;
 
@@ -13,7 +13,7 @@
 
 use base::ids::Incarnation;
 use base::stop::StopSignal;
-use convert::{calls_at, millis, number, read, service, write};
+use convert::{decode_load, encode_load, millis, server_calls, service_load, service_number};
 use policy::balance::TurnSchedule;
 use policy::peer_load::{EXPIRY_INTERVALS, Intervals};
 use policy::pools::ServiceDemand;
@@ -25,165 +25,171 @@
 use crate::crashes;
 use crate::state::{State, link_mbps, zone_number};
 
-/// Bytes around the contents of a datagram.
-const FRAME: usize = 28;
+/// Bytes of the IPv4 and UDP headers of a datagram.
+const DATAGRAM_OVERHEAD: usize = 28;
 
-/// An entry that was heard counts as there for so long at the least. Those who
-/// tell all others go on telling one that was cut off for a while.
-const SILENT: Duration = Duration::from_secs(30);
+/// Minimum time for which an entry counts as present after a message from it. In a full
+/// mesh, it keeps getting reports while it is unreachable for a short time.
+const MIN_ENTRY_TTL: Duration = Duration::from_secs(30);
 
-/// The same where relays pass on what is told: one that has ended is replaced.
-const SILENT_RELAYED: Duration = Duration::from_secs(8);
+/// [`MIN_ENTRY_TTL`] while relays are used: shorter, so that a relay that has ended is
+/// soon replaced.
+const MIN_RELAYED_ENTRY_TTL: Duration = Duration::from_secs(8);
 
-/// Entries that are named in one datagram.
-const NAMED: usize = 64;
+/// Maximum number of entries listed in one datagram.
+const MAX_DATAGRAM_MEMBERS: usize = 64;
 
-/// For how long a relay answers with the same sums.
-const SUMS_KEPT: Duration = Duration::from_millis(250);
+/// Time for which a relay answers with the same computed totals.
+const TOTALS_TTL: Duration = Duration::from_millis(250);
 
-/// The pause after hearing failed.
-const RETRY: Duration = Duration::from_millis(400);
+/// Delay after a receive error.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How an entry speaks to others.
+/// Sends and receives the gossip of one entry.
 pub struct GossipEndpoint {
     state: Rc<State>,
     socket: UdpSocket,
-    life: u64,
+    incarnation: u64,
     seq: Cell<u32>,
-    /// What all entries have, as it was worked out last.
-    sums: RefCell<Option<(Instant, EntryLoad)>>,
+    /// The last computed load of all entries, and when it was computed.
+    totals: RefCell<Option<(Instant, EntryLoad)>>,
 }
 
 impl std::fmt::Debug for GossipEndpoint {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("GossipEndpoint")
-            .field("life", &self.life)
+            .field("incarnation", &self.incarnation)
             .finish_non_exhaustive()
     }
 }
 
 impl GossipEndpoint {
-    /// Makes the voice of an entry that hears others on `socket`.
+    /// Creates the endpoint of an entry that receives gossip on `socket`.
     #[must_use]
     pub fn new(state: Rc<State>, socket: UdpSocket) -> Rc<Self> {
         Rc::new(Self {
             state,
             socket,
-            life: Incarnation::random().0,
+            incarnation: Incarnation::random().0,
             seq: Cell::new(0),
-            sums: RefCell::default(),
+            totals: RefCell::default(),
         })
     }
 
-    /// Tells and hears until `end`.
+    /// Sends reports and receives messages until `end`.
     pub async fn run(self: Rc<Self>, end: StopSignal) {
-        actix_rt::spawn(Rc::clone(&self).hear());
-        let mut far_due = self.state.clock.now();
+        actix_rt::spawn(Rc::clone(&self).receive());
+        let mut other_zones_due = self.state.clock.now();
         while !end.is_triggered() {
             let now = self.state.clock.now();
             self.state.roster.borrow_mut().expire(now);
             let targets = self.state.roster.borrow_mut().targets();
-            let every = match targets {
+            let interval = match targets {
                 Targets::FullMesh {
                     same_zone,
                     other_zones,
-                } => self.tell_all(now, &same_zone, &other_zones, &mut far_due),
+                } => self.report_to_all(now, &same_zone, &other_zones, &mut other_zones_due),
                 Targets::Relays {
                     same_zone,
                     other_zones,
                     members,
-                } => self.tell_relays(now, &same_zone, &other_zones, members),
+                } => self.report_to_relays(now, &same_zone, &other_zones, members),
             };
-            // Either way it is time to speak.
-            let _ = tokio::time::timeout(every, self.state.speak.notified()).await;
-            self.take_over(self.state.clock.now());
+            // The next report is due both on a timeout and on a notification.
+            let _ = tokio::time::timeout(interval, self.state.speak.notified()).await;
+            self.apply_peer_loads(self.state.clock.now());
         }
     }
 
-    /// Asks the entry at `addr` which others there are; it hears by that that
-    /// this one is there, which asks again `within` that time.
-    pub fn request_members(&self, addr: SocketAddr, within: Duration) {
-        let saying = EntryLoad {
-            interval_ms: millis(within),
+    /// Asks the entry at `addr` for the entries that it knows. The request carries this
+    /// entry's load and announces its next message within `interval`.
+    pub fn request_members(&self, addr: SocketAddr, interval: Duration) {
+        let load = EntryLoad {
+            interval_ms: millis(interval),
             wanted_reply: WantedReply::Entries,
-            ..self.saying(self.state.clock.now())
+            ..self.own_load(self.state.clock.now())
         };
-        self.send(&[addr], Message::Load(saying));
+        self.send(&[addr], Message::Load(load));
     }
 
-    /// Tells all others; returns when to speak again.
-    fn tell_all(
+    /// Reports to all other entries; returns the time until the next report.
+    fn report_to_all(
         &self,
         now: Instant,
-        near: &[SocketAddr],
-        far: &[SocketAddr],
-        far_due: &mut Instant,
+        same_zone: &[SocketAddr],
+        other_zones: &[SocketAddr],
+        other_zones_due: &mut Instant,
     ) -> Duration {
-        let said = self.saying(now);
-        let bytes = gossip::encode(Message::Load(said.clone())).len() + FRAME;
-        let every = Intervals::new(bytes * near.len(), bytes * far.len());
-        let tell = |targets: &[SocketAddr], every: Duration| {
-            let interval_ms = millis(every);
-            let said = said.clone();
+        let load = self.own_load(now);
+        let bytes = gossip::encode(Message::Load(load.clone())).len() + DATAGRAM_OVERHEAD;
+        let intervals = Intervals::new(bytes * same_zone.len(), bytes * other_zones.len());
+        let report = |targets: &[SocketAddr], interval: Duration| {
+            let interval_ms = millis(interval);
+            let load = load.clone();
             self.send(
                 targets,
                 Message::Load(EntryLoad {
                     interval_ms,
-                    ..said
+                    ..load
                 }),
             );
         };
-        tell(near, every.same_zone);
-        if now >= *far_due {
-            tell(far, every.other_zones);
-            // Rounds come each `near`; the one closest to the time is taken.
-            *far_due = now + every.other_zones.saturating_sub(every.same_zone / 2);
+        report(same_zone, intervals.same_zone);
+        if now >= *other_zones_due {
+            report(other_zones, intervals.other_zones);
+            // Rounds run at the interval of the same zone. Half of it is subtracted so
+            // that the round closest to the due time is used.
+            *other_zones_due = now
+                + intervals
+                    .other_zones
+                    .saturating_sub(intervals.same_zone / 2);
         }
-        every.same_zone
+        intervals.same_zone
     }
 
-    /// Tells the relays, and as one of them those of the other zones; returns
-    /// when to speak again.
-    fn tell_relays(
+    /// Reports to the relays of the zone. A relay also sends the totals of its zone to
+    /// the relays of the other zones. Returns the time until the next report.
+    fn report_to_relays(
         &self,
         now: Instant,
-        near: &[SocketAddr],
-        far: &[SocketAddr],
+        same_zone: &[SocketAddr],
+        other_zones: &[SocketAddr],
         members: usize,
     ) -> Duration {
-        let every = Intervals::to_relays(members).same_zone;
-        let said = EntryLoad {
-            interval_ms: millis(every),
+        let interval = Intervals::to_relays(members).same_zone;
+        let load = EntryLoad {
+            interval_ms: millis(interval),
             wanted_reply: WantedReply::Totals,
-            ..self.saying(now)
+            ..self.own_load(now)
         };
-        if !far.is_empty() {
-            let own = read(&said);
-            let sum = self.state.others.borrow().sum_zone(now, &own);
-            self.send(far, Message::Load(write(&said, sum)));
+        if !other_zones.is_empty() {
+            let own = decode_load(&load);
+            let total = self.state.others.borrow().sum_zone(now, &own);
+            self.send(other_zones, Message::Load(encode_load(&load, total)));
         }
-        self.send(near, Message::Load(said));
-        every
+        self.send(same_zone, Message::Load(load));
+        interval
     }
 
     fn send(&self, targets: &[SocketAddr], message: Message) {
         let bytes = gossip::encode(message);
         for target in targets {
-            // A datagram that cannot be sent is like one that is lost.
+            // A datagram that cannot be sent is treated as lost.
             let _ = self.socket.try_send_to(&bytes, *target);
         }
     }
 
-    /// What this entry has in progress.
-    fn saying(&self, now: Instant) -> EntryLoad {
+    /// This entry's own load, with the next sequence number.
+    fn own_load(&self, now: Instant) -> EntryLoad {
         let state = &self.state;
         self.seq.set(self.seq.get() + 1);
         let services = state.pools.borrow_mut().local_demand(now);
         let mut calls = state.balance.borrow().own_calls();
         calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
-        let service = |(name, told): &(Rc<str>, ServiceDemand)| service(number(name), told);
+        let service =
+            |(name, demand): &(Rc<str>, ServiceDemand)| service_load(service_number(name), demand);
         EntryLoad {
-            incarnation: self.life,
+            incarnation: self.incarnation,
             seq: self.seq.get(),
             interval_ms: 0,
             wall_ms: state.clock.wall_ms(),
@@ -194,91 +200,91 @@
             scope: LoadScope::Own,
             entries: 1,
             services: services.iter().map(service).collect(),
-            calls: calls.into_iter().map(calls_at).collect(),
+            calls: calls.into_iter().map(server_calls).collect(),
             crashes: state.crashes.unstored_reports(state.clock.wall_ms()),
         }
     }
 
-    async fn hear(self: Rc<Self>) {
+    async fn receive(self: Rc<Self>) {
         let mut buffer = vec![0; gossip::MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
-                Ok(got) => got,
+                Ok(received) => received,
                 Err(e) => {
-                    // An unreachable peer's refusal shows up here; it says
-                    // nothing about the others.
+                    // The ICMP refusal of one unreachable peer is reported here; the
+                    // other peers are unaffected, so receiving continues at once.
                     metrics::counter!("pimentocart_gossip_errors_total").increment(1);
                     if e.kind() != io::ErrorKind::ConnectionRefused {
-                        tokio::time::sleep(RETRY).await;
+                        tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                     }
                     continue;
                 }
             };
             match gossip::decode(&buffer[..length]) {
-                Ok(Message::Load(said)) => self.take_saying(from, &said),
-                Ok(Message::Membership(answer)) => self.take_answer(from, &answer),
-                Err(e) => warn!("gossip not understood", kv: {
+                Ok(Message::Load(load)) => self.handle_load(from, &load),
+                Ok(Message::Membership(membership)) => self.handle_membership(from, &membership),
+                Err(e) => warn!("gossip message not decoded", kv: {
                     peer = from.to_string().as_str(), cause = e.to_string().as_str()
                 }),
             }
         }
     }
 
-    fn take_saying(&self, from: SocketAddr, said: &EntryLoad) {
+    fn handle_load(&self, from: SocketAddr, load: &EntryLoad) {
         let state = &self.state;
         let now = state.clock.now();
-        let seat = EntryInfo {
+        let info = EntryInfo {
             addr: from,
-            zone: said.zone,
-            link_mbps: said.link_mbps,
+            zone: load.zone,
+            link_mbps: load.link_mbps,
         };
-        let within = Duration::from_millis(u64::from(said.interval_ms)) * EXPIRY_INTERVALS;
-        let silent = match state.roster.borrow().uses_relays() {
-            true => SILENT_RELAYED,
-            false => SILENT,
+        let ttl = Duration::from_millis(u64::from(load.interval_ms)) * EXPIRY_INTERVALS;
+        let min_ttl = match state.roster.borrow().uses_relays() {
+            true => MIN_RELAYED_ENTRY_TTL,
+            false => MIN_ENTRY_TTL,
         };
-        self.note(now, seat, within.max(silent), within, "gossip");
+        self.record_entry(now, info, ttl.max(min_ttl), ttl, "gossip");
         state.roster.borrow_mut().mark_heard(from);
-        self.note_age(now, from, said.staleness_ms);
+        self.record_copy_age(now, from, load.staleness_ms);
         if let Some(duties) = &*state.duties.borrow() {
-            duties.hear(from, seat.rank(), within, said.wall_ms);
+            duties.hear(from, info.rank(), ttl, load.wall_ms);
         }
-        crashes::add_reports(state, now, &said.crashes);
-        state.others.borrow_mut().observe(now, read(said));
-        match said.wanted_reply {
+        crashes::add_reports(state, now, &load.crashes);
+        state.others.borrow_mut().observe(now, decode_load(load));
+        match load.wanted_reply {
             WantedReply::Nothing => {}
-            WantedReply::Entries => self.answer(now, &seat, None),
-            WantedReply::Totals => self.answer(now, &seat, Some(self.sums(now))),
+            WantedReply::Entries => self.send_membership(now, &info, None),
+            WantedReply::Totals => self.send_membership(now, &info, Some(self.totals(now))),
         }
     }
 
-    /// Tells `asker` what this entry knows of others.
-    fn answer(&self, now: Instant, asker: &EntryInfo, sums: Option<EntryLoad>) {
+    /// Sends `asker` the entries that this one knows, and `totals` if given.
+    fn send_membership(&self, now: Instant, asker: &EntryInfo, totals: Option<EntryLoad>) {
         let roster = self.state.roster.borrow();
         let zones = self.state.others.borrow().entries_by_zone();
         let count = roster.count_for(asker, &zones);
-        let named = roster.entries_for(now, asker, self.state.tables.age(now));
+        let entries = roster.entries_for(now, asker, self.state.tables.age(now));
         drop(roster);
-        let seat = |named: RosterEntry| gossip::Member {
-            addr: named.info.addr,
-            zone: named.info.zone,
-            link_mbps: named.info.link_mbps,
-            ttl_ms: millis(named.remaining),
-            staleness_ms: named.copy_age.map(millis),
+        let member = |entry: RosterEntry| gossip::Member {
+            addr: entry.info.addr,
+            zone: entry.info.zone,
+            link_mbps: entry.info.link_mbps,
+            ttl_ms: millis(entry.remaining),
+            staleness_ms: entry.copy_age.map(millis),
         };
-        let mut members: Vec<gossip::Member> = named.into_iter().map(seat).collect();
-        let small = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
-        let mut sums = sums;
+        let mut members: Vec<gossip::Member> = entries.into_iter().map(member).collect();
+        let to_u32 = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
+        let mut totals = totals;
         loop {
-            let rest = members.split_off(members.len().min(NAMED));
-            let answer = Membership {
-                entry_count: small(count.total),
-                zone_count: small(count.same_zone),
-                position: small(count.preceding),
+            let rest = members.split_off(members.len().min(MAX_DATAGRAM_MEMBERS));
+            let membership = Membership {
+                entry_count: to_u32(count.total),
+                zone_count: to_u32(count.same_zone),
+                position: to_u32(count.preceding),
                 members,
-                totals: sums.take(),
+                totals: totals.take(),
             };
-            self.send(&[asker.addr], Message::Membership(answer));
+            self.send(&[asker.addr], Message::Membership(membership));
             if rest.is_empty() {
                 return;
             }
@@ -286,59 +292,59 @@
         }
     }
 
-    /// What all entries have in progress, for those of the own zone.
-    fn sums(&self, now: Instant) -> EntryLoad {
-        let held = self.sums.borrow().clone();
-        if let Some((_, sums)) = held.filter(|(at, _)| now < *at + SUMS_KEPT) {
-            return sums;
+    /// The load of all entries, sent to the entries of the own zone.
+    fn totals(&self, now: Instant) -> EntryLoad {
+        let cached = self.totals.borrow().clone();
+        if let Some((_, totals)) = cached.filter(|(at, _)| now < *at + TOTALS_TTL) {
+            return totals;
         }
-        let said = self.saying(now);
-        let own = read(&said);
-        let sum = self.state.others.borrow().sum_all(now, &own);
+        let load = self.own_load(now);
+        let own = decode_load(&load);
+        let total = self.state.others.borrow().sum_all(now, &own);
         let members = self.state.roster.borrow().count().same_zone;
-        let sums = EntryLoad {
+        let totals = EntryLoad {
             interval_ms: millis(Intervals::to_relays(members).same_zone),
-            ..write(&said, sum)
+            ..encode_load(&load, total)
         };
-        *self.sums.borrow_mut() = Some((now, sums.clone()));
-        sums
+        *self.totals.borrow_mut() = Some((now, totals.clone()));
+        totals
     }
 
-    fn take_answer(&self, from: SocketAddr, answer: &Membership) {
+    fn handle_membership(&self, from: SocketAddr, membership: &Membership) {
         let state = &self.state;
         let now = state.clock.now();
-        let large = |count: u32| usize::try_from(count).unwrap_or(usize::MAX);
-        let count = EntryCounts {
-            total: large(answer.entry_count),
-            same_zone: large(answer.zone_count),
-            preceding: large(answer.position),
+        let to_usize = |count: u32| usize::try_from(count).unwrap_or(usize::MAX);
+        let counts = EntryCounts {
+            total: to_usize(membership.entry_count),
+            same_zone: to_usize(membership.zone_count),
+            preceding: to_usize(membership.position),
         };
         state.finder.borrow_mut().peer_answered(now);
-        state.roster.borrow_mut().record_counts(now, count);
-        for seat in &answer.members {
-            let left = Duration::from_millis(u64::from(seat.ttl_ms));
-            let age_ms = seat.staleness_ms;
-            let seat = EntryInfo {
-                addr: seat.addr,
-                zone: seat.zone,
-                link_mbps: seat.link_mbps,
+        state.roster.borrow_mut().record_counts(now, counts);
+        for member in &membership.members {
+            let ttl = Duration::from_millis(u64::from(member.ttl_ms));
+            let age_ms = member.staleness_ms;
+            let info = EntryInfo {
+                addr: member.addr,
+                zone: member.zone,
+                link_mbps: member.link_mbps,
             };
-            if seat.addr != state.settings.gossip && !left.is_zero() {
-                self.note(now, seat, left, left, "answer");
-                self.note_age(now, seat.addr, age_ms);
+            if info.addr != state.settings.gossip && !ttl.is_zero() {
+                self.record_entry(now, info, ttl, ttl, "answer");
+                self.record_copy_age(now, info.addr, age_ms);
             }
         }
         state.roster.borrow_mut().mark_heard(from);
-        let Some(sums) = &answer.totals else {
+        let Some(totals) = &membership.totals else {
             return;
         };
-        crashes::add_reports(state, now, &sums.crashes);
-        state.others.borrow_mut().observe(now, read(sums));
+        crashes::add_reports(state, now, &totals.crashes);
+        state.others.borrow_mut().observe(now, decode_load(totals));
         metrics::counter!("pimentocart_sums_heard_total").increment(1);
     }
 
-    /// Notes how old the copies of the entry at `addr` are, if it has any.
-    fn note_age(&self, now: Instant, addr: SocketAddr, age_ms: Option<u32>) {
+    /// Records the age of the table copies of the entry at `addr`; `None` if it has none.
+    fn record_copy_age(&self, now: Instant, addr: SocketAddr, age_ms: Option<u32>) {
         let state = &self.state;
         let age = age_ms.map(|ms| Duration::from_millis(u64::from(ms)));
         state.roster.borrow_mut().set_copy_age(now, addr, age);
@@ -348,59 +354,66 @@
         }
     }
 
-    /// Notes another entry, which counts as there for `within`, and as one that
-    /// reads the store for its zone for `reads`.
-    fn note(&self, now: Instant, seat: EntryInfo, within: Duration, reads: Duration, by: &str) {
+    /// Records another entry. It counts as present for `ttl`, and as a candidate for
+    /// reading the store on behalf of its zone for `reader_ttl`.
+    fn record_entry(
+        &self,
+        now: Instant,
+        info: EntryInfo,
+        ttl: Duration,
+        reader_ttl: Duration,
+        by: &str,
+    ) {
         let state = &self.state;
-        if state.roster.borrow_mut().insert(seat, now + within) {
-            info!("entry found", kv: { peer = seat.addr.to_string().as_str(), by });
+        if state.roster.borrow_mut().insert(info, now + ttl) {
+            info!("entry found", kv: { peer = info.addr.to_string().as_str(), by });
         }
-        if seat.zone == zone_number(&state.settings.zone) {
-            let rank = seat.rank();
+        if info.zone == zone_number(&state.settings.zone) {
+            let rank = info.rank();
             state
                 .readers
                 .borrow_mut()
-                .observe(seat.addr, rank, now + reads);
+                .observe(info.addr, rank, now + reader_ttl);
         }
     }
 
-    /// Hands what the others have to those who decide.
-    fn take_over(&self, now: Instant) {
+    /// Passes the load of the other entries to the policies that use it.
+    fn apply_peer_loads(&self, now: Instant) {
         let state = &self.state;
-        let own = read(&self.saying(now));
+        let own = decode_load(&self.own_load(now));
         let mut others = state.others.borrow_mut();
         others.expire(now);
-        let sum = others.sum(now, &own);
+        let total = others.sum(now, &own);
         drop(others);
         let count = state.roster.borrow().count();
         metrics::gauge!("pimentocart_entries_heard").set(count.total.saturating_sub(1) as f64);
-        let calls = |server: u16| sum.calls.get(&server).copied().unwrap_or_default();
+        let calls = |server: u16| total.calls.get(&server).copied().unwrap_or_default();
         state.balance.borrow_mut().set_remote_calls(calls);
         state.readers.borrow_mut().set_zone_size(count.same_zone);
-        self.share(now, count);
+        self.apply_entry_count(now, count);
         let Some(catalog) = state.catalog.borrow().clone() else {
             return;
         };
         for service in catalog.services().filter(|s| s.engine.is_some()) {
-            let told = sum.services.get(&number(&service.name));
-            let told = told.copied().unwrap_or_default();
+            let demand = total.services.get(&service_number(&service.name));
+            let demand = demand.copied().unwrap_or_default();
             state
                 .pools
                 .borrow_mut()
-                .set_remote(now, &service.name, told);
+                .set_remote(now, &service.name, demand);
         }
     }
 
-    /// Takes this entry's part of what all share: the limits that servers name,
-    /// and repeats.
-    fn share(&self, now: Instant, count: EntryCounts) {
+    /// Passes the number of entries to the policies that divide a shared limit among
+    /// them: the rate limits that servers set, and the retry budget.
+    fn apply_entry_count(&self, now: Instant, counts: EntryCounts) {
         let state = &self.state;
-        let entries = state.entry_count.borrow_mut().record(now, count.total);
+        let entries = state.entry_count.borrow_mut().record(now, counts.total);
         state.budget.borrow_mut().set_entries(entries);
-        let number = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
+        let to_u32 = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         state.balance.borrow_mut().set_turns(TurnSchedule {
-            entries: number(entries),
-            turn_index: number(count.preceding),
+            entries: to_u32(entries),
+            turn_index: to_u32(counts.preceding),
             instant: now,
             unix_time: Duration::from_millis(state.clock.wall_ms()),
         });
--- a/crates/forward/src/gossip/convert.rs
+++ b/crates/forward/src/gossip/convert.rs
@@ -1,4 +1,4 @@
-//! What entries say on the wire, and in the types of those who decide.
+//! Conversion between load reports on the wire and the types of the policies.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use policy::suspects::{Crash, Fingerprint};
 use wire::gossip::{self, EntryLoad, LoadScope, WantedReply};
 
-/// A service's number between entries.
-pub(super) fn number(service: &str) -> u32 {
+/// The number that identifies a service in gossip messages.
+pub(super) fn service_number(service: &str) -> u32 {
     rendezvous::hash_name(service) as u32
 }
 
@@ -17,33 +17,33 @@
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
-pub(super) fn service(service_number: u32, told: &ServiceDemand) -> gossip::ServiceLoad {
+pub(super) fn service_load(service_number: u32, demand: &ServiceDemand) -> gossip::ServiceLoad {
     gossip::ServiceLoad {
         service_number,
-        prefill_rate: told.prefill_rate as f32,
-        decoding_calls: told.decode_calls as f32,
-        prefill_pace: told.prefill_pace as f32,
-        pace_sources: told.pace_samples,
-        pause: told.stream_pause as f32,
+        prefill_rate: demand.prefill_rate as f32,
+        decoding_calls: demand.decode_calls as f32,
+        prefill_pace: demand.prefill_pace as f32,
+        pace_sources: demand.pace_samples,
+        pause: demand.stream_pause as f32,
     }
 }
 
-pub(super) fn calls_at((server, calls): (u16, CallCounts)) -> (u16, u16, u16) {
-    let small = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
-    (server, small(calls.open), small(calls.waiting))
+pub(super) fn server_calls((server, calls): (u16, CallCounts)) -> (u16, u16, u16) {
+    let to_u16 = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
+    (server, to_u16(calls.open), to_u16(calls.waiting))
 }
 
-/// What `said` says, in the types of those who decide.
-pub(super) fn read(said: &EntryLoad) -> peer_load::LoadReport {
-    let told = |s: &gossip::ServiceLoad| {
-        let told = ServiceDemand {
+/// Converts a load report from the wire.
+pub(super) fn decode_load(load: &EntryLoad) -> peer_load::LoadReport {
+    let demand = |s: &gossip::ServiceLoad| {
+        let demand = ServiceDemand {
             prefill_rate: f64::from(s.prefill_rate),
             decode_calls: f64::from(s.decoding_calls),
             prefill_pace: f64::from(s.prefill_pace),
             pace_samples: s.pace_sources,
             stream_pause: f64::from(s.pause),
         };
-        (s.service_number, told)
+        (s.service_number, demand)
     };
     let calls = |(server, open, waiting): &(u16, u16, u16)| {
         let calls = CallCounts {
@@ -61,26 +61,27 @@
         (crash, age)
     };
     peer_load::LoadReport {
-        incarnation: said.incarnation,
-        seq: said.seq,
-        zone: said.zone,
-        scope: match said.scope {
+        incarnation: load.incarnation,
+        seq: load.seq,
+        zone: load.zone,
+        scope: match load.scope {
             LoadScope::Own => peer_load::Scope::Own,
             LoadScope::Zone => peer_load::Scope::Zone,
             LoadScope::All => peer_load::Scope::All,
         },
-        entries: said.entries,
-        interval: Duration::from_millis(u64::from(said.interval_ms)),
-        services: said.services.iter().map(told).collect(),
-        calls: said.calls.iter().map(calls).collect(),
-        crashes: said.crashes.iter().map(crash).collect(),
+        entries: load.entries,
+        interval: Duration::from_millis(u64::from(load.interval_ms)),
+        services: load.services.iter().map(demand).collect(),
+        calls: load.calls.iter().map(calls).collect(),
+        crashes: load.crashes.iter().map(crash).collect(),
     }
 }
 
-/// What several entries have, as the one that says `own` passes it on. The
-/// busiest servers stand first.
-pub(super) fn write(own: &EntryLoad, sum: peer_load::LoadReport) -> EntryLoad {
-    let mut calls = sum.calls;
+/// Converts the total of several entries to a report sent by the entry with the report
+/// `own`. The busiest servers come first, since [`gossip::encode`] drops calls from the
+/// end when a datagram is too long.
+pub(super) fn encode_load(own: &EntryLoad, total: peer_load::LoadReport) -> EntryLoad {
+    let mut calls = total.calls;
     calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
     let crash = |(crash, age): (Crash, Duration)| gossip::CrashReport {
         fingerprint: crash.fingerprint.0,
@@ -88,16 +89,20 @@
         age_ms: millis(age),
     };
     EntryLoad {
-        scope: match sum.scope {
+        scope: match total.scope {
             peer_load::Scope::Own => LoadScope::Own,
             peer_load::Scope::Zone => LoadScope::Zone,
             peer_load::Scope::All => LoadScope::All,
         },
         wanted_reply: WantedReply::Nothing,
-        entries: sum.entries,
-        services: sum.services.iter().map(|(n, t)| service(*n, t)).collect(),
-        calls: calls.into_iter().map(calls_at).collect(),
-        crashes: sum.crashes.into_iter().map(crash).collect(),
+        entries: total.entries,
+        services: total
+            .services
+            .iter()
+            .map(|(n, t)| service_load(*n, t))
+            .collect(),
+        calls: calls.into_iter().map(server_calls).collect(),
+        crashes: total.crashes.into_iter().map(crash).collect(),
         ..own.clone()
     }
 }
