--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/follow.rs
@@ -1,9 +1,9 @@
 //! Reading the platform's tables from the store.
 //!
-//! A reader takes a whole table once and then its changes. When the store is
-//! away, what was read last stays in force: a catalog never goes back, and a
-//! server that is only missing from view may well live. An entry that has a
-//! neighbour to ask (`neighbours`) reads only what has become too old.
+//! A reader takes one snapshot of a table and then follows its changes. While the store
+//! is unavailable, the last data stays in force: the catalog never reverts, and a server
+//! that is missing from the table may still be running. An entry that can ask a neighbour
+//! (`neighbours`) reads only the tables of which its copy has become too old.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,77 +18,78 @@
 use crate::state::State;
 use crate::tables::{apply_catalogs, apply_servers};
 
-/// How long the store may hold a question for which there is no new catalog.
-/// A question that got lost with its link costs so long, which must stay well
-/// within the time in which a catalog has to be in force.
+/// How long the store may hold a long-poll request while there is no new catalog. A
+/// request lost with its connection delays a new catalog by this time, which must be well
+/// below the time within which a catalog has to be in force.
 const CATALOG_WAIT: Duration = Duration::from_secs(2);
 
-/// The same where neighbours are told: they cannot know that the copy still
-/// holds before the store answers, and would soon read by themselves.
+/// [`CATALOG_WAIT`] while neighbours copy from this entry: they can't know that the copy
+/// is current before the store answers, and would soon read from the store themselves.
 const CATALOG_WAIT_SHARED: Duration = Duration::from_secs(1);
 
-/// The same for servers. They report all the time, so that an answer comes at
-/// once; a lost question should be given up soon.
+/// [`CATALOG_WAIT`] for servers. They report all the time, so an answer comes at once, and
+/// a lost request should be abandoned soon.
 const SERVER_WAIT: Duration = Duration::from_millis(300);
 
-/// The same for crashes, of which there are few. Entries that see one tell the
-/// others by themselves until the store has it.
+/// [`CATALOG_WAIT`] for crashes, which are rare. Entries that see one report it to the
+/// others by gossip until the store has it.
 const CRASHES_WAIT: Duration = Duration::from_secs(8);
 
-/// The pause after a failed question; the store comes back at any moment.
-const RETRY: Duration = Duration::from_millis(150);
+/// Delay after the first failed request. It is short, since the store may recover at any
+/// time.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The longest pause after failed questions. It doubles up to here, since an
-/// outage of seconds would otherwise cost each entry dozens of calls; what is
-/// known stays in force meanwhile.
-const RETRY_MOST: Duration = Duration::from_millis(600);
+/// Maximum delay after failed requests. The delay doubles up to this limit, since an
+/// outage of a few seconds would otherwise cost each entry dozens of calls; the known data
+/// stays in force in the meantime.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(600);
 
-/// Neighbours that are asked have told what has changed after so long.
-const TOLD: Duration = Duration::from_millis(400);
+/// Time after the end of an outage within which a neighbour has sent the changes.
+const PEER_UPDATE_WAIT: Duration = Duration::from_millis(400);
 
-/// How often is looked whether the store answers questions about servers, while
-/// the other tables are not asked for.
-const LOST: Duration = Duration::from_millis(200);
+/// Interval at which the readers of the other tables check whether the store answers
+/// requests for servers again; they send none until then.
+const OUTAGE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often is looked whether a table has become too old.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval at which the age of a copy is checked.
+const AGE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The same while there is no copy of it.
-const LOOK_FIRST: Duration = Duration::from_millis(20);
+/// [`AGE_CHECK_INTERVAL`] while there is no copy.
+const INITIAL_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Servers report every second or so, each at another moment. Asking again
-/// at once would cost a call for each report; in this pause several come
-/// together, and a leaving server is still known far sooner than it must be.
-const GATHER: Duration = Duration::from_millis(800);
+/// Delay between two reads of the servers. Each server reports about every second, at its
+/// own time, so reading again at once would cost one call for each report. This delay
+/// batches several reports, and a leaving server is still noticed well within its limit.
+const SERVER_POLL_DELAY: Duration = Duration::from_millis(800);
 
-/// The same pause with many entries, which share what the store can take.
-const GATHER_MANY: Duration = Duration::from_millis(1500);
+/// [`SERVER_POLL_DELAY`] with many entries, which share the store's capacity.
+const SERVER_POLL_DELAY_MANY: Duration = Duration::from_millis(1500);
 
-/// The same pause while servers may be writing their entries anew. A fresh
-/// entry has none to call until it has read them.
-const GATHER_BACK: Duration = Duration::from_millis(150);
+/// [`SERVER_POLL_DELAY`] while servers may be registering again after an outage. An entry
+/// that has just started can call no server until it has read them.
+const RECOVERY_POLL_DELAY: Duration = Duration::from_millis(150);
 
-/// The pause after servers were told to have crashed: several entries have calls
-/// at each, and tell of it in the same moment.
-const GATHER_CRASHES: Duration = Duration::from_millis(50);
+/// Delay after crashes were read: several entries have calls at a server and report its
+/// crash at the same time.
+const CRASH_POLL_DELAY: Duration = Duration::from_millis(50);
 
-/// The name of the table of servers.
-const SERVERS: &str = "servers";
+/// Name of the table of servers, in log lines and metrics.
+const SERVERS_TABLE: &str = "servers";
 
-/// Entries heard from which there are many.
-const MANY: usize = 8;
+/// Number of other entries from which [`SERVER_POLL_DELAY_MANY`] applies.
+const MANY_ENTRIES: usize = 8;
 
-/// Follows what the operators declare.
+/// Follows the catalog, which the operators declare.
 pub async fn catalogs<S: Source<Item = Catalog>>(state: Rc<State>, source: S) {
-    let mut reader = Reader::new("catalog", source);
+    let mut reader = TableReader::new("catalog", source);
     loop {
         wait_for_store(&state).await;
-        let (asked, age) = {
+        let (position, age) = {
             let replica = state.tables.catalog.borrow();
             (replica.position(), replica.age(state.clock.now()))
         };
-        if let Some(spare) = spare(&state, age) {
-            tokio::time::sleep(spare).await;
+        if let Some(delay) = read_delay(&state, age) {
+            tokio::time::sleep(delay).await;
             continue;
         }
         let wait = if state.shares() {
@@ -96,122 +97,122 @@
         } else {
             CATALOG_WAIT
         };
-        let Some(update) = reader.next(&state, asked, wait).await else {
-            tokio::time::sleep(reader.pause(&state)).await;
+        let Some(update) = reader.next_update(&state, position, wait).await else {
+            tokio::time::sleep(reader.retry_delay(&state)).await;
             continue;
         };
         let update = update.map(Rc::new);
-        let news = state
+        let changes = state
             .tables
             .catalog
             .borrow_mut()
-            .apply_store_update(update, asked);
-        apply_catalogs(&state, news);
+            .apply_store_update(update, position);
+        apply_catalogs(&state, changes);
     }
 }
 
 /// Follows the backend servers.
 pub async fn servers<S: Source<Item = ServerRecord>>(state: Rc<State>, source: S) {
-    let mut reader = Reader::new(SERVERS, source);
+    let mut reader = TableReader::new(SERVERS_TABLE, source);
     loop {
-        let (asked, age) = {
+        let (position, age) = {
             let replica = state.tables.servers.borrow();
             (replica.position(), replica.age(state.clock.now()))
         };
-        if let Some(spare) = spare(&state, age) {
-            tokio::time::sleep(spare).await;
+        if let Some(delay) = read_delay(&state, age) {
+            tokio::time::sleep(delay).await;
             continue;
         }
-        let Some(mut update) = reader.next(&state, asked, SERVER_WAIT).await else {
-            tokio::time::sleep(reader.pause(&state)).await;
+        let Some(mut update) = reader.next_update(&state, position, SERVER_WAIT).await else {
+            tokio::time::sleep(reader.retry_delay(&state)).await;
             continue;
         };
         if update.kind == UpdateKind::RestoredSnapshot {
-            keep_leaving(&state, &mut update.records);
+            preserve_leaving(&state, &mut update.records);
         }
         let now = state.clock.now();
-        let news = state
+        let changes = state
             .tables
             .servers
             .borrow_mut()
-            .apply_store_update(update, asked);
-        apply_servers(&state, now, news);
-        let away = !state.tables.settling_left(now).is_zero();
-        tokio::time::sleep(poll_delay(away, state.rivals())).await;
+            .apply_store_update(update, position);
+        apply_servers(&state, now, changes);
+        let recovering = !state.tables.settling_left(now).is_zero();
+        tokio::time::sleep(poll_delay(recovering, state.rivals())).await;
     }
 }
 
-/// Follows the servers that have crashed under calls.
+/// Follows the records of servers that crashed during calls.
 pub async fn crashes<S: Source<Item = u64>>(state: Rc<State>, source: S) {
-    let mut reader = Reader::new("crashes", source);
+    let mut reader = TableReader::new("crashes", source);
     loop {
         wait_for_store(&state).await;
-        // A neighbour tells at once, and how old its copy is shows in the
+        // A neighbour sends crashes at once, and the age of its copies is known from the
         // other tables.
         let now = state.clock.now();
-        let told = state.readers.borrow_mut().preferred_peer(now).is_some();
-        if told || !state.finder.borrow().is_settled(now) {
-            tokio::time::sleep(LOOK).await;
+        let has_peer = state.readers.borrow_mut().preferred_peer(now).is_some();
+        if has_peer || !state.finder.borrow().is_settled(now) {
+            tokio::time::sleep(AGE_CHECK_INTERVAL).await;
             continue;
         }
-        let asked = state.tables.crashes.borrow().position();
-        let Some(update) = reader.next(&state, asked, CRASHES_WAIT).await else {
-            tokio::time::sleep(reader.pause(&state)).await;
+        let position = state.tables.crashes.borrow().position();
+        let Some(update) = reader.next_update(&state, position, CRASHES_WAIT).await else {
+            tokio::time::sleep(reader.retry_delay(&state)).await;
             continue;
         };
-        let whole = update.kind != UpdateKind::Delta;
-        let news = state
+        let snapshot = update.kind != UpdateKind::Delta;
+        let changes = state
             .tables
             .crashes
             .borrow_mut()
-            .apply_store_update(update, asked);
-        let pause = if news.is_empty() {
+            .apply_store_update(update, position);
+        let pause = if changes.is_empty() {
             Duration::ZERO
         } else {
-            GATHER_CRASHES
+            CRASH_POLL_DELAY
         };
-        crashes::apply_changes(&state, state.clock.now(), news, whole);
+        crashes::apply_changes(&state, state.clock.now(), changes, snapshot);
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Keeps servers leaving that were known to leave before the store came back
-/// from a copy in which they still stay.
-fn keep_leaving(state: &State, records: &mut Records<ServerRecord>) {
+/// Keeps the leaving mark of servers that were known to be leaving before the store was
+/// restored from a copy without it.
+fn preserve_leaving(state: &State, records: &mut Records<ServerRecord>) {
     let balance = state.balance.borrow();
     for listed in records.iter_mut().filter_map(|(_, listed)| listed.as_mut()) {
         listed.leaving |= balance.is_leaving(listed);
     }
 }
 
-/// Waits while the store is known not to answer, and then for neighbours, if
-/// there are any, to tell what has changed meanwhile.
+/// Waits while the store is known not to answer, and then for neighbours, if there are
+/// any, to send the changes.
 async fn wait_for_store(state: &State) {
-    let lost = state.lost.get();
+    let was_lost = state.lost.get();
     while state.lost.get() {
-        // Either way it is looked again.
-        let _ = tokio::time::timeout(LOST, state.regained.notified()).await;
+        // The state is checked again after a timeout as well as a notification.
+        let _ = tokio::time::timeout(OUTAGE_CHECK_INTERVAL, state.regained.notified()).await;
     }
     let now = state.clock.now();
-    if lost && state.readers.borrow_mut().store_retry_delay(now).is_some() {
-        tokio::time::sleep(TOLD).await;
+    if was_lost && state.readers.borrow_mut().store_retry_delay(now).is_some() {
+        tokio::time::sleep(PEER_UPDATE_WAIT).await;
     }
 }
 
-/// How long a table need not be read yet, at most until it is looked at again;
-/// none when it is to be read now.
-fn spare(state: &State, age: Option<Duration>) -> Option<Duration> {
+/// How long to wait before checking again whether to read a table whose copy is `age` old;
+/// `None` when it has to be read now.
+fn read_delay(state: &State, age: Option<Duration>) -> Option<Duration> {
     let now = state.clock.now();
     let finder = state.finder.borrow();
     let mut readers = state.readers.borrow_mut();
-    let spare = match (readers.preferred_peer(now), age) {
-        (None, None) if !finder.is_settled(now) => LOOK_FIRST,
-        // Some neighbour tells it what there is sooner than the store would.
-        (asked, None) if asked.is_some() || readers.has_fresh_peer(now, true) => {
-            let spare = readers
+    let delay = match (readers.preferred_peer(now), age) {
+        (None, None) if !finder.is_settled(now) => INITIAL_CHECK_INTERVAL,
+        // A neighbour sends the first copy sooner than the store would.
+        (peer, None) if peer.is_some() || readers.has_fresh_peer(now, true) => {
+            let delay = readers
                 .initial_copy_wait()
                 .checked_sub(finder.elapsed(now))?;
-            spare.min(LOOK_FIRST)
+            delay.min(INITIAL_CHECK_INTERVAL)
         }
         (None, Some(age)) if readers.has_fresh_peer(now, false) => {
             readers.copy_age_limit().checked_sub(age)?
@@ -219,100 +220,101 @@
         (None, _) | (Some(_), None) => return None,
         (Some(_), Some(age)) => readers.copy_age_limit().checked_sub(age)?,
     };
-    Some(spare.clamp(Duration::from_millis(1), LOOK))
+    Some(delay.clamp(Duration::from_millis(1), AGE_CHECK_INTERVAL))
 }
 
-/// How long to wait after so many failures in a row.
+/// The delay after a number of consecutive failures.
 #[must_use]
 pub fn retry_delay(failures: u32) -> Duration {
-    let doubled = RETRY.saturating_mul(1 << failures.saturating_sub(1).min(8));
-    doubled.min(RETRY_MOST)
+    let delay = MIN_RETRY_DELAY.saturating_mul(1 << failures.saturating_sub(1).min(8));
+    delay.min(MAX_RETRY_DELAY)
 }
 
-/// How long to wait before servers are read again: `away` says whether the
-/// store was away a moment ago, `entries` how many other entries read it too.
+/// The delay before servers are read again; `recovering` is set shortly after an outage of
+/// the store, and `entries` is the number of other entries that read it too.
 #[must_use]
-pub fn poll_delay(away: bool, entries: usize) -> Duration {
-    match (away, entries >= MANY) {
-        (true, _) => GATHER_BACK,
-        (false, true) => GATHER_MANY,
-        (false, false) => GATHER,
+pub fn poll_delay(recovering: bool, entries: usize) -> Duration {
+    match (recovering, entries >= MANY_ENTRIES) {
+        (true, _) => RECOVERY_POLL_DELAY,
+        (false, true) => SERVER_POLL_DELAY_MANY,
+        (false, false) => SERVER_POLL_DELAY,
     }
 }
 
-/// Reads a table, then its changes, and starts over when it fell behind.
-struct Reader<S> {
+/// Reads a snapshot of a table, then its changes, and takes a new snapshot when the store
+/// no longer has the changes.
+struct TableReader<S> {
     name: &'static str,
     source: S,
-    /// Whether the whole table has to be read.
-    whole: bool,
-    /// Whether the store has come back from an old copy since it was.
-    rewound: bool,
-    /// Failures since the last answer.
+    /// Whether the next read has to be a snapshot.
+    needs_snapshot: bool,
+    /// Whether the store was restored from an old copy since the last snapshot.
+    restored: bool,
+    /// Consecutive failures.
     failures: u32,
-    /// Whether the store answered that it does not have what was asked for.
-    outdated: bool,
+    /// Whether the store answered that it no longer has the requested position.
+    position_expired: bool,
 }
 
-impl<S: Source> Reader<S> {
+impl<S: Source> TableReader<S> {
     fn new(name: &'static str, source: S) -> Self {
         Self {
             name,
             source,
-            whole: false,
-            rewound: false,
+            needs_snapshot: false,
+            restored: false,
             failures: 0,
-            outdated: false,
+            position_expired: false,
         }
     }
 
-    /// How long to wait after a failure. Where neighbours are asked too, they
-    /// tell when they reach the store again. A store that has dropped what was
-    /// asked for is there, and has the whole table.
-    fn pause(&self, state: &State) -> Duration {
-        if self.outdated {
-            return RETRY;
+    /// The delay after a failure. It is longer for an entry with neighbours, which announce
+    /// when they reach the store again. If only the requested position is gone, the store
+    /// is available and a snapshot can be read soon.
+    fn retry_delay(&self, state: &State) -> Duration {
+        if self.position_expired {
+            return MIN_RETRY_DELAY;
         }
-        let aside = state
+        let peer_delay = state
             .readers
             .borrow_mut()
             .store_retry_delay(state.clock.now());
-        retry_delay(self.failures).max(aside.unwrap_or_default())
+        retry_delay(self.failures).max(peer_delay.unwrap_or_default())
     }
 
-    /// What the store says of a table that is held up to `from`; it may keep
-    /// the question for `wait`.
-    async fn next(
+    /// Reads the changes after position `from`, or a snapshot; the store may hold the
+    /// request for `wait`. Returns `None` after a failure.
+    async fn next_update(
         &mut self,
         state: &State,
         from: Option<u64>,
         wait: Duration,
     ) -> Option<Update<S::Item>> {
-        let from = from.filter(|_| !self.whole);
+        let from = from.filter(|_| !self.needs_snapshot);
         let sent = state.clock.now();
-        // A question that was lost while the store was away would be waited
-        // for on and on; that another table is answered again shows that the
-        // store is back, and asking anew costs one question.
+        // A request that was lost during an outage would block until its timeout. When
+        // another table gets an answer again, the store has recovered, and sending the
+        // request again costs one call.
         let read = tokio::select! {
             read = self.read(from, wait) => read,
             () = state.regained.notified() => self.read(from, wait).await,
         };
         match read {
             Ok(changes) => {
-                let scope = match from {
+                let kind = match from {
                     Some(_) => UpdateKind::Delta,
-                    None if std::mem::take(&mut self.rewound) => UpdateKind::RestoredSnapshot,
+                    None if std::mem::take(&mut self.restored) => UpdateKind::RestoredSnapshot,
                     None => UpdateKind::Snapshot,
                 };
-                self.answered(state, from.is_none());
-                Some(update(
+                self.record_success(state, from.is_none());
+                Some(to_update(
                     changes,
-                    scope,
+                    kind,
                     complete_at(sent, wait, state.clock.now()),
                 ))
             }
             Err(e) => {
-                self.failed(state, &e);
+                self.record_failure(state, &e);
                 None
             }
         }
@@ -329,50 +331,51 @@
         }
     }
 
-    fn answered(&mut self, state: &State, whole: bool) {
+    fn record_success(&mut self, state: &State, snapshot: bool) {
         if state
             .readers
             .borrow_mut()
             .preferred_peer(state.clock.now())
             .is_some()
         {
-            // Those before this entry have lost the store and may ask it.
+            // Neighbours with precedence may have lost the store; a report at once tells
+            // them that they can ask this entry.
             state.speak.notify_one();
         }
-        if self.name == SERVERS {
+        if self.name == SERVERS_TABLE {
             state.lost.set(false);
         }
-        self.whole = false;
+        self.needs_snapshot = false;
         if self.failures == 0 {
             return;
         }
         info!("store regained", kv: { table = self.name, failures = self.failures });
         self.failures = 0;
-        // Whatever lapsed meanwhile shows only in a whole table.
-        self.whole = !whole;
+        // Records that expired during the outage are missing only from a snapshot.
+        self.needs_snapshot = !snapshot;
         state.tables.store_recovered(state.clock.now());
         state.regained.notify_waiters();
     }
 
-    fn failed(&mut self, state: &State, e: &SourceError) {
+    fn record_failure(&mut self, state: &State, e: &SourceError) {
         metrics::counter!("pimentocart_store_failures_total", "table" => self.name).increment(1);
-        let rewound = matches!(e, SourceError::Rewound { .. });
-        self.rewound |= rewound;
-        if rewound {
+        let restored = matches!(e, SourceError::Rewound { .. });
+        self.restored |= restored;
+        if restored {
             state
                 .tables
                 .restore_count
                 .set(state.tables.restore_count.get() + 1);
         }
-        self.whole |= rewound || matches!(e, SourceError::Expired { .. });
+        self.needs_snapshot |= restored || matches!(e, SourceError::Expired { .. });
         self.failures = self.failures.saturating_add(1);
-        self.outdated = !matches!(e, SourceError::Unavailable { .. });
-        // Servers report all the time, so that this table shows first that the
-        // store is back.
-        if self.name == SERVERS && !self.outdated {
+        self.position_expired = !matches!(e, SourceError::Unavailable { .. });
+        // Servers report all the time, so this table is the first to show that the store
+        // has recovered.
+        if self.name == SERVERS_TABLE && !self.position_expired {
             state.lost.set(true);
         }
-        // The first of a row is logged; the rest are counted.
+        // Only the first of consecutive failures is logged; the metric counts all.
         if self.failures == 1 {
             let version = state.catalog.borrow().as_ref().map_or(0, |c| c.version);
             warn!("store lost", kv: { table = self.name, cause = e.to_string().as_str(), version });
@@ -380,7 +383,7 @@
     }
 }
 
-fn update<T>(changes: Changes<T>, kind: UpdateKind, as_of: Instant) -> Update<T> {
+fn to_update<T>(changes: Changes<T>, kind: UpdateKind, as_of: Instant) -> Update<T> {
     let record = |(key, value): (String, Option<T>)| (Rc::from(key), value);
     Update {
         records: changes.records.into_iter().map(record).collect(),
@@ -390,9 +393,9 @@
     }
 }
 
-/// The moment up to which an answer is known to be complete: that of the
-/// question, or the end of the time for which the store has kept it.
+/// The time at which an answer is known to have been complete: when the request was sent,
+/// or the end of `wait` if the store held the request that long.
 fn complete_at(sent: Instant, wait: Duration, answered: Instant) -> Instant {
-    let held = answered.saturating_duration_since(sent) >= wait;
-    if held { sent + wait } else { sent }
+    let waited_fully = answered.saturating_duration_since(sent) >= wait;
+    if waited_fully { sent + wait } else { sent }
 }
--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -1,5 +1,5 @@
-//! Keeping level with the store's tables by asking a neighbour that reads
-//! them, and answering neighbours that ask. `policy::readers` says whom.
+//! Copies the store's tables from a neighbour that reads them, and serves the neighbours
+//! that copy from this entry. `policy::readers` selects the neighbour.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,80 +19,85 @@
 use crate::state::State;
 use crate::tables::{apply_catalogs, apply_servers, forget_missing};
 
-/// How long a neighbour may hold a question. What it tells is as old as its
-/// own last read, so a longer time would cost freshness without a change.
-const HOLD: Duration = Duration::from_millis(250);
+/// How long a neighbour may hold a long-poll request. Its answer also refreshes the age of
+/// the copies, so a longer wait without changes would make them older.
+const POLL_WAIT: Duration = Duration::from_millis(250);
 
-/// The same for one who has no copy yet: a neighbour that has started in the same
-/// moment has its own in a moment, or the next one is asked.
-const HOLD_FIRST: Duration = Duration::from_millis(300);
+/// [`POLL_WAIT`] for an entry without a copy: a neighbour that has started at the same time
+/// will soon have its own copy; otherwise the next neighbour is asked.
+const INITIAL_POLL_WAIT: Duration = Duration::from_millis(300);
 
-/// The longest time that a question is held, whatever its asker says.
-const HOLD_MOST: Duration = Duration::from_secs(1);
+/// Maximum time for which a request is held, regardless of its own limit.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(1);
 
-/// Time allowed for an answer beyond that. A thin host may not run for some
-/// tenths of a second; a neighbour that died silently costs this much.
-const MARGIN: Duration = Duration::from_millis(400);
+/// Time allowed for an answer in addition to the requested wait. A process on a small host
+/// may not be scheduled for some tenths of a second, but a neighbour that failed silently
+/// costs this whole time.
+const ANSWER_MARGIN: Duration = Duration::from_millis(400);
 
 /// Time allowed for connecting to a neighbour.
-const DIAL: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The pause between two questions, in which several changes come together.
-const GATHER: Duration = Duration::from_millis(50);
+/// Delay between two requests, which batches several changes.
+const POLL_DELAY: Duration = Duration::from_millis(50);
 
-/// The pause before the port for neighbours is tried again.
-const LISTEN_AGAIN: Duration = Duration::from_secs(1);
+/// Delay before binding the port for neighbours is retried.
+const BIND_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How often is looked whether there is a neighbour to ask.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval of checks for a neighbour to ask.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The same while this entry has no copy.
-const LOOK_FIRST: Duration = Duration::from_millis(20);
+/// [`CHECK_INTERVAL`] while this entry has no copy.
+const INITIAL_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Asks neighbours until `end`.
+/// Polls the preferred neighbour for changes until `end`.
 pub async fn follow(state: Rc<State>, end: StopSignal) {
-    let mut link = None;
-    let mut before = None;
+    let mut client = None;
+    let mut previous = None;
     while !end.is_triggered() {
         let now = state.clock.now();
         let age = state.tables.age(now);
         let addr = state.readers.borrow_mut().update_source(now, age);
-        if before != Some(addr) {
-            note_source(addr);
-            before = Some(addr);
+        if previous != Some(addr) {
+            record_source(addr);
+            previous = Some(addr);
         }
         let pause = match addr {
             Some(addr) => {
-                link = ask(&state, addr, link).await;
-                GATHER
+                client = poll(&state, addr, client).await;
+                POLL_DELAY
             }
-            // Without a neighbour the store is read (`follow`).
+            // Without a neighbour, `follow` reads from the store.
             None => {
-                link = None;
-                if age.is_some() { LOOK } else { LOOK_FIRST }
+                client = None;
+                if age.is_some() {
+                    CHECK_INTERVAL
+                } else {
+                    INITIAL_CHECK_INTERVAL
+                }
             }
         };
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Asks the neighbour at `addr`, over the connection of before if that leads
-/// there; returns the connection unless it failed.
-async fn ask(
+/// Polls the neighbour at `addr` and records the outcome. Reuses the connection `client`
+/// if it leads to `addr`; returns the connection unless it failed.
+async fn poll(
     state: &State,
     addr: SocketAddr,
-    link: Option<NeighbourClient>,
+    client: Option<NeighbourClient>,
 ) -> Option<NeighbourClient> {
-    let asked = exchange(state, addr, link).await;
+    let exchanged = exchange(state, addr, client).await;
     let now = state.clock.now();
     forget_missing(state, now);
-    match asked {
-        Ok((link, age)) => {
+    match exchanged {
+        Ok((client, age)) => {
             if age.is_some_and(|age| age <= TAKEOVER_AGE) {
                 state.lost.set(false);
             }
             state.readers.borrow_mut().record_answer(now, addr, age);
-            Some(link)
+            Some(client)
         }
         Err(e) => {
             metrics::counter!("pimentocart_neighbour_failures_total").increment(1);
@@ -105,67 +110,69 @@
     }
 }
 
-/// One question and its answer, put to use; returns how old the neighbour's
-/// copies are.
+/// Sends one request and applies the answer; returns the age of the neighbour's copies,
+/// or `None` if it lacks one.
 async fn exchange(
     state: &State,
     addr: SocketAddr,
-    link: Option<NeighbourClient>,
+    client: Option<NeighbourClient>,
 ) -> Result<(NeighbourClient, Option<Duration>), Error> {
-    let link = match link.filter(|l| l.addr() == addr) {
-        Some(link) => link,
-        None => NeighbourClient::dial(addr, DIAL).await?,
+    let client = match client.filter(|l| l.addr() == addr) {
+        Some(client) => client,
+        None => NeighbourClient::dial(addr, CONNECT_TIMEOUT).await?,
     };
-    let told = link.fetch_changes(question(state), MARGIN).await?;
-    let age = take(state, &link, told)?;
-    Ok((link, age))
+    let answer = client
+        .fetch_changes(changes_request(state), ANSWER_MARGIN)
+        .await?;
+    let age = apply_answer(state, &client, answer)?;
+    Ok((client, age))
 }
 
-/// Notes who the tables come from: a neighbour, or the store.
-fn note_source(neighbour: Option<SocketAddr>) {
+/// Logs and counts the source of the tables: a neighbour, or the store.
+fn record_source(neighbour: Option<SocketAddr>) {
     let source = neighbour.map_or_else(|| "store".to_owned(), |addr| addr.to_string());
     info!("tables followed", kv: { source = source.as_str() });
     metrics::gauge!("pimentocart_reads_store").set(if neighbour.is_none() { 1.0 } else { 0.0 });
 }
 
-fn question(state: &State) -> ChangesRequest {
-    let hold = match state.tables.age(state.clock.now()) {
-        Some(_) => HOLD,
-        None => HOLD_FIRST,
+fn changes_request(state: &State) -> ChangesRequest {
+    let wait = match state.tables.age(state.clock.now()) {
+        Some(_) => POLL_WAIT,
+        None => INITIAL_POLL_WAIT,
     };
     ChangesRequest {
         version: tables::FORMAT_VERSION,
         catalog: state.tables.catalog.borrow().position(),
         servers: state.tables.servers.borrow().position(),
         crashes: state.tables.crashes.borrow().position(),
-        wait_ms: millis(hold),
+        wait_ms: millis(wait),
     }
 }
 
-/// Puts what a neighbour told to use; returns how old its older copy is, or
-/// none when it lacks one.
-fn take(
+/// Applies a neighbour's answer; returns the age of its older copy, or `None` if it lacks
+/// one.
+fn apply_answer(
     state: &State,
-    from: &NeighbourClient,
-    told: TableChanges,
+    client: &NeighbourClient,
+    answer: TableChanges,
 ) -> Result<Option<Duration>, Error> {
     let now = state.clock.now();
-    let settling = Duration::from_millis(u64::from(told.settling_ms));
+    let settling = Duration::from_millis(u64::from(answer.settling_ms));
     state.tables.extend_settling(now, settling);
-    let ages = told.catalog.as_ref().zip(told.servers.as_ref());
+    let ages = answer.catalog.as_ref().zip(answer.servers.as_ref());
     let age =
         ages.map(|(c, s)| Duration::from_millis(u64::from(c.staleness_ms.max(s.staleness_ms))));
-    if let Some(part) = told.catalog {
-        let news = merge(&mut state.tables.catalog.borrow_mut(), now, from, &part)?;
-        apply_catalogs(state, news);
+    if let Some(delta) = answer.catalog {
+        let changes = merge(&mut state.tables.catalog.borrow_mut(), now, client, &delta)?;
+        apply_catalogs(state, changes);
     }
-    if let Some(part) = told.servers {
-        let news = merge(&mut state.tables.servers.borrow_mut(), now, from, &part)?;
-        apply_servers(state, now, news);
+    if let Some(delta) = answer.servers {
+        let changes = merge(&mut state.tables.servers.borrow_mut(), now, client, &delta)?;
+        apply_servers(state, now, changes);
     }
-    if let Some(part) = told.crashes {
-        let news = merge(&mut state.tables.crashes.borrow_mut(), now, from, &part)?;
-        crashes::apply_changes(state, now, news, part.snapshot);
+    if let Some(delta) = answer.crashes {
+        let changes = merge(&mut state.tables.crashes.borrow_mut(), now, client, &delta)?;
+        crashes::apply_changes(state, now, changes, delta.snapshot);
     }
     Ok(age)
 }
@@ -173,82 +180,82 @@
 fn merge<T>(
     replica: &mut Replica<T>,
     now: Instant,
-    from: &NeighbourClient,
-    part: &TableDelta,
+    client: &NeighbourClient,
+    delta: &TableDelta,
 ) -> Result<Records<T>, Error>
 where
     T: Clone + PartialEq + DeserializeOwned,
 {
-    let age = Duration::from_millis(u64::from(part.staleness_ms));
+    let age = Duration::from_millis(u64::from(delta.staleness_ms));
     Ok(replica.apply_peer_update(Update {
-        records: tables::decode_records(from.addr(), &part.records)?,
-        kind: if part.snapshot {
+        records: tables::decode_records(client.addr(), &delta.records)?,
+        kind: if delta.snapshot {
             UpdateKind::Snapshot
         } else {
             UpdateKind::Delta
         },
-        position: part.position,
+        position: delta.position,
         as_of: now.checked_sub(age).unwrap_or(now),
     }))
 }
 
-/// Answers neighbours.
+/// Serves the tables to neighbours.
 #[derive(Clone)]
-struct Desk(Rc<State>);
+struct TableServer(Rc<State>);
 
-/// Answers neighbours on `listener` until `end`.
+/// Answers the requests of neighbours on `listener` until `end`.
 pub async fn answer_requests(listener: TcpListener, state: Rc<State>, end: StopSignal) {
-    tables::serve_tables(listener, Desk(state), end).await;
+    tables::serve_tables(listener, TableServer(state), end).await;
 }
 
-/// Opens the port at which neighbours ask, which is that of their datagrams,
-/// and answers them until `end`.
+/// Binds the port for neighbours, which has the same number as the gossip port, and answers
+/// their requests until `end`.
 ///
-/// Another process may have the port. An entry that ended for it would serve
-/// no caller for as long; without it, it serves them all, and its neighbours
-/// pass it over and ask the next one.
+/// Another process may have the port. An entry that stopped because of that would serve no
+/// callers in the meantime. Without the port it serves all callers, and its neighbours skip
+/// it and ask the next one.
 pub(crate) async fn bind_and_answer(state: Rc<State>, end: StopSignal) {
     let mut warned = false;
     while !end.is_triggered() {
         match base::listen("tables", state.settings.gossip).await {
             Ok(listener) => return answer_requests(listener, state, end).await,
             Err(e) if !warned => {
-                warn!("neighbours not answered", kv: { cause = e.to_string().as_str() });
+                warn!("port for neighbours not bound; retrying", kv: { cause = e.to_string().as_str() });
                 warned = true;
             }
             Err(_) => {}
         }
-        tokio::time::sleep(LISTEN_AGAIN).await;
+        tokio::time::sleep(BIND_RETRY_DELAY).await;
     }
 }
 
-impl tables::TableSync for Desk {
-    async fn fetch_changes(self, _: Context, ask: ChangesRequest) -> TableChanges {
+impl tables::TableSync for TableServer {
+    async fn fetch_changes(self, _: Context, request: ChangesRequest) -> TableChanges {
         let Self(state) = self;
-        if ask.version != tables::FORMAT_VERSION {
-            warn!("neighbour of another version", kv: { found = ask.version });
-            return nothing();
+        if request.version != tables::FORMAT_VERSION {
+            warn!("neighbour uses another format version", kv: { found = request.version });
+            return empty_changes();
         }
-        let hold = Duration::from_millis(u64::from(ask.wait_ms)).min(HOLD_MOST);
-        let news = async {
-            while !state.tables.has_changes_since(&ask) {
+        let wait = Duration::from_millis(u64::from(request.wait_ms)).min(MAX_POLL_WAIT);
+        let changes = async {
+            while !state.tables.has_changes_since(&request) {
                 state.tables.changed.notified().await;
             }
         };
-        // Without news the answer still says how old the copies are.
-        let _ = tokio::time::timeout(hold, news).await;
+        // An answer without changes still reports the age of the copies.
+        let _ = tokio::time::timeout(wait, changes).await;
         let now = state.clock.now();
         let tables = &state.tables;
         TableChanges {
-            catalog: part(&tables.catalog.borrow(), now, ask.catalog),
-            servers: part(&tables.servers.borrow(), now, ask.servers),
-            crashes: part(&tables.crashes.borrow(), now, ask.crashes),
+            catalog: table_delta(&tables.catalog.borrow(), now, request.catalog),
+            servers: table_delta(&tables.servers.borrow(), now, request.servers),
+            crashes: table_delta(&tables.crashes.borrow(), now, request.crashes),
             settling_ms: millis(tables.settling_left(now)),
         }
     }
 }
 
-fn nothing() -> TableChanges {
+fn empty_changes() -> TableChanges {
     TableChanges {
         catalog: None,
         servers: None,
@@ -257,14 +264,14 @@
     }
 }
 
-/// What one that is complete up to `from` has to be told of a table.
-fn part<T>(replica: &Replica<T>, now: Instant, from: Option<u64>) -> Option<TableDelta>
+/// The update of a table for a neighbour whose copy is complete up to `from`.
+fn table_delta<T>(replica: &Replica<T>, now: Instant, from: Option<u64>) -> Option<TableDelta>
 where
     T: Clone + PartialEq + Serialize,
 {
-    let (scope, records) = replica.changes_since(from)?;
+    let (kind, records) = replica.changes_since(from)?;
     Some(TableDelta {
-        snapshot: scope == UpdateKind::Snapshot,
+        snapshot: kind == UpdateKind::Snapshot,
         position: replica.position()?,
         staleness_ms: millis(replica.age(now)?),
         records: tables::encode_records(&records),
--- a/crates/forward/src/tables.rs
+++ b/crates/forward/src/tables.rs
@@ -1,5 +1,5 @@
-//! The store's tables as this entry knows them: what changed is put to use,
-//! and handed on to neighbours that ask.
+//! This entry's replicas of the store's tables. Changes are applied to its state, and
+//! passed on to the neighbours that poll it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,122 +14,128 @@
 
 use crate::state::State;
 
-/// Servers whose entries lapsed while the store was away write them anew
-/// within two seconds of its return. Those still missing then are gone.
+/// Servers whose records expired during an outage of the store register again within two
+/// seconds of its recovery. Those that are still missing then are gone.
 pub(crate) const REREGISTRATION_TIME: Duration = Duration::from_secs(2);
 
-/// A server that goes missing while the store answers has left, and may take
-/// its last calls for about two seconds.
-const LEAVE: Duration = Duration::from_millis(1200);
+/// A server that goes missing while the store is available has left, and may finish its
+/// last calls for about two seconds.
+const DEPARTURE_TIME: Duration = Duration::from_millis(1200);
 
-/// Entries that lapsed while the store was away may show as dropped up to so
-/// long after it has come back.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time after a recovery of the store during which records that expired in the outage may
+/// be reported as deleted.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
 
-/// News of so many servers get a line each. A whole table of hundreds would take
-/// a thin host longer to log than to use.
-const LOGGED: usize = 32;
+/// Maximum number of changed servers that get a log line each. On a small host, logging a
+/// table of hundreds of servers would take longer than applying it.
+const MAX_LOGGED_SERVERS: usize = 32;
 
-/// Copies of the tables.
+/// The replicas of the tables.
 #[derive(Debug, Default)]
 pub struct TableReplicas {
-    /// What the operators declare.
+    /// The catalog, which the operators declare.
     pub catalog: RefCell<Replica<Rc<Catalog>>>,
     /// The backend servers.
     pub servers: RefCell<Replica<ServerRecord>>,
-    /// Servers that have crashed under calls, each with the Unix millisecond.
+    /// Servers that crashed during calls, each with the time in Unix milliseconds.
     pub crashes: RefCell<Replica<u64>>,
-    /// Wakes those who wait for a change of any.
+    /// Notified when any table has changed.
     pub changed: Notify,
-    /// How often the store was seen to have come back from an old copy.
+    /// Number of times that the store was found to be restored from an old copy.
     pub(crate) restore_count: Cell<u32>,
-    /// Until when servers may be missing though they live.
-    settling: Cell<Option<Instant>>,
+    /// Servers may be missing until this time although they are running.
+    settling_until: Cell<Option<Instant>>,
 }
 
 impl TableReplicas {
-    /// Notes that the store has come back.
+    /// Records that the store is available again after an outage.
     pub fn store_recovered(&self, now: Instant) {
-        self.extend_settling(now, SETTLE);
+        self.extend_settling(now, SETTLING_TIME);
     }
 
-    /// Notes that it came back a while ago and `left` remains of the time in
-    /// which servers may be missing.
-    pub(crate) fn extend_settling(&self, now: Instant, left: Duration) {
-        let until = Some(now + left);
-        self.settling.set(self.settling.get().max(until));
+    /// Extends the time during which servers may be missing although they are running to at
+    /// least `duration` from now.
+    pub(crate) fn extend_settling(&self, now: Instant, duration: Duration) {
+        let settling_until = Some(now + duration);
+        self.settling_until
+            .set(self.settling_until.get().max(settling_until));
     }
 
-    /// How old the older of the copies that every call needs is; none while
-    /// one is missing.
+    /// The age of the older one of the two tables that every call needs, the catalog and
+    /// the servers; `None` while one is missing.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let catalog = self.catalog.borrow().age(now)?;
         Some(catalog.max(self.servers.borrow().age(now)?))
     }
 
-    /// Whether there is news for one who asks.
-    pub(crate) fn has_changes_since(&self, ask: &ChangesRequest) -> bool {
-        let catalog = self.catalog.borrow().has_changes_since(ask.catalog);
-        let servers = self.servers.borrow().has_changes_since(ask.servers);
-        catalog || servers || self.crashes.borrow().has_changes_since(ask.crashes)
+    /// Whether there are changes after the positions in `request`.
+    pub(crate) fn has_changes_since(&self, request: &ChangesRequest) -> bool {
+        let catalog = self.catalog.borrow().has_changes_since(request.catalog);
+        let servers = self.servers.borrow().has_changes_since(request.servers);
+        catalog || servers || self.crashes.borrow().has_changes_since(request.crashes)
     }
 
-    /// For how much longer servers may be missing though they live.
+    /// Remaining time during which servers may be missing although they are running.
     #[must_use]
     pub fn settling_left(&self, now: Instant) -> Duration {
-        let until = self.settling.get();
-        until.map_or(Duration::ZERO, |at| at.saturating_duration_since(now))
+        let settling_until = self.settling_until.get();
+        settling_until.map_or(Duration::ZERO, |at| at.saturating_duration_since(now))
     }
 }
 
-/// Puts news of the catalog to use.
-pub(crate) fn apply_catalogs(state: &State, news: Records<Rc<Catalog>>) {
-    if !news.is_empty() {
+/// Applies changes of the catalog.
+pub(crate) fn apply_catalogs(state: &State, changes: Records<Rc<Catalog>>) {
+    if !changes.is_empty() {
         state.tables.changed.notify_waiters();
     }
-    for catalog in news.into_iter().filter_map(|(_, catalog)| catalog) {
-        put(state, catalog);
+    for catalog in changes.into_iter().filter_map(|(_, catalog)| catalog) {
+        activate(state, catalog);
     }
 }
 
-/// Puts a catalog in force unless a newer one is.
-fn put(state: &State, catalog: Rc<Catalog>) {
-    let held = state.catalog.borrow().as_ref().map(|c| c.version);
-    if held.is_some_and(|v| v >= catalog.version) {
+/// Puts a catalog in force unless the current one is as new.
+fn activate(state: &State, catalog: Rc<Catalog>) {
+    let current = state.catalog.borrow().as_ref().map(|c| c.version);
+    if current.is_some_and(|v| v >= catalog.version) {
         return;
     }
     info!("catalog in force", kv: {
         version = catalog.version,
-        before = held.unwrap_or(0),
+        before = current.unwrap_or(0),
         routes = catalog.route_count()
     });
     metrics::gauge!("pimentocart_catalog_version").set(catalog.version as f64);
     *state.catalog.borrow_mut() = Some(catalog);
 }
 
-/// Puts news of the servers to use.
-pub(crate) fn apply_servers(state: &State, now: Instant, news: Records<ServerRecord>) {
-    if !news.is_empty() {
+/// Applies changes of the servers.
+pub(crate) fn apply_servers(state: &State, now: Instant, changes: Records<ServerRecord>) {
+    if !changes.is_empty() {
         state.tables.changed.notify_waiters();
     }
-    let away = !state.tables.settling_left(now).is_zero();
-    let until = now + if away { REREGISTRATION_TIME } else { LEAVE };
-    let many = news.len() > LOGGED;
+    let recovering = !state.tables.settling_left(now).is_zero();
+    let usable_until = now
+        + if recovering {
+            REREGISTRATION_TIME
+        } else {
+            DEPARTURE_TIME
+        };
+    let many = changes.len() > MAX_LOGGED_SERVERS;
     if many {
-        info!("servers listed", kv: { count = news.len() });
+        info!("servers listed", kv: { count = changes.len() });
     }
-    for (id, listed) in news {
-        match listed {
-            Some(listed) => list(state, now, listed, !many),
-            None => miss(state, now, &id, until),
+    for (id, record) in changes {
+        match record {
+            Some(record) => record_server(state, now, record, !many),
+            None => mark_missing(state, now, &id, usable_until),
         }
     }
     forget_missing(state, now);
     state.listed.set(true);
 }
 
-/// Forgets the servers that have been missing for long.
+/// Drops the servers that have been missing for longer than [`REREGISTRATION_TIME`].
 pub(crate) fn forget_missing(state: &State, now: Instant) {
     for id in state
         .balance
@@ -141,14 +147,14 @@
     }
 }
 
-fn list(state: &State, now: Instant, listed: ServerRecord, log: bool) {
-    let (id, leaving) = (Rc::clone(&listed.id), listed.leaving);
-    let (addr, zone, born) = (listed.addr, Rc::clone(&listed.zone), listed.started_ms);
-    let change = state.balance.borrow_mut().upsert(now, listed);
+fn record_server(state: &State, now: Instant, record: ServerRecord, log: bool) {
+    let (id, leaving) = (Rc::clone(&record.id), record.leaving);
+    let (addr, zone, started_ms) = (record.addr, Rc::clone(&record.zone), record.started_ms);
+    let change = state.balance.borrow_mut().upsert(now, record);
     if change == RecordChange::Unchanged {
         return;
     }
-    // Connections to its earlier life lead nowhere any more.
+    // Connections to its previous incarnation are dead.
     if leaving || change == RecordChange::Restarted {
         state.pool.forget(&id);
     }
@@ -160,13 +166,17 @@
         addr = addr.to_string().as_str(),
         zone = &*zone,
         leaving,
-        born = born.unwrap_or(0),
+        born = started_ms.unwrap_or(0),
         restarted = change == RecordChange::Restarted
     });
 }
 
-fn miss(state: &State, now: Instant, id: &str, until: Instant) {
-    if state.balance.borrow_mut().mark_missing(now, id, until) {
+fn mark_missing(state: &State, now: Instant, id: &str, usable_until: Instant) {
+    if state
+        .balance
+        .borrow_mut()
+        .mark_missing(now, id, usable_until)
+    {
         info!("server missing", kv: { server = id });
     }
 }
