--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -1,9 +1,9 @@
-//! Backend servers that crash, and the calls under which they do.
+//! Backend servers that crash, and the calls that they were running at the time.
 //!
-//! A server whose connection breaks is connected to once more. If it has crashed,
-//! that is held against each call it had, told to the other entries by way of
-//! the store, and a call under which several have crashed is sent to no server any
-//! more: `policy::suspects` decides when. See
+//! When the connection to a server breaks, the entry connects again to find out whether
+//! the server has crashed. A crash counts against each call that the server was running,
+//! and is shared with the other entries through the store. A call during which several
+//! servers have crashed is refused from then on; `policy::suspects` decides when. See
 //! docs/DECISIONS/0607-crashing-requests.md.
 
 use std::cell::{Cell, RefCell};
@@ -26,157 +26,160 @@
 use crate::pool::{Conn, Pool};
 use crate::state::State;
 
-/// Connections that are tried to find out whether a server has crashed.
-const DIALS: usize = 3;
+/// Maximum number of connection attempts to find out whether a server has crashed.
+const MAX_CONNECT_ATTEMPTS: usize = 3;
 
-/// Records that wait to be written at most. While the store is away for long,
-/// further ones are held by this entry alone.
-const UNWRITTEN: usize = 1 << 10;
+/// Maximum number of crashes that wait to be written to the store. During a long outage of
+/// the store, further ones are known to this entry only.
+const MAX_PENDING_WRITES: usize = 1 << 10;
 
-/// Records that are written in one call.
-const BATCH: usize = 256;
+/// Maximum number of crashes in one write.
+const MAX_BATCH: usize = 256;
 
-/// Crashes that another entry is told of in one datagram, in turn.
-const TOLD: usize = 16;
+/// Maximum number of crashes in one gossip datagram; they are sent in rotation.
+const MAX_DATAGRAM_CRASHES: usize = 16;
 
-/// The pause between two writes, for each entry that is heard: when a whole
-/// zone's servers crash, all entries have something to write at once.
-const WRITE_EACH: Duration = Duration::from_millis(20);
+/// Delay between two writes for each known entry: when all servers of a zone crash, all
+/// entries have crashes to write at the same time.
+const WRITE_DELAY_PER_ENTRY: Duration = Duration::from_millis(20);
 
-/// How often is looked whether the entry stops while nothing is to be written.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval at which the idle writer checks whether the entry stops.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A store that comes back from a copy has lost what it took in the last
-/// seconds. What is missing there and was seen so long ago at the most is
-/// written again; what is older was dropped by somebody.
-const LOST: Duration = Duration::from_secs(60);
+/// A store that was restored from a copy lacks the writes of the last seconds. A crash that
+/// is missing and was seen within this time is written again; an older one was deleted on
+/// purpose.
+const REWRITE_WINDOW: Duration = Duration::from_secs(60);
 
-/// Records of crashes that were seen so long ago were left behind by an entry that
-/// has ended. The margin is for hosts whose clocks differ.
-const FORGOTTEN: Duration = CRASH_TTL.saturating_mul(2);
+/// Age at which a crash in the store is deleted as left behind by an entry that has ended.
+/// The margin over [`CRASH_TTL`] allows for hosts whose clocks differ.
+const ORPHAN_AGE: Duration = CRASH_TTL.saturating_mul(2);
 
-/// What an entry knows of servers that have crashed under calls.
+/// The servers known to have crashed during calls.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     suspects: RefCell<CrashSuspects>,
-    /// Calls whose connections broke, by server, until it is known why.
-    broken: RefCell<HashMap<Rc<str>, Vec<Fingerprint>>>,
-    /// What the store is to be told: when a crash was seen in Unix
-    /// milliseconds, or none when it is not held any more.
-    unwritten: RefCell<BTreeMap<Crash, Option<u64>>>,
-    /// Where the next datagram to other entries goes on among them.
-    told: Cell<usize>,
-    /// Wakes the writer.
-    wake: Notify,
+    /// Calls whose connection broke, by server, until the cause is known.
+    broken_calls: RefCell<HashMap<Rc<str>, Vec<Fingerprint>>>,
+    /// Crashes to write to the store, with the time at which each was seen in Unix
+    /// milliseconds, or `None` to delete it.
+    pending_writes: RefCell<BTreeMap<Crash, Option<u64>>>,
+    /// Index of the first of them in the next gossip datagram.
+    gossip_cursor: Cell<usize>,
+    /// Notified when there is something to write.
+    write_needed: Notify,
 }
 
 impl CrashTracker {
-    /// Whether anything is held against any call.
+    /// Whether no crash counts against any call.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.borrow().is_empty()
     }
 
-    /// Crashes that are held against calls.
+    /// The number of crashes that count against calls.
     #[must_use]
     pub fn count(&self) -> usize {
         self.suspects.borrow().crash_count()
     }
 
-    /// For how long a call is not to be sent to any server; none if it may be.
+    /// For how long a call must be refused; `None` if it may be sent to servers.
     #[must_use]
     pub fn refusal_left(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
         self.suspects.borrow().refusal_left(now, fingerprint)
     }
 
-    /// Notes that a server has run a call whole.
+    /// Records that a server completed a call.
     pub fn request_served(&self, fingerprint: Fingerprint) {
         let cleared = self.suspects.borrow_mut().request_served(fingerprint);
         for crash in cleared {
-            self.tell(crash, None);
+            self.queue_write(crash, None);
         }
     }
 
-    /// Has the store told of a crash.
-    fn tell(&self, crash: Crash, at: Option<u64>) {
-        let mut unwritten = self.unwritten.borrow_mut();
-        if unwritten.len() >= UNWRITTEN && !unwritten.contains_key(&crash) {
+    /// Queues a write of a crash to the store, or its deletion if `seen_ms` is `None`.
+    fn queue_write(&self, crash: Crash, seen_ms: Option<u64>) {
+        let mut pending = self.pending_writes.borrow_mut();
+        if pending.len() >= MAX_PENDING_WRITES && !pending.contains_key(&crash) {
             metrics::counter!("pimentocart_crashes_not_told_total").increment(1);
             return;
         }
-        unwritten.insert(crash, at);
-        drop(unwritten);
-        self.wake.notify_one();
+        pending.insert(crash, seen_ms);
+        drop(pending);
+        self.write_needed.notify_one();
     }
 
-    /// What the other entries are told, as the store has not taken it.
+    /// Crashes that the store has not recorded yet, for the next gossip datagram.
     pub(crate) fn unstored_reports(&self, wall_ms: u64) -> Vec<gossip::CrashReport> {
-        let unwritten = self.unwritten.borrow();
-        let held = unwritten
+        let pending = self.pending_writes.borrow();
+        let unstored = pending
             .iter()
-            .filter_map(|(crash, at)| Some((crash, (*at)?)));
-        let count = held.clone().count();
+            .filter_map(|(crash, seen_ms)| Some((crash, (*seen_ms)?)));
+        let count = unstored.clone().count();
         if count == 0 {
             return Vec::new();
         }
-        let from = self.told.get() % count;
-        self.told.set(from + TOLD);
-        let told = held.cycle().skip(from).take(count.min(TOLD));
-        let told = told.map(|(crash, at)| gossip::CrashReport {
+        let from = self.gossip_cursor.get() % count;
+        self.gossip_cursor.set(from + MAX_DATAGRAM_CRASHES);
+        let reports = unstored
+            .cycle()
+            .skip(from)
+            .take(count.min(MAX_DATAGRAM_CRASHES));
+        let reports = reports.map(|(crash, seen_ms)| gossip::CrashReport {
             fingerprint: crash.fingerprint.0,
             incarnation: crash.incarnation,
-            age_ms: u32::try_from(wall_ms.saturating_sub(at)).unwrap_or(u32::MAX),
+            age_ms: u32::try_from(wall_ms.saturating_sub(seen_ms)).unwrap_or(u32::MAX),
         });
-        told.collect()
+        reports.collect()
     }
 
-    /// What is to be written next.
-    fn batch(&self) -> Vec<(Crash, Option<u64>)> {
-        let unwritten = self.unwritten.borrow();
-        let batch = unwritten.iter().take(BATCH);
-        batch.map(|(crash, at)| (*crash, *at)).collect()
+    /// The next crashes to write.
+    fn next_batch(&self) -> Vec<(Crash, Option<u64>)> {
+        let pending = self.pending_writes.borrow();
+        let batch = pending.iter().take(MAX_BATCH);
+        batch.map(|(crash, seen_ms)| (*crash, *seen_ms)).collect()
     }
 
-    /// Notes that a batch was written.
-    fn written(&self, batch: &[(Crash, Option<u64>)]) {
-        let mut unwritten = self.unwritten.borrow_mut();
-        for (crash, at) in batch {
-            if unwritten.get(crash) == Some(at) {
-                unwritten.remove(crash);
+    /// Removes a written batch from the queue, except records that changed since.
+    fn mark_written(&self, batch: &[(Crash, Option<u64>)]) {
+        let mut pending = self.pending_writes.borrow_mut();
+        for (crash, seen_ms) in batch {
+            if pending.get(crash) == Some(seen_ms) {
+                pending.remove(crash);
             }
         }
     }
 }
 
-/// Notes that the connection of call `fingerprint` to `server` broke before its
-/// answer was whole. A lost connection alone says nothing of the call.
+/// Records that the connection of the call `fingerprint` to `server` broke before the
+/// answer was complete. A broken connection alone does not count against the call.
 pub(crate) fn connection_broken(
     state: &Rc<State>,
     server: &ServerRecord,
     fingerprint: Fingerprint,
 ) {
-    let mut broken = state.crashes.broken.borrow_mut();
-    let fingerprints = broken.entry(Rc::clone(&server.id)).or_default();
+    let mut broken_calls = state.crashes.broken_calls.borrow_mut();
+    let fingerprints = broken_calls.entry(Rc::clone(&server.id)).or_default();
     let first = fingerprints.is_empty();
     fingerprints.push(fingerprint);
     if first {
-        actix_rt::spawn(look(Rc::clone(state), server.clone()));
+        actix_rt::spawn(check_server(Rc::clone(state), server.clone()));
     }
 }
 
-/// Looks whether `server` has crashed.
-async fn look(state: Rc<State>, server: ServerRecord) {
+/// Checks whether `server` has crashed, by connecting to it.
+async fn check_server(state: Rc<State>, server: ServerRecord) {
     let now = state.clock.now();
-    let dialled = dial(now, &server).await;
-    let fingerprints = state.crashes.broken.borrow_mut().remove(&server.id);
+    let connected = connect(now, &server).await;
+    let fingerprints = state.crashes.broken_calls.borrow_mut().remove(&server.id);
     let fingerprints = fingerprints.unwrap_or_default();
-    let outcome = match dialled {
+    let outcome = match connected {
         Ok(conn) => {
             state.pool.put(now, &server.id, conn);
             "alive"
         }
         Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => "crashed",
-        // A host that does not answer may be cut off, with its server well.
+        // A host that does not answer may be unreachable while its server is running.
         Err(_) => "unknown",
     };
     metrics::counter!("pimentocart_connections_broken_total", "server" => outcome)
@@ -189,55 +192,56 @@
         });
     }
     if outcome == "crashed" {
-        crashed(&state, &server, &fingerprints);
+        record_crash(&state, &server, &fingerprints);
     }
 }
 
-/// Connects to `server`, again where nothing comes back: on a link that loses
-/// packets a server that has crashed would else count as cut off.
-async fn dial(now: Instant, server: &ServerRecord) -> io::Result<Conn> {
-    let mut dialled = Pool::dial(now, server.addr).await;
-    for _ in 1..DIALS {
-        match &dialled {
+/// Connects to `server`, with retries after timeouts: otherwise a crashed server behind a
+/// link that loses packets would count as unreachable.
+async fn connect(now: Instant, server: &ServerRecord) -> io::Result<Conn> {
+    let mut connected = Pool::dial(now, server.addr).await;
+    for _ in 1..MAX_CONNECT_ATTEMPTS {
+        match &connected {
             Err(e) if e.kind() == io::ErrorKind::TimedOut => {}
             _ => break,
         }
-        dialled = Pool::dial(now, server.addr).await;
+        connected = Pool::dial(now, server.addr).await;
     }
-    dialled
+    connected
 }
 
-/// Holds it against `fingerprints` that `server` has crashed.
-fn crashed(state: &State, server: &ServerRecord, fingerprints: &[Fingerprint]) {
-    let (now, at) = (state.clock.now(), state.clock.wall_ms());
-    let life = rendezvous::score(
+/// Counts a crash of `server` against the calls `fingerprints`.
+fn record_crash(state: &State, server: &ServerRecord, fingerprints: &[Fingerprint]) {
+    let (now, seen_ms) = (state.clock.now(), state.clock.wall_ms());
+    let incarnation = rendezvous::score(
         rendezvous::hash_name(&server.id),
         server.started_ms.unwrap_or(0),
     );
-    let crashes = state
-        .crashes
-        .suspects
-        .borrow_mut()
-        .server_crashed(now, life, fingerprints);
+    let crashes =
+        state
+            .crashes
+            .suspects
+            .borrow_mut()
+            .server_crashed(now, incarnation, fingerprints);
     for crash in crashes {
-        state.crashes.tell(crash, Some(at));
-        note_refused(state, now, crash.fingerprint);
+        state.crashes.queue_write(crash, Some(seen_ms));
+        log_refusal(state, now, crash.fingerprint);
     }
 }
 
-/// Logs a call that is refused from now on.
-fn note_refused(state: &State, now: Instant, fingerprint: Fingerprint) {
+/// Logs the call if it is refused from now on.
+fn log_refusal(state: &State, now: Instant, fingerprint: Fingerprint) {
     if state.crashes.refusal_left(now, fingerprint).is_some() {
         warn!("call crashes servers", kv: { fingerprint = fingerprint.to_string().as_str() });
     }
 }
 
-/// Puts news of the table to use; `whole` says whether it was read anew.
-pub(crate) fn apply_changes(state: &State, now: Instant, news: Records<u64>, whole: bool) {
-    if !news.is_empty() {
+/// Applies changes of the crash table; `snapshot` says whether they come from a snapshot.
+pub(crate) fn apply_changes(state: &State, now: Instant, changes: Records<u64>, snapshot: bool) {
+    if !changes.is_empty() {
         state.tables.changed.notify_waiters();
     }
-    for (key, at) in news {
+    for (key, seen_ms) in changes {
         let crash = match key.parse::<Crash>() {
             Ok(crash) => crash,
             Err(cause) => {
@@ -245,101 +249,102 @@
                 continue;
             }
         };
-        match at {
-            Some(at) => hold(state, now, crash, at),
-            None => dropped(state, now, crash, whole),
+        match seen_ms {
+            Some(seen_ms) => apply_crash(state, now, crash, seen_ms),
+            None => apply_removal(state, now, crash, snapshot),
         }
     }
     metrics::gauge!("pimentocart_crashes_held").set(state.crashes.count() as f64);
 }
 
-/// Holds crashes that another entry tells of.
+/// Adds crashes that another entry has reported by gossip.
 pub(crate) fn add_reports(state: &State, now: Instant, crashes: &[gossip::CrashReport]) {
-    for said in crashes {
+    for report in crashes {
         let crash = Crash {
-            fingerprint: Fingerprint(said.fingerprint),
-            incarnation: said.incarnation,
+            fingerprint: Fingerprint(report.fingerprint),
+            incarnation: report.incarnation,
         };
-        let age = Duration::from_millis(u64::from(said.age_ms));
+        let age = Duration::from_millis(u64::from(report.age_ms));
         if state
             .crashes
             .suspects
             .borrow_mut()
             .add_crash(now, crash, age)
         {
-            note_refused(state, now, crash.fingerprint);
+            log_refusal(state, now, crash.fingerprint);
         }
     }
 }
 
-/// Holds a crash that the store tells of and that was seen at `at`.
-fn hold(state: &State, now: Instant, crash: Crash, at: u64) {
-    let age = Duration::from_millis(state.clock.wall_ms().saturating_sub(at));
+/// Adds a crash from the store that was seen at `seen_ms`, in Unix milliseconds.
+fn apply_crash(state: &State, now: Instant, crash: Crash, seen_ms: u64) {
+    let age = Duration::from_millis(state.clock.wall_ms().saturating_sub(seen_ms));
     if state
         .crashes
         .suspects
         .borrow_mut()
         .add_crash(now, crash, age)
     {
-        note_refused(state, now, crash.fingerprint);
-    } else if age > FORGOTTEN && reads(state, now) {
-        state.crashes.tell(crash, None);
+        log_refusal(state, now, crash.fingerprint);
+    } else if age > ORPHAN_AGE && reads_store(state, now) {
+        state.crashes.queue_write(crash, None);
     }
 }
 
-/// Notes that the store does not hold a crash any more.
-fn dropped(state: &State, now: Instant, crash: Crash, whole: bool) {
+/// Handles a crash that the store no longer has.
+fn apply_removal(state: &State, now: Instant, crash: Crash, snapshot: bool) {
     let age = state.crashes.suspects.borrow().crash_age(now, crash);
     match age {
-        Some(age) if whole && age < LOST => {
+        Some(age) if snapshot && age < REWRITE_WINDOW => {
             let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-            let at = state.clock.wall_ms().saturating_sub(age);
-            info!("crash written again", kv: { crash = crash.to_string().as_str() });
-            state.crashes.tell(crash, Some(at));
+            let seen_ms = state.clock.wall_ms().saturating_sub(age);
+            info!("crash missing from the store; writing it again", kv: { crash = crash.to_string().as_str() });
+            state.crashes.queue_write(crash, Some(seen_ms));
         }
         _ => state.crashes.suspects.borrow_mut().remove_crash(crash),
     }
 }
 
-/// Lets go of what was held long enough, here and, by those who read it, in
-/// the store.
+/// Removes expired crashes from this entry, and also from the store if this entry reads it.
 pub(crate) fn expire(state: &State, now: Instant) {
     let expired = state.crashes.suspects.borrow_mut().expire(now);
-    if expired.is_empty() || !reads(state, now) {
+    if expired.is_empty() || !reads_store(state, now) {
         return;
     }
     for crash in expired {
-        state.crashes.tell(crash, None);
+        state.crashes.queue_write(crash, None);
     }
 }
 
-/// Whether this entry reads the store for itself or for others.
-fn reads(state: &State, now: Instant) -> bool {
+/// Whether this entry reads from the store, for itself or for others.
+fn reads_store(state: &State, now: Instant) -> bool {
     state.readers.borrow_mut().preferred_peer(now).is_none()
 }
 
-/// Tells the store until `end`.
+/// Writes crashes to the store until `end`.
 pub async fn write_to_store<E: edge::Crashes>(state: Rc<State>, table: E, end: StopSignal) {
     let mut failures = 0;
     while !end.is_triggered() {
-        let batch = state.crashes.batch();
+        let batch = state.crashes.next_batch();
         if batch.is_empty() {
-            // Either way it is looked again.
-            let _ = tokio::time::timeout(LOOK, state.crashes.wake.notified()).await;
+            // The queue is checked again after a timeout as well as a notification.
+            let _ =
+                tokio::time::timeout(STOP_CHECK_INTERVAL, state.crashes.write_needed.notified())
+                    .await;
             continue;
         }
         let mut pause =
-            WRITE_EACH * u32::try_from(state.roster.borrow().count().total).unwrap_or(1);
+            WRITE_DELAY_PER_ENTRY * u32::try_from(state.roster.borrow().count().total).unwrap_or(1);
         match table.write(&batch).await {
             Ok(()) => {
-                state.crashes.written(&batch);
+                state.crashes.mark_written(&batch);
                 failures = 0;
             }
             Err(e) => {
                 failures += 1;
                 pause = pause.max(retry_delay(failures));
                 if failures == 1 {
-                    warn!("crashes not written", kv: {
+                    warn!("writing crashes failed; retrying", kv: {
                         count = batch.len(), cause = e.to_string().as_str()
                     });
                 }
--- a/crates/forward/src/discovery.rs
+++ b/crates/forward/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Finding the other entries, as `policy::discovery` says.
+//! Finds the other entries in the steps that `policy::discovery` selects.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use crate::gossip::GossipEndpoint;
 use crate::state::State;
 
-/// An entry that was asked takes this one to speak again within that time.
-const WITHIN: Duration = Duration::from_secs(1);
+/// Report interval that is announced to an entry when it is asked for members.
+const ANNOUNCED_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Finds other entries until `end`.
 pub async fn run<D: Directory>(
@@ -22,23 +22,26 @@
     end: StopSignal,
 ) {
     let addr = state.settings.gossip;
-    let mut rewinds = 0;
-    let mut lost = false;
+    let mut handled_restores = 0;
+    let mut was_failing = false;
     while !end.is_triggered() {
         let now = state.clock.now();
-        // A store that came back from an old copy may lack the address.
-        let seen = state.tables.restore_count.get();
-        if std::mem::replace(&mut rewinds, seen) != seen {
+        // A store that was restored from an old copy may lack this entry's address.
+        let restores = state.tables.restore_count.get();
+        if std::mem::replace(&mut handled_restores, restores) != restores {
             state.finder.borrow_mut().announcement_lost();
         }
-        let (first, relayed) = {
+        let (is_relay, uses_relays) = {
             let roster = state.roster.borrow();
             (roster.is_relay(), roster.uses_relays())
         };
-        let step = state.finder.borrow_mut().next_step(now, first, relayed);
+        let step = state
+            .finder
+            .borrow_mut()
+            .next_step(now, is_relay, uses_relays);
         let failed = match step {
             DiscoveryStep::Ask(addr) => {
-                endpoint.request_members(addr, WITHIN);
+                endpoint.request_members(addr, ANNOUNCED_INTERVAL);
                 continue;
             }
             DiscoveryStep::Wait(pause) => {
@@ -66,10 +69,10 @@
                 error
             }
         };
-        // The first of a row is logged; entries that were found stay known.
-        if let Some(e) = failed.as_ref().filter(|_| !lost) {
-            warn!("directory lost", kv: { cause = e.to_string().as_str() });
+        // Only the first of consecutive failures is logged. Known entries stay known.
+        if let Some(e) = failed.as_ref().filter(|_| !was_failing) {
+            warn!("directory request failed; retrying", kv: { cause = e.to_string().as_str() });
         }
-        lost = failed.is_some();
+        was_failing = failed.is_some();
     }
 }
--- a/crates/forward/src/events.rs
+++ b/crates/forward/src/events.rs
@@ -1,22 +1,22 @@
-//! Where the events of a stream end, and their numbers.
+//! Splits a stream of server-sent events and reads their ids.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes from a line's end to the end of the blank line after it.
-const BLANK_MOST: usize = 3;
+/// Maximum number of bytes from a line's LF to the end of the blank line after it.
+const MAX_EVENT_END: usize = 3;
 
-/// The field that holds an event's number.
-const NUMBER: &[u8] = b"id:";
+/// The field that holds an event's id.
+const ID_FIELD: &[u8] = b"id:";
 
-/// Cuts a stream of bytes into whole events.
+/// Splits a stream of bytes into complete events.
 ///
-/// A server may stop in the middle of an event. A caller that got the first
-/// half would see it joined to the event with which another server goes on;
-/// handing out whole events only is enough to prevent that.
+/// A server may stop in the middle of an event. If a caller got the first half, the event
+/// with which another server resumes would be appended to it. Returning complete events
+/// only prevents that.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes of the buffer that were searched already.
+    /// Number of bytes of the buffer that were already searched.
     searched: usize,
 }
 
@@ -25,20 +25,20 @@
 pub struct Event {
     /// Its bytes, with the blank line that ends it.
     pub bytes: Bytes,
-    /// Its number, if it has one.
+    /// Its id, if it has a numeric one.
     pub id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes bytes in.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Removes and returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Option<Event> {
-        let from = self.searched.saturating_sub(BLANK_MOST - 1);
-        let Some(end) = blank(&self.buffer[from..]) else {
+        let from = self.searched.saturating_sub(MAX_EVENT_END - 1);
+        let Some(end) = event_end(&self.buffer[from..]) else {
             self.searched = self.buffer.len();
             return None;
         };
@@ -48,22 +48,21 @@
         Some(Event { bytes, id })
     }
 
-    /// Bytes that no event has ended yet.
+    /// Number of bytes after the last complete event.
     #[must_use]
     pub fn pending_len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes the bytes that no event has ended.
+    /// Removes and returns the bytes after the last complete event.
     pub fn take_pending(&mut self) -> Bytes {
         self.searched = 0;
         self.buffer.split().freeze()
     }
 }
 
-/// Where the first blank line ends; lines end with or without a carriage
-/// return.
-fn blank(bytes: &[u8]) -> Option<usize> {
+/// The end of the first blank line; a line ends with LF or CRLF.
+fn event_end(bytes: &[u8]) -> Option<usize> {
     let ends = bytes.iter().enumerate().filter(|(_, b)| **b == b'\n');
     let mut blanks = ends.filter_map(|(at, _)| match &bytes[at + 1..] {
         [b'\n', ..] => Some(at + 2),
@@ -76,7 +75,7 @@
 fn event_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|b| *b == b'\n')
-        .find(|l| l.starts_with(NUMBER))?;
-    let text = std::str::from_utf8(&line[NUMBER.len()..]).ok()?;
+        .find(|l| l.starts_with(ID_FIELD))?;
+    let text = std::str::from_utf8(&line[ID_FIELD.len()..]).ok()?;
     text.trim().parse().ok()
 }
--- a/crates/forward/src/reload.rs
+++ b/crates/forward/src/reload.rs
@@ -1,7 +1,7 @@
-//! Reading the settings again.
+//! Reloads the settings.
 //!
-//! Only the level of logs takes effect in a running entry. A change of
-//! anything else needs a restart, and the log says so.
+//! Only the log level takes effect in a running entry. Any other change needs a restart,
+//! which is logged.
 
 use std::path::PathBuf;
 
@@ -12,53 +12,55 @@
 
 use crate::Settings;
 
-/// Reads the settings of one entry again when told to.
+/// Reloads the settings of an entry on request.
 #[derive(Debug)]
 pub struct SettingsReloader {
     path: PathBuf,
-    held: Settings,
+    current: Settings,
 }
 
 impl SettingsReloader {
-    /// Makes a reload of the settings at `path`, which are `held` now.
+    /// Creates a reloader for the settings file at `path`; `current` is in force.
     #[must_use]
-    pub fn new(path: PathBuf, held: &Settings) -> Self {
+    pub fn new(path: PathBuf, current: &Settings) -> Self {
         Self {
             path,
-            held: held.clone(),
+            current: current.clone(),
         }
     }
 
-    /// Reads the settings each time that `stop` says so.
+    /// Reloads the settings each time that `stop` signals a reload.
     pub async fn watch(mut self, stop: StopSignal) {
         loop {
             stop.wait_reload().await;
-            self.read();
+            self.reload();
         }
     }
 
-    fn read(&mut self) {
+    fn reload(&mut self) {
         let read = settings::load::<Settings>(&self.path);
         let read = read.and_then(|new| new.check().map(|()| new));
         match read {
-            Ok(new) => self.take(new),
-            // The file may be half written; what is held stays in force.
-            Err(e) => warn!("settings kept", kv: { cause = e.to_string().as_str() }),
+            Ok(new) => self.apply(new),
+            // The file may be partially written; the current settings stay in force.
+            Err(e) => {
+                warn!("reloading settings failed; current settings stay in force", kv: { cause = e.to_string().as_str() })
+            }
         }
     }
 
-    fn take(&mut self, new: Settings) {
-        let same = new == self.held;
-        if new.log_level != self.held.log_level {
+    fn apply(&mut self, new: Settings) {
+        let same = new == self.current;
+        if new.log_level != self.current.log_level {
             logging::set_level(new.log_level);
         }
         let level = new.log_level;
-        let apart = Settings {
-            log_level: self.held.log_level,
+        let other_settings = Settings {
+            log_level: self.current.log_level,
             ..new
         };
-        let restart = apart != self.held;
-        self.held.log_level = level;
+        let restart = other_settings != self.current;
+        self.current.log_level = level;
         info!("settings read", kv: { same, restart });
     }
 }
