--- /dev/null
+++ b/crates/forward/src/gossip/convert.rs
@@ -0,0 +1,108 @@
+//! Conversion between load reports on the wire and the types of the policies.
+
+use std::time::Duration;
+
+use policy::peer_load::{self, CallCounts};
+use policy::pools::ServiceDemand;
+use policy::rendezvous;
+use policy::suspects::{Crash, Fingerprint};
+use wire::gossip::{self, EntryLoad, LoadScope, WantedReply};
+
+/// The number that identifies a service in gossip messages.
+pub(super) fn service_number(service: &str) -> u32 {
+    rendezvous::hash_name(service) as u32
+}
+
+pub(super) fn millis(span: Duration) -> u32 {
+    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+}
+
+pub(super) fn service_load(service_number: u32, demand: &ServiceDemand) -> gossip::ServiceLoad {
+    gossip::ServiceLoad {
+        service_number,
+        prefill_rate: demand.prefill_rate as f32,
+        decoding_calls: demand.decode_calls as f32,
+        prefill_pace: demand.prefill_pace as f32,
+        pace_sources: demand.pace_samples,
+        pause: demand.stream_pause as f32,
+    }
+}
+
+pub(super) fn server_calls((server, calls): (u16, CallCounts)) -> (u16, u16, u16) {
+    let to_u16 = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
+    (server, to_u16(calls.open), to_u16(calls.waiting))
+}
+
+/// Converts a load report from the wire.
+pub(super) fn decode_load(load: &EntryLoad) -> peer_load::LoadReport {
+    let demand = |s: &gossip::ServiceLoad| {
+        let demand = ServiceDemand {
+            prefill_rate: f64::from(s.prefill_rate),
+            decode_calls: f64::from(s.decoding_calls),
+            prefill_pace: f64::from(s.prefill_pace),
+            pace_samples: s.pace_sources,
+            stream_pause: f64::from(s.pause),
+        };
+        (s.service_number, demand)
+    };
+    let calls = |(server, open, waiting): &(u16, u16, u16)| {
+        let calls = CallCounts {
+            open: u32::from(*open),
+            waiting: u32::from(*waiting),
+        };
+        (*server, calls)
+    };
+    let crash = |crash: &gossip::CrashReport| {
+        let age = Duration::from_millis(u64::from(crash.age_ms));
+        let crash = Crash {
+            fingerprint: Fingerprint(crash.fingerprint),
+            incarnation: crash.incarnation,
+        };
+        (crash, age)
+    };
+    peer_load::LoadReport {
+        incarnation: load.incarnation,
+        seq: load.seq,
+        zone: load.zone,
+        scope: match load.scope {
+            LoadScope::Own => peer_load::Scope::Own,
+            LoadScope::Zone => peer_load::Scope::Zone,
+            LoadScope::All => peer_load::Scope::All,
+        },
+        entries: load.entries,
+        interval: Duration::from_millis(u64::from(load.interval_ms)),
+        services: load.services.iter().map(demand).collect(),
+        calls: load.calls.iter().map(calls).collect(),
+        crashes: load.crashes.iter().map(crash).collect(),
+    }
+}
+
+/// Converts the total of several entries to a report sent by the entry with the report
+/// `own`. The busiest servers come first, since [`gossip::encode`] drops calls from the
+/// end when a datagram is too long.
+pub(super) fn encode_load(own: &EntryLoad, total: peer_load::LoadReport) -> EntryLoad {
+    let mut calls = total.calls;
+    calls.sort_by_key(|(_, calls)| std::cmp::Reverse(calls.open));
+    let crash = |(crash, age): (Crash, Duration)| gossip::CrashReport {
+        fingerprint: crash.fingerprint.0,
+        incarnation: crash.incarnation,
+        age_ms: millis(age),
+    };
+    EntryLoad {
+        scope: match total.scope {
+            peer_load::Scope::Own => LoadScope::Own,
+            peer_load::Scope::Zone => LoadScope::Zone,
+            peer_load::Scope::All => LoadScope::All,
+        },
+        wanted_reply: WantedReply::Nothing,
+        entries: total.entries,
+        services: total
+            .services
+            .iter()
+            .map(|(n, t)| service_load(*n, t))
+            .collect(),
+        calls: calls.into_iter().map(server_calls).collect(),
+        crashes: total.crashes.into_iter().map(crash).collect(),
+        ..own.clone()
+    }
+}
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -10,7 +10,7 @@
 use spdlog::info;
 
 use crate::call::Call;
-use crate::events::Splitter;
+use crate::events::EventSplitter;
 use crate::exchange::ResponseBody;
 use crate::state::OpenCall;
 
@@ -19,7 +19,7 @@
 pub struct Relay {
     call: Rc<Call>,
     body: ResponseBody,
-    splitter: Splitter,
+    splitter: EventSplitter,
     /// Bytes that came before the caller was answered.
     first_bytes: Option<Bytes>,
     /// The number of the last event that was passed on.
@@ -77,7 +77,7 @@
         Self {
             last_event: call.parsed_headers.last_event,
             body,
-            splitter: Splitter::default(),
+            splitter: EventSplitter::default(),
             first_bytes: Some(first),
             event_count: 0,
             consecutive: true,
@@ -140,11 +140,11 @@
                     .fail();
                 }
                 Ok(Ok(Some(bytes))) => self.splitter.push(&bytes),
-                Ok(Ok(None)) if self.splitter.rest() == 0 => return Ok(None),
+                Ok(Ok(None)) if self.splitter.pending_len() == 0 => return Ok(None),
                 // Whole by its framing, whatever its last bytes look like; what
                 // follows another server's part must be events.
                 Ok(Ok(None)) if self.body.framed && !self.resumed => {
-                    return Ok(Some(self.splitter.take_rest()));
+                    return Ok(Some(self.splitter.take_pending()));
                 }
                 Ok(Ok(None)) => self.fail_over("ended inside an event").await?,
                 Ok(Err(cause)) => self.fail_over(&cause).await?,
@@ -155,11 +155,11 @@
     /// The events that are whole by now, as one piece.
     fn complete_events(&mut self) -> Result<Option<Bytes>, StreamError> {
         let mut piece = Vec::new();
-        while let Some(event) = self.splitter.event() {
-            if let (Some(last), Some(number)) = (self.last_event, event.number) {
+        while let Some(event) = self.splitter.next_event() {
+            if let (Some(last), Some(number)) = (self.last_event, event.id) {
                 self.check_sequence(last, number)?;
             }
-            self.last_event = event.number.or(self.last_event);
+            self.last_event = event.id.or(self.last_event);
             self.event_count += 1;
             piece.extend_from_slice(&event.bytes);
         }
@@ -218,7 +218,7 @@
         if !resumable || self.last_event.is_none() && self.event_count > 0 {
             return Err(broken(from, cause));
         }
-        self.splitter.take_rest();
+        self.splitter.take_pending();
         let went = Rc::clone(&self.call)
             .resume(self.last_event, &mut self.tried)
             .await;
