--- a/crates/policy/src/caches.rs
+++ b/crates/policy/src/caches.rs
@@ -7,7 +7,7 @@
 pub const BLOCK_TOKENS: u32 = 256;
 
 /// Blocks that are remembered; 16 bytes each, twice.
-const LIMIT: usize = 16_384;
+const MAX_BLOCKS: usize = 16_384;
 
 /// What happened to a block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,14 +25,14 @@
     /// The blocks in the order in which they were stored.
     order: VecDeque<u64>,
     /// The number of the next event.
-    next: u64,
+    next_number: u64,
 }
 
 impl CacheMap {
     /// The number of the next event to ask for.
     #[must_use]
     pub fn next_event(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
     /// Takes in the event with the given number.
@@ -42,13 +42,13 @@
     /// told, so a gap drops everything; a block that is used again is stored
     /// again soon. An event seen before changes nothing.
     pub fn apply(&mut self, number: u64, change: BlockChange, block: u64) {
-        if number < self.next {
+        if number < self.next_number {
             return;
         }
-        if number > self.next {
-            self.forget();
+        if number > self.next_number {
+            self.clear();
         }
-        self.next = number + 1;
+        self.next_number = number + 1;
 
         match change {
             BlockChange::Stored => self.store(block),
@@ -60,18 +60,18 @@
 
     /// Notes that all events before `next` were given out; one that is missing
     /// at the end is a gap too.
-    pub fn advance_to(&mut self, next: u64) {
-        if next > self.next {
-            self.forget();
-            self.next = next;
+    pub fn advance_to(&mut self, next_number: u64) {
+        if next_number > self.next_number {
+            self.clear();
+            self.next_number = next_number;
         }
     }
 
     /// Takes the engine's cache as empty and its events as beginning anew, as
     /// after a restart.
     pub fn reset(&mut self) {
-        self.forget();
-        self.next = 0;
+        self.clear();
+        self.next_number = 0;
     }
 
     /// Tokens that a prompt with this first block would find cached at least.
@@ -88,14 +88,14 @@
             return;
         }
         self.order.push_back(block);
-        while self.order.len() > LIMIT {
+        while self.order.len() > MAX_BLOCKS {
             if let Some(oldest) = self.order.pop_front() {
                 self.blocks.remove(&oldest);
             }
         }
     }
 
-    fn forget(&mut self) {
+    fn clear(&mut self) {
         self.blocks.clear();
         self.order.clear();
     }
--- a/crates/policy/src/discovery.rs
+++ b/crates/policy/src/discovery.rs
@@ -13,49 +13,49 @@
 
 /// How long an entry that starts waits to be told of others before it reads the
 /// store's tables by itself.
-const START: Duration = Duration::from_millis(250);
+const START_WAIT: Duration = Duration::from_millis(250);
 
 /// The same where all hosts start for the first time. They do so within a few
 /// tenths of a second, and no caller waits.
-const START_FIRST: Duration = Duration::from_millis(600);
+const FIRST_START_WAIT: Duration = Duration::from_millis(600);
 
 /// How long it waits before it uses the directory, in which each start costs
 /// several calls.
-const SETTLE: Duration = Duration::from_secs(2);
+const DIRECTORY_DELAY: Duration = Duration::from_secs(2);
 
 /// The pause between two questions while nobody has answered yet, one host at a
 /// time: hundreds of entries ask the same few.
-const ASK_FIRST: Duration = Duration::from_millis(100);
+const ASK_INITIAL: Duration = Duration::from_millis(100);
 
 /// The same once that has failed for [`SETTLE`].
-const ASK_ALONE: Duration = Duration::from_millis(500);
+const ASK_ISOLATED: Duration = Duration::from_millis(500);
 
 /// The same once others are known, at first and at the most; it doubles. Those
 /// who started in the same moment, and those who were cut off from each other,
 /// find each other so.
-const ASK_MORE: Duration = Duration::from_millis(250);
-const ASK_AGAIN: Duration = Duration::from_secs(5);
+const ASK_BACKOFF_MIN: Duration = Duration::from_millis(250);
+const ASK_BACKOFF_MAX: Duration = Duration::from_secs(5);
 
 /// An entry that is answered by its zone's relays asks nobody else for so long
 /// after the last answer.
-const QUIET: Duration = Duration::from_secs(10);
+const RELAY_SILENCE: Duration = Duration::from_secs(10);
 
 /// After so long without any answer it takes itself to be alone.
-const ALONE: Duration = Duration::from_secs(25);
+const ISOLATION_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// How often the directory is read while nobody answers, and by the first
 /// entries of a zone, which may be unknown to the hosts that are asked.
-const LOOK_ALONE: Duration = Duration::from_secs(15);
-const LOOK_FIRST: Duration = Duration::from_secs(30);
+const READ_ISOLATED: Duration = Duration::from_secs(15);
+const READ_RELAY: Duration = Duration::from_secs(30);
 
 /// The pause after the directory could not be reached.
-const RETRY: Duration = Duration::from_millis(400);
+const RETRY_MIN: Duration = Duration::from_millis(400);
 
 /// The longest pause after it could not be reached.
-const RETRY_MOST: Duration = Duration::from_secs(5);
+const RETRY_MAX: Duration = Duration::from_secs(5);
 
 /// How long to wait until there is something to do, at the most.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What an entry does next to find others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -101,14 +101,14 @@
     /// Makes the finder of an entry that starts now; `first` says whether all
     /// entries start for the first time.
     #[must_use]
-    pub fn new(now: Instant, seeds: Vec<SocketAddr>, first: bool) -> Self {
+    pub fn new(now: Instant, seeds: Vec<SocketAddr>, first_start: bool) -> Self {
         Self {
             next_read: now,
             // Without anybody to ask there is nothing to wait for.
-            wait_limit: match (seeds.is_empty(), first) {
+            wait_limit: match (seeds.is_empty(), first_start) {
                 (true, _) => Duration::ZERO,
-                (false, true) => START_FIRST,
-                (false, false) => START,
+                (false, true) => FIRST_START_WAIT,
+                (false, false) => START_WAIT,
             },
             seeds,
             listed: Vec::new(),
@@ -144,20 +144,20 @@
 
     /// What to do next; `first` says whether the entry is one of the first of
     /// its zone, `relayed` whether these tell the others who there is.
-    pub fn next_step(&mut self, now: Instant, first: bool, relayed: bool) -> DiscoveryStep {
-        if let Some(addr) = self.next_peer(now, relayed && !first) {
+    pub fn next_step(&mut self, now: Instant, is_relay: bool, has_relays: bool) -> DiscoveryStep {
+        if let Some(addr) = self.next_peer(now, has_relays && !is_relay) {
             return DiscoveryStep::Ask(addr);
         }
-        let alone = self.is_isolated(now);
-        let waited = self.seeds.is_empty() || self.elapsed(now) >= SETTLE;
-        let uses = waited && (alone || first);
-        if uses && !self.announced && now >= self.retry_at {
+        let isolated = self.is_isolated(now);
+        let waited = self.seeds.is_empty() || self.elapsed(now) >= DIRECTORY_DELAY;
+        let use_directory = waited && (isolated || is_relay);
+        if use_directory && !self.announced && now >= self.retry_at {
             return DiscoveryStep::Announce;
         }
-        if uses && now >= self.next_read {
+        if use_directory && now >= self.next_read {
             return DiscoveryStep::ReadDirectory;
         }
-        DiscoveryStep::Wait(LOOK)
+        DiscoveryStep::Wait(POLL_INTERVAL)
     }
 
     /// Notes that another entry has answered.
@@ -185,40 +185,41 @@
         };
         self.listed = found;
         self.next_read = match self.is_isolated(now) {
-            true => now + LOOK_ALONE,
-            false => now + LOOK_FIRST,
+            true => now + READ_ISOLATED,
+            false => now + READ_RELAY,
         };
     }
 
     fn directory_result(&mut self, now: Instant, done: bool) {
         self.failures = if done { 0 } else { self.failures + 1 };
-        let doubled = 2u32.pow(self.failures.saturating_sub(1).min(8));
-        let pause = RETRY.saturating_mul(doubled);
+        let factor = 2u32.pow(self.failures.saturating_sub(1).min(8));
+        let pause = RETRY_MIN.saturating_mul(factor);
         self.retry_at = if done {
             now
         } else {
-            now + pause.min(RETRY_MOST)
+            now + pause.min(RETRY_MAX)
         };
     }
 
     /// Whether nobody has answered for long.
     fn is_isolated(&self, now: Instant) -> bool {
-        self.last_answer.is_none_or(|at| now >= at + ALONE)
+        self.last_answer
+            .is_none_or(|at| now >= at + ISOLATION_TIMEOUT)
     }
 
     /// Whom to ask now, if anybody; `told` says whether relays tell this entry
     /// who there is.
-    fn next_peer(&mut self, now: Instant, told: bool) -> Option<SocketAddr> {
+    fn next_peer(&mut self, now: Instant, relayed: bool) -> Option<SocketAddr> {
         let count = self.seeds.len() + self.listed.len();
-        let quiet = self.last_answer.is_none_or(|at| now >= at + QUIET);
-        let every = match self.is_isolated(now) {
-            true if self.elapsed(now) < SETTLE => ASK_FIRST,
-            true => ASK_ALONE,
-            false if told && quiet => ASK_ALONE,
-            false if told => return None,
-            false => (ASK_MORE * 2u32.pow(self.repeat_count.min(8))).min(ASK_AGAIN),
+        let quiet = self.last_answer.is_none_or(|at| now >= at + RELAY_SILENCE);
+        let interval = match self.is_isolated(now) {
+            true if self.elapsed(now) < DIRECTORY_DELAY => ASK_INITIAL,
+            true => ASK_ISOLATED,
+            false if relayed && quiet => ASK_ISOLATED,
+            false if relayed => return None,
+            false => (ASK_BACKOFF_MIN * 2u32.pow(self.repeat_count.min(8))).min(ASK_BACKOFF_MAX),
         };
-        if count == 0 || self.last_asked.is_some_and(|at| now < at + every) {
+        if count == 0 || self.last_asked.is_some_and(|at| now < at + interval) {
             return None;
         }
         self.repeat_count += u32::from(self.last_answer.is_some());
--- a/crates/policy/src/grants.rs
+++ b/crates/policy/src/grants.rs
@@ -46,62 +46,62 @@
 /// first, at the least and at the most. A first event comes some 40 ms after
 /// its call was let in even when the engine has nothing else to do, in which
 /// it reads 4,000 to 6,000 tokens. What waits outside can still be overtaken.
-const WINDOW: f64 = 9_000.0;
-const WINDOW_LEAST: f64 = 4_000.0;
-const WINDOW_MOST: f64 = 16_000.0;
+const WINDOW_INITIAL: f64 = 9_000.0;
+const WINDOW_MIN: f64 = 4_000.0;
+const WINDOW_MAX: f64 = 16_000.0;
 
 /// How the window follows the engine's reports while calls wait outside: it
 /// grows while the engine has at most one to read, as it may run dry, and
 /// shrinks while it has several.
-const WINDOW_GROWS: f64 = 1.1;
-const WINDOW_SHRINKS: f64 = 0.93;
+const WINDOW_GROWTH: f64 = 1.1;
+const WINDOW_DECAY: f64 = 0.93;
 
 /// Calls inside the engine that are not read to their end up to which the
 /// window grows, and from which it shrinks.
-const UNREAD_FEW: u32 = 1;
-const UNREAD_MANY: u32 = 4;
+const UNREAD_LOW: u32 = 1;
+const UNREAD_HIGH: u32 = 4;
 
 /// Part of the longest pause that callers of streams bear which reading
 /// others' prompts may take at the measured pace: at first, at the least and at
 /// the most. The rest is the steps' own time and what the network adds.
-const GAP_SHARE: f64 = 0.55;
-const GAP_LEAST: f64 = 0.2;
-const GAP_MOST: f64 = 2.0;
+const GAP_SHARE_INITIAL: f64 = 0.55;
+const GAP_SHARE_MIN: f64 = 0.2;
+const GAP_SHARE_MAX: f64 = 2.0;
 
 /// How the share follows the longest pause of each stream that has ended. Up
 /// to this part of what is borne there is room for more; past all of it there
 /// is too much. One stream in ten may be late while it grows.
-const PAUSE_ROOM: f64 = 0.85;
-const GAP_GROWS: f64 = 1.015;
-const GAP_SHRINKS: f64 = 0.9;
+const PAUSE_SLACK: f64 = 0.85;
+const GAP_SHARE_GROWTH: f64 = 1.015;
+const GAP_SHARE_DECAY: f64 = 0.9;
 
 /// Times of its own reading for which a call that waits can be overtaken. A
 /// call whose shared parts are held reads a tenth of what another does; behind
 /// two that read all of theirs it would be refused, though it would delay them
 /// by a tenth. A long one is overtaken until its turn has come and no longer.
-const STRETCH: f64 = 4.0;
+const OVERTAKE_FACTOR: f64 = 4.0;
 
 /// Part of less urgent prompts inside the engine that it has begun to read.
-const BEGUN_SHARE: f64 = 0.5;
+const STARTED_SHARE: f64 = 0.5;
 
 /// Tokens of its own that count when a call is judged. A long prompt is let in
 /// on the terms of a usual one, or in a burst long ones would never be served.
-const OWN_MOST: u32 = 12_000;
+const OWN_TOKENS_MAX: u32 = 12_000;
 
 /// How long a call that was let in may be without a first event before it is
 /// taken to have one: its entry may have ended, or its message got lost.
-const FLIGHT_LIMIT: Duration = Duration::from_millis(1500);
+const PENDING_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Tokens that a slot counts for when what was let in is compared: a call that
 /// reads nothing takes one all the same.
 const SLOT_TOKENS: f64 = 1_000.0;
 
 /// How long a call holds its slot before any was seen to end, in seconds.
-const HOLD_GUESS: f64 = 0.5;
+const HOLD_TIME_PRIOR: f64 = 0.5;
 
 /// How long reading that was let in is remembered; no stream's longest pause
 /// is longer.
-const LATELY: Duration = Duration::from_secs(2);
+const READ_HISTORY: Duration = Duration::from_secs(2);
 
 /// The calls for one engine.
 #[derive(Debug)]
@@ -155,17 +155,17 @@
     since: Instant,
     cost: PromptCost,
     /// The tokens of its load with those that were to be read before it.
-    ahead: u32,
+    backlog: u32,
     request: GrantRequest,
 }
 
 impl PendingCall {
     /// The call once it has its first event.
-    fn run(&self, now: Instant) -> RunningCall {
+    fn to_running(&self, now: Instant) -> RunningCall {
         RunningCall {
             since: now,
             deadline: self.since + self.request.time_left,
-            gap: self.request.max_gap,
+            max_gap: self.request.max_gap,
         }
     }
 }
@@ -174,7 +174,7 @@
 struct RunningCall {
     since: Instant,
     deadline: Instant,
-    gap: Option<Duration>,
+    max_gap: Option<Duration>,
 }
 
 impl Default for GrantController {
@@ -186,14 +186,14 @@
             timing: TtftModel::default(),
             fetch: FetchEstimate::default(),
             hold_time: Mean::default(),
-            window: WINDOW,
+            window: WINDOW_INITIAL,
             parts: PartCache::default(),
             report: None,
             started_at: None,
             slots: 0,
             mix: RankMix::default(),
             reserve: StreamReserve::default(),
-            gap_share: GAP_SHARE,
+            gap_share: GAP_SHARE_INITIAL,
             recent_reads: VecDeque::new(),
         }
     }
@@ -208,17 +208,17 @@
         if self.pending.contains_key(&request.id) || self.running.contains_key(&request.id) {
             return GrantDecision::Granted;
         }
-        if let Some(turn) = self.queue.key(request.id) {
-            return GrantDecision::Queued(turn.at.saturating_duration_since(now));
+        if let Some(key) = self.queue.key(request.id) {
+            return GrantDecision::Queued(key.due.saturating_duration_since(now));
         }
 
         self.fetch.declare(request.copy_time);
         let cost = self.prompt_cost(&request);
-        let turn = QueueKey {
+        let key = QueueKey {
             rank: request.rank,
-            at: now + self.overtake_limit(&request, cost),
+            due: now + self.overtake_limit(&request, cost),
         };
-        let expected = self.expected(now, turn, cost.tokens, &request);
+        let expected = self.expected_ttft(now, key, cost.tokens, &request);
         if request.max_gap.is_some() {
             self.reserve.record_stream(now);
             return match request.forced || self.has_room(now, cost) {
@@ -247,7 +247,7 @@
             tokens: cost.tokens,
             request,
         };
-        self.queue.push(turn, waiting);
+        self.queue.push(key, waiting);
         GrantDecision::Queued(expected)
     }
 
@@ -275,20 +275,20 @@
     /// Notes that a call which was let in fetches what another engine holds of
     /// the first `source` tokens of its prompt.
     pub fn record_fetch(&mut self, id: CallId, source: u32) {
-        let Some(flight) = self.pending.get(&id) else {
+        let Some(call) = self.pending.get(&id) else {
             return;
         };
         // By now the prompt counts as held; what was missing is known.
-        let held = flight.request.tokens() - flight.cost.missing.min(flight.request.tokens());
-        let cost = self.cost_after(flight.cost.missing, held, source);
+        let held = call.request.tokens() - call.cost.missing.min(call.request.tokens());
+        let cost = self.cost_after(call.cost.missing, held, source);
         if cost.fetched == 0 {
             return;
         }
-        self.fetch.passed(true);
-        if let Some(flight) = self.pending.get_mut(&id) {
-            let others = flight.ahead.saturating_sub(flight.cost.tokens);
-            flight.ahead = others.saturating_add(cost.tokens);
-            flight.cost = cost;
+        self.fetch.record_chance(true);
+        if let Some(call) = self.pending.get_mut(&id) {
+            let others = call.backlog.saturating_sub(call.cost.tokens);
+            call.backlog = others.saturating_add(cost.tokens);
+            call.cost = cost;
         }
     }
 
@@ -300,27 +300,27 @@
 
     /// Notes that a call has its first event.
     pub fn record_first_event(&mut self, now: Instant, id: CallId) {
-        let Some(flight) = self.pending.remove(&id) else {
+        let Some(call) = self.pending.remove(&id) else {
             return;
         };
         let PromptCost {
             tokens, fetched, ..
-        } = flight.cost;
+        } = call.cost;
         if fetched > 0 {
-            self.fetched(now, &flight, fetched);
+            self.learn_fetch(now, &call, fetched);
         }
         self.timing
-            .record_first_event(now, flight.since, tokens, fetched > 0);
-        self.running.insert(id, flight.run(now));
+            .record_first_event(now, call.since, tokens, fetched > 0);
+        self.running.insert(id, call.to_running(now));
     }
 
     /// Learns from a first event what fetching a part of its prompt took.
-    fn fetched(&mut self, now: Instant, flight: &PendingCall, fetched: u32) {
-        let took = now.saturating_duration_since(flight.since).as_secs_f64();
+    fn learn_fetch(&mut self, now: Instant, call: &PendingCall, fetched: u32) {
+        let took = now.saturating_duration_since(call.since).as_secs_f64();
         let (base, pace) = (self.timing.base(), self.timing.pace());
-        let more = took - f64::from(flight.ahead) * pace - base;
-        let counted = f64::from(fetched) * self.fetch.get().min(pace);
-        self.fetch.took(fetched, more + counted);
+        let more = took - f64::from(call.backlog) * pace - base;
+        let counted = f64::from(fetched) * self.fetch.token_time().min(pace);
+        self.fetch.record(fetched, more + counted);
     }
 
     /// Notes that a call has ended or will not come; `pause` is the longest
@@ -331,7 +331,7 @@
         if let Some(run) = self.running.remove(&id) {
             let held = now.saturating_duration_since(run.since);
             self.hold_time.add(held.as_secs_f64());
-            if let Some(gap) = run.gap {
+            if let Some(gap) = run.max_gap {
                 self.adapt_gap_share(gap, pause);
             }
         }
@@ -340,11 +340,11 @@
     /// Adapts the reading beside streams to the pauses that it made.
     fn adapt_gap_share(&mut self, gap: Duration, pause: Duration) {
         let step = match pause.as_secs_f64() / gap.as_secs_f64() {
-            p if p > 1.0 => GAP_SHRINKS,
-            p if p < PAUSE_ROOM => GAP_GROWS,
+            p if p > 1.0 => GAP_SHARE_DECAY,
+            p if p < PAUSE_SLACK => GAP_SHARE_GROWTH,
             _ => 1.0,
         };
-        self.gap_share = (self.gap_share * step).clamp(GAP_LEAST, GAP_MOST);
+        self.gap_share = (self.gap_share * step).clamp(GAP_SHARE_MIN, GAP_SHARE_MAX);
     }
 
     /// Notes when a life of the engine began that somebody speaks of; returns
@@ -374,11 +374,11 @@
         );
         if !self.queue.is_empty() {
             let step = match update_report.unread_calls {
-                ..=UNREAD_FEW => WINDOW_GROWS,
-                UNREAD_MANY.. => WINDOW_SHRINKS,
+                ..=UNREAD_LOW => WINDOW_GROWTH,
+                UNREAD_HIGH.. => WINDOW_DECAY,
                 _ => 1.0,
             };
-            self.window = (self.window * step).clamp(WINDOW_LEAST, WINDOW_MOST);
+            self.window = (self.window * step).clamp(WINDOW_MIN, WINDOW_MAX);
         }
         self.report = Some((now, update_report));
     }
@@ -401,7 +401,7 @@
     pub fn estimates(&self) -> EngineEstimates {
         EngineEstimates {
             pace_ns: (self.timing.pace() * 1e9) as u64,
-            fetch_ns: (self.fetch.get() * 1e9) as u64,
+            fetch_ns: (self.fetch.token_time() * 1e9) as u64,
             base_us: (self.timing.base() * 1e6) as u64,
             window: self.window as u64,
             gap_percent: self
@@ -431,23 +431,23 @@
     /// How long a call may be overtaken by others of its rank.
     fn overtake_limit(&self, request: &GrantRequest, cost: PromptCost) -> Duration {
         let own = f64::from(cost.tokens) * self.timing.pace();
-        Duration::from_secs_f64(own * STRETCH).min(request.ttft_limit)
+        Duration::from_secs_f64(own * OVERTAKE_FACTOR).min(request.ttft_limit)
     }
 
     /// How long the first event of a call would take whose turn comes at
     /// `turn` and which has to read `tokens`.
-    fn expected(
+    fn expected_ttft(
         &self,
         now: Instant,
-        turn: QueueKey,
+        key: QueueKey,
         tokens: u32,
         request: &GrantRequest,
     ) -> Duration {
         let (calls, waiting) = match request.max_gap {
-            None => self.queue.ahead(turn),
+            None => self.queue.ahead_of(key),
             Some(_) => (0, 0),
         };
-        let ahead = waiting + u64::from(tokens.min(OWN_MOST));
+        let ahead = waiting + u64::from(tokens.min(OWN_TOKENS_MAX));
         let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
         let base = self.timing.base();
         let reading = (self.unread_ahead(request.rank) + f64::from(ahead)) * self.timing.pace();
@@ -461,7 +461,7 @@
     fn slot_wait(&self, now: Instant, calls: u32) -> f64 {
         let taken = self.used_slots(now) + calls + 1;
         let over = taken.saturating_sub(self.prefill_slots(now));
-        let hold = self.hold_time.get().unwrap_or(HOLD_GUESS);
+        let hold = self.hold_time.get().unwrap_or(HOLD_TIME_PRIOR);
         f64::from(over) * hold / f64::from(self.slots.max(1))
     }
 
@@ -475,12 +475,12 @@
     /// The same for a prompt of which the engine misses `missing` tokens after
     /// the `held` first, and another holds the first `source`.
     fn cost_after(&self, missing: u32, held: u32, source: u32) -> PromptCost {
-        let most = source.saturating_sub(held).min(missing);
-        let fetched = match most >= fetch::MIN_FETCH_TOKENS && self.fetch_pays() {
-            true => most,
+        let budget = source.saturating_sub(held).min(missing);
+        let fetched = match budget >= fetch::MIN_FETCH_TOKENS && self.fetch_pays() {
+            true => budget,
             false => 0,
         };
-        let ratio = (self.fetch.get() / self.timing.pace()).min(1.0);
+        let ratio = (self.fetch.token_time() / self.timing.pace()).min(1.0);
         let tokens = missing - fetched + (f64::from(fetched) * ratio) as u32;
         PromptCost {
             tokens,
@@ -491,7 +491,7 @@
 
     /// Tokens of calls that were let in and have no first event.
     fn unread_tokens(&self) -> u32 {
-        sum(self.pending.values().map(|f| f.cost.tokens))
+        sum_tokens(self.pending.values().map(|f| f.cost.tokens))
     }
 
     /// The same as far as the engine reads it before a call of `rank`. It takes
@@ -499,28 +499,28 @@
     fn unread_ahead(&self, rank: u8) -> f64 {
         let share = |f: &PendingCall| match f.request.rank <= rank {
             true => f64::from(f.cost.tokens),
-            false => f64::from(f.cost.tokens) * BEGUN_SHARE,
+            false => f64::from(f.cost.tokens) * STARTED_SHARE,
         };
         self.pending.values().map(share).sum()
     }
 
     fn admit(&mut self, now: Instant, cost: PromptCost, request: GrantRequest) {
         if request.fetchable >= fetch::MIN_FETCH_TOKENS {
-            self.fetch.passed(cost.fetched > 0);
+            self.fetch.record_chance(cost.fetched > 0);
         }
         self.parts.insert(&request.parts);
         self.mix
             .add(now, request.rank, f64::from(cost.tokens) + SLOT_TOKENS);
-        let ahead = self.unread_tokens().saturating_add(cost.tokens);
+        let backlog = self.unread_tokens().saturating_add(cost.tokens);
         self.recent_reads
             .push_back((now, f64::from(cost.tokens) * self.timing.pace()));
-        let flight = PendingCall {
+        let call = PendingCall {
             since: now,
             cost,
-            ahead,
+            backlog,
             request,
         };
-        self.pending.insert(flight.request.id, flight);
+        self.pending.insert(call.request.id, call);
     }
 
     /// Forgets what must be over by now.
@@ -528,16 +528,16 @@
         while self
             .recent_reads
             .front()
-            .is_some_and(|(at, _)| now >= *at + LATELY)
+            .is_some_and(|(at, _)| now >= *at + READ_HISTORY)
         {
             self.recent_reads.pop_front();
         }
-        let stale = |f: &&PendingCall| now >= f.since + FLIGHT_LIMIT;
+        let stale = |f: &&PendingCall| now >= f.since + PENDING_TIMEOUT;
         let stale = self.pending.values().filter(stale).map(|f| f.request.id);
         let stale: Vec<CallId> = stale.collect();
         for id in stale {
-            if let Some(flight) = self.pending.remove(&id) {
-                self.running.insert(id, flight.run(now));
+            if let Some(call) = self.pending.remove(&id) {
+                self.running.insert(id, call.to_running(now));
             }
         }
         self.running.retain(|_, run| now < run.deadline);
@@ -548,6 +548,6 @@
 /// A sum of tokens. Callers say how long their prompts are, and a header may
 /// claim parts of four thousand million tokens; wrapped, their sum would look
 /// like an engine with nothing to read.
-fn sum(tokens: impl Iterator<Item = u32>) -> u32 {
+fn sum_tokens(tokens: impl Iterator<Item = u32>) -> u32 {
     tokens.fold(0, u32::saturating_add)
 }
--- a/crates/policy/src/grants/fetch.rs
+++ b/crates/policy/src/grants/fetch.rs
@@ -12,24 +12,24 @@
 pub const MIN_FETCH_TOKENS: u32 = 500;
 
 /// Seconds for a token where nothing is declared, so that it is tried.
-const GUESS: f64 = 2.5e-6;
+const TOKEN_TIME_PRIOR: f64 = 2.5e-6;
 
 /// Fetches that are remembered.
-const RECENT: usize = 32;
+const MAX_SAMPLES: usize = 32;
 
 /// Fetches wanted before they count for more than what is declared.
-const FEW: usize = 8;
+const MIN_SAMPLES: usize = 8;
 
 /// The part of the fetches that took less than what is believed: the others
 /// waited for something else too.
 const QUANTILE: f64 = 0.25;
 
 /// Part of the time of reading a token within which fetching it pays.
-const PAYS: f64 = 0.8;
+const PAYS_RATIO: f64 = 0.8;
 
 /// One call in so many fetches though it does not seem to pay, to notice when
 /// it does again.
-const TRY: u32 = 16;
+const PROBE_INTERVAL: u32 = 16;
 
 /// What fetching takes at one engine.
 #[derive(Debug, Default)]
@@ -37,9 +37,9 @@
     /// Seconds for a token, by what the operators declare.
     declared: Option<f64>,
     /// The same by first events.
-    recent: VecDeque<f64>,
+    samples: VecDeque<f64>,
     /// Calls since the last fetch that could have fetched.
-    passed: u32,
+    skipped: u32,
 }
 
 impl FetchEstimate {
@@ -49,33 +49,33 @@
     }
 
     /// Notes that fetching `tokens` took so many seconds.
-    pub(super) fn took(&mut self, tokens: u32, seconds: f64) {
-        if self.recent.len() == RECENT {
-            self.recent.pop_front();
+    pub(super) fn record(&mut self, tokens: u32, seconds: f64) {
+        if self.samples.len() == MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        let each = seconds.max(0.0) / f64::from(tokens.max(1));
-        self.recent.push_back(each);
+        let token_time = seconds.max(0.0) / f64::from(tokens.max(1));
+        self.samples.push_back(token_time);
     }
 
     /// Notes that a call which could fetch was let in.
-    pub(super) fn passed(&mut self, fetches: bool) {
-        self.passed = if fetches { 0 } else { self.passed + 1 };
+    pub(super) fn record_chance(&mut self, fetches: bool) {
+        self.skipped = if fetches { 0 } else { self.skipped + 1 };
     }
 
     /// Seconds for a token.
-    pub(super) fn get(&self) -> f64 {
-        if self.recent.len() < FEW {
-            return self.declared.unwrap_or(GUESS);
+    pub(super) fn token_time(&self) -> f64 {
+        if self.samples.len() < MIN_SAMPLES {
+            return self.declared.unwrap_or(TOKEN_TIME_PRIOR);
         }
-        let mut sorted: Vec<f64> = self.recent.iter().copied().collect();
-        let place = (sorted.len() as f64 * QUANTILE) as usize;
-        let (_, each, _) = sorted.select_nth_unstable_by(place, f64::total_cmp);
-        *each
+        let mut sorted: Vec<f64> = self.samples.iter().copied().collect();
+        let rank = (sorted.len() as f64 * QUANTILE) as usize;
+        let (_, token_time, _) = sorted.select_nth_unstable_by(rank, f64::total_cmp);
+        *token_time
     }
 
     /// Whether the next call should fetch where reading a token takes `pace`
     /// seconds.
     pub(super) fn pays(&self, pace: f64) -> bool {
-        self.get() < pace * PAYS || self.passed >= TRY
+        self.token_time() < pace * PAYS_RATIO || self.skipped >= PROBE_INTERVAL
     }
 }
--- a/crates/policy/src/grants/incarnations.rs
+++ b/crates/policy/src/grants/incarnations.rs
@@ -10,7 +10,7 @@
 
 /// Names that are remembered as gone. An engine's host sees a few restarts an
 /// hour at most.
-const GONE_KEPT: usize = 32;
+const MAX_GONE: usize = 32;
 
 /// What a name that is asked for stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,15 +41,15 @@
 
 impl Incarnations {
     /// Notes that an entry means the life `name`, which began at `born`.
-    pub fn resolve(&mut self, name: &str, born: Option<u64>) -> IncarnationStatus {
+    pub fn resolve(&mut self, name: &str, started_at: Option<u64>) -> IncarnationStatus {
         // A life that began later under the same name is another one.
-        let gone = |(n, b): &(String, Option<u64>)| n == name && born <= *b;
+        let gone = |(n, b): &(String, Option<u64>)| n == name && started_at <= *b;
         if self.gone.iter().any(gone) {
             return IncarnationStatus::Gone;
         }
         let known = self.current.as_deref() == Some(name);
-        if !known || born > self.started_at {
-            self.started_at = born;
+        if !known || started_at > self.started_at {
+            self.started_at = started_at;
             self.leaving = false;
         }
         if known {
@@ -76,11 +76,11 @@
 
     /// Notes that the engine has refused a call as meant for another life;
     /// returns whether that life was the one known.
-    pub fn mark_refused(&mut self, name: &str, born: Option<u64>) -> bool {
-        if self.gone.len() == GONE_KEPT {
+    pub fn mark_refused(&mut self, name: &str, started_at: Option<u64>) -> bool {
+        if self.gone.len() == MAX_GONE {
             self.gone.pop_front();
         }
-        self.gone.push_back((name.to_owned(), born));
+        self.gone.push_back((name.to_owned(), started_at));
         let known = self.current.as_deref() == Some(name);
         if known {
             self.current = None;
--- a/crates/policy/src/grants/parts.rs
+++ b/crates/policy/src/grants/parts.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Parts that are remembered at most, 48 bytes each.
-const LIMIT: usize = 20_000;
+const MAX_PARTS: usize = 20_000;
 
 /// Prompt parts by when they were last used.
 #[derive(Debug, Default)]
@@ -19,8 +19,8 @@
     /// Tokens of all of them.
     tokens: u64,
     /// Tokens that the engine has room for, once it is known.
-    room: Option<u64>,
-    next: u64,
+    capacity: Option<u64>,
+    next_use: u64,
 }
 
 impl PartCache {
@@ -28,17 +28,17 @@
     /// when all parts before it are held too.
     #[must_use]
     pub fn missing_tokens(&self, parts: &[(u64, u32)]) -> u32 {
-        sum(&parts[self.count(parts)..])
+        sum(&parts[self.held_count(parts)..])
     }
 
     /// The other tokens of the prompt.
     #[must_use]
     pub fn held_tokens(&self, parts: &[(u64, u32)]) -> u32 {
-        sum(&parts[..self.count(parts)])
+        sum(&parts[..self.held_count(parts)])
     }
 
     /// Parts from the prompt's start that are held.
-    fn count(&self, parts: &[(u64, u32)]) -> usize {
+    fn held_count(&self, parts: &[(u64, u32)]) -> usize {
         let held = |(id, _): &&(u64, u32)| self.held.contains_key(id);
         parts.iter().take_while(held).count()
     }
@@ -46,34 +46,34 @@
     /// Notes that the engine reads a prompt.
     pub fn insert(&mut self, parts: &[(u64, u32)]) {
         for (id, tokens) in parts {
-            self.drop_part(*id);
-            self.held.insert(*id, (*tokens, self.next));
-            self.order.insert(self.next, *id);
+            self.remove_part(*id);
+            self.held.insert(*id, (*tokens, self.next_use));
+            self.order.insert(self.next_use, *id);
             self.tokens += u64::from(*tokens);
-            self.next += 1;
+            self.next_use += 1;
         }
-        self.fit();
+        self.evict();
     }
 
     /// Takes over how many tokens the engine has room for.
-    pub fn set_capacity(&mut self, room: u64) {
-        self.room = Some(room);
-        self.fit();
+    pub fn set_capacity(&mut self, capacity: u64) {
+        self.capacity = Some(capacity);
+        self.evict();
     }
 
     /// Drops what the engine has no room for.
-    fn fit(&mut self) {
-        while self.held.len() > LIMIT || self.room.is_some_and(|r| self.tokens > r) {
+    fn evict(&mut self) {
+        while self.held.len() > MAX_PARTS || self.capacity.is_some_and(|r| self.tokens > r) {
             let Some((_, id)) = self.order.first_key_value() else {
                 return;
             };
-            self.drop_part(*id);
+            self.remove_part(*id);
         }
     }
 
-    fn drop_part(&mut self, id: u64) {
-        if let Some((tokens, place)) = self.held.remove(&id) {
-            self.order.remove(&place);
+    fn remove_part(&mut self, id: u64) {
+        if let Some((tokens, use_order)) = self.held.remove(&id) {
+            self.order.remove(&use_order);
             self.tokens -= u64::from(tokens);
         }
     }
--- a/crates/policy/src/grants/queue.rs
+++ b/crates/policy/src/grants/queue.rs
@@ -17,7 +17,7 @@
     /// The call's rank; 0 is the most urgent.
     pub(super) rank: u8,
     /// Among calls of that rank.
-    pub(super) at: Instant,
+    pub(super) due: Instant,
 }
 
 /// A call that waits.
@@ -32,7 +32,7 @@
 }
 
 /// The last of all calls whose turns come at one time.
-const LAST: CallId = CallId {
+const LAST_CALL: CallId = CallId {
     incarnation: u64::MAX,
     number: u32::MAX,
 };
@@ -42,20 +42,20 @@
 pub(super) struct WaitQueue {
     calls: BTreeMap<(QueueKey, CallId), QueuedCall>,
     /// When it is each one's turn.
-    turns: HashMap<CallId, QueueKey>,
+    keys: HashMap<CallId, QueueKey>,
 }
 
 impl WaitQueue {
     /// When it is a call's turn; none when it does not wait.
     pub(super) fn key(&self, id: CallId) -> Option<QueueKey> {
-        self.turns.get(&id).copied()
+        self.keys.get(&id).copied()
     }
 
     /// Has a call wait for its turn.
-    pub(super) fn push(&mut self, turn: QueueKey, waiting: QueuedCall) {
-        let id = waiting.request.id;
-        self.turns.insert(id, turn);
-        self.calls.insert((turn, id), waiting);
+    pub(super) fn push(&mut self, key: QueueKey, call: QueuedCall) {
+        let id = call.request.id;
+        self.keys.insert(id, key);
+        self.calls.insert((key, id), call);
     }
 
     /// The call whose turn comes first.
@@ -65,22 +65,22 @@
 
     /// Takes that call out.
     pub(super) fn pop(&mut self) -> Option<QueuedCall> {
-        let ((_, id), waiting) = self.calls.pop_first()?;
-        self.turns.remove(&id);
-        Some(waiting)
+        let ((_, id), call) = self.calls.pop_first()?;
+        self.keys.remove(&id);
+        Some(call)
     }
 
     /// Takes a call out that will not come.
     pub(super) fn remove(&mut self, id: CallId) {
-        if let Some(turn) = self.turns.remove(&id) {
-            self.calls.remove(&(turn, id));
+        if let Some(key) = self.keys.remove(&id) {
+            self.calls.remove(&(key, id));
         }
     }
 
     /// How many calls go before one whose turn is `turn`, and the tokens that
     /// they have to read.
-    pub(super) fn ahead(&self, turn: QueueKey) -> (u32, u64) {
-        let before = self.calls.range(..=(turn, LAST));
+    pub(super) fn ahead_of(&self, key: QueueKey) -> (u32, u64) {
+        let before = self.calls.range(..=(key, LAST_CALL));
         before.fold((0, 0), |(calls, tokens), (_, w)| {
             (calls + 1, tokens + u64::from(w.tokens))
         })
--- a/crates/policy/src/grants/reserve.rs
+++ b/crates/policy/src/grants/reserve.rs
@@ -7,34 +7,36 @@
 use std::time::{Duration, Instant};
 
 /// How soon half of the streams seen count no more.
-const HALF: Duration = Duration::from_secs(2);
+const HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// Streams that come to an engine.
 #[derive(Debug, Default)]
 pub(super) struct StreamReserve {
     /// Streams, older ones with less weight.
-    seen: f64,
+    decayed_count: f64,
     last: Option<Instant>,
 }
 
 impl StreamReserve {
     /// Notes that a stream asks for a slot.
     pub(super) fn record_stream(&mut self, now: Instant) {
-        self.seen = self.weight(now) + 1.0;
+        self.decayed_count = self.current_count(now) + 1.0;
         self.last = Some(now);
     }
 
     /// Slots to keep where one of `slots` falls free each `hold / slots`
     /// seconds.
     pub(super) fn slots(&self, now: Instant, hold: f64, slots: u32) -> u32 {
-        let a_second = self.weight(now) * std::f64::consts::LN_2 / HALF.as_secs_f64();
-        let coming = a_second * hold / f64::from(slots.max(1));
-        coming.round().min(f64::from(slots)) as u32
+        let rate = self.current_count(now) * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
+        let arrivals = rate * hold / f64::from(slots.max(1));
+        arrivals.round().min(f64::from(slots)) as u32
     }
 
-    fn weight(&self, now: Instant) -> f64 {
-        let Some(last) = self.last else { return 0.0 };
+    fn current_count(&self, now: Instant) -> f64 {
+        let Some(last) = self.last_stream else {
+            return 0.0;
+        };
         let age = now.saturating_duration_since(last).as_secs_f64();
-        self.seen * 0.5_f64.powf(age / HALF.as_secs_f64())
+        self.decayed_count * 0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
     }
 }
--- a/crates/policy/src/grants/room.rs
+++ b/crates/policy/src/grants/room.rs
@@ -3,19 +3,19 @@
 use std::time::{Duration, Instant};
 
 use super::call::EngineReport;
-use super::{GrantController, HOLD_GUESS, LATELY, PromptCost, sum};
+use super::{GrantController, HOLD_TIME_PRIOR, PromptCost, READ_HISTORY, sum_tokens};
 
 /// Part of the engine's memory that may be taken by running calls. Beyond,
 /// the engine preempts some of them in the middle of their streams.
 const MEMORY_SHARE: f64 = 0.9;
 
 /// A report of the engine is believed for so long.
-const REPORT_LIMIT: Duration = Duration::from_millis(500);
+const REPORT_MAX_AGE: Duration = Duration::from_millis(500);
 
 impl GrantController {
     /// The shortest pause that a running stream bears.
     pub(super) fn min_gap(&self) -> Option<Duration> {
-        let runs = self.running.values().filter_map(|r| r.gap);
+        let runs = self.running.values().filter_map(|r| r.max_gap);
         let flights = self.pending.values().filter_map(|f| f.request.max_gap);
         runs.chain(flights).min()
     }
@@ -38,11 +38,11 @@
         let Some(gap) = self.min_gap() else {
             return self.fits_memory(now, cost);
         };
-        let most = gap.as_secs_f64() * self.gap_share;
-        let lately = self.recent_reads.iter().filter(|(at, _)| now < *at + gap);
-        let lately: f64 = lately.map(|(_, s)| s).sum();
+        let budget = gap.as_secs_f64() * self.gap_share;
+        let recent = self.recent_reads.iter().filter(|(at, _)| now < *at + gap);
+        let recent: f64 = recent.map(|(_, s)| s).sum();
         let own = f64::from(cost.tokens) * self.timing.pace();
-        (lately <= 0.0 || lately + own <= most) && self.fits_memory(now, cost)
+        (recent <= 0.0 || recent + own <= budget) && self.fits_memory(now, cost)
     }
 
     /// Whether a stream finds a slot and memory.
@@ -55,7 +55,7 @@
         let Some(report) = self.fresh_report(now) else {
             return true;
         };
-        let coming = sum(self.pending.values().map(|f| f.cost.missing));
+        let coming = sum_tokens(self.pending.values().map(|f| f.cost.missing));
         let used = report.used_tokens + u64::from(coming) + u64::from(cost.missing);
         report.total_tokens == 0 || used as f64 <= report.total_tokens as f64 * MEMORY_SHARE
     }
@@ -70,7 +70,7 @@
 
     /// Slots that calls which only read may take.
     pub(super) fn prefill_slots(&self, now: Instant) -> u32 {
-        let hold = self.hold_time.get().unwrap_or(HOLD_GUESS);
+        let hold = self.hold_time.get().unwrap_or(HOLD_TIME_PRIOR);
         let kept = self.reserve.slots(now, hold, self.slots);
         self.slots.saturating_sub(kept).max(1)
     }
@@ -79,21 +79,21 @@
     pub(super) fn used_slots(&self, now: Instant) -> u32 {
         let own = self.running.len() + self.pending.len();
         let own = u32::try_from(own).unwrap_or(u32::MAX);
-        let told = self.fresh_report(now).map_or(0, |r| r.running_calls);
-        own.max(told)
+        let reported = self.fresh_report(now).map_or(0, |r| r.running_calls);
+        own.max(reported)
     }
 
     /// Part of the engine's time, slots or memory that calls take, whichever
     /// is most; what waits for reading counts as well.
     #[must_use]
     pub fn utilization(&self, now: Instant) -> f64 {
-        let lately = self
+        let recent = self
             .recent_reads
             .iter()
-            .filter(|(at, _)| now < *at + LATELY);
-        let read: f64 = lately.map(|(_, s)| s).sum();
+            .filter(|(at, _)| now < *at + READ_HISTORY);
+        let read: f64 = recent.map(|(_, s)| s).sum();
         let waiting = self.queue.tokens() as f64 * self.timing.pace();
-        let reading = (read + waiting) / LATELY.as_secs_f64();
+        let reading = (read + waiting) / READ_HISTORY.as_secs_f64();
         let slots = f64::from(self.used_slots(now)) / f64::from(self.slots.max(1));
         let memory = match self.fresh_report(now) {
             Some(report) if report.total_tokens > 0 => {
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn fresh_report(&self, now: Instant) -> Option<EngineReport> {
-        let fresh = self.report.filter(|(at, _)| now < *at + REPORT_LIMIT);
+        let fresh = self.report.filter(|(at, _)| now < *at + REPORT_MAX_AGE);
         fresh.map(|(_, report)| report)
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -16,17 +16,17 @@
 pub type ServerIndex = usize;
 
 /// Random places that are looked at before all are gone through in order.
-const DRAWS: usize = 4;
+const SAMPLE_ATTEMPTS: usize = 4;
 
 /// How long a server that said it drains is believed to. Nobody would ask it
 /// again otherwise, and its next life at the same address would stay unused.
-const DRAIN_TRUST: Duration = Duration::from_secs(5);
+const DRAIN_MAX_AGE: Duration = Duration::from_secs(5);
 
 /// How often a pool's usual pace is worked out.
-const MEDIAN_EVERY: Duration = Duration::from_millis(500);
+const MEDIAN_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Servers with a known pace from which a median means something.
-const MEDIAN_LEAST: usize = 4;
+const MEDIAN_MIN_SERVERS: usize = 4;
 
 /// A pace so many times the median is a fault.
 const SLOW_FACTOR: u32 = 8;
@@ -102,20 +102,20 @@
 #[derive(Debug, Default)]
 struct Pool {
     /// Those in the entry's own availability zone.
-    near: Vec<ServerIndex>,
+    local: Vec<ServerIndex>,
     /// All others.
-    far: Vec<ServerIndex>,
+    remote: Vec<ServerIndex>,
     /// The median pace, and when it was worked out.
-    usual: Option<(Instant, Pace)>,
+    median_pace: Option<(Instant, Pace)>,
 }
 
 impl Pool {
     fn all(&self) -> impl Iterator<Item = ServerIndex> {
-        self.near.iter().chain(&self.far).copied()
+        self.local.iter().chain(&self.remote).copied()
     }
 
     fn len(&self) -> usize {
-        self.near.len() + self.far.len()
+        self.local.len() + self.remote.len()
     }
 }
 
@@ -138,8 +138,8 @@
         if self.servers.len() <= index {
             self.servers.resize_with(index + 1, || None);
         }
-        let near = zone == self.options.zone;
-        let pool = self.pool(target);
+        let local = zone == self.options.zone;
+        let pool = self.pool_index(target);
         self.servers[index] = Some(Server {
             key: number(name),
             pool,
@@ -149,12 +149,16 @@
         });
 
         let pool = &mut self.pools[pool];
-        let part = if near { &mut pool.near } else { &mut pool.far };
-        part.push(index);
+        let members = if local {
+            &mut pool.local
+        } else {
+            &mut pool.remote
+        };
+        members.push(index);
     }
 
     /// The place of the pool of `target`, made now if there is none.
-    fn pool(&mut self, target: &str) -> usize {
+    fn pool_index(&mut self, target: &str) -> usize {
         if let Some(place) = self.targets.get(target) {
             return *place;
         }
@@ -170,8 +174,8 @@
             return;
         };
         let pool = &mut self.pools[server.pool];
-        pool.near.retain(|i| *i != index);
-        pool.far.retain(|i| *i != index);
+        pool.local.retain(|i| *i != index);
+        pool.remote.retain(|i| *i != index);
     }
 
     /// Closes or opens a server for new requests, by the host list's word.
@@ -196,7 +200,7 @@
         now: Instant,
         index: ServerIndex,
         load: Load,
-        ejected: f64,
+        ejectable: f64,
     ) -> bool {
         let lag = self.options.report_lag;
         let Some(server) = self.server_mut(index) else {
@@ -209,9 +213,9 @@
             return false;
         }
 
-        let usual = self.usual_in(now, pool);
-        if usual.known() && load.pace.token > usual.token * SLOW_FACTOR {
-            return self.record_fault(now, index, Fault::Slow, ejected);
+        let median_pace = self.pool_median(now, pool);
+        if median_pace.known() && load.pace.token > median_pace.token * SLOW_FACTOR {
+            return self.record_fault(now, index, Fault::Slow, ejectable);
         }
         self.record_good(now, index, Good::Pace);
         false
@@ -231,7 +235,7 @@
         now: Instant,
         index: ServerIndex,
         record_fault: Fault,
-        share: f64,
+        ejectable: f64,
     ) -> bool {
         let Some(server) = self.server(index) else {
             return false;
@@ -239,7 +243,7 @@
         let pool = &self.pools[server.pool];
         let health = |i| self.server(i).is_some_and(|s| s.health.ejected());
         let ejected = pool.all().filter(|i| health(*i)).count();
-        let room = ejected < outlier::spare(pool.len(), share);
+        let room = ejected < outlier::spare(pool.len(), ejectable);
 
         let server = self.server_mut(index);
         server.is_some_and(|s| s.health.fault(now, record_fault, room))
@@ -268,30 +272,30 @@
     /// theirs.
     pub fn median_pace(&mut self, now: Instant, target: &str) -> Pace {
         match self.targets.get(target) {
-            Some(pool) => self.usual_in(now, *pool),
+            Some(pool) => self.pool_median(now, *pool),
             None => Pace::default(),
         }
     }
 
-    fn usual_in(&mut self, now: Instant, pool: usize) -> Pace {
-        let held = self.pools[pool].usual;
-        if let Some((_, usual)) = held.filter(|(at, _)| now < *at + MEDIAN_EVERY) {
-            return usual;
+    fn pool_median(&mut self, now: Instant, pool: usize) -> Pace {
+        let held = self.pools[pool].median_pace;
+        if let Some((_, median_pace)) = held.filter(|(at, _)| now < *at + MEDIAN_INTERVAL) {
+            return median_pace;
         }
-        let usual = self.median(&self.pools[pool]);
-        self.pools[pool].usual = Some((now, usual));
-        usual
+        let median_pace = self.compute_median(&self.pools[pool]);
+        self.pools[pool].median_pace = Some((now, median_pace));
+        median_pace
     }
 
-    fn median(&self, pool: &Pool) -> Pace {
+    fn compute_median(&self, pool: &Pool) -> Pace {
         let paces = pool.all().map(|i| self.load(i).pace);
         let mut paces: Vec<Pace> = paces.filter(Pace::known).collect();
-        if paces.len() < MEDIAN_LEAST {
+        if paces.len() < MEDIAN_MIN_SERVERS {
             return Pace::default();
         }
         let middle = paces.len() / 2;
-        let (_, usual, _) = paces.select_nth_unstable_by_key(middle, |p| p.token);
-        *usual
+        let (_, median_pace, _) = paces.select_nth_unstable_by_key(middle, |p| p.token);
+        *median_pace
     }
 
     /// Chooses the servers to ask, the most wanted first. Empty when none may
@@ -304,10 +308,10 @@
         let pool = std::mem::take(&mut self.pools[place]);
         let mut chosen = Vec::with_capacity(want.fan_out);
         match self.options.mode {
-            PlacementMode::LateBinding => self.bind_late(now, &pool, want, &mut chosen),
-            PlacementMode::Random => chosen.extend(self.draw(now, &pool, want, &[])),
-            PlacementMode::LeastLoaded => chosen.extend(self.least_loaded(now, &pool, want)),
-            PlacementMode::TwoChoices => chosen.extend(self.less_loaded(now, &pool, want)),
+            PlacementMode::LateBinding => self.choose_late_binding(now, &pool, want, &mut chosen),
+            PlacementMode::Random => chosen.extend(self.pick_anywhere(now, &pool, want, &[])),
+            PlacementMode::LeastLoaded => chosen.extend(self.choose_least_loaded(now, &pool, want)),
+            PlacementMode::TwoChoices => chosen.extend(self.choose_of_two(now, &pool, want)),
         }
         self.pools[place] = pool;
 
@@ -319,16 +323,16 @@
         chosen
     }
 
-    fn bind_late(
+    fn choose_late_binding(
         &mut self,
         now: Instant,
         pool: &Pool,
         want: &PlacementRequest<'_>,
         chosen: &mut Vec<ServerIndex>,
     ) {
-        chosen.extend(self.home(now, pool, want));
+        chosen.extend(self.affinity_server(now, pool, want));
         while chosen.len() < want.fan_out.max(1) {
-            let Some(next) = self.sample(now, pool, want, chosen) else {
+            let Some(next) = self.sample_server(now, pool, want, chosen) else {
                 return;
             };
             chosen.push(next);
@@ -339,7 +343,12 @@
     /// the same at every entry, by rendezvous hashing, without any exchange.
     /// One whose queue is as long as its slots is passed over for the next,
     /// or a popular prefix would waste a reservation on each request.
-    fn home(&self, now: Instant, pool: &Pool, want: &PlacementRequest<'_>) -> Option<ServerIndex> {
+    fn affinity_server(
+        &self,
+        now: Instant,
+        pool: &Pool,
+        want: &PlacementRequest<'_>,
+    ) -> Option<ServerIndex> {
         if want.prefix_hash == 0 {
             return None;
         }
@@ -354,33 +363,33 @@
 
     /// The better of two sampled ones, in the own availability zone unless
     /// both are full there.
-    fn sample(
+    fn sample_server(
         &mut self,
         now: Instant,
         pool: &Pool,
         want: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        let near = self.better(now, &pool.near, want, chosen);
-        if let Some(near) = near.filter(|i| !self.load(*i).full()) {
-            return Some(near);
+        let local = self.better_of_two(now, &pool.local, want, chosen);
+        if let Some(local) = local.filter(|i| !self.load(*i).full()) {
+            return Some(local);
         }
-        let far = self.better(now, &pool.far, want, chosen);
-        match (near, far) {
-            (Some(near), Some(far)) if self.cost(near) <= self.cost(far) => Some(near),
-            (near, far) => far.or(near),
+        let remote = self.better_of_two(now, &pool.remote, want, chosen);
+        match (local, remote) {
+            (Some(local), Some(remote)) if self.cost(local) <= self.cost(remote) => Some(local),
+            (local, remote) => remote.or(local),
         }
     }
 
-    fn better(
+    fn better_of_two(
         &mut self,
         now: Instant,
-        part: &[ServerIndex],
+        candidates: &[ServerIndex],
         want: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        let one = self.pick(now, part, want, chosen)?;
-        let two = self.pick(now, part, want, chosen)?;
+        let one = self.pick_within(now, candidates, want, chosen)?;
+        let two = self.pick_within(now, candidates, want, chosen)?;
         Some(if self.cost(two) < self.cost(one) {
             two
         } else {
@@ -396,7 +405,7 @@
         load.depth() * token.as_secs_f64()
     }
 
-    fn least_loaded(
+    fn choose_least_loaded(
         &mut self,
         now: Instant,
         pool: &Pool,
@@ -408,7 +417,7 @@
                 continue;
             }
             // Equal ones are told apart at random, or the first would get all.
-            let rank = (self.reported(now, index), self.rng.random::<f64>());
+            let rank = (self.reported_depth(now, index), self.rng.random::<f64>());
             if least.is_none_or(|(lowest, _)| rank < lowest) {
                 least = Some((rank, index));
             }
@@ -416,74 +425,74 @@
         least.map(|(_, index)| index)
     }
 
-    fn less_loaded(
+    fn choose_of_two(
         &mut self,
         now: Instant,
         pool: &Pool,
         want: &PlacementRequest<'_>,
     ) -> Option<ServerIndex> {
-        let one = self.draw(now, pool, want, &[])?;
-        let two = self.draw(now, pool, want, &[one]).unwrap_or(one);
-        let less = self.reported(now, two) < self.reported(now, one);
+        let one = self.pick_anywhere(now, pool, want, &[])?;
+        let two = self.pick_anywhere(now, pool, want, &[one]).unwrap_or(one);
+        let less = self.reported_depth(now, two) < self.reported_depth(now, one);
         Some(if less { two } else { one })
     }
 
-    fn reported(&self, now: Instant, index: ServerIndex) -> f64 {
+    fn reported_depth(&self, now: Instant, index: ServerIndex) -> f64 {
         let lag = self.options.report_lag;
         self.server(index)
             .map_or(0.0, |s| s.reports.lagged(now, lag).depth())
     }
 
     /// Any usable server of the pool, wherever it is.
-    fn draw(
+    fn pick_anywhere(
         &mut self,
         now: Instant,
         pool: &Pool,
         want: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        let near = self.rng.random_range(0..pool.len().max(1)) < pool.near.len();
-        let (first, second) = match near {
-            true => (&pool.near, &pool.far),
-            false => (&pool.far, &pool.near),
+        let local = self.rng.random_range(0..pool.len().max(1)) < pool.local.len();
+        let (first, second) = match local {
+            true => (&pool.local, &pool.remote),
+            false => (&pool.remote, &pool.local),
         };
-        self.pick(now, first, want, chosen)
-            .or_else(|| self.pick(now, second, want, chosen))
+        self.pick_within(now, first, want, chosen)
+            .or_else(|| self.pick_within(now, second, want, chosen))
     }
 
     /// Any usable server of a part.
-    fn pick(
+    fn pick_within(
         &mut self,
         now: Instant,
-        part: &[ServerIndex],
+        candidates: &[ServerIndex],
         want: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        if part.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         let fits = |placement: &Self, i: ServerIndex| {
             !chosen.contains(&i) && placement.usable(now, i, want.excluded).is_some()
         };
-        for _ in 0..DRAWS {
-            let index = part[self.rng.random_range(0..part.len())];
+        for _ in 0..SAMPLE_ATTEMPTS {
+            let index = candidates[self.rng.random_range(0..candidates.len())];
             if fits(self, index) {
                 return Some(index);
             }
         }
 
         // Few are left: go through all from a random place on.
-        let start = self.rng.random_range(0..part.len());
-        let (after, before) = (&part[start..], &part[..start]);
+        let start = self.rng.random_range(0..candidates.len());
+        let (after, before) = (&candidates[start..], &candidates[..start]);
         after.iter().chain(before).copied().find(|i| fits(self, *i))
     }
 
     /// The server if it may be asked.
     fn usable(&self, now: Instant, index: ServerIndex, tried: &[ServerIndex]) -> Option<&Server> {
         let server = self.server(index)?;
-        let drains = server.reports.fresh().draining
-            && server.reports.age(now).is_some_and(|a| a < DRAIN_TRUST);
-        (server.health.usable(now) && !server.closed && !drains && !tried.contains(&index))
+        let draining = server.reports.fresh().draining
+            && server.reports.age(now).is_some_and(|a| a < DRAIN_MAX_AGE);
+        (server.health.usable(now) && !server.closed && !draining && !tried.contains(&index))
             .then_some(server)
     }
 
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -24,16 +24,16 @@
 /// time on writing. Reading a prompt token takes about a hundredth of the
 /// time of writing one, so at a tenth writing takes ten times as long as
 /// reading, and the pauses between tokens are what callers notice.
-const WRITING_RATIO: f64 = 0.1;
+const DECODE_RATIO: f64 = 0.1;
 
 /// Part of the pause that a stream bears which reading beside it may take;
 /// the rest is the steps' own time and what the network adds.
-const PAUSE_SHARE: f64 = 0.8;
+const ISOLATE_SHARE: f64 = 0.8;
 
 /// The same for a route whose streams were kept apart. Between the two shares
 /// nothing moves: each move sends prompts to engines that have not read their
 /// shared parts.
-const PAUSE_SHARE_BACK: f64 = 0.6;
+const REJOIN_SHARE: f64 = 0.6;
 
 /// Before any pause beside reading was seen, a route is kept apart that bears
 /// less than this part of what another route of its service bears: operators
@@ -42,34 +42,34 @@
 
 /// Part of an engine's slots that streams should take on average; the rest
 /// takes up bursts.
-const SLOT_SHARE: f64 = 0.6;
+const SLOT_TARGET: f64 = 0.6;
 
 /// Streams that one engine should write on average, however many slots it
 /// has: each further one slows all the others down.
-const STREAMS: f64 = 24.0;
+const MAX_STREAMS: f64 = 24.0;
 
 /// Part of an engine's time that reading prompts should take on average; the
 /// rest takes up bursts and writes the readers' own answers.
-const READ_SHARE: f64 = 0.5;
+const PREFILL_TARGET: f64 = 0.5;
 
 /// The fastest reading that is believed, in seconds for a token. Prompts that
 /// are all cached would make any engine look endlessly fast.
-const READ_LEAST: f64 = 2e-6;
+const PREFILL_PACE_MIN: f64 = 2e-6;
 
 /// The cut stays where it is while it is off by no more than this part of the
 /// engines, and twice that before engines go back to prompts. Each move sends
 /// prompts to engines that have not read their shared parts, and entries that
 /// move at different moments mix streams and prompts in between.
-const CUT_SLACK: f64 = 0.04;
+const SPLIT_SLACK: f64 = 0.04;
 
 /// One engine in so many is left to calls that read, whatever the load.
-const READERS_LEAST: usize = 4;
+const PREFILL_RESERVE: usize = 4;
 
 /// How fast the measure of load follows it: a burst lasts some seconds.
-const SMOOTH: Duration = Duration::from_millis(2500);
+const SMOOTHING_TIME: Duration = Duration::from_millis(2500);
 
 /// How much one call tells about the shape of its route's calls.
-const SHAPE_STEP: f64 = 0.05;
+const PROFILE_WEIGHT: f64 = 0.05;
 
 /// What a call's time goes into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -110,29 +110,29 @@
     /// Tokens of the answer.
     answer: f64,
     /// Whether its streams are kept apart from reading.
-    apart: bool,
+    isolated: bool,
 }
 
 /// What comes for a service.
 #[derive(Debug)]
 struct LoadAverages {
     /// When the averages were brought up to date.
-    at: Instant,
+    updated: Instant,
     /// Prompt tokens a second of calls that read.
-    reading: f64,
+    prefill_rate: f64,
     /// Calls in progress that write, now and on average.
-    open: u32,
-    writing: f64,
+    open_streams: u32,
+    decode_calls: f64,
     /// Time to the first event by what had to be read.
-    first: Fit,
+    ttft_fit: Fit,
     /// Pauses of streams at engines that read.
     pauses: PauseEstimate,
     /// The longest pause that any of its routes bears.
-    patience: Duration,
+    longest_gap: Duration,
     /// What other entries say of their own calls.
-    others: ServiceDemand,
+    remote: ServiceDemand,
     /// Engines that were left to calls that write.
-    cut: usize,
+    decode_engines: usize,
 }
 
 /// What one entry, or several together, have for a service.
@@ -157,7 +157,7 @@
     #[must_use]
     pub fn combined(&self, other: &Self) -> Self {
         let pace_samples = self.pace_samples + other.pace_samples;
-        let known = |told: &Self| told.prefill_pace * f64::from(told.pace_samples);
+        let known = |demand: &Self| demand.prefill_pace * f64::from(demand.pace_samples);
         Self {
             prefill_rate: self.prefill_rate + other.prefill_rate,
             decode_calls: self.decode_calls + other.decode_calls,
@@ -183,13 +183,13 @@
 impl LoadAverages {
     /// This entry's own calls.
     fn local_demand(&self, now: Instant) -> ServiceDemand {
-        let slope = self.first.slope() * 1e-6;
+        let slope = self.ttft_fit.slope() * 1e-6;
         ServiceDemand {
-            prefill_rate: self.reading,
-            decode_calls: self.writing.max(f64::from(self.open)),
+            prefill_rate: self.prefill_rate,
+            decode_calls: self.decode_calls.max(f64::from(self.open_streams)),
             // More load makes it longer, and more engines are left to read.
             prefill_pace: match slope > 0.0 {
-                true => slope.max(READ_LEAST),
+                true => slope.max(PREFILL_PACE_MIN),
                 false => 0.0,
             },
             pace_samples: u32::from(slope > 0.0),
@@ -199,40 +199,45 @@
 
     /// Whether streams that bear pauses of `gap` need engines that read
     /// nothing beside them; `apart` says whether they have them.
-    fn needs(&self, now: Instant, gap: Duration, apart: bool) -> bool {
+    fn needs_isolation(&self, now: Instant, gap: Duration, isolated: bool) -> bool {
         let pause = self
             .local_demand(now)
             .stream_pause
-            .max(self.others.stream_pause);
-        let share = if apart { PAUSE_SHARE_BACK } else { PAUSE_SHARE };
+            .max(self.remote.stream_pause);
+        let split = if isolated {
+            REJOIN_SHARE
+        } else {
+            ISOLATE_SHARE
+        };
         match pause > 0.0 {
-            true => pause > gap.as_secs_f64() * share,
-            false => gap < self.patience.mul_f64(PRIOR_SHARE),
+            true => pause > gap.as_secs_f64() * split,
+            false => gap < self.longest_gap.mul_f64(PRIOR_SHARE),
         }
     }
 }
 
 impl PhasePools {
     /// Notes a call and says what its time goes into.
-    pub fn classify(&mut self, now: Instant, service: &Rc<str>, coming: IncomingCall<'_>) -> Phase {
-        let shape = self.shape(&coming);
-        let writes = shape.answer >= shape.prompt * WRITING_RATIO;
-        let demand = self.demand(now, service);
-        let gap = coming.max_gap.unwrap_or(Duration::MAX);
-        demand.patience = demand.patience.max(coming.max_gap.unwrap_or_default());
-        let apart = writes && demand.needs(now, gap, shape.apart);
-        let work = match apart {
+    pub fn classify(&mut self, now: Instant, service: &Rc<str>, call: IncomingCall<'_>) -> Phase {
+        let profile = self.update_profile(&call);
+        let is_decode = profile.answer >= profile.prompt * DECODE_RATIO;
+        let averages = self.averages(now, service);
+        let gap = call.max_gap.unwrap_or(Duration::MAX);
+        averages.longest_gap = averages.longest_gap.max(call.max_gap.unwrap_or_default());
+        let isolated = is_decode && averages.needs_isolation(now, gap, profile.isolated);
+        let work = match isolated {
             true => {
-                demand.open += 1;
+                averages.open_streams += 1;
                 Phase::Decode
             }
             false => {
-                demand.reading += f64::from(coming.prompt_tokens) / SMOOTH.as_secs_f64();
+                averages.prefill_rate +=
+                    f64::from(call.prompt_tokens) / SMOOTHING_TIME.as_secs_f64();
                 Phase::Prefill
             }
         };
-        if let Some(shape) = self.routes.get_mut(coming.route) {
-            shape.apart = apart;
+        if let Some(profile) = self.routes.get_mut(call.route) {
+            profile.isolated = isolated;
         }
         work
     }
@@ -240,7 +245,7 @@
     /// Notes the longest pause of a stream that ended at an engine which
     /// reads.
     pub fn record_pause(&mut self, now: Instant, service: &Rc<str>, pause: Duration) {
-        self.demand(now, service).pauses.record(now, pause);
+        self.averages(now, service).pauses.record(now, pause);
     }
 
     /// Notes that the first event of a call came `took` after it was sent, for
@@ -252,29 +257,29 @@
         prompt: u32,
         took: Duration,
     ) {
-        let us = took.as_secs_f64() * 1e6;
-        self.demand(now, service).first.add(prompt, us);
+        let micros = took.as_secs_f64() * 1e6;
+        self.averages(now, service).ttft_fit.add(prompt, micros);
     }
 
     /// Notes that a call which writes has ended.
     pub fn call_ended(&mut self, now: Instant, service: &Rc<str>) {
-        let demand = self.demand(now, service);
-        demand.open = demand.open.saturating_sub(1);
+        let averages = self.averages(now, service);
+        averages.open_streams = averages.open_streams.saturating_sub(1);
     }
 
     /// What this entry has for each service.
     pub fn local_demand(&mut self, now: Instant) -> Vec<(Rc<str>, ServiceDemand)> {
         let services: Vec<Rc<str>> = self.services.keys().cloned().collect();
-        let told = |s: Rc<str>| {
-            let told = self.demand(now, &s).local_demand(now);
-            (s, told)
+        let demand = |s: Rc<str>| {
+            let demand = self.averages(now, &s).local_demand(now);
+            (s, demand)
         };
-        services.into_iter().map(told).collect()
+        services.into_iter().map(demand).collect()
     }
 
     /// Takes over what all other entries together have for a service.
-    pub fn set_remote(&mut self, now: Instant, service: &Rc<str>, told: ServiceDemand) {
-        self.demand(now, service).others = told;
+    pub fn set_remote(&mut self, now: Instant, service: &Rc<str>, demand: ServiceDemand) {
+        self.averages(now, service).remote = demand;
     }
 
     /// How many of `engines` with so many `slots` each should be left to
@@ -286,84 +291,84 @@
         engines: usize,
         slots: u32,
     ) -> usize {
-        let demand = self.demand(now, service);
-        let (own, others) = (demand.local_demand(now), demand.others);
-        let writing = own.decode_calls + others.decode_calls;
-        let writing = writing / (f64::from(slots.max(1)) * SLOT_SHARE).min(STREAMS);
+        let averages = self.averages(now, service);
+        let (own, remote) = (averages.local_demand(now), averages.remote);
+        let decode_need = own.decode_calls + remote.decode_calls;
+        let decode_need = decode_need / (f64::from(slots.max(1)) * SLOT_TARGET).min(MAX_STREAMS);
         // All entries weigh alike, or each would cut by its own few samples
         // and streams of one would meet prompts of another.
-        let pace_samples = own.pace_samples + others.pace_samples;
+        let pace_samples = own.pace_samples + remote.pace_samples;
         let sum = own.prefill_pace * f64::from(own.pace_samples)
-            + others.prefill_pace * f64::from(others.pace_samples);
+            + remote.prefill_pace * f64::from(remote.pace_samples);
         let pace = match pace_samples {
             0 => READ_GUESS,
             _ => sum / f64::from(pace_samples),
         };
-        let reading = (own.prefill_rate + others.prefill_rate) * pace / READ_SHARE;
-        if engines < 2 || writing <= 0.0 || reading <= 0.0 {
-            self.demand(now, service).cut = 0;
+        let prefill_need = (own.prefill_rate + remote.prefill_rate) * pace / PREFILL_TARGET;
+        if engines < 2 || decode_need <= 0.0 || prefill_need <= 0.0 {
+            self.averages(now, service).decode_engines = 0;
             return 0;
         }
         // What is left over when both have what they need is shared in the
         // same proportion. When there is not enough for both, streams go
         // first: a prompt that waits is late at the worst, a stream among too
         // many makes all of them late.
-        let share = engines as f64 * writing / (writing + reading);
-        let wanted = share.max(writing);
-        let readers = (engines / READERS_LEAST).max(1);
-        let most = engines - readers;
-        let held = &mut self.demand(now, service).cut;
-        let off = wanted - *held as f64;
-        let slack = CUT_SLACK * engines as f64;
-        if *held == 0 || off > slack.max(0.5) || -off > 2.0 * slack.max(0.5) {
-            *held = wanted.round() as usize;
+        let split = engines as f64 * decode_need / (decode_need + prefill_need);
+        let wanted = split.max(decode_need);
+        let prefill_min = (engines / PREFILL_RESERVE).max(1);
+        let decode_max = engines - prefill_min;
+        let assigned = &mut self.averages(now, service).decode_engines;
+        let deviation = wanted - *assigned as f64;
+        let slack = SPLIT_SLACK * engines as f64;
+        if *assigned == 0 || deviation > slack.max(0.5) || -deviation > 2.0 * slack.max(0.5) {
+            *assigned = wanted.round() as usize;
         }
-        *held = (*held).clamp(1, most);
-        *held
+        *assigned = (*assigned).clamp(1, decode_max);
+        *assigned
     }
 
     /// What the calls of a route are like, with one more.
-    fn shape(&mut self, coming: &IncomingCall<'_>) -> RouteProfile {
-        let (prompt, answer) = (
-            f64::from(coming.prompt_tokens),
-            f64::from(coming.max_answer),
-        );
-        if let Some(shape) = self.routes.get_mut(coming.route) {
-            shape.prompt += (prompt - shape.prompt) * SHAPE_STEP;
-            shape.answer += (answer - shape.answer) * SHAPE_STEP;
-            return *shape;
+    fn update_profile(&mut self, call: &IncomingCall<'_>) -> RouteProfile {
+        let (prompt, answer) = (f64::from(call.prompt_tokens), f64::from(call.max_answer));
+        if let Some(profile) = self.routes.get_mut(call.route) {
+            profile.prompt += (prompt - profile.prompt) * PROFILE_WEIGHT;
+            profile.answer += (answer - profile.answer) * PROFILE_WEIGHT;
+            return *profile;
         }
-        let shape = RouteProfile {
+        let profile = RouteProfile {
             prompt,
             answer,
-            apart: false,
+            isolated: false,
         };
-        self.routes.insert(coming.route.to_owned(), shape);
-        shape
+        self.routes.insert(call.route.to_owned(), profile);
+        profile
     }
 
     /// The demand for a service, with its averages brought up to `now`.
-    fn demand(&mut self, now: Instant, service: &Rc<str>) -> &mut LoadAverages {
+    fn averages(&mut self, now: Instant, service: &Rc<str>) -> &mut LoadAverages {
         if !self.services.contains_key(service) {
-            let none = LoadAverages {
-                at: now,
-                reading: 0.0,
-                open: 0,
-                writing: 0.0,
-                first: Fit::default(),
+            let empty = LoadAverages {
+                updated: now,
+                prefill_rate: 0.0,
+                open_streams: 0,
+                decode_calls: 0.0,
+                ttft_fit: Fit::default(),
                 pauses: PauseEstimate::default(),
-                patience: Duration::ZERO,
-                others: ServiceDemand::default(),
-                cut: 0,
+                longest_gap: Duration::ZERO,
+                remote: ServiceDemand::default(),
+                decode_engines: 0,
             };
-            self.services.insert(Rc::clone(service), none);
+            self.services.insert(Rc::clone(service), empty);
         }
-        let demand = self.services.get_mut(service).expect("inserted above");
-        let passed = now.saturating_duration_since(demand.at).as_secs_f64();
-        let kept = (-passed / SMOOTH.as_secs_f64()).exp();
-        demand.at = now;
-        demand.reading *= kept;
-        demand.writing = demand.writing * kept + f64::from(demand.open) * (1.0 - kept);
-        demand
+        let averages = self.services.get_mut(service).expect("inserted above");
+        let elapsed = now
+            .saturating_duration_since(averages.updated)
+            .as_secs_f64();
+        let decay = (-elapsed / SMOOTHING_TIME.as_secs_f64()).exp();
+        averages.updated = now;
+        averages.prefill_rate *= decay;
+        averages.decode_calls =
+            averages.decode_calls * decay + f64::from(averages.open_streams) * (1.0 - decay);
+        averages
     }
 }
--- a/crates/policy/src/routes.rs
+++ b/crates/policy/src/routes.rs
@@ -234,15 +234,15 @@
 impl Route {
     /// The service of one call, by a number drawn evenly from 0 to 1.
     #[must_use]
-    pub fn pick_service(&self, drawn: f64) -> Option<&Rc<str>> {
+    pub fn pick_service(&self, sample: f64) -> Option<&Rc<str>> {
         let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut left = (drawn * total as f64) as u64;
+        let mut remaining = (sample * total as f64) as u64;
         for (service, weight) in &self.split {
             let weight = u64::from(*weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         self.split.iter().rfind(|(_, w)| *w > 0).map(|(s, _)| s)
     }
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -15,32 +15,32 @@
 
 /// Part of a server's time that calls should take. A burst that doubles the
 /// load is carried by the rest until what is ordered for it has booted.
-const BUSY: f64 = 0.5;
+const TARGET_USE: f64 = 0.5;
 
 /// The same of the servers that are left when one zone is lost. Calls wait
 /// then, but none has to be turned away.
-const BUSY_LEFT: f64 = 0.9;
+const FAILOVER_USE: f64 = 0.9;
 
 /// Part of the servers that stays with each step down. What is seen of the
 /// load may be too low, and shows only in the servers that are left.
-const KEPT: f64 = 0.75;
+const SHRINK_FACTOR: f64 = 0.75;
 
 /// Boot times for which the load must have been lower before servers are given
 /// up: one that is given up too soon is missed for a boot time.
-const CALM_BOOTS: u32 = 5;
+const COOLDOWN_BOOTS: u32 = 5;
 
 /// The least of that time. Load that comes and goes within it would have
 /// servers boot and leave by turns, each with an empty memory; people come in
 /// waves of seconds to a minute.
-const CALM_LEAST: Duration = Duration::from_secs(60);
+const COOLDOWN_MIN: Duration = Duration::from_secs(60);
 
 /// How long a service is watched before anything is ordered. Servers that the
 /// store has lost sight of are listed again within two seconds of its return.
-const WATCH: Duration = Duration::from_secs(4);
+const OBSERVE_MIN: Duration = Duration::from_secs(4);
 
 /// How long an order that was accepted is taken to stand. One that was thought
 /// lost may be carried out after it, and would stand for good.
-const REPEAT: Duration = Duration::from_secs(10);
+const ORDER_REFRESH: Duration = Duration::from_secs(10);
 
 /// What operators allow for a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -79,23 +79,23 @@
 #[derive(Debug, Default)]
 pub struct Scaler {
     /// What was seen, the newest last.
-    seen: VecDeque<Seen>,
+    samples: VecDeque<Sample>,
     /// When the service was first looked at, or servers were last given up.
-    since: Option<Instant>,
+    cooldown_start: Option<Instant>,
     /// Whether the service has had any load.
-    used: bool,
+    has_load: bool,
     /// What is wanted in each zone that was decided about.
-    wanted: BTreeMap<Rc<str>, u32>,
+    desired: BTreeMap<Rc<str>, u32>,
     /// What was accepted, and when.
     accepted: BTreeMap<Rc<str>, (u32, Instant)>,
 }
 
 /// What a service looked like at one moment.
 #[derive(Debug)]
-struct Seen {
+struct Sample {
     at: Instant,
     /// The servers that its calls keep busy.
-    busy: f64,
+    busy_servers: f64,
     /// Servers in each zone.
     serving: BTreeMap<Rc<str>, u32>,
 }
@@ -116,70 +116,80 @@
         limits: &ScalingLimits,
         zones: &BTreeMap<Rc<str>, ZoneLoad>,
     ) {
-        let calm = CALM_LEAST.max(limits.boot_time * CALM_BOOTS);
-        self.note(now, calm, zones);
-        let since = *self.since.get_or_insert(now);
-        let first = self.seen.front().map_or(now, |seen| seen.at);
-        if !self.used || now < first + WATCH {
+        let cooldown = COOLDOWN_MIN.max(limits.boot_time * COOLDOWN_BOOTS);
+        self.record(now, cooldown, zones);
+        let cooldown_start = *self.cooldown_start.get_or_insert(now);
+        let first = self.samples.front().map_or(now, |sample| sample.at);
+        if !self.has_load || now < first + OBSERVE_MIN {
             return;
         }
-        let busy = self.seen.iter().map(|s| s.busy).fold(0.0, f64::max);
-        let most = self.most();
-        let need = needed(busy, most.len());
+        let busy_servers = self
+            .samples
+            .iter()
+            .map(|s| s.busy_servers)
+            .fold(0.0, f64::max);
+        let peak = self.peak_servers();
+        let need = servers_needed(busy_servers, peak.len());
         let serving: u32 = zones.values().map(|z| z.serving).sum();
-        let had: u32 = most.values().sum();
+        let had: u32 = peak.values().sum();
         let each = |servers: f64| {
-            let each = (servers / most.len().max(1) as f64).ceil() as u32;
+            let each = (servers / peak.len().max(1) as f64).ceil() as u32;
             each.clamp(
                 limits.min_servers,
                 limits.max_servers.max(limits.min_servers),
             )
         };
-        let kept = each(need.max(f64::from(had) * KEPT));
-        if need > f64::from(serving) || lacks_reserve(busy, &most) {
+        let reduced = each(need.max(f64::from(had) * SHRINK_FACTOR));
+        if need > f64::from(serving) || lacks_failover(busy_servers, &peak) {
             let each = each(need);
-            let more = most.into_iter().map(|(zone, had)| (zone, each.max(had)));
-            self.wanted.extend(more);
-        } else if now >= since + calm && kept * (most.len() as u32) < had {
-            self.wanted
-                .extend(most.into_keys().map(|zone| (zone, kept)));
-            self.since = Some(now);
+            let more = peak.into_iter().map(|(zone, had)| (zone, each.max(had)));
+            self.desired.extend(more);
+        } else if now >= cooldown_start + cooldown && reduced * (peak.len() as u32) < had {
+            self.desired
+                .extend(peak.into_keys().map(|zone| (zone, reduced)));
+            self.cooldown_start = Some(now);
         } else {
-            self.keep_within(limits, most);
+            self.raise_to_min(limits, peak);
         }
     }
 
     /// Remembers what is seen for as long as it counts.
-    fn note(&mut self, now: Instant, calm: Duration, zones: &BTreeMap<Rc<str>, ZoneLoad>) {
-        let busy: f64 = zones.values().map(|z| z.busy_servers).sum();
-        self.used |= busy > 0.0;
-        let serving = zones.iter().map(|(z, seen)| (Rc::clone(z), seen.serving));
-        self.seen.push_back(Seen {
+    fn record(&mut self, now: Instant, cooldown: Duration, zones: &BTreeMap<Rc<str>, ZoneLoad>) {
+        let busy_servers: f64 = zones.values().map(|z| z.busy_servers).sum();
+        self.has_load |= busy_servers > 0.0;
+        let serving = zones
+            .iter()
+            .map(|(z, sample)| (Rc::clone(z), sample.serving));
+        self.samples.push_back(Sample {
             at: now,
-            busy,
+            busy_servers,
             serving: serving.collect(),
         });
-        while self.seen.front().is_some_and(|seen| now >= seen.at + calm) {
-            self.seen.pop_front();
+        while self
+            .samples
+            .front()
+            .is_some_and(|sample| now >= sample.at + cooldown)
+        {
+            self.samples.pop_front();
         }
     }
 
     /// The most servers that each zone was seen to have.
-    fn most(&self) -> BTreeMap<Rc<str>, u32> {
-        let mut most = BTreeMap::new();
-        for (zone, serving) in self.seen.iter().flat_map(|seen| &seen.serving) {
-            let had: &mut u32 = most.entry(Rc::clone(zone)).or_default();
+    fn peak_servers(&self) -> BTreeMap<Rc<str>, u32> {
+        let mut peak = BTreeMap::new();
+        for (zone, serving) in self.samples.iter().flat_map(|sample| &sample.serving) {
+            let had: &mut u32 = peak.entry(Rc::clone(zone)).or_default();
             *had = (*had).max(*serving);
         }
-        most
+        peak
     }
 
     /// Wants what the limits ask for where a zone is below them.
-    fn keep_within(&mut self, limits: &ScalingLimits, most: BTreeMap<Rc<str>, u32>) {
-        for (zone, had) in most {
+    fn raise_to_min(&mut self, limits: &ScalingLimits, peak: BTreeMap<Rc<str>, u32>) {
+        for (zone, had) in peak {
             if had < limits.min_servers {
-                let wanted = self.wanted.entry(zone).or_default();
-                *wanted = (*wanted).max(limits.min_servers);
+                let desired = self.desired.entry(zone).or_default();
+                *desired = (*desired).max(limits.min_servers);
             }
         }
     }
@@ -188,11 +198,11 @@
     /// then what was.
     #[must_use]
     pub fn due_orders(&self, now: Instant) -> Vec<ServerOrder> {
-        let stands = |zone: &Rc<str>, count: u32| {
+        let is_current = |zone: &Rc<str>, count: u32| {
             let accepted = self.accepted.get(zone);
-            accepted.is_some_and(|(was, at)| *was == count && now < *at + REPEAT)
+            accepted.is_some_and(|(was, at)| *was == count && now < *at + ORDER_REFRESH)
         };
-        let due = self.wanted.iter().filter(|(z, c)| !stands(z, **c));
+        let due = self.desired.iter().filter(|(z, c)| !is_current(z, **c));
         let order = |(zone, count): (&Rc<str>, &u32)| ServerOrder {
             zone: Rc::clone(zone),
             count: *count,
@@ -209,17 +219,17 @@
 
 /// Whether the loss of the largest zone would leave too few servers for a load
 /// that keeps `busy` of them busy all the time.
-fn lacks_reserve(busy: f64, zones: &BTreeMap<Rc<str>, u32>) -> bool {
+fn lacks_failover(busy_servers: f64, zones: &BTreeMap<Rc<str>, u32>) -> bool {
     let largest = zones.values().copied().max().unwrap_or(0);
     let left = zones.values().sum::<u32>() - largest;
-    zones.len() > 1 && busy / BUSY_LEFT > f64::from(left)
+    zones.len() > 1 && busy_servers / FAILOVER_USE > f64::from(left)
 }
 
 /// Servers that a load needs which keeps `busy` of them busy all the time.
-fn needed(busy: f64, zones: usize) -> f64 {
+fn servers_needed(busy_servers: f64, zones: usize) -> f64 {
     let left = match zones {
         0 | 1 => 1.0,
         n => (n - 1) as f64 / n as f64,
     };
-    busy / BUSY.min(BUSY_LEFT * left)
+    busy_servers / TARGET_USE.min(FAILOVER_USE * left)
 }
