--- a/crates/forward/src/gossip/words.rs
+++ b/crates/forward/src/gossip/words.rs
@@ -23,7 +23,7 @@
         reading: told.prefill_rate as f32,
         writing: told.decode_calls as f32,
         pace: told.prefill_pace as f32,
-        paced: told.pace_samples,
+        paced: told.pace_entries,
         pause: told.stream_pause as f32,
     }
 }
@@ -40,7 +40,7 @@
             prefill_rate: f64::from(s.reading),
             decode_calls: f64::from(s.writing),
             prefill_pace: f64::from(s.pace),
-            pace_samples: s.paced,
+            pace_entries: s.paced,
             stream_pause: f64::from(s.pause),
         };
         (s.number, told)
--- a/crates/policy/src/grants.rs
+++ b/crates/policy/src/grants.rs
@@ -363,24 +363,21 @@
     }
 
     /// Takes over what the engine says.
-    pub fn update_report(&mut self, now: Instant, update_report: EngineReport) {
-        if !self.observe_incarnation(update_report.started_at) {
+    pub fn update_report(&mut self, now: Instant, report: EngineReport) {
+        if !self.observe_incarnation(report.started_at) {
             return;
         }
-        self.parts.set_capacity(
-            update_report
-                .total_tokens
-                .saturating_sub(update_report.used_tokens),
-        );
+        self.parts
+            .set_capacity(report.total_tokens.saturating_sub(report.used_tokens));
         if !self.queue.is_empty() {
-            let step = match update_report.unread_calls {
+            let step = match report.unread_calls {
                 ..=UNREAD_LOW => WINDOW_GROWTH,
                 UNREAD_HIGH.. => WINDOW_DECAY,
                 _ => 1.0,
             };
             self.window = (self.window * step).clamp(WINDOW_MIN, WINDOW_MAX);
         }
-        self.report = Some((now, update_report));
+        self.report = Some((now, report));
     }
 
     /// Forgets what is known of the engine, as after its restart.
--- a/crates/policy/src/grants/reserve.rs
+++ b/crates/policy/src/grants/reserve.rs
@@ -33,7 +33,7 @@
     }
 
     fn current_count(&self, now: Instant) -> f64 {
-        let Some(last) = self.last_stream else {
+        let Some(last) = self.last else {
             return 0.0;
         };
         let age = now.saturating_duration_since(last).as_secs_f64();
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -222,9 +222,9 @@
     }
 
     /// Notes a good sign about a server.
-    pub fn record_good(&mut self, now: Instant, index: ServerIndex, record_good: Good) {
+    pub fn record_good(&mut self, now: Instant, index: ServerIndex, sign: Good) {
         if let Some(server) = self.server_mut(index) {
-            server.health.good(now, record_good);
+            server.health.good(now, sign);
         }
     }
 
@@ -234,7 +234,7 @@
         &mut self,
         now: Instant,
         index: ServerIndex,
-        record_fault: Fault,
+        fault: Fault,
         ejectable: f64,
     ) -> bool {
         let Some(server) = self.server(index) else {
@@ -246,7 +246,7 @@
         let room = ejected < outlier::spare(pool.len(), ejectable);
 
         let server = self.server_mut(index);
-        server.is_some_and(|s| s.health.fault(now, record_fault, room))
+        server.is_some_and(|s| s.health.fault(now, fault, room))
     }
 
     /// The load last heard from a server.
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -146,7 +146,7 @@
     /// know; 0 when nobody does.
     pub prefill_pace: f64,
     /// How many entries know the pace.
-    pub pace_samples: u32,
+    pub pace_entries: u32,
     /// The pause that streams meet beside reading, in seconds, the longest
     /// that is told; 0 when nobody knows.
     pub stream_pause: f64,
@@ -156,13 +156,13 @@
     /// What two have together.
     #[must_use]
     pub fn combined(&self, other: &Self) -> Self {
-        let pace_samples = self.pace_samples + other.pace_samples;
-        let known = |demand: &Self| demand.prefill_pace * f64::from(demand.pace_samples);
+        let pace_entries = self.pace_entries + other.pace_entries;
+        let known = |demand: &Self| demand.prefill_pace * f64::from(demand.pace_entries);
         Self {
             prefill_rate: self.prefill_rate + other.prefill_rate,
             decode_calls: self.decode_calls + other.decode_calls,
-            prefill_pace: (known(self) + known(other)) / f64::from(pace_samples.max(1)),
-            pace_samples,
+            prefill_pace: (known(self) + known(other)) / f64::from(pace_entries.max(1)),
+            pace_entries,
             stream_pause: self.stream_pause.max(other.stream_pause),
         }
     }
@@ -174,7 +174,7 @@
             prefill_rate: (self.prefill_rate - one.prefill_rate).max(0.0),
             decode_calls: (self.decode_calls - one.decode_calls).max(0.0),
             prefill_pace: self.prefill_pace,
-            pace_samples: self.pace_samples.saturating_sub(one.pace_samples),
+            pace_entries: self.pace_entries.saturating_sub(one.pace_entries),
             stream_pause: self.stream_pause,
         }
     }
@@ -192,7 +192,7 @@
                 true => slope.max(PREFILL_PACE_MIN),
                 false => 0.0,
             },
-            pace_samples: u32::from(slope > 0.0),
+            pace_entries: u32::from(slope > 0.0),
             stream_pause: self.pauses.expected(now).unwrap_or(0.0),
         }
     }
@@ -297,12 +297,12 @@
         let decode_need = decode_need / (f64::from(slots.max(1)) * SLOT_TARGET).min(MAX_STREAMS);
         // All entries weigh alike, or each would cut by its own few samples
         // and streams of one would meet prompts of another.
-        let pace_samples = own.pace_samples + remote.pace_samples;
-        let sum = own.prefill_pace * f64::from(own.pace_samples)
-            + remote.prefill_pace * f64::from(remote.pace_samples);
-        let pace = match pace_samples {
+        let pace_entries = own.pace_entries + remote.pace_entries;
+        let sum = own.prefill_pace * f64::from(own.pace_entries)
+            + remote.prefill_pace * f64::from(remote.pace_entries);
+        let pace = match pace_entries {
             0 => READ_GUESS,
-            _ => sum / f64::from(pace_samples),
+            _ => sum / f64::from(pace_entries),
         };
         let prefill_need = (own.prefill_rate + remote.prefill_rate) * pace / PREFILL_TARGET;
         if engines < 2 || decode_need <= 0.0 || prefill_need <= 0.0 {
--- a/crates/policy/tests/pools.rs
+++ b/crates/policy/tests/pools.rs
@@ -175,7 +175,7 @@
         prefill_rate: told.prefill_rate * 3.0,
         decode_calls: told.decode_calls * 3.0,
         prefill_pace: told.prefill_pace,
-        pace_samples: 3,
+        pace_entries: 3,
         stream_pause: told.stream_pause,
     };
     quarter
@@ -196,7 +196,7 @@
         prefill_rate: told.prefill_rate * 2.0,
         decode_calls: told.decode_calls * 2.0,
         prefill_pace: told.prefill_pace,
-        pace_samples: 25,
+        pace_entries: 25,
         stream_pause: told.stream_pause,
     };
     let cut = |samples: u32| {
