--- a/crates/policy/src/caches.rs
+++ b/crates/policy/src/caches.rs
@@ -1,46 +1,47 @@
-//! Which prompt prefixes an engine holds, as far as its events tell. They come
-//! late, and some never come. See docs/DECISIONS/0201-placement.md.
+//! A map of the prompt prefixes that an engine caches, maintained from the
+//! engine's events. Events arrive late, and some are lost. See
+//! docs/DECISIONS/0201-placement.md.
 
 use std::collections::{HashSet, VecDeque};
 
-/// Tokens of a prompt in one block of an engine's cache.
+/// Prompt tokens per block of an engine's cache.
 pub const BLOCK_TOKENS: u32 = 256;
 
-/// Blocks that are remembered; 16 bytes each, twice.
+/// Maximum number of blocks tracked; each takes 16 bytes in both collections.
 const MAX_BLOCKS: usize = 16_384;
 
 /// What happened to a block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BlockChange {
-    /// It is kept from now on.
+    /// The block was added to the cache.
     Stored,
-    /// It was dropped.
+    /// The block was evicted.
     Removed,
 }
 
-/// The blocks that an engine is believed to hold.
+/// The blocks that an engine is believed to cache.
 #[derive(Debug, Default)]
 pub struct CacheMap {
     blocks: HashSet<u64>,
-    /// The blocks in the order in which they were stored.
+    /// Blocks in order of insertion.
     order: VecDeque<u64>,
-    /// The number of the next event.
+    /// Number of the next event.
     next_number: u64,
 }
 
 impl CacheMap {
-    /// The number of the next event to ask for.
+    /// Number of the next event to fetch.
     #[must_use]
     pub fn next_event(&self) -> u64 {
         self.next_number
     }
 
-    /// Takes in the event with the given number.
+    /// Applies the event with the given number.
     ///
-    /// A lost event may have been a removal: going on with the map would send
-    /// requests after prefixes that are long gone. Which one it was cannot be
-    /// told, so a gap drops everything; a block that is used again is stored
-    /// again soon. An event seen before changes nothing.
+    /// A lost event may have been a removal, and a stale block would attract
+    /// requests for a prefix that is no longer cached. Since the lost event is
+    /// unknown, a gap clears the whole map; blocks in use are soon stored
+    /// again. Events that were already applied are ignored.
     pub fn apply(&mut self, number: u64, change: BlockChange, block: u64) {
         if number < self.next_number {
             return;
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Notes that all events before `next` were given out; one that is missing
-    /// at the end is a gap too.
+    /// Notes that the engine has sent all events before `next`; if the last of
+    /// them is missing, that is a gap too.
     pub fn advance_to(&mut self, next_number: u64) {
         if next_number > self.next_number {
             self.clear();
@@ -67,14 +68,14 @@
         }
     }
 
-    /// Takes the engine's cache as empty and its events as beginning anew, as
-    /// after a restart.
+    /// Clears the map and expects events from number 0, as after an engine
+    /// restart.
     pub fn reset(&mut self) {
         self.clear();
         self.next_number = 0;
     }
 
-    /// Tokens that a prompt with this first block would find cached at least.
+    /// Minimum number of cached tokens for a prompt with this first block.
     #[must_use]
     pub fn cached_tokens(&self, block: u64) -> u32 {
         match self.blocks.contains(&block) {
--- a/crates/policy/src/discovery.rs
+++ b/crates/policy/src/discovery.rs
@@ -1,110 +1,109 @@
-//! How an entry that starts finds the others.
+//! How a starting entry finds the other entries.
 //!
-//! Load pattern: hundreds of entries start in the same moment, half of them
-//! once more in the middle of the day. If each announced itself in the store
-//! and read there who else is there, a start would cost the store several
-//! calls of each. An entry asks the few hosts that its settings name, which
-//! answer with whom to ask next; only where none answers, and for the first
-//! entries of a zone, is the store's directory used. See
-//! docs/DECISIONS/0801-relays.md.
+//! Load pattern: hundreds of entries start at the same moment, half of them
+//! again in the middle of the day. If each one registered in the store and
+//! read the list of entries there, every start would cost the store several
+//! calls. An entry therefore asks the few seed hosts in its settings, which
+//! answer with further hosts to ask. The store's directory is only used when
+//! no host answers, and by the relays of a zone, which are its first entries.
+//! See docs/DECISIONS/0801-relays.md.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long an entry that starts waits to be told of others before it reads the
-/// store's tables by itself.
+/// How long a starting entry waits for the other entries' tables before it
+/// reads the tables in the store itself.
 const START_WAIT: Duration = Duration::from_millis(250);
 
-/// The same where all hosts start for the first time. They do so within a few
-/// tenths of a second, and no caller waits.
+/// The same when all hosts start for the first time, which they do within a
+/// few tenths of a second; no caller is waiting yet.
 const FIRST_START_WAIT: Duration = Duration::from_millis(600);
 
-/// How long it waits before it uses the directory, in which each start costs
-/// several calls.
+/// Delay before the directory is used, since each start costs it several
+/// calls.
 const DIRECTORY_DELAY: Duration = Duration::from_secs(2);
 
-/// The pause between two questions while nobody has answered yet, one host at a
-/// time: hundreds of entries ask the same few.
+/// Interval between requests to single hosts until one answers; hundreds of
+/// entries ask the same few hosts.
 const ASK_INITIAL: Duration = Duration::from_millis(100);
 
-/// The same once that has failed for [`SETTLE`].
+/// The interval after [`DIRECTORY_DELAY`] without an answer.
 const ASK_ISOLATED: Duration = Duration::from_millis(500);
 
-/// The same once others are known, at first and at the most; it doubles. Those
-/// who started in the same moment, and those who were cut off from each other,
-/// find each other so.
+/// Bounds of the exponential backoff once other entries are known. These
+/// requests connect entries that started at the same moment and entries that a
+/// network partition had separated.
 const ASK_BACKOFF_MIN: Duration = Duration::from_millis(250);
 const ASK_BACKOFF_MAX: Duration = Duration::from_secs(5);
 
-/// An entry that is answered by its zone's relays asks nobody else for so long
-/// after the last answer.
+/// An entry that is answered by its zone's relays asks other hosts only after
+/// this time without an answer.
 const RELAY_SILENCE: Duration = Duration::from_secs(10);
 
-/// After so long without any answer it takes itself to be alone.
+/// An entry without any answer for this long considers itself isolated.
 const ISOLATION_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// How often the directory is read while nobody answers, and by the first
-/// entries of a zone, which may be unknown to the hosts that are asked.
+/// Interval of directory reads by isolated entries and by relays, which may be
+/// unknown to the hosts that are asked.
 const READ_ISOLATED: Duration = Duration::from_secs(15);
 const READ_RELAY: Duration = Duration::from_secs(30);
 
-/// The pause after the directory could not be reached.
+/// Initial delay after the directory was unreachable.
 const RETRY_MIN: Duration = Duration::from_millis(400);
 
-/// The longest pause after it could not be reached.
+/// Maximum delay after the directory was unreachable.
 const RETRY_MAX: Duration = Duration::from_secs(5);
 
-/// How long to wait until there is something to do, at the most.
+/// Longest wait before the next step is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an entry does next to find others.
+/// The next step of discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryStep {
-    /// Asks the entry there whom it knows.
+    /// Asks the entry at this address for the entries that it knows.
     Ask(SocketAddr),
-    /// Writes its own address into the directory.
+    /// Writes the entry's own address to the directory.
     Announce,
     /// Reads the directory.
     ReadDirectory,
-    /// Waits.
+    /// Waits before asking again for the next step.
     Wait(Duration),
 }
 
-/// Finds the other entries.
+/// State of an entry's search for the other entries.
 #[derive(Debug)]
 pub struct PeerDiscovery {
-    /// Hosts that the settings name.
+    /// Seed hosts from the settings.
     seeds: Vec<SocketAddr>,
-    /// How long the entry waits to be told of others.
+    /// How long the entry waits for the others' tables.
     wait_limit: Duration,
-    /// Entries that the directory names.
+    /// Entries listed in the directory.
     listed: Vec<SocketAddr>,
     started: Instant,
-    /// When another entry last answered.
     last_answer: Option<Instant>,
-    /// When another entry was last asked, how often one was, and how often since
-    /// the first answer.
+    /// When another entry was last asked, the number of requests, and the
+    /// number of requests since the first answer.
     last_asked: Option<Instant>,
     asked_count: usize,
     repeat_count: u32,
     announced: bool,
-    /// Whether one that has answered, or that was named, has been up for longer.
+    /// Whether an entry was found that has been running for longer.
     running: bool,
-    /// When the directory is to be read again.
+    /// When the directory is read next.
     next_read: Instant,
-    /// When it may be written to again.
+    /// Earliest time of the next write to the directory.
     retry_at: Instant,
     failures: u32,
 }
 
 impl PeerDiscovery {
-    /// Makes the finder of an entry that starts now; `first` says whether all
-    /// entries start for the first time.
+    /// Starts discovery now; `first_start` says whether all entries start for
+    /// the first time.
     #[must_use]
     pub fn new(now: Instant, seeds: Vec<SocketAddr>, first_start: bool) -> Self {
         Self {
             next_read: now,
-            // Without anybody to ask there is nothing to wait for.
+            // Without seed hosts there is nothing to wait for.
             wait_limit: match (seeds.is_empty(), first_start) {
                 (true, _) => Duration::ZERO,
                 (false, true) => FIRST_START_WAIT,
@@ -124,26 +123,27 @@
         }
     }
 
-    /// Whether the entry may go by what it knows: it has waited long enough to
-    /// be told of others, or there is nobody to ask.
+    /// Whether the entry may act on what it knows: it has found a running
+    /// entry, has waited long enough, or has nobody to ask.
     #[must_use]
     pub fn is_settled(&self, now: Instant) -> bool {
         self.running || now >= self.started + self.wait_limit
     }
 
-    /// Notes that others have been up for longer, and know who there is.
+    /// Notes that an entry was found that has been running for longer and
+    /// knows the others.
     pub fn found_running(&mut self) {
         self.running = true;
     }
 
-    /// How long ago the entry has started.
+    /// Time since the start of discovery.
     #[must_use]
     pub fn elapsed(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started)
     }
 
-    /// What to do next; `first` says whether the entry is one of the first of
-    /// its zone, `relayed` whether these tell the others who there is.
+    /// The next step. `is_relay` says whether this entry is one of its zone's
+    /// relays, `has_relays` whether relays inform the zone's other entries.
     pub fn next_step(&mut self, now: Instant, is_relay: bool, has_relays: bool) -> DiscoveryStep {
         if let Some(addr) = self.next_peer(now, has_relays && !is_relay) {
             return DiscoveryStep::Ask(addr);
@@ -160,12 +160,12 @@
         DiscoveryStep::Wait(POLL_INTERVAL)
     }
 
-    /// Notes that another entry has answered.
+    /// Notes an answer of another entry.
     pub fn peer_answered(&mut self, now: Instant) {
         self.last_answer = Some(now);
     }
 
-    /// Notes whether the directory has taken the address.
+    /// Notes whether the directory has stored the address.
     pub fn announce_finished(&mut self, now: Instant, done: bool) {
         self.announced = done;
         self.directory_result(now, done);
@@ -176,7 +176,7 @@
         self.announced = false;
     }
 
-    /// Notes what the directory names; none when it did not answer.
+    /// Takes the entries listed in the directory; none if it did not answer.
     pub fn directory_read(&mut self, now: Instant, found: Option<Vec<SocketAddr>>) {
         self.directory_result(now, found.is_some());
         let Some(found) = found else {
@@ -201,14 +201,14 @@
         };
     }
 
-    /// Whether nobody has answered for long.
+    /// Whether no entry has answered for [`ISOLATION_TIMEOUT`].
     fn is_isolated(&self, now: Instant) -> bool {
         self.last_answer
             .is_none_or(|at| now >= at + ISOLATION_TIMEOUT)
     }
 
-    /// Whom to ask now, if anybody; `told` says whether relays tell this entry
-    /// who there is.
+    /// The next entry to ask, if it is time; `relayed` says whether relays
+    /// inform this entry.
     fn next_peer(&mut self, now: Instant, relayed: bool) -> Option<SocketAddr> {
         let count = self.seeds.len() + self.listed.len();
         let quiet = self.last_answer.is_none_or(|at| now >= at + RELAY_SILENCE);
--- a/crates/policy/src/grants.rs
+++ b/crates/policy/src/grants.rs
@@ -1,23 +1,23 @@
-//! Which calls an engine is given, and when, as the sidecar beside it decides
-//! for all entries.
+//! Admission control of one inference engine, done by the sidecar on its host
+//! for the calls of all entries.
 //!
-//! Load pattern: two dozen entries send prompts to as many engines, for
-//! seconds faster than these read them. Each entry has about one call at an
-//! engine and hears of the others' late, so that queues inside the engines
-//! stand at seconds here and at nothing there, and half of what is served
-//! comes late. The sidecar sees every call for its engine: it lets in as much
-//! as the engine reads within a few steps, keeps the rest in the order of
-//! their turns, and refuses at once what would come too late. See
-//! docs/DECISIONS/0603-grants.md.
+//! Load pattern: two dozen entries send prompts to as many engines, for some
+//! seconds faster than the engines can prefill them. Each entry has about one
+//! call at an engine and learns late about the calls of the others. Some
+//! engines then build queues of several seconds while others are idle, and
+//! half of the answers miss their targets. The sidecar sees every call for its
+//! engine: it admits as much as the engine can prefill within a few steps,
+//! queues the rest by priority and due time, and refuses at once any call that
+//! would miss its limit. See docs/DECISIONS/0603-grants.md.
 //!
-//! - [`call`]: what is asked and answered.
-//! - [`parts`]: which prompt parts the engine should hold.
-//! - [`fetch`]: what copying them from another engine takes.
-//! - [`lives`]: which life of the engine the sidecar stands beside.
-//! - `timing`: how fast it reads, and what a first event takes besides.
-//! - `queue`: the calls that wait, in their order.
-//! - `mix`: how much of what comes is more urgent than a call.
-//! - `reserve`: slots that are kept for streams.
+//! - [`call`]: requests, decisions and engine reports.
+//! - [`parts`]: which prompt parts the engine's cache should hold.
+//! - [`fetch`]: the time to copy prompt tokens from another engine.
+//! - [`incarnations`]: which incarnation of the engine is current.
+//! - `timing`: a model of the time to first token (TTFT).
+//! - `queue`: the calls that wait for admission.
+//! - `mix`: the share of recent work that was more urgent than a call.
+//! - `reserve`: slots that are reserved for streams.
 //! - `room`: whether the engine has slots, memory and time for a call.
 
 pub mod call;
@@ -42,111 +42,117 @@
 use reserve::StreamReserve;
 use timing::TtftModel;
 
-/// Tokens of calls without a first event up to which more are let in: at
-/// first, at the least and at the most. A first event comes some 40 ms after
-/// its call was let in even when the engine has nothing else to do, in which
-/// it reads 4,000 to 6,000 tokens. What waits outside can still be overtaken.
+/// Initial value and bounds of the admission window: the unread prompt tokens
+/// up to which more calls are admitted. A first event takes about 40 ms even
+/// on an idle engine, in which the engine prefills 4,000 to 6,000 tokens. A
+/// call that waits outside the engine can still be overtaken by a more urgent
+/// one.
 const WINDOW_INITIAL: f64 = 9_000.0;
 const WINDOW_MIN: f64 = 4_000.0;
 const WINDOW_MAX: f64 = 16_000.0;
 
-/// How the window follows the engine's reports while calls wait outside: it
-/// grows while the engine has at most one to read, as it may run dry, and
-/// shrinks while it has several.
+/// Factors by which the window follows the engine's reports while calls are
+/// queued. It grows while the engine has at most one prompt to read, because
+/// the engine may run out of work, and shrinks while it has several.
 const WINDOW_GROWTH: f64 = 1.1;
 const WINDOW_DECAY: f64 = 0.93;
 
-/// Calls inside the engine that are not read to their end up to which the
+/// Number of calls in the engine with partly read prompts up to which the
 /// window grows, and from which it shrinks.
 const UNREAD_LOW: u32 = 1;
 const UNREAD_HIGH: u32 = 4;
 
-/// Part of the longest pause that callers of streams bear which reading
-/// others' prompts may take at the measured pace: at first, at the least and at
-/// the most. The rest is the steps' own time and what the network adds.
+/// Share of the strictest stream's maximum gap that prefill of other calls may
+/// take at the estimated pace: initial value and bounds. The rest is left for
+/// decode steps and the network.
 const GAP_SHARE_INITIAL: f64 = 0.55;
 const GAP_SHARE_MIN: f64 = 0.2;
 const GAP_SHARE_MAX: f64 = 2.0;
 
-/// How the share follows the longest pause of each stream that has ended. Up
-/// to this part of what is borne there is room for more; past all of it there
-/// is too much. One stream in ten may be late while it grows.
+/// How the share follows the longest gap of each finished stream: it grows
+/// while gaps stay below this part of the maximum, and shrinks when they
+/// exceed the maximum. With these factors about one stream in ten may be late
+/// while the share grows.
 const PAUSE_SLACK: f64 = 0.85;
 const GAP_SHARE_GROWTH: f64 = 1.015;
 const GAP_SHARE_DECAY: f64 = 0.9;
 
-/// Times of its own reading for which a call that waits can be overtaken. A
-/// call whose shared parts are held reads a tenth of what another does; behind
-/// two that read all of theirs it would be refused, though it would delay them
-/// by a tenth. A long one is overtaken until its turn has come and no longer.
+/// A queued call can be overtaken for this multiple of its own prefill time. A
+/// call whose shared parts are cached reads a tenth of what others read;
+/// queued behind two uncached calls it would be refused, although it would
+/// delay them by a tenth only. The limit keeps long calls from being overtaken
+/// forever.
 const OVERTAKE_FACTOR: f64 = 4.0;
 
-/// Part of less urgent prompts inside the engine that it has begun to read.
+/// Assumed share of less urgent prompts in the engine that it has already
+/// started to read.
 const STARTED_SHARE: f64 = 0.5;
 
-/// Tokens of its own that count when a call is judged. A long prompt is let in
-/// on the terms of a usual one, or in a burst long ones would never be served.
+/// Limit on a call's own tokens in the estimate of its TTFT. Long prompts are
+/// admitted on the terms of average ones, or they would never be served during
+/// bursts.
 const OWN_TOKENS_MAX: u32 = 12_000;
 
-/// How long a call that was let in may be without a first event before it is
-/// taken to have one: its entry may have ended, or its message got lost.
+/// An admitted call without a first event for this long is treated as running:
+/// its entry may have stopped, or the message was lost.
 const PENDING_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Tokens that a slot counts for when what was let in is compared: a call that
-/// reads nothing takes one all the same.
+/// Work of one slot, in tokens, when the admitted work of ranks is compared: a
+/// call that is fully cached still takes a slot.
 const SLOT_TOKENS: f64 = 1_000.0;
 
-/// How long a call holds its slot before any was seen to end, in seconds.
+/// Assumed time that a call holds its slot, in seconds, until one was
+/// measured.
 const HOLD_TIME_PRIOR: f64 = 0.5;
 
-/// How long reading that was let in is remembered; no stream's longest pause
-/// is longer.
+/// How long admitted prefill is remembered; the gaps that streams allow are
+/// shorter.
 const READ_HISTORY: Duration = Duration::from_secs(2);
 
-/// The calls for one engine.
+/// Admission controller of one engine.
 #[derive(Debug)]
 pub struct GrantController {
-    /// Calls that wait to be let in.
+    /// Calls that wait for admission.
     queue: WaitQueue,
-    /// Calls that were let in and have no first event.
+    /// Admitted calls that have no first event yet.
     pending: HashMap<CallId, PendingCall>,
-    /// Calls that have their first event, with when they must have ended.
+    /// Calls that have had their first event, with the deadline after which
+    /// they are dropped.
     running: HashMap<CallId, RunningCall>,
-    /// What first events take.
+    /// Estimate of the time to first token.
     timing: TtftModel,
-    /// What fetching a token from another engine takes.
+    /// Estimate of the time to fetch a token from another engine.
     fetch: FetchEstimate,
-    /// How long calls hold a slot after their first event, in seconds.
+    /// Mean time from first event to the end of a call, in seconds.
     hold_time: Mean,
-    /// Tokens of calls without a first event up to which more are let in.
+    /// Unread prompt tokens up to which more calls are admitted.
     window: f64,
-    /// Prompt parts that the engine should hold.
+    /// Prompt parts that the engine's cache should hold.
     parts: PartCache,
-    /// The engine's last report.
+    /// The engine's last report and its time.
     report: Option<(Instant, EngineReport)>,
-    /// When the engine's life began, as far as it says.
+    /// Start of the engine's current incarnation, if known.
     started_at: Option<u64>,
-    /// Calls that the engine runs at once.
+    /// Calls that the engine runs concurrently.
     slots: u32,
-    /// What was let in lately, by rank.
+    /// Recently admitted work by rank.
     mix: RankMix,
-    /// Streams that come here.
+    /// Recent arrivals of streams.
     reserve: StreamReserve,
-    /// Part of a stream's longest pause that reading may take.
+    /// Share of a stream's maximum gap that prefill may take.
     gap_share: f64,
-    /// Reading that was let in lately, in seconds.
+    /// Recently admitted prefill, in seconds.
     recent_reads: VecDeque<(Instant, f64)>,
 }
 
-/// What a prompt costs its engine before its first event.
+/// The work of a prompt before its first event.
 #[derive(Debug, Clone, Copy)]
 struct PromptCost {
-    /// Tokens that it reads, and the time of those that it fetches in tokens
-    /// read.
+    /// Tokens to prefill, plus the fetch time converted to tokens.
     tokens: u32,
-    /// Tokens that it fetches.
+    /// Tokens to fetch from another engine.
     fetched: u32,
-    /// Tokens that its memory does not hold yet.
+    /// Tokens that the engine's cache does not hold.
     missing: u32,
 }
 
@@ -154,13 +160,13 @@
 struct PendingCall {
     since: Instant,
     cost: PromptCost,
-    /// The tokens of its load with those that were to be read before it.
+    /// Unread tokens at admission, including the call's own.
     backlog: u32,
     request: GrantRequest,
 }
 
 impl PendingCall {
-    /// The call once it has its first event.
+    /// The call after its first event.
     fn to_running(&self, now: Instant) -> RunningCall {
         RunningCall {
             since: now,
@@ -200,8 +206,9 @@
 }
 
 impl GrantController {
-    /// Decides about a call. The same call asked again is answered the same
-    /// way, so that a lost answer costs only time.
+    /// Decides whether a call is admitted, queued or refused. Idempotent: a
+    /// repeated request for the same call gets the same answer, so that a lost
+    /// reply costs only time.
     pub fn request(&mut self, now: Instant, request: GrantRequest) -> GrantDecision {
         self.expire(now);
         self.slots = request.slots.max(1);
@@ -231,7 +238,7 @@
         }
         let fits =
             self.fits_memory(now, cost) && (request.is_home || !self.exceeds_gap(cost.tokens));
-        // Before an engine that has nothing to read, no other one is better.
+        // No other engine can be faster than an idle one.
         let idle = self.queue.is_empty() && self.unread_tokens() == 0;
         let late = expected > request.ttft_limit && !(idle && self.may_start(now, cost));
         if !request.forced && (late || !fits) {
@@ -251,13 +258,13 @@
         GrantDecision::Queued(expected)
     }
 
-    /// The waiting calls that are let in by now, each with the tokens from its
-    /// prompt's start that the engine holds.
+    /// Admits queued calls as far as there is room. Returns each with the
+    /// number of tokens at its prompt's start that the engine holds.
     pub fn grant_waiting(&mut self, now: Instant) -> Vec<(CallId, u32)> {
         self.expire(now);
         let mut granted = Vec::new();
         while let Some(first) = self.queue.first() {
-            // What it shares may have been read since it came.
+            // Shared parts may have been read since the call was queued.
             let cost = self.prompt_cost(first);
             if !self.may_start(now, cost) {
                 break;
@@ -272,13 +279,14 @@
         granted
     }
 
-    /// Notes that a call which was let in fetches what another engine holds of
-    /// the first `source` tokens of its prompt.
+    /// Notes that an admitted call fetches tokens from another engine, which
+    /// holds the first `source` tokens of the prompt.
     pub fn record_fetch(&mut self, id: CallId, source: u32) {
         let Some(call) = self.pending.get(&id) else {
             return;
         };
-        // By now the prompt counts as held; what was missing is known.
+        // The prompt was added to the cache at admission, so the held tokens
+        // follow from those that were missing then.
         let held = call.request.tokens() - call.cost.missing.min(call.request.tokens());
         let cost = self.cost_after(call.cost.missing, held, source);
         if cost.fetched == 0 {
@@ -292,13 +300,13 @@
         }
     }
 
-    /// Whether a prompt should rather be fetched than read.
+    /// Whether fetching prompt tokens is faster than reading them.
     #[must_use]
     pub fn fetch_pays(&self) -> bool {
         self.fetch.pays(self.timing.pace())
     }
 
-    /// Notes that a call has its first event.
+    /// Notes that a call has had its first event.
     pub fn record_first_event(&mut self, now: Instant, id: CallId) {
         let Some(call) = self.pending.remove(&id) else {
             return;
@@ -314,7 +322,7 @@
         self.running.insert(id, call.to_running(now));
     }
 
-    /// Learns from a first event what fetching a part of its prompt took.
+    /// Derives the fetch time from a call's time to first event.
     fn learn_fetch(&mut self, now: Instant, call: &PendingCall, fetched: u32) {
         let took = now.saturating_duration_since(call.since).as_secs_f64();
         let (base, pace) = (self.timing.base(), self.timing.pace());
@@ -323,8 +331,8 @@
         self.fetch.record(fetched, more + counted);
     }
 
-    /// Notes that a call has ended or will not come; `pause` is the longest
-    /// between two of its events.
+    /// Removes a call that has ended or was cancelled; `pause` is the longest
+    /// gap between two of its events.
     pub fn call_ended(&mut self, now: Instant, id: CallId, pause: Duration) {
         self.queue.remove(id);
         self.pending.remove(&id);
@@ -337,7 +345,7 @@
         }
     }
 
-    /// Adapts the reading beside streams to the pauses that it made.
+    /// Adapts the prefill share to the gaps that a stream has seen.
     fn adapt_gap_share(&mut self, gap: Duration, pause: Duration) {
         let step = match pause.as_secs_f64() / gap.as_secs_f64() {
             p if p > 1.0 => GAP_SHARE_DECAY,
@@ -347,22 +355,23 @@
         self.gap_share = (self.gap_share * step).clamp(GAP_SHARE_MIN, GAP_SHARE_MAX);
     }
 
-    /// Notes when a life of the engine began that somebody speaks of; returns
-    /// whether it is the newest one known. A newer one has read nothing and
-    /// runs nothing: by the books of the one before it would look full, and
-    /// its prompts read. Calls that wait have not been sent, and stay.
-    pub fn observe_incarnation(&mut self, born: Option<u64>) -> bool {
-        if born < self.started_at {
-            return born.is_none();
+    /// Notes the start time of an engine incarnation; returns whether it is
+    /// the newest one known. A newer incarnation has an empty cache and runs
+    /// nothing, so the state of the previous one is dropped: it would make the
+    /// new one look full and its prompts cached. Queued calls have not been
+    /// sent yet and stay.
+    pub fn observe_incarnation(&mut self, started_at: Option<u64>) -> bool {
+        if started_at < self.started_at {
+            return started_at.is_none();
         }
-        if born > self.started_at && self.started_at.is_some() {
+        if started_at > self.started_at && self.started_at.is_some() {
             self.engine_stopped();
         }
-        self.started_at = born;
+        self.started_at = started_at;
         true
     }
 
-    /// Takes over what the engine says.
+    /// Takes a report of the engine.
     pub fn update_report(&mut self, now: Instant, report: EngineReport) {
         if !self.observe_incarnation(report.started_at) {
             return;
@@ -380,20 +389,20 @@
         self.report = Some((now, report));
     }
 
-    /// Forgets what is known of the engine, as after its restart.
+    /// Drops the cache contents and the report, as after an engine restart.
     pub fn reset_engine(&mut self) {
         self.parts = PartCache::default();
         self.report = None;
     }
 
-    /// Forgets the engine's calls as well: it has ended, and they with it.
+    /// Drops the admitted calls as well, since they ended with the engine.
     pub fn engine_stopped(&mut self) {
         self.reset_engine();
         self.pending.clear();
         self.running.clear();
     }
 
-    /// What the engine is believed to be like, for logs.
+    /// The estimates about the engine, for logs.
     #[must_use]
     pub fn estimates(&self) -> EngineEstimates {
         EngineEstimates {
@@ -407,19 +416,19 @@
         }
     }
 
-    /// Tokens that a prompt would have to read.
+    /// Tokens of a prompt that the engine would have to prefill.
     #[must_use]
     pub fn missing_tokens(&self, parts: &[(u64, u32)]) -> u32 {
         self.parts.missing_tokens(parts)
     }
 
-    /// Tokens from a prompt's start that the engine holds.
+    /// Tokens at a prompt's start that the engine holds.
     #[must_use]
     pub fn held_tokens(&self, parts: &[(u64, u32)]) -> u32 {
         self.parts.held_tokens(parts)
     }
 
-    /// Calls that wait, that were let in, and that run.
+    /// Number of queued, admitted and running calls.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
         (self.queue.len(), self.pending.len(), self.running.len())
@@ -431,8 +440,8 @@
         Duration::from_secs_f64(own * OVERTAKE_FACTOR).min(request.ttft_limit)
     }
 
-    /// How long the first event of a call would take whose turn comes at
-    /// `turn` and which has to read `tokens`.
+    /// Expected TTFT of a call at position `key` of the queue that has to read
+    /// `tokens`.
     fn expected_ttft(
         &self,
         now: Instant,
@@ -449,12 +458,12 @@
         let base = self.timing.base();
         let reading = (self.unread_ahead(request.rank) + f64::from(ahead)) * self.timing.pace();
         let slots = self.slot_wait(now, calls);
-        // More urgent calls that have yet to come go first as well.
+        // More urgent calls that arrive later go first as well.
         let left = 1.0 - self.mix.share_before(request.rank);
         Duration::from_secs_f64(base + reading.max(slots) / left)
     }
 
-    /// How long it takes until a slot is free behind `calls` others.
+    /// Seconds until a slot is free behind `calls` others.
     fn slot_wait(&self, now: Instant, calls: u32) -> f64 {
         let taken = self.used_slots(now) + calls + 1;
         let over = taken.saturating_sub(self.prefill_slots(now));
@@ -462,15 +471,15 @@
         f64::from(over) * hold / f64::from(self.slots.max(1))
     }
 
-    /// What a call costs the engine.
+    /// The cost of a call on this engine.
     fn prompt_cost(&self, request: &GrantRequest) -> PromptCost {
         let missing = self.parts.missing_tokens(&request.parts);
         let held = request.tokens().saturating_sub(missing);
         self.cost_after(missing, held, request.fetchable)
     }
 
-    /// The same for a prompt of which the engine misses `missing` tokens after
-    /// the `held` first, and another holds the first `source`.
+    /// The cost of a prompt of which this engine holds the first `held` tokens
+    /// and misses `missing`, while another engine holds the first `source`.
     fn cost_after(&self, missing: u32, held: u32, source: u32) -> PromptCost {
         let budget = source.saturating_sub(held).min(missing);
         let fetched = match budget >= fetch::MIN_FETCH_TOKENS && self.fetch_pays() {
@@ -486,13 +495,14 @@
         }
     }
 
-    /// Tokens of calls that were let in and have no first event.
+    /// Prompt tokens of admitted calls without a first event.
     fn unread_tokens(&self) -> u32 {
         sum_tokens(self.pending.values().map(|f| f.cost.tokens))
     }
 
-    /// The same as far as the engine reads it before a call of `rank`. It takes
-    /// the most urgent first, but what it has begun to read it goes on with.
+    /// The part of the unread tokens that the engine reads before a call of
+    /// `rank`. It reads the most urgent prompts first, but finishes those that
+    /// it has started.
     fn unread_ahead(&self, rank: u8) -> f64 {
         let share = |f: &PendingCall| match f.request.rank <= rank {
             true => f64::from(f.cost.tokens),
@@ -520,7 +530,7 @@
         self.pending.insert(call.request.id, call);
     }
 
-    /// Forgets what must be over by now.
+    /// Drops entries that have timed out.
     fn expire(&mut self, now: Instant) {
         while self
             .recent_reads
@@ -542,9 +552,9 @@
     }
 }
 
-/// A sum of tokens. Callers say how long their prompts are, and a header may
-/// claim parts of four thousand million tokens; wrapped, their sum would look
-/// like an engine with nothing to read.
+/// Saturating sum of token counts. The lengths come from callers, and a header
+/// may claim parts of 4 billion tokens; a wrapped sum would look like an
+/// engine with nothing to read.
 fn sum_tokens(tokens: impl Iterator<Item = u32>) -> u32 {
     tokens.fold(0, u32::saturating_add)
 }
--- a/crates/policy/src/grants/call.rs
+++ b/crates/policy/src/grants/call.rs
@@ -1,47 +1,48 @@
-//! What entries ask of a sidecar, what it answers, and what its engine says.
+//! Requests of entries, the sidecar's decisions and the engine's reports.
 
 use std::time::Duration;
 
-/// A call, as its entry names it.
+/// Identifies a call across entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId {
-    /// The life of the entry.
+    /// The incarnation of the entry.
     pub incarnation: u64,
-    /// Its number in that life.
+    /// The call's number within that incarnation.
     pub number: u32,
 }
 
-/// What an entry asks for.
+/// A request of an entry to run a call on the engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GrantRequest {
-    /// The call.
+    /// The call to admit.
     pub id: CallId,
-    /// The parts of its prompt in order, with their tokens.
+    /// The prompt's parts in order: hash and number of tokens.
     pub parts: Vec<(u64, u32)>,
-    /// How long its first event may take; beyond, it is refused.
+    /// Limit on the time to first token; a call expected to take longer is
+    /// refused.
     pub ttft_limit: Duration,
-    /// How long its caller waits.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// The longest pause that its own stream bears, if it is one whose time
-    /// goes into writing.
+    /// Longest gap between events that the call's stream allows; set for calls
+    /// that are dominated by decode.
     pub max_gap: Option<Duration>,
-    /// Calls that the engine runs at once.
+    /// Calls that the engine runs concurrently.
     pub slots: u32,
-    /// Its rank inside the engine; 0 is the most urgent.
+    /// Priority inside the engine; 0 is the most urgent.
     pub rank: u8,
-    /// Whether the engine is the home of the prompt's shared parts.
+    /// Whether the prompt's shared parts are normally cached on this engine.
     pub is_home: bool,
-    /// Whether it must be let in: its entry has found no better engine.
+    /// Whether the call must be admitted because its entry has found no better
+    /// engine.
     pub forced: bool,
-    /// Tokens from the start of its prompt that another engine holds, from
-    /// which they can be fetched.
+    /// Tokens at the prompt's start that can be fetched from another engine.
     pub fetchable: u32,
-    /// Time to fetch a token, as the operators declare it.
+    /// Time to fetch a token as declared by the operators.
     pub copy_time: Option<Duration>,
 }
 
 impl GrantRequest {
-    /// Tokens of its prompt.
+    /// Total tokens of the prompt.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         let tokens = self.parts.iter().map(|(_, tokens)| *tokens);
@@ -49,43 +50,44 @@
     }
 }
 
-/// What is decided about a call.
+/// The decision about a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantDecision {
-    /// It may be sent now.
+    /// The call may be sent now.
     Granted,
-    /// It will be let in; its first event is expected after this time.
+    /// The call is queued; its expected time to first token.
     Queued(Duration),
-    /// Its first event would take this long.
+    /// The call is refused; the time that its first token would take.
     Refused(Duration),
 }
 
-/// What the engine says of itself.
+/// An engine's report about itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineReport {
     /// Calls inside the engine.
     pub running_calls: u32,
-    /// Calls inside the engine that are not read to their end.
+    /// Calls whose prompts are not fully read.
     pub unread_calls: u32,
-    /// Tokens of memory that running calls hold.
+    /// KV cache tokens held by running calls.
     pub used_tokens: u64,
-    /// Tokens of memory in all.
+    /// Size of the KV cache in tokens.
     pub total_tokens: u64,
-    /// Unix millisecond at which this life of the engine began, if it says.
+    /// Start of this incarnation in Unix milliseconds, if reported.
     pub started_at: Option<u64>,
 }
 
-/// What an engine is believed to be like.
+/// Estimates about an engine, for logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineEstimates {
-    /// Nanoseconds for reading a token.
+    /// Prefill time per token in nanoseconds.
     pub pace_ns: u64,
-    /// The fixed part of a first event, in microseconds.
+    /// Fixed part of the time to first token, in microseconds.
     pub base_us: u64,
-    /// Nanoseconds for fetching a token.
+    /// Fetch time per token in nanoseconds.
     pub fetch_ns: u64,
-    /// Tokens that it may have to read at once.
+    /// Unread prompt tokens up to which calls are admitted.
     pub window: u64,
-    /// Percentage of a pause that reading may take; 0 when no stream runs.
+    /// Percentage of a stream's maximum gap that prefill may take; 0 when no
+    /// stream runs.
     pub gap_percent: u64,
 }
--- a/crates/policy/src/grants/fetch.rs
+++ b/crates/policy/src/grants/fetch.rs
@@ -1,54 +1,56 @@
-//! What copying a prompt's tokens from another engine takes.
+//! Estimate of the time to copy prompt tokens from another engine.
 //!
-//! Where links are fast a token is copied in a sixth to an eighth of the time
-//! that reading it takes; where they are slow, or slow to start, it takes
-//! longer. The operators declare a rate, but only first events tell.
+//! On fast links, copying a token takes a sixth to an eighth of the time to
+//! prefill it; on links that are slow, or slow to start, copying takes longer
+//! than prefill. The operators declare a rate, but only measured first events
+//! show the real one.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Fewer tokens are read rather than fetched: setting a copy up takes about as
-/// long as reading a few hundred tokens.
+/// Shorter prompt sections are read instead of fetched: setting up a copy
+/// takes about as long as reading a few hundred tokens.
 pub const MIN_FETCH_TOKENS: u32 = 500;
 
-/// Seconds for a token where nothing is declared, so that it is tried.
+/// Seconds per token if no rate is declared; low enough that fetching is
+/// tried.
 const TOKEN_TIME_PRIOR: f64 = 2.5e-6;
 
-/// Fetches that are remembered.
+/// Number of recent fetches kept.
 const MAX_SAMPLES: usize = 32;
 
-/// Fetches wanted before they count for more than what is declared.
+/// Fetches needed before measurements replace the declared rate.
 const MIN_SAMPLES: usize = 8;
 
-/// The part of the fetches that took less than what is believed: the others
-/// waited for something else too.
+/// Quantile of the measured times that is used: slower fetches were also
+/// waiting for something else.
 const QUANTILE: f64 = 0.25;
 
-/// Part of the time of reading a token within which fetching it pays.
+/// Fetching pays if it takes less than this part of the prefill time.
 const PAYS_RATIO: f64 = 0.8;
 
-/// One call in so many fetches though it does not seem to pay, to notice when
-/// it does again.
+/// One call in this many fetches even if that does not seem to pay, to notice
+/// when it pays again.
 const PROBE_INTERVAL: u32 = 16;
 
-/// What fetching takes at one engine.
+/// Fetch times at one engine.
 #[derive(Debug, Default)]
 pub(super) struct FetchEstimate {
-    /// Seconds for a token, by what the operators declare.
+    /// Declared seconds per token.
     declared: Option<f64>,
-    /// The same by first events.
+    /// Measured seconds per token.
     samples: VecDeque<f64>,
     /// Calls since the last fetch that could have fetched.
     skipped: u32,
 }
 
 impl FetchEstimate {
-    /// Takes over the time of a token that the operators declare.
+    /// Sets the time per token that the operators declare.
     pub(super) fn declare(&mut self, token: Option<Duration>) {
         self.declared = token.map(|t| t.as_secs_f64());
     }
 
-    /// Notes that fetching `tokens` took so many seconds.
+    /// Records that fetching `tokens` took `seconds`.
     pub(super) fn record(&mut self, tokens: u32, seconds: f64) {
         if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
@@ -57,12 +59,12 @@
         self.samples.push_back(token_time);
     }
 
-    /// Notes that a call which could fetch was let in.
+    /// Notes that a call was admitted that could fetch, and whether it does.
     pub(super) fn record_chance(&mut self, fetches: bool) {
         self.skipped = if fetches { 0 } else { self.skipped + 1 };
     }
 
-    /// Seconds for a token.
+    /// Estimated seconds per token.
     pub(super) fn token_time(&self) -> f64 {
         if self.samples.len() < MIN_SAMPLES {
             return self.declared.unwrap_or(TOKEN_TIME_PRIOR);
@@ -73,8 +75,8 @@
         *token_time
     }
 
-    /// Whether the next call should fetch where reading a token takes `pace`
-    /// seconds.
+    /// Whether the next call should fetch if prefill takes `pace` seconds per
+    /// token.
     pub(super) fn pays(&self, pace: f64) -> bool {
         self.token_time() < pace * PAYS_RATIO || self.skipped >= PROBE_INTERVAL
     }
--- a/crates/policy/src/grants/incarnations.rs
+++ b/crates/policy/src/grants/incarnations.rs
@@ -1,48 +1,48 @@
-//! Which life of the engine a sidecar stands beside.
+//! Which incarnation of the engine is current.
 //!
 //! Load pattern: all engines lose power and come back under new names, while
-//! the store goes on listing the old ones for seconds. Entries ask for either,
-//! and only the engine itself knows which one it is: it refuses a call that is
-//! meant for another life. The first such refusal is told to the sidecar, which
-//! spares all other entries theirs.
+//! the store lists the old ones for some seconds. Entries send requests for
+//! either, and only the engine knows its own incarnation: it refuses calls
+//! meant for another one. The first such refusal is reported to the sidecar,
+//! which then refuses the requests of all other entries itself.
 
 use std::collections::VecDeque;
 
-/// Names that are remembered as gone. An engine's host sees a few restarts an
+/// Number of ended incarnations kept. An engine's host sees a few restarts per
 /// hour at most.
 const MAX_GONE: usize = 32;
 
-/// What a name that is asked for stands for.
+/// The state of an incarnation that an entry asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationStatus {
-    /// The life that is known.
+    /// The current incarnation.
     Current,
-    /// One that was not known: it has read nothing, and runs nothing.
+    /// A new one: its cache is empty and it runs nothing.
     New,
-    /// The life that is known, which takes no new calls.
+    /// The current incarnation, which is shutting down and takes no new calls.
     Leaving,
-    /// One that is gone.
+    /// One that has ended.
     Gone,
 }
 
-/// The lives of one engine.
+/// The incarnations of one engine.
 #[derive(Debug, Default)]
 pub struct Incarnations {
-    /// The name of the life that is known; none before any was asked for.
+    /// Name of the current incarnation; none before the first request.
     current: Option<String>,
-    /// When that life began, as far as those say who ask.
+    /// Latest start time that requests gave for it.
     started_at: Option<u64>,
-    /// Whether that life has said that it leaves.
+    /// Whether it has announced its shutdown.
     leaving: bool,
-    /// Names that the engine has refused, with when those lives had begun, if
-    /// they say so.
+    /// Names that the engine has refused, with their start times if known.
     gone: VecDeque<(String, Option<u64>)>,
 }
 
 impl Incarnations {
-    /// Notes that an entry means the life `name`, which began at `born`.
+    /// Handles a request for the incarnation `name` that started at
+    /// `started_at`.
     pub fn resolve(&mut self, name: &str, started_at: Option<u64>) -> IncarnationStatus {
-        // A life that began later under the same name is another one.
+        // A later start under the same name is another incarnation.
         let gone = |(n, b): &(String, Option<u64>)| n == name && started_at <= *b;
         if self.gone.iter().any(gone) {
             return IncarnationStatus::Gone;
@@ -62,20 +62,20 @@
         IncarnationStatus::New
     }
 
-    /// The name of the life that is known.
+    /// Name of the current incarnation.
     #[must_use]
     pub fn current(&self) -> Option<&str> {
         self.current.as_deref()
     }
 
-    /// Notes that life `name` says that it leaves; returns whether that is news of
-    /// the life that is known.
+    /// Notes that incarnation `name` is shutting down; returns whether it is
+    /// the current one and was not known to leave.
     pub fn mark_leaving(&mut self, name: &str) -> bool {
         self.is_current(name) && !std::mem::replace(&mut self.leaving, true)
     }
 
-    /// Notes that the engine has refused a call as meant for another life;
-    /// returns whether that life was the one known.
+    /// Notes that the engine has refused a call meant for incarnation `name`;
+    /// returns whether that one was the current.
     pub fn mark_refused(&mut self, name: &str, started_at: Option<u64>) -> bool {
         if self.gone.len() == MAX_GONE {
             self.gone.pop_front();
@@ -88,7 +88,7 @@
         known
     }
 
-    /// Whether `name` is the life that is known.
+    /// Whether `name` is the current incarnation.
     #[must_use]
     pub fn is_current(&self, name: &str) -> bool {
         self.current.as_deref() == Some(name)
--- a/crates/policy/src/grants/mix.rs
+++ b/crates/policy/src/grants/mix.rs
@@ -1,23 +1,23 @@
-//! How much of what an engine takes in is more urgent than a call.
+//! The share of an engine's recent work that was more urgent than a call.
 //!
-//! A call that waits is overtaken by more urgent ones that come after it. While
-//! they take a part of the engine, what is left of it for the others takes as
-//! much longer.
+//! A queued call is overtaken by more urgent calls that arrive after it. While
+//! these take a share of the engine, work of lower priority takes longer by
+//! the inverse of what is left.
 
 use std::time::{Duration, Instant};
 
-/// Ranks that engines know.
+/// Number of ranks.
 const RANKS: usize = 10;
 
-/// How soon half of what was let in counts no more: a burst of one tier begins
-/// and ends within a second.
+/// Half-life of recorded work: a burst of one tier begins and ends within a
+/// second.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// The largest part that counts. Beyond, nothing less urgent would be let wait
-/// even for a moment.
+/// Largest share that is used; a larger one would refuse all less urgent
+/// calls, even for a short wait.
 const SHARE_MAX: f64 = 0.8;
 
-/// Work that was let in lately, by rank.
+/// Recently admitted work by rank.
 #[derive(Debug, Default)]
 pub(super) struct RankMix {
     work: [f64; RANKS],
@@ -25,7 +25,7 @@
 }
 
 impl RankMix {
-    /// Notes that a call of `rank` was let in; `work` is its cost, in any unit.
+    /// Records an admitted call of `rank`; `work` may be in any unit.
     pub(super) fn add(&mut self, now: Instant, rank: u8, work: f64) {
         if let Some(last_update) = self.last_update {
             let age = now.saturating_duration_since(last_update).as_secs_f64();
@@ -36,7 +36,7 @@
         self.work[usize::from(rank).min(RANKS - 1)] += work;
     }
 
-    /// The part that was more urgent than `rank`.
+    /// The share of the work that was more urgent than `rank`.
     pub(super) fn share_before(&self, rank: u8) -> f64 {
         let total: f64 = self.work.iter().sum();
         let urgent = &self.work[..usize::from(rank).min(RANKS)];
--- a/crates/policy/src/grants/parts.rs
+++ b/crates/policy/src/grants/parts.rs
@@ -1,49 +1,49 @@
-//! Which prompt parts an engine should hold.
+//! Which prompt parts an engine's cache should hold.
 //!
-//! Every call for the engine passes its sidecar, so what the engine has read
-//! is known without asking it. It drops the parts that were used least
-//! recently when its memory is full.
+//! Every call for the engine passes its sidecar, so the sidecar knows what the
+//! engine has read without asking it. Like the engine, it evicts the least
+//! recently used parts when memory is full.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Parts that are remembered at most, 48 bytes each.
+/// Maximum number of parts tracked; each takes 48 bytes.
 const MAX_PARTS: usize = 20_000;
 
-/// Prompt parts by when they were last used.
+/// Cached prompt parts in order of their last use.
 #[derive(Debug, Default)]
 pub struct PartCache {
-    /// Parts with their tokens and their place in the order of use.
+    /// Tokens and position in `order` by part.
     held: HashMap<u64, (u32, u64)>,
-    /// Parts in the order of their last use.
+    /// Parts by last use, oldest first.
     order: BTreeMap<u64, u64>,
-    /// Tokens of all of them.
+    /// Total tokens of the parts.
     tokens: u64,
-    /// Tokens that the engine has room for, once it is known.
+    /// Tokens that the engine has memory for, once known.
     capacity: Option<u64>,
     next_use: u64,
 }
 
 impl PartCache {
-    /// Tokens of a prompt that the engine has to read: a part is only of use
-    /// when all parts before it are held too.
+    /// Tokens of a prompt that the engine has to prefill: a part can only be
+    /// reused if all parts before it are cached too.
     #[must_use]
     pub fn missing_tokens(&self, parts: &[(u64, u32)]) -> u32 {
         sum(&parts[self.held_count(parts)..])
     }
 
-    /// The other tokens of the prompt.
+    /// Tokens of the prompt that are cached.
     #[must_use]
     pub fn held_tokens(&self, parts: &[(u64, u32)]) -> u32 {
         sum(&parts[..self.held_count(parts)])
     }
 
-    /// Parts from the prompt's start that are held.
+    /// Number of cached parts at the prompt's start.
     fn held_count(&self, parts: &[(u64, u32)]) -> usize {
         let held = |(id, _): &&(u64, u32)| self.held.contains_key(id);
         parts.iter().take_while(held).count()
     }
 
-    /// Notes that the engine reads a prompt.
+    /// Adds the parts of a prompt that the engine reads.
     pub fn insert(&mut self, parts: &[(u64, u32)]) {
         for (id, tokens) in parts {
             self.remove_part(*id);
@@ -55,13 +55,13 @@
         self.evict();
     }
 
-    /// Takes over how many tokens the engine has room for.
+    /// Sets the number of tokens that the engine has memory for.
     pub fn set_capacity(&mut self, capacity: u64) {
         self.capacity = Some(capacity);
         self.evict();
     }
 
-    /// Drops what the engine has no room for.
+    /// Evicts the least recently used parts beyond the limits.
     fn evict(&mut self) {
         while self.held.len() > MAX_PARTS || self.capacity.is_some_and(|r| self.tokens > r) {
             let Some((_, id)) = self.order.first_key_value() else {
--- a/crates/policy/src/grants/reserve.rs
+++ b/crates/policy/src/grants/reserve.rs
@@ -1,18 +1,18 @@
-//! Slots that are kept for streams, which are never kept waiting.
+//! Slots reserved for streams, which are never queued.
 //!
-//! Kept at engines where no stream comes, one slot of eight stands idle while
-//! calls are turned away. What has to be kept is what comes before a slot
-//! falls free by itself.
+//! A fixed reserve of one slot in eight would stay unused at engines that get
+//! no streams, while calls are refused. The reserve therefore covers the
+//! streams expected to arrive before a slot becomes free.
 
 use std::time::{Duration, Instant};
 
-/// How soon half of the streams seen count no more.
+/// Half-life of recorded streams.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Streams that come to an engine.
+/// Rate at which streams arrive at an engine.
 #[derive(Debug, Default)]
 pub(super) struct StreamReserve {
-    /// Streams, older ones with less weight.
+    /// Exponentially decayed number of streams at `last`.
     decayed_count: f64,
     last: Option<Instant>,
 }
@@ -24,8 +24,8 @@
         self.last = Some(now);
     }
 
-    /// Slots to keep where one of `slots` falls free each `hold / slots`
-    /// seconds.
+    /// Number of slots to reserve if one of `slots` becomes free every `hold /
+    /// slots` seconds.
     pub(super) fn slots(&self, now: Instant, hold: f64, slots: u32) -> u32 {
         let rate = self.current_count(now) * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
         let arrivals = rate * hold / f64::from(slots.max(1));
@@ -33,9 +33,7 @@
     }
 
     fn current_count(&self, now: Instant) -> f64 {
-        let Some(last) = self.last else {
-            return 0.0;
-        };
+        let Some(last) = self.last else { return 0.0 };
         let age = now.saturating_duration_since(last).as_secs_f64();
         self.decayed_count * 0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
     }
--- a/crates/policy/src/grants/room.rs
+++ b/crates/policy/src/grants/room.rs
@@ -5,30 +5,30 @@
 use super::call::EngineReport;
 use super::{GrantController, HOLD_TIME_PRIOR, PromptCost, READ_HISTORY, sum_tokens};
 
-/// Part of the engine's memory that may be taken by running calls. Beyond,
-/// the engine preempts some of them in the middle of their streams.
+/// Part of the KV cache that running calls may take. Beyond it, the engine
+/// preempts calls in the middle of their streams.
 const MEMORY_SHARE: f64 = 0.9;
 
-/// A report of the engine is believed for so long.
+/// Age after which an engine report is ignored.
 const REPORT_MAX_AGE: Duration = Duration::from_millis(500);
 
 impl GrantController {
-    /// The shortest pause that a running stream bears.
+    /// The smallest maximum gap of the running streams.
     pub(super) fn min_gap(&self) -> Option<Duration> {
         let runs = self.running.values().filter_map(|r| r.max_gap);
         let flights = self.pending.values().filter_map(|f| f.request.max_gap);
         runs.chain(flights).min()
     }
 
-    /// Whether a prompt is too long to be read beside the running streams:
-    /// read in one go, it stretches a pause of each of them.
+    /// Whether a prompt is too long to be prefilled beside the running
+    /// streams: read in one go, it delays an event of each of them.
     pub(super) fn exceeds_gap(&self, tokens: u32) -> bool {
         let time = f64::from(tokens) * self.timing.pace();
         self.min_gap()
             .is_some_and(|gap| time > gap.as_secs_f64() * self.gap_share)
     }
 
-    /// Whether a call of that load may be let in now.
+    /// Whether a call of this cost may be admitted now.
     pub(super) fn may_start(&self, now: Instant, cost: PromptCost) -> bool {
         if f64::from(self.unread_tokens()) >= self.window
             || self.used_slots(now) >= self.prefill_slots(now)
@@ -45,12 +45,12 @@
         (recent <= 0.0 || recent + own <= budget) && self.fits_memory(now, cost)
     }
 
-    /// Whether a stream finds a slot and memory.
+    /// Whether there is a slot and memory for a stream.
     pub(super) fn has_room(&self, now: Instant, cost: PromptCost) -> bool {
         self.used_slots(now) < self.slots && self.fits_memory(now, cost)
     }
 
-    /// Whether the engine's memory holds what a call misses.
+    /// Whether the KV cache has room for the tokens that a call misses.
     pub(super) fn fits_memory(&self, now: Instant, cost: PromptCost) -> bool {
         let Some(report) = self.fresh_report(now) else {
             return true;
@@ -60,22 +60,22 @@
         report.total_tokens == 0 || used as f64 <= report.total_tokens as f64 * MEMORY_SHARE
     }
 
-    /// Whether the engine could not hold a call even if it were empty. It
-    /// refuses such a call itself; kept waiting here, the call would hold up
-    /// all that are due after it until its caller gives up.
+    /// Whether the call would not fit even into an empty engine, which refuses
+    /// it itself. In the queue, it would block all calls behind it until its
+    /// caller's deadline.
     pub(super) fn never_fits(&self, cost: PromptCost) -> bool {
         let total = self.report.map_or(0, |(_, report)| report.total_tokens);
         total > 0 && f64::from(cost.missing) > total as f64 * MEMORY_SHARE
     }
 
-    /// Slots that calls which only read may take.
+    /// Slots that calls dominated by prefill may take.
     pub(super) fn prefill_slots(&self, now: Instant) -> u32 {
         let hold = self.hold_time.get().unwrap_or(HOLD_TIME_PRIOR);
         let kept = self.reserve.slots(now, hold, self.slots);
         self.slots.saturating_sub(kept).max(1)
     }
 
-    /// Slots that are taken.
+    /// Slots in use, by the controller's own count or the engine's report.
     pub(super) fn used_slots(&self, now: Instant) -> u32 {
         let own = self.running.len() + self.pending.len();
         let own = u32::try_from(own).unwrap_or(u32::MAX);
@@ -83,8 +83,8 @@
         own.max(reported)
     }
 
-    /// Part of the engine's time, slots or memory that calls take, whichever
-    /// is most; what waits for reading counts as well.
+    /// The larger share of the engine's time, slots or memory in use; queued
+    /// calls count as prefill time.
     #[must_use]
     pub fn utilization(&self, now: Instant) -> f64 {
         let recent = self
--- a/crates/policy/src/grants/timing.rs
+++ b/crates/policy/src/grants/timing.rs
@@ -1,84 +1,84 @@
-//! What a first event takes: a fixed part, and reading.
+//! A model of the time to first token (TTFT): a fixed part plus prefill time.
 //!
-//! Load pattern: an engine that reads fast has few prompts inside at a time,
-//! and most of what passes between two first events is the fixed part. Taken
-//! for reading, it makes the engine look slow, so that less is let in and the
-//! next measurement looks the same. Both are fitted together from the last
-//! first events, and time in which nothing was to be read says nothing of
-//! reading.
+//! Load pattern: a fast engine has few prompts at a time, so that most of the
+//! time between two first events is the fixed part. Attributed to prefill, it
+//! makes the engine look slow; then fewer calls are admitted, and the next
+//! measurement confirms the error. Both parts are therefore fitted together to
+//! the recent first events, and time in which the engine was idle is not
+//! counted as prefill.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use crate::estimate::READ_GUESS;
 
-/// The most that the fixed part is believed to take, in seconds: a call that
-/// waited for a slot says little about it.
+/// Upper bound of the fixed part in seconds: calls that waited for a slot say
+/// little about it.
 const BASE_MAX: f64 = 0.3;
 
-/// First events that are remembered.
+/// Number of first events kept.
 const MAX_SAMPLES: usize = 48;
 
-/// How soon half of them count no more: where few calls come, an engine that
-/// has changed would else be believed to be as it was for a minute.
+/// Half-life of their weight: where few calls arrive, an engine that has
+/// changed would otherwise be misjudged for a minute.
 const HALF_LIFE: Duration = Duration::from_millis(1500);
 
-/// The least that a remembered one counts: old ones are better than a guess.
+/// Minimum weight of an old sample, which is still better than the prior.
 const AGE_WEIGHT_MIN: f64 = 0.02;
 
-/// First events that the guess of no fixed part counts for.
+/// Weight of the prior that the fixed part is zero, in samples.
 const BASE_PRIOR_WEIGHT: f64 = 0.001;
 
-/// First events that the guess of the pace counts for.
+/// Weight of the prior of the pace, in samples.
 const PACE_PRIOR_WEIGHT: f64 = 0.03;
 
-/// Tokens of those first events.
+/// Prompt tokens of the prior's samples.
 const PRIOR_TOKENS: f64 = 300.0;
 
-/// Times of what was expected that one first event may count for. An engine
-/// that stood still, or a path that lost packets, says nothing about reading.
+/// Samples are clipped to this multiple of the expected time. An engine that
+/// stalled, or a network that lost packets, says nothing about prefill.
 const OUTLIER_FACTOR: f64 = 6.0;
 
-/// The same in seconds, below which nothing is cut off.
+/// Times below this, in seconds, are never clipped.
 const OUTLIER_MIN: f64 = 0.25;
 
-/// The least time by which first events are weighed, in seconds: steps of the
-/// engine and the network add as much to any.
+/// Minimum expected time in a sample's weight, in seconds: engine steps and
+/// the network add about this much noise to each sample.
 const EXPECTED_MIN: f64 = 0.01;
 
-/// Rounds of a fit: which first events had others read before them follows
-/// from the fixed part, and the other way round.
+/// Iterations of the fit: whether a sample had others before it depends on the
+/// fixed part, and the fixed part on those samples.
 const FIT_ITERATIONS: usize = 3;
 
-/// How much faster than the guess an engine may be believed to read.
+/// An engine is estimated to be at most this much faster than the prior.
 const MAX_SPEEDUP: f64 = 100.0;
 
-/// What first events take at one engine.
+/// TTFT at one engine.
 #[derive(Debug)]
 pub(super) struct TtftModel {
     samples: VecDeque<TtftSample>,
-    /// When the last first event came.
+    /// Time of the last first event.
     last_event: Option<Instant>,
-    /// Seconds of the fixed part.
+    /// The fixed part in seconds.
     base: f64,
-    /// Seconds for a token.
+    /// Prefill seconds per token.
     pace: f64,
 }
 
-/// One first event.
+/// One measured first event.
 #[derive(Debug, Clone, Copy)]
 struct TtftSample {
     at: Instant,
     tokens: f64,
-    /// Seconds since its call was let in.
+    /// Seconds since its call was admitted.
     elapsed: f64,
-    /// Seconds since the first event before it; none for the very first.
+    /// Seconds since the previous first event; none for the first one.
     since_previous: Option<f64>,
-    /// Whether a part of the tokens stands for what was fetched.
+    /// Whether some of the tokens stand for fetch time.
     fetched: bool,
 }
 
-/// Sums of a least-squares fit.
+/// Weighted sums of the least-squares fit.
 #[derive(Debug, Default)]
 struct Sums {
     idle: f64,
@@ -100,9 +100,8 @@
 }
 
 impl TtftModel {
-    /// Notes that a call which was let in at `since` to read `tokens` has its
-    /// first event; `fetched` says whether a part of them stands for what it
-    /// fetched.
+    /// Records the first event of a call admitted at `since` with `tokens` to
+    /// read; `fetched` says whether some of them stand for fetch time.
     pub(super) fn record_first_event(
         &mut self,
         now: Instant,
@@ -127,17 +126,17 @@
         }
     }
 
-    /// Seconds for a token.
+    /// Prefill seconds per token.
     pub(super) fn pace(&self) -> f64 {
         self.pace
     }
 
-    /// The fixed part, in seconds.
+    /// The fixed part in seconds.
     pub(super) fn base(&self) -> f64 {
         self.base
     }
 
-    /// Fits both to what was seen.
+    /// Fits the fixed part and the pace to the samples.
     fn fit(&mut self, now: Instant) {
         let mut sums = Sums::default();
         let prior = PRIOR_TOKENS * READ_GUESS;
@@ -148,21 +147,22 @@
             let weight = 0.5_f64
                 .powf(age / HALF_LIFE.as_secs_f64())
                 .max(AGE_WEIGHT_MIN);
-            // The engine began with it when it had read the one before, which
-            // was the fixed part before that one's first event.
+            // If the engine was busy, it started this prompt when it had read
+            // the previous one, a fixed part before that one's first event.
             let busy = sample
                 .since_previous
                 .filter(|since_previous| since_previous + self.base <= sample.elapsed);
             if busy.is_none() && sample.fetched {
-                // What it waited for besides is not the usual fixed part.
+                // A fetch adds a delay that is not the usual fixed part.
                 continue;
             }
             let idle = if busy.is_some() { 0.0 } else { 1.0 };
             let expected = idle * self.base + sample.tokens * self.pace;
             let elapsed = busy.unwrap_or(sample.elapsed);
             let elapsed = elapsed.min((expected * OUTLIER_FACTOR).max(OUTLIER_MIN));
-            // What takes longer varies more. Weighed so, the pace of an engine
-            // with a long queue is all its time by all its tokens.
+            // Variance grows with the expected time. With this weight, the
+            // pace of an engine with a long queue is its total time divided by
+            // its total tokens.
             let weight = weight / expected.max(EXPECTED_MIN);
             sums.add(weight, idle, sample.tokens, elapsed);
         }
@@ -171,8 +171,8 @@
 }
 
 impl Sums {
-    /// Adds a first event that took `took` seconds for `tokens`, and for the
-    /// fixed part if it stood `alone`.
+    /// Adds a sample of `tokens` that took `elapsed` seconds; `idle` is 1 if
+    /// the engine was idle before, so that the fixed part is included.
     fn add(&mut self, weight: f64, idle: f64, tokens: f64, elapsed: f64) {
         self.idle += weight * idle;
         self.idle_tokens += weight * idle * tokens;
@@ -181,14 +181,14 @@
         self.tokens_time += weight * tokens * elapsed;
     }
 
-    /// The fixed part and the pace that fit best, within what both can be.
+    /// The fixed part and the pace of the best fit, within their bounds.
     fn solve(&self) -> (f64, f64) {
         let determinant = self.idle * self.tokens_squared - self.idle_tokens.powi(2);
         let pace = (self.idle * self.tokens_time - self.idle_tokens * self.idle_time)
             / determinant.max(f64::MIN_POSITIVE);
         let base = (self.idle_time - self.idle_tokens * pace) / self.idle;
         let base = base.clamp(0.0, BASE_MAX);
-        // With the fixed part held where it can be, the rest is reading.
+        // Solves for the pace again with the clamped fixed part.
         let pace = (self.tokens_time - self.idle_tokens * base) / self.tokens_squared;
         (base, pace.max(READ_GUESS / MAX_SPEEDUP))
     }
--- a/crates/policy/src/pauses.rs
+++ b/crates/policy/src/pauses.rs
@@ -1,38 +1,39 @@
-//! How long reading prompts keeps the streams beside it waiting.
+//! Estimate of the pauses that prefill causes in concurrent streams.
 //!
 //! An event of a stream holds several tokens, and an engine that reads a long
-//! prompt does a whole chunk of it in each step. So every stream beside a long
-//! read shows nearly the same pause, which follows from the engine alone: it
-//! is 130 ms at some and 370 ms at others. It is seen at the streams that end
-//! at engines which read.
+//! prompt prefills a whole chunk of it in each step. Every stream beside a
+//! long prefill therefore sees nearly the same pause, which depends on the
+//! engine only: 130 ms on some and 370 ms on others. It is measured on streams
+//! that end on engines that also prefill.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Streams whose longest pauses decide; some seconds of load at one entry.
+/// Number of recent streams used; some seconds of load at one entry.
 const MAX_SAMPLES: usize = 128;
 
-/// Streams wanted before their pauses are believed.
+/// Streams needed before their pauses are used.
 const MIN_SAMPLES: usize = 8;
 
-/// Part of the streams that pause less than what is expected. The rest met a
-/// preemption or a link that was full.
+/// Quantile of the streams' longest pauses that is expected. Longer ones met a
+/// preemption or a saturated link.
 const QUANTILE: f64 = 0.9;
 
-/// Time in which what was seen counts for half as much. An engine reads as it
-/// did also after a minute in which little was read.
+/// Half-life of the estimate. An engine's behavior does not change in a minute
+/// in which little was read.
 const HALF_LIFE: Duration = Duration::from_secs(60);
 
-/// The longest pauses of streams beside reading.
+/// The longest pauses of recent streams beside prefill.
 #[derive(Debug, Default)]
 pub struct PauseEstimate {
     samples: VecDeque<Duration>,
-    /// What was expected last, in seconds, and when.
+    /// Last estimate in seconds, and when it was made.
     estimate: Option<(Instant, f64)>,
 }
 
 impl PauseEstimate {
-    /// Notes the longest pause of a stream that ended at an engine which reads.
+    /// Records the longest pause of a stream that ended on an engine that also
+    /// prefills.
     pub fn record(&mut self, now: Instant, pause: Duration) {
         if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
@@ -43,8 +44,8 @@
         self.estimate = expected.map(|e| (now, e)).or(self.estimate);
     }
 
-    /// The pause that a stream beside reading meets, in seconds; none before
-    /// enough streams were seen.
+    /// Expected pause of a stream beside prefill, in seconds; none until
+    /// enough streams were measured.
     #[must_use]
     pub fn expected(&self, now: Instant) -> Option<f64> {
         let (at, held) = self.estimate?;
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,4 +1,4 @@
-//! What an entry decides: where to ask for a slot. See
+//! Selection of the sidecars that an entry asks for a slot. See
 //! docs/DECISIONS/0201-placement.md.
 
 use std::collections::HashMap;
@@ -12,100 +12,102 @@
 use crate::pace::{Load, Pace, Reports};
 use crate::rendezvous::{number, weight};
 
-/// A backend server as an entry knows it, by its place in the entry's list.
+/// Index of a backend server in the entry's list.
 pub type ServerIndex = usize;
 
-/// Random places that are looked at before all are gone through in order.
+/// Random samples taken before all candidates are searched in order.
 const SAMPLE_ATTEMPTS: usize = 4;
 
-/// How long a server that said it drains is believed to. Nobody would ask it
-/// again otherwise, and its next life at the same address would stay unused.
+/// How long a server's report that it drains is believed. Without this limit
+/// nobody would ask the server again, and a new process at the same address
+/// would stay unused.
 const DRAIN_MAX_AGE: Duration = Duration::from_secs(5);
 
-/// How often a pool's usual pace is worked out.
+/// How often the median pace of a pool is recomputed.
 const MEDIAN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Servers with a known pace from which a median means something.
+/// Minimum number of servers with a known pace for a meaningful median.
 const MEDIAN_MIN_SERVERS: usize = 4;
 
-/// A pace so many times the median is a fault.
+/// A pace above this multiple of the median counts as a fault.
 const SLOW_FACTOR: u32 = 8;
 
-/// How servers are chosen. All but the first are plain baselines to measure
-/// against: one server is chosen, and the request waits there.
+/// How servers are chosen. All modes but the first are baselines for
+/// comparison: they choose one server, and the request waits there.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementMode {
-    /// Ask several for a slot; the earliest expected finish wins.
+    /// Ask several servers for a slot; the earliest expected finish wins.
     #[default]
     LateBinding,
-    /// Any server.
+    /// A random server.
     Random,
-    /// The least loaded by reports.
+    /// The server with the lowest reported load.
     LeastLoaded,
-    /// The less loaded by reports of two sampled ones.
+    /// The one of two random servers with the lower reported load.
     TwoChoices,
 }
 
-/// What placement goes by.
+/// Settings of placement.
 #[derive(Debug, Clone)]
 pub struct PlacementOptions {
     /// How servers are chosen.
     pub mode: PlacementMode,
-    /// Age of the reports that the baselines go by.
+    /// Age of the load reports that the baselines use.
     pub report_lag: Duration,
-    /// The entry's availability zone.
+    /// The entry's own availability zone.
     pub zone: String,
-    /// Seed of the random numbers, so that a run can be repeated.
+    /// Seed of the random number generator, for reproducible runs.
     pub seed: u64,
 }
 
-/// What is asked for.
+/// A request for servers to ask.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// The model or plain service.
+    /// The requested model or plain service.
     pub target: &'a str,
     /// Hash of the prompt's prefix; 0 for none.
     pub prefix_hash: u64,
-    /// Servers that must not be asked (again).
+    /// Servers that must not be asked, or not again.
     pub excluded: &'a [ServerIndex],
-    /// Servers to ask at once in late binding; the baselines ask one.
+    /// Number of servers to ask concurrently with late binding; the baselines
+    /// ask one.
     pub fan_out: usize,
 }
 
-/// Chooses sidecars to ask for a slot.
+/// Chooses the sidecars to ask for a slot.
 #[derive(Debug)]
 pub struct Placement {
     options: PlacementOptions,
     rng: Pcg64Mcg,
-    /// What is known about each server; empty places were left.
+    /// State by server index; none for servers that were removed.
     servers: Vec<Option<Server>>,
-    /// Servers by what they serve.
+    /// Servers grouped by what they serve.
     pools: Vec<Pool>,
-    /// The place of each model's or plain service's pool.
+    /// Index of the pool of each model or plain service.
     targets: HashMap<String, usize>,
 }
 
 #[derive(Debug)]
 struct Server {
-    /// Hash of its name, equal at every entry.
+    /// Hash of the server's name, the same at every entry.
     key: u64,
-    /// The place of its pool.
+    /// Index of its pool.
     pool: usize,
     reports: Reports,
     health: Outlier,
-    /// Whether the host list leaves it no new requests.
+    /// Whether the host list excludes it from new requests.
     closed: bool,
 }
 
 /// The servers of one model or plain service.
 #[derive(Debug, Default)]
 struct Pool {
-    /// Those in the entry's own availability zone.
+    /// Servers in the entry's own availability zone.
     local: Vec<ServerIndex>,
-    /// All others.
+    /// Servers in other zones.
     remote: Vec<ServerIndex>,
-    /// The median pace, and when it was worked out.
+    /// The median pace and when it was computed.
     median_pace: Option<(Instant, Pace)>,
 }
 
@@ -120,7 +122,7 @@
 }
 
 impl Placement {
-    /// Makes a placement that knows no servers.
+    /// Creates a placement without servers.
     #[must_use]
     pub fn new(options: PlacementOptions) -> Self {
         Self {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Adds the server at `index`, or takes it as a new one.
+    /// Adds the server at `index`, replacing any previous one there.
     pub fn add_server(&mut self, index: ServerIndex, name: &str, zone: &str, target: &str) {
         self.remove_server(index);
         if self.servers.len() <= index {
@@ -157,7 +159,7 @@
         members.push(index);
     }
 
-    /// The place of the pool of `target`, made now if there is none.
+    /// Index of the pool of `target`, which is created if missing.
     fn pool_index(&mut self, target: &str) -> usize {
         if let Some(place) = self.targets.get(target) {
             return *place;
@@ -168,7 +170,7 @@
         place
     }
 
-    /// Forgets the server at `index`.
+    /// Removes the server at `index`.
     pub fn remove_server(&mut self, index: ServerIndex) {
         let Some(server) = self.servers.get_mut(index).and_then(Option::take) else {
             return;
@@ -178,23 +180,23 @@
         pool.remote.retain(|i| *i != index);
     }
 
-    /// Closes or opens a server for new requests, by the host list's word.
+    /// Sets whether the host list excludes a server from new requests.
     pub fn set_closed(&mut self, index: ServerIndex, closed: bool) {
         if let Some(server) = self.server_mut(index) {
             server.closed = closed;
         }
     }
 
-    /// Whether a server takes new requests, by its own word and the list's.
+    /// Whether both the server and the host list allow new requests.
     #[must_use]
     pub fn is_open(&self, index: ServerIndex) -> bool {
         self.server(index)
             .is_some_and(|s| !s.closed && !s.reports.fresh().draining)
     }
 
-    /// Notes the load that an answer carried. The answer itself is a good
-    /// sign, and a pace far off the others' is a fault; returns whether that
-    /// ejected the server.
+    /// Records the load that a reply carried. The reply itself is a sign of
+    /// health, and a pace far above the median is a fault; returns whether
+    /// that ejected the server.
     pub fn record_load(
         &mut self,
         now: Instant,
@@ -221,15 +223,15 @@
         false
     }
 
-    /// Notes a good sign about a server.
+    /// Records a sign of health of a server.
     pub fn record_good(&mut self, now: Instant, index: ServerIndex, sign: Good) {
         if let Some(server) = self.server_mut(index) {
             server.health.good(now, sign);
         }
     }
 
-    /// Notes a fault of a server. `share` of its pool may be ejected at once;
-    /// returns whether the server was ejected.
+    /// Records a fault of a server. At most the share `ejectable` of its pool
+    /// may be ejected at a time; returns whether this server was ejected.
     pub fn record_fault(
         &mut self,
         now: Instant,
@@ -249,27 +251,27 @@
         server.is_some_and(|s| s.health.fault(now, fault, room))
     }
 
-    /// The load last heard from a server.
+    /// The latest load report of a server.
     #[must_use]
     pub fn load(&self, index: ServerIndex) -> Load {
         self.server(index)
             .map_or_else(Load::default, |s| s.reports.fresh())
     }
 
-    /// How long ago a server was last heard.
+    /// Age of the latest load report.
     #[must_use]
     pub fn load_age(&self, now: Instant, index: ServerIndex) -> Option<Duration> {
         self.server(index)?.reports.age(now)
     }
 
-    /// Whether a server is ejected or probed.
+    /// Whether a server is ejected or being probed.
     #[must_use]
     pub fn is_ejected(&self, index: ServerIndex) -> bool {
         self.server(index).is_some_and(|s| s.health.ejected())
     }
 
-    /// The median pace of the servers of `target`; unknown until some told
-    /// theirs.
+    /// The median pace of the servers of `target`; unknown until enough of
+    /// them have reported theirs.
     pub fn median_pace(&mut self, now: Instant, target: &str) -> Pace {
         match self.targets.get(target) {
             Some(pool) => self.pool_median(now, *pool),
@@ -298,13 +300,14 @@
         *median_pace
     }
 
-    /// Chooses the servers to ask, the most wanted first. Empty when none may
-    /// be asked.
+    /// Chooses the servers to ask, in order of preference; empty if there are
+    /// none.
     pub fn choose(&mut self, now: Instant, want: &PlacementRequest<'_>) -> Vec<ServerIndex> {
         let Some(place) = self.targets.get(want.target).copied() else {
             return Vec::new();
         };
-        // Taken out, so that choosing may draw random numbers meanwhile.
+        // The pool is taken out because choosing needs `self` mutably for the
+        // random numbers.
         let pool = std::mem::take(&mut self.pools[place]);
         let mut chosen = Vec::with_capacity(want.fan_out);
         match self.options.mode {
@@ -339,10 +342,10 @@
         }
     }
 
-    /// The server where prompts of this prefix go, so that its cache is used:
-    /// the same at every entry, by rendezvous hashing, without any exchange.
-    /// One whose queue is as long as its slots is passed over for the next,
-    /// or a popular prefix would waste a reservation on each request.
+    /// The server that caches prompts with this prefix. Rendezvous hashing
+    /// gives the same server at every entry without any exchange. A server
+    /// whose queue is as long as its slots is skipped, or requests with a
+    /// popular prefix would each waste a reservation.
     fn affinity_server(
         &self,
         now: Instant,
@@ -361,8 +364,8 @@
         ranked.max().map(|(_, i)| i)
     }
 
-    /// The better of two sampled ones, in the own availability zone unless
-    /// both are full there.
+    /// The better of two random servers, in the entry's own availability zone
+    /// unless both are full there.
     fn sample_server(
         &mut self,
         now: Instant,
@@ -397,8 +400,8 @@
         })
     }
 
-    /// Queue for each slot, weighed by the pace: a server four times slower
-    /// frees its slots four times later.
+    /// Queue length per slot, weighted by the pace: a server that is four
+    /// times slower takes four times as long to free a slot.
     fn cost(&self, index: ServerIndex) -> f64 {
         let load = self.load(index);
         let token = load.pace.token.max(Duration::from_micros(1));
@@ -416,7 +419,8 @@
             if self.usable(now, index, want.excluded).is_none() {
                 continue;
             }
-            // Equal ones are told apart at random, or the first would get all.
+            // Random tie-break, or the first of several equal servers would
+            // get all requests.
             let rank = (self.reported_depth(now, index), self.rng.random::<f64>());
             if least.is_none_or(|(lowest, _)| rank < lowest) {
                 least = Some((rank, index));
@@ -443,7 +447,7 @@
             .map_or(0.0, |s| s.reports.lagged(now, lag).depth())
     }
 
-    /// Any usable server of the pool, wherever it is.
+    /// A random usable server of any zone.
     fn pick_anywhere(
         &mut self,
         now: Instant,
@@ -460,7 +464,7 @@
             .or_else(|| self.pick_within(now, second, want, chosen))
     }
 
-    /// Any usable server of a part.
+    /// A random usable server among `candidates`.
     fn pick_within(
         &mut self,
         now: Instant,
@@ -481,13 +485,14 @@
             }
         }
 
-        // Few are left: go through all from a random place on.
+        // Few candidates are usable: search all of them from a random
+        // position.
         let start = self.rng.random_range(0..candidates.len());
         let (after, before) = (&candidates[start..], &candidates[..start]);
         after.iter().chain(before).copied().find(|i| fits(self, *i))
     }
 
-    /// The server if it may be asked.
+    /// The server, if it may be asked.
     fn usable(&self, now: Instant, index: ServerIndex, tried: &[ServerIndex]) -> Option<&Server> {
         let server = self.server(index)?;
         let draining = server.reports.fresh().draining
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -1,16 +1,15 @@
-//! Which engines read long prompts and which write long answers.
+//! Splits a service's engines between prefill and decode.
 //!
 //! Load pattern: one kind of call brings prompts of thousands of tokens in
 //! bursts, another streams hundreds of tokens to a reader who notices each
-//! pause. An engine that reads a chunk of a prompt in every step makes the
-//! tokens of all its streams wait, so that seven steps in a row stretch one
-//! event past what its reader bears, though the engine is half idle. Kept on
-//! engines of their own, the streams never meet such a chunk. Kept apart are
-//! only those that do not bear the pauses which reading makes here; the others
-//! lose nothing by it, and would fill the engines of those who do. The split
-//! follows the load, so that neither side waits while the other has room, and
-//! there is none while only one kind comes. See
-//! docs/DECISIONS/0601-on-the-platform.md.
+//! pause. An engine that prefills a chunk of a prompt in every step delays the
+//! tokens of all its streams: seven such steps in a row make one event late,
+//! even if the engine is half idle. On engines of their own, streams never
+//! meet such chunks. Only streams whose maximum gap is shorter than the pauses
+//! that prefill causes are separated; the others would gain nothing and would
+//! fill the engines of those that need it. The split follows the load, so that
+//! neither side waits while the other has room, and there is no split while
+//! only one kind of call arrives. See docs/DECISIONS/0601-on-the-platform.md.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -20,140 +19,139 @@
 use crate::estimate::fit::Fit;
 use crate::pauses::PauseEstimate;
 
-/// Answer tokens for each prompt token from which a route's calls spend their
-/// time on writing. Reading a prompt token takes about a hundredth of the
-/// time of writing one, so at a tenth writing takes ten times as long as
-/// reading, and the pauses between tokens are what callers notice.
+/// Ratio of output to prompt tokens from which a route's calls count as
+/// decode. Prefill of a token takes about a hundredth of the time of its
+/// decode, so that at this ratio decode takes ten times as long as prefill,
+/// and callers notice the pauses between tokens.
 const DECODE_RATIO: f64 = 0.1;
 
-/// Part of the pause that a stream bears which reading beside it may take;
-/// the rest is the steps' own time and what the network adds.
+/// Share of a stream's maximum gap that pauses from prefill may take; the rest
+/// is left for decode steps and the network.
 const ISOLATE_SHARE: f64 = 0.8;
 
-/// The same for a route whose streams were kept apart. Between the two shares
-/// nothing moves: each move sends prompts to engines that have not read their
-/// shared parts.
+/// The same for a route whose streams are already separated. Between the two
+/// shares nothing changes (hysteresis), because each move sends prompts to
+/// engines that do not cache their shared parts.
 const REJOIN_SHARE: f64 = 0.6;
 
-/// Before any pause beside reading was seen, a route is kept apart that bears
-/// less than this part of what another route of its service bears: operators
-/// who let one pause for long and another not say which of them is read live.
+/// Until a pause was measured, a route is separated if its maximum gap is
+/// shorter than this part of the longest one of its service: operators who
+/// allow different gaps do not say which streams are read live.
 const PRIOR_SHARE: f64 = 0.5;
 
-/// Part of an engine's slots that streams should take on average; the rest
-/// takes up bursts.
+/// Target share of an engine's slots in use by streams; the rest absorbs
+/// bursts.
 const SLOT_TARGET: f64 = 0.6;
 
-/// Streams that one engine should write on average, however many slots it
-/// has: each further one slows all the others down.
+/// Target number of streams per engine, however many slots it has: each
+/// further stream slows down all the others.
 const MAX_STREAMS: f64 = 24.0;
 
-/// Part of an engine's time that reading prompts should take on average; the
-/// rest takes up bursts and writes the readers' own answers.
+/// Target share of an engine's time spent on prefill; the rest absorbs bursts
+/// and decodes these calls' own answers.
 const PREFILL_TARGET: f64 = 0.5;
 
-/// The fastest reading that is believed, in seconds for a token. Prompts that
-/// are all cached would make any engine look endlessly fast.
+/// Fastest accepted prefill in seconds per token. Fully cached prompts would
+/// otherwise make an engine look infinitely fast.
 const PREFILL_PACE_MIN: f64 = 2e-6;
 
-/// The cut stays where it is while it is off by no more than this part of the
-/// engines, and twice that before engines go back to prompts. Each move sends
-/// prompts to engines that have not read their shared parts, and entries that
-/// move at different moments mix streams and prompts in between.
+/// The split stays unchanged until it is off by more than this part of the
+/// engines, and by twice as much before engines are returned to prefill. Each
+/// move sends prompts to engines that do not cache their shared parts, and
+/// entries that move at different times mix streams and prompts in between.
 const SPLIT_SLACK: f64 = 0.04;
 
-/// One engine in so many is left to calls that read, whatever the load.
+/// One engine in this many stays reserved for prefill under any load.
 const PREFILL_RESERVE: usize = 4;
 
-/// How fast the measure of load follows it: a burst lasts some seconds.
+/// Time constant of the load averages; bursts last some seconds.
 const SMOOTHING_TIME: Duration = Duration::from_millis(2500);
 
-/// How much one call tells about the shape of its route's calls.
+/// Weight of one call in the moving averages of its route.
 const PROFILE_WEIGHT: f64 = 0.05;
 
-/// What a call's time goes into.
+/// The phase whose engines a call uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Reading a long prompt.
+    /// Calls dominated by prefill, and streams that allow its pauses.
     Prefill,
-    /// Writing a long answer.
+    /// Streams that need engines without long prefill.
     Decode,
 }
 
-/// What is known of a call when it comes.
+/// A call on arrival.
 #[derive(Debug, Clone, Copy)]
 pub struct IncomingCall<'a> {
-    /// Its route.
+    /// Name of its route.
     pub route: &'a str,
-    /// Tokens that the engine has to read, without the parts that its cache
-    /// should hold.
+    /// Prompt tokens to prefill, without the parts that the engine should have
+    /// cached.
     pub prompt_tokens: u32,
-    /// Most tokens of its answer.
+    /// Maximum number of output tokens.
     pub max_answer: u32,
-    /// The longest pause between two events that its route bears; none if it
-    /// bears any.
+    /// Longest gap between events that the route allows; none if unlimited.
     pub max_gap: Option<Duration>,
 }
 
-/// How the calls of a service load its engines, as one entry sees it.
+/// Load of each service's engines, as seen by one entry.
 #[derive(Debug, Default)]
 pub struct PhasePools {
     routes: HashMap<String, RouteProfile>,
     services: HashMap<Rc<str>, LoadAverages>,
 }
 
-/// What the calls of a route are like on average.
+/// Moving averages over the calls of a route.
 #[derive(Debug, Clone, Copy)]
 struct RouteProfile {
-    /// Tokens of the prompt.
+    /// Prompt tokens per call.
     prompt: f64,
-    /// Tokens of the answer.
+    /// Output tokens per call.
     answer: f64,
-    /// Whether its streams are kept apart from reading.
+    /// Whether its streams are separated from prefill.
     isolated: bool,
 }
 
-/// What comes for a service.
+/// Load averages of a service.
 #[derive(Debug)]
 struct LoadAverages {
-    /// When the averages were brought up to date.
+    /// When the averages were last updated.
     updated: Instant,
-    /// Prompt tokens a second of calls that read.
+    /// Prompt tokens per second of prefill calls.
     prefill_rate: f64,
-    /// Calls in progress that write, now and on average.
+    /// Decode calls in progress: current number and moving average.
     open_streams: u32,
     decode_calls: f64,
-    /// Time to the first event by what had to be read.
+    /// Time to first event as a function of the tokens to prefill.
     ttft_fit: Fit,
-    /// Pauses of streams at engines that read.
+    /// Pauses of streams on engines that also prefill.
     pauses: PauseEstimate,
-    /// The longest pause that any of its routes bears.
+    /// Longest maximum gap of all routes of the service.
     longest_gap: Duration,
-    /// What other entries say of their own calls.
+    /// Sum of the other entries' demand.
     remote: ServiceDemand,
-    /// Engines that were left to calls that write.
+    /// Engines currently assigned to decode.
     decode_engines: usize,
 }
 
-/// What one entry, or several together, have for a service.
+/// Demand for a service from one entry or the sum of several.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServiceDemand {
-    /// Prompt tokens a second of calls that read.
+    /// Prompt tokens per second of prefill calls.
     pub prefill_rate: f64,
-    /// Calls in progress that write.
+    /// Decode calls in progress.
     pub decode_calls: f64,
-    /// Seconds that an engine takes to read a token, on the mean of those who
-    /// know; 0 when nobody does.
+    /// Mean prefill time in seconds per token over the entries that know it; 0
+    /// if none does.
     pub prefill_pace: f64,
-    /// How many entries know the pace.
+    /// Number of entries that know the pace.
     pub pace_entries: u32,
-    /// The pause that streams meet beside reading, in seconds, the longest
-    /// that is told; 0 when nobody knows.
+    /// Longest reported pause of streams beside prefill, in seconds; 0 if
+    /// unknown.
     pub stream_pause: f64,
 }
 
 impl ServiceDemand {
-    /// What two have together.
+    /// The sum of two demands.
     #[must_use]
     pub fn combined(&self, other: &Self) -> Self {
         let pace_entries = self.pace_entries + other.pace_entries;
@@ -167,7 +165,7 @@
         }
     }
 
-    /// What is left of several without one of them.
+    /// The sum without the entry `one`.
     #[must_use]
     pub fn without(&self, one: &Self) -> Self {
         Self {
@@ -181,13 +179,14 @@
 }
 
 impl LoadAverages {
-    /// This entry's own calls.
+    /// Demand of this entry's own calls.
     fn local_demand(&self, now: Instant) -> ServiceDemand {
         let slope = self.ttft_fit.slope() * 1e-6;
         ServiceDemand {
             prefill_rate: self.prefill_rate,
             decode_calls: self.decode_calls.max(f64::from(self.open_streams)),
-            // More load makes it longer, and more engines are left to read.
+            // The slope grows with the load, which then assigns more engines
+            // to prefill.
             prefill_pace: match slope > 0.0 {
                 true => slope.max(PREFILL_PACE_MIN),
                 false => 0.0,
@@ -197,27 +196,27 @@
         }
     }
 
-    /// Whether streams that bear pauses of `gap` need engines that read
-    /// nothing beside them; `apart` says whether they have them.
+    /// Whether streams with a maximum gap of `gap` need engines without
+    /// prefill; `isolated` says whether they have them now.
     fn needs_isolation(&self, now: Instant, gap: Duration, isolated: bool) -> bool {
         let pause = self
             .local_demand(now)
             .stream_pause
             .max(self.remote.stream_pause);
-        let split = if isolated {
+        let share = if isolated {
             REJOIN_SHARE
         } else {
             ISOLATE_SHARE
         };
         match pause > 0.0 {
-            true => pause > gap.as_secs_f64() * split,
+            true => pause > gap.as_secs_f64() * share,
             false => gap < self.longest_gap.mul_f64(PRIOR_SHARE),
         }
     }
 }
 
 impl PhasePools {
-    /// Notes a call and says what its time goes into.
+    /// Records a call and returns the phase whose engines it uses.
     pub fn classify(&mut self, now: Instant, service: &Rc<str>, call: IncomingCall<'_>) -> Phase {
         let profile = self.update_profile(&call);
         let is_decode = profile.answer >= profile.prompt * DECODE_RATIO;
@@ -225,7 +224,7 @@
         let gap = call.max_gap.unwrap_or(Duration::MAX);
         averages.longest_gap = averages.longest_gap.max(call.max_gap.unwrap_or_default());
         let isolated = is_decode && averages.needs_isolation(now, gap, profile.isolated);
-        let work = match isolated {
+        let phase = match isolated {
             true => {
                 averages.open_streams += 1;
                 Phase::Decode
@@ -239,17 +238,17 @@
         if let Some(profile) = self.routes.get_mut(call.route) {
             profile.isolated = isolated;
         }
-        work
+        phase
     }
 
-    /// Notes the longest pause of a stream that ended at an engine which
-    /// reads.
+    /// Records the longest pause of a stream that ended on an engine that also
+    /// prefills.
     pub fn record_pause(&mut self, now: Instant, service: &Rc<str>, pause: Duration) {
         self.averages(now, service).pauses.record(now, pause);
     }
 
-    /// Notes that the first event of a call came `took` after it was sent, for
-    /// which the engine had to read `prompt` tokens.
+    /// Records that the first event of a call arrived `took` after it was
+    /// sent, with `prompt` tokens to prefill.
     pub fn record_first_event(
         &mut self,
         now: Instant,
@@ -261,13 +260,13 @@
         self.averages(now, service).ttft_fit.add(prompt, micros);
     }
 
-    /// Notes that a call which writes has ended.
+    /// Notes that a decode call has ended.
     pub fn call_ended(&mut self, now: Instant, service: &Rc<str>) {
         let averages = self.averages(now, service);
         averages.open_streams = averages.open_streams.saturating_sub(1);
     }
 
-    /// What this entry has for each service.
+    /// This entry's own demand by service.
     pub fn local_demand(&mut self, now: Instant) -> Vec<(Rc<str>, ServiceDemand)> {
         let services: Vec<Rc<str>> = self.services.keys().cloned().collect();
         let demand = |s: Rc<str>| {
@@ -277,13 +276,13 @@
         services.into_iter().map(demand).collect()
     }
 
-    /// Takes over what all other entries together have for a service.
+    /// Sets the sum of the other entries' demand for a service.
     pub fn set_remote(&mut self, now: Instant, service: &Rc<str>, demand: ServiceDemand) {
         self.averages(now, service).remote = demand;
     }
 
-    /// How many of `engines` with so many `slots` each should be left to
-    /// calls that write; none when there is nothing to keep apart.
+    /// How many of `engines` with `slots` slots each should be assigned to
+    /// decode; 0 if the phases need no separation.
     pub fn decode_engines(
         &mut self,
         now: Instant,
@@ -295,8 +294,9 @@
         let (own, remote) = (averages.local_demand(now), averages.remote);
         let decode_need = own.decode_calls + remote.decode_calls;
         let decode_need = decode_need / (f64::from(slots.max(1)) * SLOT_TARGET).min(MAX_STREAMS);
-        // All entries weigh alike, or each would cut by its own few samples
-        // and streams of one would meet prompts of another.
+        // The mean over all entries: with its own few samples, each entry
+        // would split differently and mix one entry's streams with another's
+        // prompts.
         let pace_entries = own.pace_entries + remote.pace_entries;
         let sum = own.prefill_pace * f64::from(own.pace_entries)
             + remote.prefill_pace * f64::from(remote.pace_entries);
@@ -309,10 +309,9 @@
             self.averages(now, service).decode_engines = 0;
             return 0;
         }
-        // What is left over when both have what they need is shared in the
-        // same proportion. When there is not enough for both, streams go
-        // first: a prompt that waits is late at the worst, a stream among too
-        // many makes all of them late.
+        // Capacity beyond both needs is split in the same proportion. If it
+        // does not cover both, decode goes first: a waiting prompt is only
+        // late itself, while too many streams on an engine are all late.
         let split = engines as f64 * decode_need / (decode_need + prefill_need);
         let wanted = split.max(decode_need);
         let prefill_min = (engines / PREFILL_RESERVE).max(1);
@@ -327,7 +326,7 @@
         *assigned
     }
 
-    /// What the calls of a route are like, with one more.
+    /// Updates the averages of the call's route and returns them.
     fn update_profile(&mut self, call: &IncomingCall<'_>) -> RouteProfile {
         let (prompt, answer) = (f64::from(call.prompt_tokens), f64::from(call.max_answer));
         if let Some(profile) = self.routes.get_mut(call.route) {
@@ -344,7 +343,7 @@
         profile
     }
 
-    /// The demand for a service, with its averages brought up to `now`.
+    /// The averages of a service, updated to `now`.
     fn averages(&mut self, now: Instant, service: &Rc<str>) -> &mut LoadAverages {
         if !self.services.contains_key(service) {
             let empty = LoadAverages {
--- a/crates/policy/src/routes.rs
+++ b/crates/policy/src/routes.rs
@@ -1,5 +1,5 @@
-//! What operators declare about routed calls: which host and path goes to
-//! which service, how often it may run, how long it may take and who may ask.
+//! The operators' declarations for routed calls: which host and path maps to
+//! which service, how often a call may run, its time limits and its callers.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,51 +10,50 @@
 
 use crate::scaling;
 
-/// One version of what the operators declared, ready for lookups.
+/// One version of the declarations, indexed for lookup.
 #[derive(Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Grows with each version, in uneven steps.
+    /// Version number; increases, but may skip values.
     pub version: u64,
-    /// Routes by host in lower case, the longest prefix first.
+    /// Routes by lower-case host, the longest path prefix first.
     hosts: HashMap<String, Vec<Rc<Route>>>,
-    /// Services by name.
     services: HashMap<Rc<str>, Rc<Service>>,
-    /// Who owns each key; without any workspace no key is asked for.
+    /// Workspaces by API key; none if no workspace is declared, and then no
+    /// key is required.
     keys: Option<HashMap<String, Rc<Workspace>>>,
-    /// What a caller may send.
+    /// Limits for callers.
     pub limits: CallerLimits,
 }
 
-/// A route and all that decides how its calls are served.
+/// A route and the settings that decide how its calls are served.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name for logs.
     pub name: String,
-    /// The host that callers name.
+    /// Host name in the callers' requests.
     pub host: String,
-    /// The start of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     #[serde(rename = "prefix")]
     pub path_prefix: String,
     /// How often a call may run.
     pub kind: CallKind,
-    /// How long a caller is kept waiting at most.
+    /// Longest time that a caller waits.
     #[serde(rename = "timeout")]
     pub call_timeout: Duration,
-    /// Time to the whole answer, or to the first event of a stream, that
-    /// callers want.
+    /// Target latency of the whole answer, or of the first event of a stream.
     #[serde(rename = "target")]
     pub latency_target: Duration,
-    /// Longest pause between two events of a stream that callers want.
+    /// Target for the longest gap between two events of a stream.
     #[serde(rename = "gap")]
     pub max_gap: Option<Duration>,
-    /// Rank among the routes; a workspace's own rank goes before it.
+    /// Priority among the routes; a workspace's own tier takes precedence.
     pub tier: Tier,
-    /// Services with their weights; one at least.
+    /// Services with their traffic weights; at least one.
     pub split: Vec<(Rc<str>, u32)>,
-    /// Backend servers to which one call may be sent.
+    /// Maximum number of backend servers to which a call is sent.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     #[serde(rename = "open")]
     pub anonymous: bool,
 }
@@ -62,13 +61,13 @@
 /// How often a call may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallKind {
-    /// As often as need be.
+    /// Any number of times.
     Idempotent,
-    /// Once at most.
+    /// At most once.
     Once,
-    /// Once at most; the answer is a stream of numbered events.
+    /// At most once; the answer is a stream of numbered events.
     Stream,
-    /// A stream that another backend server can go on with after any event.
+    /// A stream that another backend server can resume after any event.
     Resumable,
 }
 
@@ -86,53 +85,52 @@
     }
 }
 
-/// A set of equal backend servers.
+/// A group of interchangeable backend servers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name by which routes refer to it.
     pub name: Rc<str>,
-    /// Connections that one server takes from all callers together.
+    /// Maximum number of connections to one server from all callers.
     #[serde(rename = "connections")]
     pub max_connections: u32,
     /// Set for model engines.
     pub engine: Option<Engine>,
-    /// Set where the number of its servers may be ordered.
+    /// Set if the number of its servers can be scaled.
     pub scaling: Option<scaling::ScalingLimits>,
 }
 
-/// What is declared about the model engines of a service.
+/// Declared properties of a service's model engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that one engine runs at once.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that one engine's memory holds.
+    /// KV cache size of one engine in tokens.
     #[serde(rename = "memory")]
     pub memory_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Tokens per event of a stream.
     #[serde(rename = "stride")]
     pub event_tokens: u32,
-    /// Time to copy a token of memory from one engine to another; none where
-    /// nothing is declared.
+    /// Time to copy the KV cache of one token between engines, if declared.
     #[serde(rename = "copy")]
     pub copy_time: Option<Duration>,
 }
 
-/// A workspace, as far as it decides how its calls are served.
+/// Settings of a workspace that affect its calls.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name, which backend servers are told.
+    /// Name, which is passed to backend servers.
     pub name: String,
-    /// Its rank, which goes before the route's.
+    /// Priority, which takes precedence over the route's.
     pub tier: Option<Tier>,
 }
 
-/// What a caller may send.
+/// Limits for callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest body, in bytes.
+    /// Maximum request body size in bytes.
     #[serde(rename = "body")]
     pub max_body: usize,
-    /// How long an idle connection is kept.
+    /// How long an idle connection is kept open.
     #[serde(rename = "idle")]
     pub idle_timeout: Duration,
 }
@@ -149,17 +147,17 @@
 /// Whether a caller may use a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Access {
-    /// It may; no workspace is known.
+    /// Allowed without a workspace.
     Open,
-    /// It may, as this workspace.
+    /// Allowed as this workspace.
     Workspace(Rc<Workspace>),
-    /// Its key is missing or belongs to nobody.
+    /// The key is missing or unknown.
     Denied,
 }
 
 impl Catalog {
-    /// Puts a version together. `keys` is none when no workspace is declared
-    /// at all, and then no key is asked for.
+    /// Builds a catalog version. `keys` is none if no workspace is declared,
+    /// and then no key is required.
     #[must_use]
     pub fn new(
         version: u64,
@@ -186,8 +184,7 @@
         }
     }
 
-    /// The route of a call: of those of its host, the one with the longest
-    /// prefix that its path begins with.
+    /// The route of a call: the longest matching path prefix of its host.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, port)| {
@@ -213,18 +210,18 @@
         }
     }
 
-    /// What is declared about a service.
+    /// The declaration of a service.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Rc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// All declared services.
     pub fn services(&self) -> impl Iterator<Item = &Rc<Service>> {
         self.services.values()
     }
 
-    /// How many routes are declared.
+    /// Number of declared routes.
     #[must_use]
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
@@ -232,7 +229,7 @@
 }
 
 impl Route {
-    /// The service of one call, by a number drawn evenly from 0 to 1.
+    /// Picks the service of one call; `sample` is uniformly random in 0..1.
     #[must_use]
     pub fn pick_service(&self, sample: f64) -> Option<&Rc<str>> {
         let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -1,11 +1,11 @@
 //! How many backend servers a service should have in each availability zone.
 //!
-//! Load pattern: calls swell within a second, while a server that is ordered
-//! takes its first call only after its boot time and has read nothing by then;
-//! and each server is paid for as long as it is there. So the number rises at
-//! once with the load that is seen, and falls step by step to what the highest
-//! load of a while has needed. What is left after the loss of one zone must
-//! carry all of it. See docs/DECISIONS/0702-scaling.md.
+//! Load pattern: load rises within a second, while a newly ordered server
+//! takes its first call only after its boot time and with an empty cache; and
+//! every server costs money as long as it exists. The number of servers
+//! therefore rises at once with the load and falls in steps to what the peak
+//! load of a period has needed. The servers that remain after the loss of one
+//! zone must carry the whole load. See docs/DECISIONS/0702-scaling.md.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -13,103 +13,105 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Part of a server's time that calls should take. A burst that doubles the
-/// load is carried by the rest until what is ordered for it has booted.
+/// Target utilization of a server. The spare capacity carries a burst that
+/// doubles the load until the servers ordered for it have booted.
 const TARGET_USE: f64 = 0.5;
 
-/// The same of the servers that are left when one zone is lost. Calls wait
-/// then, but none has to be turned away.
+/// Maximum utilization of the remaining servers after the loss of one zone.
+/// Calls wait then, but none has to be refused.
 const FAILOVER_USE: f64 = 0.9;
 
-/// Part of the servers that stays with each step down. What is seen of the
-/// load may be too low, and shows only in the servers that are left.
+/// Part of the servers kept at each step down. The measured load may be too
+/// low, which only shows on the remaining servers.
 const SHRINK_FACTOR: f64 = 0.75;
 
-/// Boot times for which the load must have been lower before servers are given
-/// up: one that is given up too soon is missed for a boot time.
+/// Cooldown before scaling down, in boot times: a server that is removed too
+/// early is missing for a boot time.
 const COOLDOWN_BOOTS: u32 = 5;
 
-/// The least of that time. Load that comes and goes within it would have
-/// servers boot and leave by turns, each with an empty memory; people come in
-/// waves of seconds to a minute.
+/// Minimum cooldown. Load comes in waves of a few seconds to a minute; with a
+/// shorter cooldown, servers would boot and stop in turn, each with an empty
+/// cache.
 const COOLDOWN_MIN: Duration = Duration::from_secs(60);
 
-/// How long a service is watched before anything is ordered. Servers that the
-/// store has lost sight of are listed again within two seconds of its return.
+/// How long a service is observed before the first order. Servers that the
+/// store has lost are listed again within 2 seconds of its return.
 const OBSERVE_MIN: Duration = Duration::from_secs(4);
 
-/// How long an order that was accepted is taken to stand. One that was thought
-/// lost may be carried out after it, and would stand for good.
+/// Accepted orders are sent again after this time. An earlier order that
+/// seemed lost may be executed after the accepted one and would otherwise stay
+/// in force.
 const ORDER_REFRESH: Duration = Duration::from_secs(10);
 
-/// What operators allow for a service.
+/// The operators' limits for a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScalingLimits {
-    /// The fewest servers in a zone.
+    /// Minimum number of servers per zone.
     #[serde(rename = "least")]
     pub min_servers: u32,
-    /// The most servers in a zone.
+    /// Maximum number of servers per zone.
     #[serde(rename = "most")]
     pub max_servers: u32,
-    /// How long a new server takes until it serves.
+    /// Time from the order of a server until it serves.
     #[serde(rename = "boot")]
     pub boot_time: Duration,
 }
 
-/// What is seen of a service in one availability zone.
+/// Observed load of a service in one availability zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ZoneLoad {
-    /// Servers that take new calls.
+    /// Servers that accept new calls.
     pub serving: u32,
-    /// The parts of their time that calls take, summed; calls that wait count
-    /// as well, so that one server may have more than 1.
+    /// Sum of the servers' utilizations. Waiting calls count, so that one
+    /// server may contribute more than 1.
     pub busy_servers: f64,
 }
 
-/// How many servers a zone should have.
+/// The number of servers that a zone should have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerOrder {
     /// The availability zone.
     pub zone: Rc<str>,
-    /// Servers there.
+    /// Number of servers in that zone.
     pub count: u32,
 }
 
-/// The number of servers of one service, as one daemon decides it for all.
+/// Scaling of one service, decided by one daemon for all.
 #[derive(Debug, Default)]
 pub struct Scaler {
-    /// What was seen, the newest last.
+    /// Observations, the newest last.
     samples: VecDeque<Sample>,
-    /// When the service was first looked at, or servers were last given up.
+    /// First observation or last step down.
     cooldown_start: Option<Instant>,
-    /// Whether the service has had any load.
+    /// Whether the service has ever had load.
     has_load: bool,
-    /// What is wanted in each zone that was decided about.
+    /// Desired number of servers by zone.
     desired: BTreeMap<Rc<str>, u32>,
-    /// What was accepted, and when.
+    /// Accepted number of servers by zone, and when it was accepted.
     accepted: BTreeMap<Rc<str>, (u32, Instant)>,
 }
 
-/// What a service looked like at one moment.
+/// An observation of a service.
 #[derive(Debug)]
 struct Sample {
     at: Instant,
-    /// The servers that its calls keep busy.
+    /// Number of servers that its calls keep busy.
     busy_servers: f64,
-    /// Servers in each zone.
+    /// Number of servers by zone.
     serving: BTreeMap<Rc<str>, u32>,
 }
 
 impl Scaler {
-    /// Takes what is seen at `now`.
+    /// Takes an observation and updates the desired numbers.
     ///
-    /// Before a service has had any load nothing is decided: all daemons may
-    /// just have started, and what is there is what operators have set up.
+    /// Nothing is decided before a service has had load: all daemons may have
+    /// just started, and the existing servers are what the operators have set
+    /// up.
     ///
-    /// The list of servers may lack most of them for seconds, after the store
-    /// was away or before this daemon was told; ordered by it, healthy ones
-    /// would be taken away in the middle of their calls. So a zone counts with
-    /// the most servers that it had during the calm time.
+    /// The list of servers may be incomplete for seconds, after a store outage
+    /// or before this daemon is up to date. Based on it, healthy servers would
+    /// be removed in the middle of their calls. Each zone therefore counts
+    /// with its maximum number of servers within the cooldown.
     pub fn observe(
         &mut self,
         now: Instant,
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Remembers what is seen for as long as it counts.
+    /// Records an observation and drops those older than the cooldown.
     fn record(&mut self, now: Instant, cooldown: Duration, zones: &BTreeMap<Rc<str>, ZoneLoad>) {
         let busy_servers: f64 = zones.values().map(|z| z.busy_servers).sum();
         self.has_load |= busy_servers > 0.0;
@@ -174,7 +176,7 @@
         }
     }
 
-    /// The most servers that each zone was seen to have.
+    /// Maximum number of servers of each zone within the cooldown.
     fn peak_servers(&self) -> BTreeMap<Rc<str>, u32> {
         let mut peak = BTreeMap::new();
         for (zone, serving) in self.samples.iter().flat_map(|sample| &sample.serving) {
@@ -184,7 +186,7 @@
         peak
     }
 
-    /// Wants what the limits ask for where a zone is below them.
+    /// Raises zones below the minimum to it.
     fn raise_to_min(&mut self, limits: &ScalingLimits, peak: BTreeMap<Rc<str>, u32>) {
         for (zone, had) in peak {
             if had < limits.min_servers {
@@ -194,8 +196,8 @@
         }
     }
 
-    /// What is to be ordered at `now`: what was not accepted yet, and now and
-    /// then what was.
+    /// The orders to send: those not accepted yet, and accepted ones that have
+    /// to be repeated.
     #[must_use]
     pub fn due_orders(&self, now: Instant) -> Vec<ServerOrder> {
         let is_current = |zone: &Rc<str>, count: u32| {
@@ -218,14 +220,14 @@
 }
 
 /// Whether the loss of the largest zone would leave too few servers for a load
-/// that keeps `busy` of them busy all the time.
+/// of `busy_servers`.
 fn lacks_failover(busy_servers: f64, zones: &BTreeMap<Rc<str>, u32>) -> bool {
     let largest = zones.values().copied().max().unwrap_or(0);
     let left = zones.values().sum::<u32>() - largest;
     zones.len() > 1 && busy_servers / FAILOVER_USE > f64::from(left)
 }
 
-/// Servers that a load needs which keeps `busy` of them busy all the time.
+/// Number of servers needed for a load of `busy_servers`.
 fn servers_needed(busy_servers: f64, zones: usize) -> f64 {
     let left = match zones {
         0 | 1 => 1.0,
