--- a/crates/policy/src/grants.rs
+++ b/crates/policy/src/grants.rs
@@ -249,12 +249,12 @@
             self.admit(now, cost, request);
             return GrantDecision::Granted;
         }
-        let waiting = QueuedCall {
+        let queued = QueuedCall {
             since: now,
             tokens: cost.tokens,
             request,
         };
-        self.queue.push(key, waiting);
+        self.queue.push(key, queued);
         GrantDecision::Queued(expected)
     }
 
@@ -269,10 +269,10 @@
             if !self.may_start(now, cost) {
                 break;
             }
-            let Some(waiting) = self.queue.pop() else {
+            let Some(queued) = self.queue.pop() else {
                 break;
             };
-            let request = waiting.request;
+            let request = queued.request;
             granted.push((request.id, request.tokens().saturating_sub(cost.missing)));
             self.admit(now, cost, request);
         }
@@ -280,15 +280,15 @@
     }
 
     /// Notes that an admitted call fetches tokens from another engine, which
-    /// holds the first `source` tokens of the prompt.
-    pub fn record_fetch(&mut self, id: CallId, source: u32) {
+    /// holds the first `fetchable` tokens of the prompt.
+    pub fn record_fetch(&mut self, id: CallId, fetchable: u32) {
         let Some(call) = self.pending.get(&id) else {
             return;
         };
         // The prompt was added to the cache at admission, so the held tokens
         // follow from those that were missing then.
         let held = call.request.tokens() - call.cost.missing.min(call.request.tokens());
-        let cost = self.cost_after(call.cost.missing, held, source);
+        let cost = self.cost_with_source(call.cost.missing, held, fetchable);
         if cost.fetched == 0 {
             return;
         }
@@ -324,11 +324,11 @@
 
     /// Derives the fetch time from a call's time to first event.
     fn learn_fetch(&mut self, now: Instant, call: &PendingCall, fetched: u32) {
-        let took = now.saturating_duration_since(call.since).as_secs_f64();
+        let elapsed = now.saturating_duration_since(call.since).as_secs_f64();
         let (base, pace) = (self.timing.base(), self.timing.pace());
-        let more = took - f64::from(call.backlog) * pace - base;
-        let counted = f64::from(fetched) * self.fetch.token_time().min(pace);
-        self.fetch.record(fetched, more + counted);
+        let unexplained = elapsed - f64::from(call.backlog) * pace - base;
+        let expected_fetch = f64::from(fetched) * self.fetch.token_time().min(pace);
+        self.fetch.record(fetched, unexplained + expected_fetch);
     }
 
     /// Removes a call that has ended or was cancelled; `pause` is the longest
@@ -336,10 +336,10 @@
     pub fn call_ended(&mut self, now: Instant, id: CallId, pause: Duration) {
         self.queue.remove(id);
         self.pending.remove(&id);
-        if let Some(run) = self.running.remove(&id) {
-            let held = now.saturating_duration_since(run.since);
+        if let Some(call) = self.running.remove(&id) {
+            let held = now.saturating_duration_since(call.since);
             self.hold_time.add(held.as_secs_f64());
-            if let Some(gap) = run.max_gap {
+            if let Some(gap) = call.max_gap {
                 self.adapt_gap_share(gap, pause);
             }
         }
@@ -449,41 +449,41 @@
         tokens: u32,
         request: &GrantRequest,
     ) -> Duration {
-        let (calls, waiting) = match request.max_gap {
+        let (calls, queued_tokens) = match request.max_gap {
             None => self.queue.ahead_of(key),
             Some(_) => (0, 0),
         };
-        let ahead = waiting + u64::from(tokens.min(OWN_TOKENS_MAX));
+        let ahead = queued_tokens + u64::from(tokens.min(OWN_TOKENS_MAX));
         let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
         let base = self.timing.base();
-        let reading = (self.unread_ahead(request.rank) + f64::from(ahead)) * self.timing.pace();
-        let slots = self.slot_wait(now, calls);
+        let prefill = (self.unread_ahead(request.rank) + f64::from(ahead)) * self.timing.pace();
+        let slot_wait = self.slot_wait(now, calls);
         // More urgent calls that arrive later go first as well.
-        let left = 1.0 - self.mix.share_before(request.rank);
-        Duration::from_secs_f64(base + reading.max(slots) / left)
+        let free_share = 1.0 - self.mix.share_before(request.rank);
+        Duration::from_secs_f64(base + prefill.max(slot_wait) / free_share)
     }
 
     /// Seconds until a slot is free behind `calls` others.
     fn slot_wait(&self, now: Instant, calls: u32) -> f64 {
-        let taken = self.used_slots(now) + calls + 1;
-        let over = taken.saturating_sub(self.prefill_slots(now));
-        let hold = self.hold_time.get().unwrap_or(HOLD_TIME_PRIOR);
-        f64::from(over) * hold / f64::from(self.slots.max(1))
+        let needed = self.used_slots(now) + calls + 1;
+        let excess = needed.saturating_sub(self.prefill_slots(now));
+        let hold_time = self.hold_time.get().unwrap_or(HOLD_TIME_PRIOR);
+        f64::from(excess) * hold_time / f64::from(self.slots.max(1))
     }
 
     /// The cost of a call on this engine.
     fn prompt_cost(&self, request: &GrantRequest) -> PromptCost {
         let missing = self.parts.missing_tokens(&request.parts);
         let held = request.tokens().saturating_sub(missing);
-        self.cost_after(missing, held, request.fetchable)
+        self.cost_with_source(missing, held, request.fetchable)
     }
 
     /// The cost of a prompt of which this engine holds the first `held` tokens
-    /// and misses `missing`, while another engine holds the first `source`.
-    fn cost_after(&self, missing: u32, held: u32, source: u32) -> PromptCost {
-        let budget = source.saturating_sub(held).min(missing);
-        let fetched = match budget >= fetch::MIN_FETCH_TOKENS && self.fetch_pays() {
-            true => budget,
+    /// and misses `missing`, while another engine holds the first `fetchable`.
+    fn cost_with_source(&self, missing: u32, held: u32, fetchable: u32) -> PromptCost {
+        let available = fetchable.saturating_sub(held).min(missing);
+        let fetched = match available >= fetch::MIN_FETCH_TOKENS && self.fetch_pays() {
+            true => available,
             false => 0,
         };
         let ratio = (self.fetch.token_time() / self.timing.pace()).min(1.0);
@@ -497,16 +497,16 @@
 
     /// Prompt tokens of admitted calls without a first event.
     fn unread_tokens(&self) -> u32 {
-        sum_tokens(self.pending.values().map(|f| f.cost.tokens))
+        sum_tokens(self.pending.values().map(|call| call.cost.tokens))
     }
 
     /// The part of the unread tokens that the engine reads before a call of
     /// `rank`. It reads the most urgent prompts first, but finishes those that
     /// it has started.
     fn unread_ahead(&self, rank: u8) -> f64 {
-        let share = |f: &PendingCall| match f.request.rank <= rank {
-            true => f64::from(f.cost.tokens),
-            false => f64::from(f.cost.tokens) * STARTED_SHARE,
+        let share = |call: &PendingCall| match call.request.rank <= rank {
+            true => f64::from(call.cost.tokens),
+            false => f64::from(call.cost.tokens) * STARTED_SHARE,
         };
         self.pending.values().map(share).sum()
     }
@@ -539,15 +539,19 @@
         {
             self.recent_reads.pop_front();
         }
-        let stale = |f: &&PendingCall| now >= f.since + PENDING_TIMEOUT;
-        let stale = self.pending.values().filter(stale).map(|f| f.request.id);
-        let stale: Vec<CallId> = stale.collect();
-        for id in stale {
+        let expired = |call: &&PendingCall| now >= call.since + PENDING_TIMEOUT;
+        let expired = self
+            .pending
+            .values()
+            .filter(expired)
+            .map(|call| call.request.id);
+        let expired: Vec<CallId> = expired.collect();
+        for id in expired {
             if let Some(call) = self.pending.remove(&id) {
                 self.running.insert(id, call.to_running(now));
             }
         }
-        self.running.retain(|_, run| now < run.deadline);
+        self.running.retain(|_, call| now < call.deadline);
         self.queue.expire(now);
     }
 }
--- a/crates/policy/src/grants/room.rs
+++ b/crates/policy/src/grants/room.rs
@@ -15,9 +15,12 @@
 impl GrantController {
     /// The smallest maximum gap of the running streams.
     pub(super) fn min_gap(&self) -> Option<Duration> {
-        let runs = self.running.values().filter_map(|r| r.max_gap);
-        let flights = self.pending.values().filter_map(|f| f.request.max_gap);
-        runs.chain(flights).min()
+        let running = self.running.values().filter_map(|call| call.max_gap);
+        let pending = self
+            .pending
+            .values()
+            .filter_map(|call| call.request.max_gap);
+        running.chain(pending).min()
     }
 
     /// Whether a prompt is too long to be prefilled beside the running
@@ -55,8 +58,8 @@
         let Some(report) = self.fresh_report(now) else {
             return true;
         };
-        let coming = sum_tokens(self.pending.values().map(|f| f.cost.missing));
-        let used = report.used_tokens + u64::from(coming) + u64::from(cost.missing);
+        let incoming = sum_tokens(self.pending.values().map(|call| call.cost.missing));
+        let used = report.used_tokens + u64::from(incoming) + u64::from(cost.missing);
         report.total_tokens == 0 || used as f64 <= report.total_tokens as f64 * MEMORY_SHARE
     }
 
@@ -70,9 +73,9 @@
 
     /// Slots that calls dominated by prefill may take.
     pub(super) fn prefill_slots(&self, now: Instant) -> u32 {
-        let hold = self.hold_time.get().unwrap_or(HOLD_TIME_PRIOR);
-        let kept = self.reserve.slots(now, hold, self.slots);
-        self.slots.saturating_sub(kept).max(1)
+        let hold_time = self.hold_time.get().unwrap_or(HOLD_TIME_PRIOR);
+        let reserved = self.reserve.slots(now, hold_time, self.slots);
+        self.slots.saturating_sub(reserved).max(1)
     }
 
     /// Slots in use, by the controller's own count or the engine's report.
@@ -83,7 +86,7 @@
         own.max(reported)
     }
 
-    /// The larger share of the engine's time, slots or memory in use; queued
+    /// The largest share of the engine's time, slots or memory in use; queued
     /// calls count as prefill time.
     #[must_use]
     pub fn utilization(&self, now: Instant) -> f64 {
@@ -92,8 +95,8 @@
             .iter()
             .filter(|(at, _)| now < *at + READ_HISTORY);
         let read: f64 = recent.map(|(_, s)| s).sum();
-        let waiting = self.queue.tokens() as f64 * self.timing.pace();
-        let reading = (read + waiting) / READ_HISTORY.as_secs_f64();
+        let queued = self.queue.tokens() as f64 * self.timing.pace();
+        let prefill = (read + queued) / READ_HISTORY.as_secs_f64();
         let slots = f64::from(self.used_slots(now)) / f64::from(self.slots.max(1));
         let memory = match self.fresh_report(now) {
             Some(report) if report.total_tokens > 0 => {
@@ -101,7 +104,7 @@
             }
             _ => 0.0,
         };
-        reading.max(slots).max(memory)
+        prefill.max(slots).max(memory)
     }
 
     pub(super) fn fresh_report(&self, now: Instant) -> Option<EngineReport> {
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -161,13 +161,13 @@
 
     /// Index of the pool of `target`, which is created if missing.
     fn pool_index(&mut self, target: &str) -> usize {
-        if let Some(place) = self.targets.get(target) {
-            return *place;
+        if let Some(pool_index) = self.targets.get(target) {
+            return *pool_index;
         }
         self.pools.push(Pool::default());
-        let place = self.pools.len() - 1;
-        self.targets.insert(target.to_owned(), place);
-        place
+        let pool_index = self.pools.len() - 1;
+        self.targets.insert(target.to_owned(), pool_index);
+        pool_index
     }
 
     /// Removes the server at `index`.
@@ -243,12 +243,12 @@
             return false;
         };
         let pool = &self.pools[server.pool];
-        let health = |i| self.server(i).is_some_and(|s| s.health.ejected());
-        let ejected = pool.all().filter(|i| health(*i)).count();
-        let room = ejected < outlier::spare(pool.len(), ejectable);
+        let is_ejected = |i| self.server(i).is_some_and(|s| s.health.ejected());
+        let ejected = pool.all().filter(|i| is_ejected(*i)).count();
+        let may_eject = ejected < outlier::spare(pool.len(), ejectable);
 
         let server = self.server_mut(index);
-        server.is_some_and(|s| s.health.fault(now, fault, room))
+        server.is_some_and(|s| s.health.fault(now, fault, may_eject))
     }
 
     /// The latest load report of a server.
@@ -280,8 +280,8 @@
     }
 
     fn pool_median(&mut self, now: Instant, pool: usize) -> Pace {
-        let held = self.pools[pool].median_pace;
-        if let Some((_, median_pace)) = held.filter(|(at, _)| now < *at + MEDIAN_INTERVAL) {
+        let cached = self.pools[pool].median_pace;
+        if let Some((_, median_pace)) = cached.filter(|(at, _)| now < *at + MEDIAN_INTERVAL) {
             return median_pace;
         }
         let median_pace = self.compute_median(&self.pools[pool]);
@@ -302,21 +302,21 @@
 
     /// Chooses the servers to ask, in order of preference; empty if there are
     /// none.
-    pub fn choose(&mut self, now: Instant, want: &PlacementRequest<'_>) -> Vec<ServerIndex> {
-        let Some(place) = self.targets.get(want.target).copied() else {
+    pub fn choose(&mut self, now: Instant, request: &PlacementRequest<'_>) -> Vec<ServerIndex> {
+        let Some(pool_index) = self.targets.get(request.target).copied() else {
             return Vec::new();
         };
         // The pool is taken out because choosing needs `self` mutably for the
         // random numbers.
-        let pool = std::mem::take(&mut self.pools[place]);
-        let mut chosen = Vec::with_capacity(want.fan_out);
+        let pool = std::mem::take(&mut self.pools[pool_index]);
+        let mut chosen = Vec::with_capacity(request.fan_out);
         match self.options.mode {
-            PlacementMode::LateBinding => self.choose_late_binding(now, &pool, want, &mut chosen),
-            PlacementMode::Random => chosen.extend(self.pick_anywhere(now, &pool, want, &[])),
-            PlacementMode::LeastLoaded => chosen.extend(self.choose_least_loaded(now, &pool, want)),
-            PlacementMode::TwoChoices => chosen.extend(self.choose_of_two(now, &pool, want)),
+            PlacementMode::LateBinding => self.late_binding(now, &pool, request, &mut chosen),
+            PlacementMode::Random => chosen.extend(self.pick_anywhere(now, &pool, request, &[])),
+            PlacementMode::LeastLoaded => chosen.extend(self.least_loaded(now, &pool, request)),
+            PlacementMode::TwoChoices => chosen.extend(self.choose_of_two(now, &pool, request)),
         }
-        self.pools[place] = pool;
+        self.pools[pool_index] = pool;
 
         for index in &chosen {
             if let Some(server) = self.server_mut(*index) {
@@ -326,16 +326,16 @@
         chosen
     }
 
-    fn choose_late_binding(
+    fn late_binding(
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         chosen: &mut Vec<ServerIndex>,
     ) {
-        chosen.extend(self.affinity_server(now, pool, want));
-        while chosen.len() < want.fan_out.max(1) {
-            let Some(next) = self.sample_server(now, pool, want, chosen) else {
+        chosen.extend(self.affinity_server(now, pool, request));
+        while chosen.len() < request.fan_out.max(1) {
+            let Some(next) = self.sample_server(now, pool, request, chosen) else {
                 return;
             };
             chosen.push(next);
@@ -350,16 +350,16 @@
         &self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<ServerIndex> {
-        if want.prefix_hash == 0 {
+        if request.prefix_hash == 0 {
             return None;
         }
         let ranked = pool.all().filter_map(|i| {
-            let server = self.usable(now, i, want.excluded)?;
+            let server = self.usable(now, i, request.excluded)?;
             let load = server.reports.fresh();
-            let crowded = load.slots > 0 && load.waiting >= load.slots;
-            (!crowded).then(|| (weight(want.prefix_hash, server.key), i))
+            let queue_full = load.slots > 0 && load.waiting >= load.slots;
+            (!queue_full).then(|| (weight(request.prefix_hash, server.key), i))
         });
         ranked.max().map(|(_, i)| i)
     }
@@ -370,14 +370,14 @@
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        let local = self.better_of_two(now, &pool.local, want, chosen);
+        let local = self.better_of_two(now, &pool.local, request, chosen);
         if let Some(local) = local.filter(|i| !self.load(*i).full()) {
             return Some(local);
         }
-        let remote = self.better_of_two(now, &pool.remote, want, chosen);
+        let remote = self.better_of_two(now, &pool.remote, request, chosen);
         match (local, remote) {
             (Some(local), Some(remote)) if self.cost(local) <= self.cost(remote) => Some(local),
             (local, remote) => remote.or(local),
@@ -388,11 +388,11 @@
         &mut self,
         now: Instant,
         candidates: &[ServerIndex],
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        let one = self.pick_within(now, candidates, want, chosen)?;
-        let two = self.pick_within(now, candidates, want, chosen)?;
+        let one = self.pick_within(now, candidates, request, chosen)?;
+        let two = self.pick_within(now, candidates, request, chosen)?;
         Some(if self.cost(two) < self.cost(one) {
             two
         } else {
@@ -408,15 +408,15 @@
         load.depth() * token.as_secs_f64()
     }
 
-    fn choose_least_loaded(
+    fn least_loaded(
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<ServerIndex> {
         let mut least = None;
         for index in pool.all() {
-            if self.usable(now, index, want.excluded).is_none() {
+            if self.usable(now, index, request.excluded).is_none() {
                 continue;
             }
             // Random tie-break, or the first of several equal servers would
@@ -433,10 +433,12 @@
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<ServerIndex> {
-        let one = self.pick_anywhere(now, pool, want, &[])?;
-        let two = self.pick_anywhere(now, pool, want, &[one]).unwrap_or(one);
+        let one = self.pick_anywhere(now, pool, request, &[])?;
+        let two = self
+            .pick_anywhere(now, pool, request, &[one])
+            .unwrap_or(one);
         let less = self.reported_depth(now, two) < self.reported_depth(now, one);
         Some(if less { two } else { one })
     }
@@ -452,7 +454,7 @@
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
         let local = self.rng.random_range(0..pool.len().max(1)) < pool.local.len();
@@ -460,8 +462,8 @@
             true => (&pool.local, &pool.remote),
             false => (&pool.remote, &pool.local),
         };
-        self.pick_within(now, first, want, chosen)
-            .or_else(|| self.pick_within(now, second, want, chosen))
+        self.pick_within(now, first, request, chosen)
+            .or_else(|| self.pick_within(now, second, request, chosen))
     }
 
     /// A random usable server among `candidates`.
@@ -469,14 +471,14 @@
         &mut self,
         now: Instant,
         candidates: &[ServerIndex],
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
         if candidates.is_empty() {
             return None;
         }
         let fits = |placement: &Self, i: ServerIndex| {
-            !chosen.contains(&i) && placement.usable(now, i, want.excluded).is_some()
+            !chosen.contains(&i) && placement.usable(now, i, request.excluded).is_some()
         };
         for _ in 0..SAMPLE_ATTEMPTS {
             let index = candidates[self.rng.random_range(0..candidates.len())];
@@ -493,11 +495,16 @@
     }
 
     /// The server, if it may be asked.
-    fn usable(&self, now: Instant, index: ServerIndex, tried: &[ServerIndex]) -> Option<&Server> {
+    fn usable(
+        &self,
+        now: Instant,
+        index: ServerIndex,
+        excluded: &[ServerIndex],
+    ) -> Option<&Server> {
         let server = self.server(index)?;
         let draining = server.reports.fresh().draining
             && server.reports.age(now).is_some_and(|a| a < DRAIN_MAX_AGE);
-        (server.health.usable(now) && !server.closed && !draining && !tried.contains(&index))
+        (server.health.usable(now) && !server.closed && !draining && !excluded.contains(&index))
             .then_some(server)
     }
 
--- a/crates/scenario/tests/run/route.rs
+++ b/crates/scenario/tests/run/route.rs
@@ -134,7 +134,7 @@
     /// Chooses servers many times and counts them: `choose m prefix=0
     /// times=100 tried=a`.
     fn choose(&mut self, clock: &ManualClock, words: &Words) -> Said {
-        let prefix = words.get("prefix", 0)?;
+        let prefix_hash = words.get("prefix", 0)?;
         let tried = match words.key("tried") {
             Some(name) => vec![self.index(name)?],
             None => Vec::new(),
@@ -144,7 +144,7 @@
         for _ in 0..words.get("times", 100)? {
             let want = PlacementRequest {
                 target: &target,
-                prefix_hash: prefix,
+                prefix_hash,
                 excluded: &tried,
                 fan_out: self.fan,
             };
