--- a/crates/policy/src/grants/reserve.rs
+++ b/crates/policy/src/grants/reserve.rs
@@ -24,11 +24,11 @@
         self.last = Some(now);
     }
 
-    /// Number of slots to reserve if one of `slots` becomes free every `hold /
-    /// slots` seconds.
-    pub(super) fn slots(&self, now: Instant, hold: f64, slots: u32) -> u32 {
+    /// Number of slots to reserve if one of `slots` becomes free every
+    /// `hold_time / slots` seconds.
+    pub(super) fn slots(&self, now: Instant, hold_time: f64, slots: u32) -> u32 {
         let rate = self.current_count(now) * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
-        let arrivals = rate * hold / f64::from(slots.max(1));
+        let arrivals = rate * hold_time / f64::from(slots.max(1));
         arrivals.round().min(f64::from(slots)) as u32
     }
 
--- a/crates/policy/src/pauses.rs
+++ b/crates/policy/src/pauses.rs
@@ -39,8 +39,8 @@
             self.samples.pop_front();
         }
         self.samples.push_back(pause);
-        let seen = self.quantile();
-        let expected = seen.map(|s| s.max(self.expected(now).unwrap_or(0.0)));
+        let measured = self.quantile();
+        let expected = measured.map(|s| s.max(self.expected(now).unwrap_or(0.0)));
         self.estimate = expected.map(|e| (now, e)).or(self.estimate);
     }
 
@@ -48,9 +48,9 @@
     /// enough streams were measured.
     #[must_use]
     pub fn expected(&self, now: Instant) -> Option<f64> {
-        let (at, held) = self.estimate?;
-        let passed = now.saturating_duration_since(at).as_secs_f64();
-        Some(held * 0.5_f64.powf(passed / HALF_LIFE.as_secs_f64()))
+        let (at, last) = self.estimate?;
+        let elapsed = now.saturating_duration_since(at).as_secs_f64();
+        Some(last * 0.5_f64.powf(elapsed / HALF_LIFE.as_secs_f64()))
     }
 
     fn quantile(&self) -> Option<f64> {
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -133,20 +133,22 @@
         let peak = self.peak_servers();
         let need = servers_needed(busy_servers, peak.len());
         let serving: u32 = zones.values().map(|z| z.serving).sum();
-        let had: u32 = peak.values().sum();
-        let each = |servers: f64| {
-            let each = (servers / peak.len().max(1) as f64).ceil() as u32;
-            each.clamp(
+        let peak_count: u32 = peak.values().sum();
+        let per_zone = |servers: f64| {
+            let per_zone = (servers / peak.len().max(1) as f64).ceil() as u32;
+            per_zone.clamp(
                 limits.min_servers,
                 limits.max_servers.max(limits.min_servers),
             )
         };
-        let reduced = each(need.max(f64::from(had) * SHRINK_FACTOR));
+        let reduced = per_zone(need.max(f64::from(peak_count) * SHRINK_FACTOR));
         if need > f64::from(serving) || lacks_failover(busy_servers, &peak) {
-            let each = each(need);
-            let more = peak.into_iter().map(|(zone, had)| (zone, each.max(had)));
+            let per_zone = per_zone(need);
+            let more = peak
+                .into_iter()
+                .map(|(zone, peak_count)| (zone, per_zone.max(peak_count)));
             self.desired.extend(more);
-        } else if now >= cooldown_start + cooldown && reduced * (peak.len() as u32) < had {
+        } else if now >= cooldown_start + cooldown && reduced * (peak.len() as u32) < peak_count {
             self.desired
                 .extend(peak.into_keys().map(|zone| (zone, reduced)));
             self.cooldown_start = Some(now);
@@ -180,16 +182,16 @@
     fn peak_servers(&self) -> BTreeMap<Rc<str>, u32> {
         let mut peak = BTreeMap::new();
         for (zone, serving) in self.samples.iter().flat_map(|sample| &sample.serving) {
-            let had: &mut u32 = peak.entry(Rc::clone(zone)).or_default();
-            *had = (*had).max(*serving);
+            let peak_count: &mut u32 = peak.entry(Rc::clone(zone)).or_default();
+            *peak_count = (*peak_count).max(*serving);
         }
         peak
     }
 
     /// Raises zones below the minimum to it.
     fn raise_to_min(&mut self, limits: &ScalingLimits, peak: BTreeMap<Rc<str>, u32>) {
-        for (zone, had) in peak {
-            if had < limits.min_servers {
+        for (zone, peak_count) in peak {
+            if peak_count < limits.min_servers {
                 let desired = self.desired.entry(zone).or_default();
                 *desired = (*desired).max(limits.min_servers);
             }
@@ -223,15 +225,15 @@
 /// of `busy_servers`.
 fn lacks_failover(busy_servers: f64, zones: &BTreeMap<Rc<str>, u32>) -> bool {
     let largest = zones.values().copied().max().unwrap_or(0);
-    let left = zones.values().sum::<u32>() - largest;
-    zones.len() > 1 && busy_servers / FAILOVER_USE > f64::from(left)
+    let remaining = zones.values().sum::<u32>() - largest;
+    zones.len() > 1 && busy_servers / FAILOVER_USE > f64::from(remaining)
 }
 
 /// Number of servers needed for a load of `busy_servers`.
 fn servers_needed(busy_servers: f64, zones: usize) -> f64 {
-    let left = match zones {
+    let remaining = match zones {
         0 | 1 => 1.0,
         n => (n - 1) as f64 / n as f64,
     };
-    busy_servers / TARGET_USE.min(FAILOVER_USE * left)
+    busy_servers / TARGET_USE.min(FAILOVER_USE * remaining)
 }
