--- a/crates/policy/src/caches.rs
+++ b/crates/policy/src/caches.rs
@@ -7,7 +7,8 @@
 /// Prompt tokens per block of an engine's cache.
 pub const BLOCK_TOKENS: u32 = 256;
 
-/// Maximum number of blocks tracked; each takes 16 bytes in both collections.
+/// Maximum number of blocks tracked; each takes 16 bytes in each of the two
+/// collections.
 const MAX_BLOCKS: usize = 16_384;
 
 /// What happened to a block.
