--- a/crates/forward/src/gossip/convert.rs
+++ b/crates/forward/src/gossip/convert.rs
@@ -23,7 +23,7 @@
         prefill_rate: demand.prefill_rate as f32,
         decoding_calls: demand.decode_calls as f32,
         prefill_pace: demand.prefill_pace as f32,
-        pace_sources: demand.pace_samples,
+        pace_sources: demand.pace_entries,
         pause: demand.stream_pause as f32,
     }
 }
@@ -40,7 +40,7 @@
             prefill_rate: f64::from(s.prefill_rate),
             decode_calls: f64::from(s.decoding_calls),
             prefill_pace: f64::from(s.prefill_pace),
-            pace_samples: s.pace_sources,
+            pace_entries: s.pace_sources,
             stream_pause: f64::from(s.pause),
         };
         (s.service_number, demand)
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,4 +1,4 @@
-//! What an entry decides: where to ask for a slot. See
+//! Selection of the sidecars that an entry asks for a slot. See
 //! docs/DECISIONS/0201-placement.md.
 
 use std::collections::HashMap;
@@ -12,115 +12,117 @@
 use crate::outlier::{self, Fault, ServerHealth, Success};
 use crate::rendezvous::{hash_name, score};
 
-/// A backend server as an entry knows it, by its place in the entry's list.
+/// Index of a backend server in the entry's list.
 pub type ServerIndex = usize;
 
-/// Random places that are looked at before all are gone through in order.
-const DRAWS: usize = 4;
+/// Random samples taken before all candidates are searched in order.
+const SAMPLE_ATTEMPTS: usize = 4;
 
-/// How long a server that said it drains is believed to. Nobody would ask it
-/// again otherwise, and its next life at the same address would stay unused.
-const DRAIN_TRUST: Duration = Duration::from_secs(5);
+/// How long a server's report that it drains is believed. Without this limit
+/// nobody would ask the server again, and a new process at the same address
+/// would stay unused.
+const DRAIN_MAX_AGE: Duration = Duration::from_secs(5);
 
-/// How often a pool's usual pace is worked out.
-const MEDIAN_EVERY: Duration = Duration::from_millis(500);
+/// How often the median pace of a pool is recomputed.
+const MEDIAN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Servers with a known pace from which a median means something.
-const MEDIAN_LEAST: usize = 4;
+/// Minimum number of servers with a known pace for a meaningful median.
+const MEDIAN_MIN_SERVERS: usize = 4;
 
-/// A pace so many times the median is a fault.
+/// A pace above this multiple of the median counts as a fault.
 const SLOW_FACTOR: u32 = 8;
 
-/// How servers are chosen. All but the first are plain baselines to measure
-/// against: one server is chosen, and the request waits there.
+/// How servers are chosen. All modes but the first are baselines for
+/// comparison: they choose one server, and the request waits there.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementMode {
-    /// Ask several for a slot; the earliest expected finish wins.
+    /// Ask several servers for a slot; the earliest expected finish wins.
     #[default]
     LateBinding,
-    /// Any server.
+    /// A random server.
     Random,
-    /// The least loaded by reports.
+    /// The server with the lowest reported load.
     LeastLoaded,
-    /// The less loaded by reports of two sampled ones.
+    /// The one of two random servers with the lower reported load.
     TwoChoices,
 }
 
-/// What placement goes by.
+/// Settings of placement.
 #[derive(Debug, Clone)]
 pub struct PlacementOptions {
     /// How servers are chosen.
     pub mode: PlacementMode,
-    /// Age of the reports that the baselines go by.
+    /// Age of the load reports that the baselines use.
     pub report_lag: Duration,
-    /// The entry's availability zone.
+    /// The entry's own availability zone.
     pub zone: String,
-    /// Seed of the random numbers, so that a run can be repeated.
+    /// Seed of the random number generator, for reproducible runs.
     pub seed: u64,
 }
 
-/// What is asked for.
+/// A request for servers to ask.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// The model or plain service.
+    /// The requested model or plain service.
     pub target: &'a str,
     /// Hash of the prompt's prefix; 0 for none.
     pub prefix_hash: u64,
-    /// Servers that must not be asked (again).
+    /// Servers that must not be asked, or not again.
     pub excluded: &'a [ServerIndex],
-    /// Servers to ask at once in late binding; the baselines ask one.
+    /// Number of servers to ask concurrently with late binding; the baselines
+    /// ask one.
     pub fan_out: usize,
 }
 
-/// Chooses sidecars to ask for a slot.
+/// Chooses the sidecars to ask for a slot.
 #[derive(Debug)]
 pub struct Placement {
     options: PlacementOptions,
     rng: Pcg64Mcg,
-    /// What is known about each server; empty places were left.
+    /// State by server index; none for servers that were removed.
     servers: Vec<Option<Server>>,
-    /// Servers by what they serve.
+    /// Servers grouped by what they serve.
     pools: Vec<Pool>,
-    /// The place of each model's or plain service's pool.
+    /// Index of the pool of each model or plain service.
     targets: HashMap<String, usize>,
 }
 
 #[derive(Debug)]
 struct Server {
-    /// Hash of its name, equal at every entry.
+    /// Hash of the server's name, the same at every entry.
     key: u64,
-    /// The place of its pool.
+    /// Index of its pool.
     pool: usize,
     reports: LoadReports,
     health: ServerHealth,
-    /// Whether the host list leaves it no new requests.
+    /// Whether the host list excludes it from new requests.
     closed: bool,
 }
 
 /// The servers of one model or plain service.
 #[derive(Debug, Default)]
 struct Pool {
-    /// Those in the entry's own availability zone.
-    near: Vec<ServerIndex>,
-    /// All others.
-    far: Vec<ServerIndex>,
-    /// The median pace, and when it was worked out.
-    usual: Option<(Instant, TokenLatency)>,
+    /// Servers in the entry's own availability zone.
+    local: Vec<ServerIndex>,
+    /// Servers in other zones.
+    remote: Vec<ServerIndex>,
+    /// The median pace and when it was computed.
+    median_pace: Option<(Instant, TokenLatency)>,
 }
 
 impl Pool {
     fn all(&self) -> impl Iterator<Item = ServerIndex> {
-        self.near.iter().chain(&self.far).copied()
+        self.local.iter().chain(&self.remote).copied()
     }
 
     fn len(&self) -> usize {
-        self.near.len() + self.far.len()
+        self.local.len() + self.remote.len()
     }
 }
 
 impl Placement {
-    /// Makes a placement that knows no servers.
+    /// Creates a placement without servers.
     #[must_use]
     pub fn new(options: PlacementOptions) -> Self {
         Self {
@@ -132,14 +134,14 @@
         }
     }
 
-    /// Adds the server at `index`, or takes it as a new one.
+    /// Adds the server at `index`, replacing any previous one there.
     pub fn add_server(&mut self, index: ServerIndex, name: &str, zone: &str, target: &str) {
         self.remove_server(index);
         if self.servers.len() <= index {
             self.servers.resize_with(index + 1, || None);
         }
-        let near = zone == self.options.zone;
-        let pool = self.pool(target);
+        let local = zone == self.options.zone;
+        let pool = self.pool_index(target);
         self.servers[index] = Some(Server {
             key: hash_name(name),
             pool,
@@ -149,54 +151,58 @@
         });
 
         let pool = &mut self.pools[pool];
-        let part = if near { &mut pool.near } else { &mut pool.far };
-        part.push(index);
+        let members = if local {
+            &mut pool.local
+        } else {
+            &mut pool.remote
+        };
+        members.push(index);
     }
 
-    /// The place of the pool of `target`, made now if there is none.
-    fn pool(&mut self, target: &str) -> usize {
-        if let Some(place) = self.targets.get(target) {
-            return *place;
+    /// Index of the pool of `target`, which is created if missing.
+    fn pool_index(&mut self, target: &str) -> usize {
+        if let Some(pool_index) = self.targets.get(target) {
+            return *pool_index;
         }
         self.pools.push(Pool::default());
-        let place = self.pools.len() - 1;
-        self.targets.insert(target.to_owned(), place);
-        place
+        let pool_index = self.pools.len() - 1;
+        self.targets.insert(target.to_owned(), pool_index);
+        pool_index
     }
 
-    /// Forgets the server at `index`.
+    /// Removes the server at `index`.
     pub fn remove_server(&mut self, index: ServerIndex) {
         let Some(server) = self.servers.get_mut(index).and_then(Option::take) else {
             return;
         };
         let pool = &mut self.pools[server.pool];
-        pool.near.retain(|i| *i != index);
-        pool.far.retain(|i| *i != index);
+        pool.local.retain(|i| *i != index);
+        pool.remote.retain(|i| *i != index);
     }
 
-    /// Closes or opens a server for new requests, by the host list's word.
+    /// Sets whether the host list excludes a server from new requests.
     pub fn set_closed(&mut self, index: ServerIndex, closed: bool) {
         if let Some(server) = self.server_mut(index) {
             server.closed = closed;
         }
     }
 
-    /// Whether a server takes new requests, by its own word and the list's.
+    /// Whether both the server and the host list allow new requests.
     #[must_use]
     pub fn is_open(&self, index: ServerIndex) -> bool {
         self.server(index)
             .is_some_and(|s| !s.closed && !s.reports.newest().draining)
     }
 
-    /// Notes the load that an answer carried. The answer itself is a good
-    /// sign, and a pace far off the others' is a fault; returns whether that
-    /// ejected the server.
+    /// Records the load that a reply carried. The reply itself is a sign of
+    /// health, and a pace far above the median is a fault; returns whether
+    /// that ejected the server.
     pub fn record_load(
         &mut self,
         now: Instant,
         index: ServerIndex,
         load: Load,
-        ejected: f64,
+        ejectable: f64,
     ) -> bool {
         let lag = self.options.report_lag;
         let Some(server) = self.server_mut(index) else {
@@ -209,107 +215,109 @@
             return false;
         }
 
-        let usual = self.usual_in(now, pool);
-        if usual.is_measured() && load.latency.per_token > usual.per_token * SLOW_FACTOR {
-            return self.record_fault(now, index, Fault::Slow, ejected);
+        let median_pace = self.pool_median(now, pool);
+        if median_pace.is_measured() && load.latency.per_token > median_pace.per_token * SLOW_FACTOR
+        {
+            return self.record_fault(now, index, Fault::Slow, ejectable);
         }
         self.record_good(now, index, Success::NormalPace);
         false
     }
 
-    /// Notes a good sign about a server.
-    pub fn record_good(&mut self, now: Instant, index: ServerIndex, record_good: Success) {
+    /// Records a sign of health of a server.
+    pub fn record_good(&mut self, now: Instant, index: ServerIndex, sign: Success) {
         if let Some(server) = self.server_mut(index) {
-            server.health.record_success(now, record_good);
+            server.health.record_success(now, sign);
         }
     }
 
-    /// Notes a fault of a server. `share` of its pool may be ejected at once;
-    /// returns whether the server was ejected.
+    /// Records a fault of a server. At most the share `ejectable` of its pool
+    /// may be ejected at a time; returns whether this server was ejected.
     pub fn record_fault(
         &mut self,
         now: Instant,
         index: ServerIndex,
-        record_fault: Fault,
-        share: f64,
+        fault: Fault,
+        ejectable: f64,
     ) -> bool {
         let Some(server) = self.server(index) else {
             return false;
         };
         let pool = &self.pools[server.pool];
-        let health = |i| self.server(i).is_some_and(|s| s.health.ejected());
-        let ejected = pool.all().filter(|i| health(*i)).count();
-        let room = ejected < outlier::max_ejected(pool.len(), share);
+        let is_ejected = |i| self.server(i).is_some_and(|s| s.health.ejected());
+        let ejected = pool.all().filter(|i| is_ejected(*i)).count();
+        let may_eject = ejected < outlier::max_ejected(pool.len(), ejectable);
 
         let server = self.server_mut(index);
-        server.is_some_and(|s| s.health.record_fault(now, record_fault, room))
+        server.is_some_and(|s| s.health.record_fault(now, fault, may_eject))
     }
 
-    /// The load last heard from a server.
+    /// The latest load report of a server.
     #[must_use]
     pub fn load(&self, index: ServerIndex) -> Load {
         self.server(index)
             .map_or_else(Load::default, |s| s.reports.newest())
     }
 
-    /// How long ago a server was last heard.
+    /// Age of the latest load report.
     #[must_use]
     pub fn load_age(&self, now: Instant, index: ServerIndex) -> Option<Duration> {
         self.server(index)?.reports.newest_age(now)
     }
 
-    /// Whether a server is ejected or probed.
+    /// Whether a server is ejected or being probed.
     #[must_use]
     pub fn is_ejected(&self, index: ServerIndex) -> bool {
         self.server(index).is_some_and(|s| s.health.ejected())
     }
 
-    /// The median pace of the servers of `target`; unknown until some told
-    /// theirs.
+    /// The median pace of the servers of `target`; unknown until enough of
+    /// them have reported theirs.
     pub fn median_pace(&mut self, now: Instant, target: &str) -> TokenLatency {
         match self.targets.get(target) {
-            Some(pool) => self.usual_in(now, *pool),
+            Some(pool) => self.pool_median(now, *pool),
             None => TokenLatency::default(),
         }
     }
 
-    fn usual_in(&mut self, now: Instant, pool: usize) -> TokenLatency {
-        let held = self.pools[pool].usual;
-        if let Some((_, usual)) = held.filter(|(at, _)| now < *at + MEDIAN_EVERY) {
-            return usual;
+    fn pool_median(&mut self, now: Instant, pool: usize) -> TokenLatency {
+        let cached = self.pools[pool].median_pace;
+        if let Some((_, median_pace)) = cached.filter(|(at, _)| now < *at + MEDIAN_INTERVAL) {
+            return median_pace;
         }
-        let usual = self.median(&self.pools[pool]);
-        self.pools[pool].usual = Some((now, usual));
-        usual
+        let median_pace = self.compute_median(&self.pools[pool]);
+        self.pools[pool].median_pace = Some((now, median_pace));
+        median_pace
     }
 
-    fn median(&self, pool: &Pool) -> TokenLatency {
+    fn compute_median(&self, pool: &Pool) -> TokenLatency {
         let paces = pool.all().map(|i| self.load(i).latency);
         let mut paces: Vec<TokenLatency> = paces.filter(TokenLatency::is_measured).collect();
-        if paces.len() < MEDIAN_LEAST {
+        if paces.len() < MEDIAN_MIN_SERVERS {
             return TokenLatency::default();
         }
         let middle = paces.len() / 2;
-        let (_, usual, _) = paces.select_nth_unstable_by_key(middle, |p| p.per_token);
-        *usual
+        let (_, median_pace, _) = paces.select_nth_unstable_by_key(middle, |p| p.per_token);
+        *median_pace
     }
 
-    /// Chooses the servers to ask, the most wanted first. Empty when none may
-    /// be asked.
-    pub fn choose(&mut self, now: Instant, want: &PlacementRequest<'_>) -> Vec<ServerIndex> {
-        let Some(place) = self.targets.get(want.target).copied() else {
+    /// Chooses the servers to ask, in order of preference; empty if there are
+    /// none.
+    pub fn choose(&mut self, now: Instant, request: &PlacementRequest<'_>) -> Vec<ServerIndex> {
+        let Some(pool_index) = self.targets.get(request.target).copied() else {
             return Vec::new();
         };
-        // Taken out, so that choosing may draw random numbers meanwhile.
-        let pool = std::mem::take(&mut self.pools[place]);
-        let mut chosen = Vec::with_capacity(want.fan_out);
+        // The pool is taken out because choosing needs `self` mutably for the
+        // random numbers.
+        let pool = std::mem::take(&mut self.pools[pool_index]);
+        let mut chosen = Vec::with_capacity(request.fan_out);
         match self.options.mode {
-            PlacementMode::LateBinding => self.bind_late(now, &pool, want, &mut chosen),
-            PlacementMode::Random => chosen.extend(self.draw(now, &pool, want, &[])),
-            PlacementMode::LeastLoaded => chosen.extend(self.least_loaded(now, &pool, want)),
-            PlacementMode::TwoChoices => chosen.extend(self.less_loaded(now, &pool, want)),
+            PlacementMode::LateBinding => self.late_binding(now, &pool, request, &mut chosen),
+            PlacementMode::Random => chosen.extend(self.pick_anywhere(now, &pool, request, &[])),
+            PlacementMode::LeastLoaded => chosen.extend(self.least_loaded(now, &pool, request)),
+            PlacementMode::TwoChoices => chosen.extend(self.choose_of_two(now, &pool, request)),
         }
-        self.pools[place] = pool;
+        self.pools[pool_index] = pool;
 
         for index in &chosen {
             if let Some(server) = self.server_mut(*index) {
@@ -319,68 +327,73 @@
         chosen
     }
 
-    fn bind_late(
+    fn late_binding(
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         chosen: &mut Vec<ServerIndex>,
     ) {
-        chosen.extend(self.home(now, pool, want));
-        while chosen.len() < want.fan_out.max(1) {
-            let Some(next) = self.sample(now, pool, want, chosen) else {
+        chosen.extend(self.affinity_server(now, pool, request));
+        while chosen.len() < request.fan_out.max(1) {
+            let Some(next) = self.sample_server(now, pool, request, chosen) else {
                 return;
             };
             chosen.push(next);
         }
     }
 
-    /// The server where prompts of this prefix go, so that its cache is used:
-    /// the same at every entry, by rendezvous hashing, without any exchange.
-    /// One whose queue is as long as its slots is passed over for the next,
-    /// or a popular prefix would waste a reservation on each request.
-    fn home(&self, now: Instant, pool: &Pool, want: &PlacementRequest<'_>) -> Option<ServerIndex> {
-        if want.prefix_hash == 0 {
+    /// The server that caches prompts with this prefix. Rendezvous hashing
+    /// gives the same server at every entry without any exchange. A server
+    /// whose queue is as long as its slots is skipped, or requests with a
+    /// popular prefix would each waste a reservation.
+    fn affinity_server(
+        &self,
+        now: Instant,
+        pool: &Pool,
+        request: &PlacementRequest<'_>,
+    ) -> Option<ServerIndex> {
+        if request.prefix_hash == 0 {
             return None;
         }
         let ranked = pool.all().filter_map(|i| {
-            let server = self.usable(now, i, want.excluded)?;
+            let server = self.usable(now, i, request.excluded)?;
             let load = server.reports.newest();
-            let crowded = load.slots > 0 && load.waiting >= load.slots;
-            (!crowded).then(|| (score(want.prefix_hash, server.key), i))
+            let queue_full = load.slots > 0 && load.waiting >= load.slots;
+            (!queue_full).then(|| (score(request.prefix_hash, server.key), i))
         });
         ranked.max().map(|(_, i)| i)
     }
 
-    /// The better of two sampled ones, in the own availability zone unless
-    /// both are full there.
-    fn sample(
+    /// The better of two random servers, in the entry's own availability zone
+    /// unless both are full there.
+    fn sample_server(
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        let near = self.better(now, &pool.near, want, chosen);
-        if let Some(near) = near.filter(|i| !self.load(*i).full()) {
-            return Some(near);
+        let local = self.better_of_two(now, &pool.local, request, chosen);
+        if let Some(local) = local.filter(|i| !self.load(*i).full()) {
+            return Some(local);
         }
-        let far = self.better(now, &pool.far, want, chosen);
-        match (near, far) {
-            (Some(near), Some(far)) if self.cost(near) <= self.cost(far) => Some(near),
-            (near, far) => far.or(near),
+        let remote = self.better_of_two(now, &pool.remote, request, chosen);
+        match (local, remote) {
+            (Some(local), Some(remote)) if self.cost(local) <= self.cost(remote) => Some(local),
+            (local, remote) => remote.or(local),
         }
     }
 
-    fn better(
+    fn better_of_two(
         &mut self,
         now: Instant,
-        part: &[ServerIndex],
-        want: &PlacementRequest<'_>,
+        candidates: &[ServerIndex],
+        request: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        let one = self.pick(now, part, want, chosen)?;
-        let two = self.pick(now, part, want, chosen)?;
+        let one = self.pick_within(now, candidates, request, chosen)?;
+        let two = self.pick_within(now, candidates, request, chosen)?;
         Some(if self.cost(two) < self.cost(one) {
             two
         } else {
@@ -388,8 +401,8 @@
         })
     }
 
-    /// Queue for each slot, weighed by the pace: a server four times slower
-    /// frees its slots four times later.
+    /// Queue length per slot, weighted by the pace: a server that is four
+    /// times slower takes four times as long to free a slot.
     fn cost(&self, index: ServerIndex) -> f64 {
         let load = self.load(index);
         let token = load.latency.per_token.max(Duration::from_micros(1));
@@ -400,15 +413,16 @@
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<ServerIndex> {
         let mut least = None;
         for index in pool.all() {
-            if self.usable(now, index, want.excluded).is_none() {
+            if self.usable(now, index, request.excluded).is_none() {
                 continue;
             }
-            // Equal ones are told apart at random, or the first would get all.
-            let rank = (self.reported(now, index), self.rng.random::<f64>());
+            // Random tie-break, or the first of several equal servers would
+            // get all requests.
+            let rank = (self.reported_depth(now, index), self.rng.random::<f64>());
             if least.is_none_or(|(lowest, _)| rank < lowest) {
                 least = Some((rank, index));
             }
@@ -416,77 +430,85 @@
         least.map(|(_, index)| index)
     }
 
-    fn less_loaded(
+    fn choose_of_two(
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<ServerIndex> {
-        let one = self.draw(now, pool, want, &[])?;
-        let two = self.draw(now, pool, want, &[one]).unwrap_or(one);
-        let less = self.reported(now, two) < self.reported(now, one);
+        let one = self.pick_anywhere(now, pool, request, &[])?;
+        let two = self
+            .pick_anywhere(now, pool, request, &[one])
+            .unwrap_or(one);
+        let less = self.reported_depth(now, two) < self.reported_depth(now, one);
         Some(if less { two } else { one })
     }
 
-    fn reported(&self, now: Instant, index: ServerIndex) -> f64 {
+    fn reported_depth(&self, now: Instant, index: ServerIndex) -> f64 {
         let lag = self.options.report_lag;
         self.server(index)
             .map_or(0.0, |s| s.reports.lagged(now, lag).load_per_slot())
     }
 
-    /// Any usable server of the pool, wherever it is.
-    fn draw(
+    /// A random usable server of any zone.
+    fn pick_anywhere(
         &mut self,
         now: Instant,
         pool: &Pool,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        let near = self.rng.random_range(0..pool.len().max(1)) < pool.near.len();
-        let (first, second) = match near {
-            true => (&pool.near, &pool.far),
-            false => (&pool.far, &pool.near),
+        let local = self.rng.random_range(0..pool.len().max(1)) < pool.local.len();
+        let (first, second) = match local {
+            true => (&pool.local, &pool.remote),
+            false => (&pool.remote, &pool.local),
         };
-        self.pick(now, first, want, chosen)
-            .or_else(|| self.pick(now, second, want, chosen))
+        self.pick_within(now, first, request, chosen)
+            .or_else(|| self.pick_within(now, second, request, chosen))
     }
 
-    /// Any usable server of a part.
-    fn pick(
+    /// A random usable server among `candidates`.
+    fn pick_within(
         &mut self,
         now: Instant,
-        part: &[ServerIndex],
-        want: &PlacementRequest<'_>,
+        candidates: &[ServerIndex],
+        request: &PlacementRequest<'_>,
         chosen: &[ServerIndex],
     ) -> Option<ServerIndex> {
-        if part.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         let fits = |placement: &Self, i: ServerIndex| {
-            !chosen.contains(&i) && placement.usable(now, i, want.excluded).is_some()
+            !chosen.contains(&i) && placement.usable(now, i, request.excluded).is_some()
         };
-        for _ in 0..DRAWS {
-            let index = part[self.rng.random_range(0..part.len())];
+        for _ in 0..SAMPLE_ATTEMPTS {
+            let index = candidates[self.rng.random_range(0..candidates.len())];
             if fits(self, index) {
                 return Some(index);
             }
         }
 
-        // Few are left: go through all from a random place on.
-        let start = self.rng.random_range(0..part.len());
-        let (after, before) = (&part[start..], &part[..start]);
+        // Few candidates are usable: search all of them from a random
+        // position.
+        let start = self.rng.random_range(0..candidates.len());
+        let (after, before) = (&candidates[start..], &candidates[..start]);
         after.iter().chain(before).copied().find(|i| fits(self, *i))
     }
 
-    /// The server if it may be asked.
-    fn usable(&self, now: Instant, index: ServerIndex, tried: &[ServerIndex]) -> Option<&Server> {
+    /// The server, if it may be asked.
+    fn usable(
+        &self,
+        now: Instant,
+        index: ServerIndex,
+        excluded: &[ServerIndex],
+    ) -> Option<&Server> {
         let server = self.server(index)?;
-        let drains = server.reports.newest().draining
+        let draining = server.reports.newest().draining
             && server
                 .reports
                 .newest_age(now)
-                .is_some_and(|a| a < DRAIN_TRUST);
-        (server.health.usable(now) && !server.closed && !drains && !tried.contains(&index))
+                .is_some_and(|a| a < DRAIN_MAX_AGE);
+        (server.health.usable(now) && !server.closed && !draining && !excluded.contains(&index))
             .then_some(server)
     }
 
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -1,16 +1,15 @@
-//! Which engines read long prompts and which write long answers.
+//! Splits a service's engines between prefill and decode.
 //!
 //! Load pattern: one kind of call brings prompts of thousands of tokens in
 //! bursts, another streams hundreds of tokens to a reader who notices each
-//! pause. An engine that reads a chunk of a prompt in every step makes the
-//! tokens of all its streams wait, so that seven steps in a row stretch one
-//! event past what its reader bears, though the engine is half idle. Kept on
-//! engines of their own, the streams never meet such a chunk. Kept apart are
-//! only those that do not bear the pauses which reading makes here; the others
-//! lose nothing by it, and would fill the engines of those who do. The split
-//! follows the load, so that neither side waits while the other has room, and
-//! there is none while only one kind comes. See
-//! docs/DECISIONS/0601-on-the-platform.md.
+//! pause. An engine that prefills a chunk of a prompt in every step delays the
+//! tokens of all its streams: seven such steps in a row make one event late,
+//! even if the engine is half idle. On engines of their own, streams never
+//! meet such chunks. Only streams whose maximum gap is shorter than the pauses
+//! that prefill causes are separated; the others would gain nothing and would
+//! fill the engines of those that need it. The split follows the load, so that
+//! neither side waits while the other has room, and there is no split while
+//! only one kind of call arrives. See docs/DECISIONS/0601-on-the-platform.md.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -20,231 +19,236 @@
 use crate::estimate::averages::LinearFit;
 use crate::pauses::PauseEstimate;
 
-/// Answer tokens for each prompt token from which a route's calls spend their
-/// time on writing. Reading a prompt token takes about a hundredth of the
-/// time of writing one, so at a tenth writing takes ten times as long as
-/// reading, and the pauses between tokens are what callers notice.
-const WRITING_RATIO: f64 = 0.1;
+/// Ratio of output to prompt tokens from which a route's calls count as
+/// decode. Prefill of a token takes about a hundredth of the time of its
+/// decode, so that at this ratio decode takes ten times as long as prefill,
+/// and callers notice the pauses between tokens.
+const DECODE_RATIO: f64 = 0.1;
 
-/// Part of the pause that a stream bears which reading beside it may take;
-/// the rest is the steps' own time and what the network adds.
-const PAUSE_SHARE: f64 = 0.8;
+/// Share of a stream's maximum gap that pauses from prefill may take; the rest
+/// is left for decode steps and the network.
+const ISOLATE_SHARE: f64 = 0.8;
 
-/// The same for a route whose streams were kept apart. Between the two shares
-/// nothing moves: each move sends prompts to engines that have not read their
-/// shared parts.
-const PAUSE_SHARE_BACK: f64 = 0.6;
+/// The same for a route whose streams are already separated. Between the two
+/// shares nothing changes (hysteresis), because each move sends prompts to
+/// engines that do not cache their shared parts.
+const REJOIN_SHARE: f64 = 0.6;
 
-/// Before any pause beside reading was seen, a route is kept apart that bears
-/// less than this part of what another route of its service bears: operators
-/// who let one pause for long and another not say which of them is read live.
+/// Until a pause was measured, a route is separated if its maximum gap is
+/// shorter than this part of the longest one of its service: operators who
+/// allow different gaps do not say which streams are read live.
 const PRIOR_SHARE: f64 = 0.5;
 
-/// Part of an engine's slots that streams should take on average; the rest
-/// takes up bursts.
-const SLOT_SHARE: f64 = 0.6;
+/// Target share of an engine's slots in use by streams; the rest absorbs
+/// bursts.
+const SLOT_TARGET: f64 = 0.6;
 
-/// Streams that one engine should write on average, however many slots it
-/// has: each further one slows all the others down.
-const STREAMS: f64 = 24.0;
+/// Target number of streams per engine, however many slots it has: each
+/// further stream slows down all the others.
+const MAX_STREAMS: f64 = 24.0;
 
-/// Part of an engine's time that reading prompts should take on average; the
-/// rest takes up bursts and writes the readers' own answers.
-const READ_SHARE: f64 = 0.5;
+/// Target share of an engine's time spent on prefill; the rest absorbs bursts
+/// and decodes these calls' own answers.
+const PREFILL_TARGET: f64 = 0.5;
 
-/// The fastest reading that is believed, in seconds for a token. Prompts that
-/// are all cached would make any engine look endlessly fast.
-const READ_LEAST: f64 = 2e-6;
+/// Fastest accepted prefill in seconds per token. Fully cached prompts would
+/// otherwise make an engine look infinitely fast.
+const PREFILL_PACE_MIN: f64 = 2e-6;
 
-/// The cut stays where it is while it is off by no more than this part of the
-/// engines, and twice that before engines go back to prompts. Each move sends
-/// prompts to engines that have not read their shared parts, and entries that
-/// move at different moments mix streams and prompts in between.
-const CUT_SLACK: f64 = 0.04;
+/// The split stays unchanged until it is off by more than this part of the
+/// engines, and by twice as much before engines are returned to prefill. Each
+/// move sends prompts to engines that do not cache their shared parts, and
+/// entries that move at different times mix streams and prompts in between.
+const SPLIT_SLACK: f64 = 0.04;
 
-/// One engine in so many is left to calls that read, whatever the load.
-const READERS_LEAST: usize = 4;
+/// One engine in this many stays reserved for prefill under any load.
+const PREFILL_RESERVE: usize = 4;
 
-/// How fast the measure of load follows it: a burst lasts some seconds.
-const SMOOTH: Duration = Duration::from_millis(2500);
+/// Time constant of the load averages; bursts last some seconds.
+const SMOOTHING_TIME: Duration = Duration::from_millis(2500);
 
-/// How much one call tells about the shape of its route's calls.
-const SHAPE_STEP: f64 = 0.05;
+/// Weight of one call in the moving averages of its route.
+const PROFILE_WEIGHT: f64 = 0.05;
 
-/// What a call's time goes into.
+/// The phase whose engines a call uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Reading a long prompt.
+    /// Calls dominated by prefill, and streams that allow its pauses.
     Prefill,
-    /// Writing a long answer.
+    /// Streams that need engines without long prefill.
     Decode,
 }
 
-/// What is known of a call when it comes.
+/// A call on arrival.
 #[derive(Debug, Clone, Copy)]
 pub struct IncomingCall<'a> {
-    /// Its route.
+    /// Name of its route.
     pub route: &'a str,
-    /// Tokens that the engine has to read, without the parts that its cache
-    /// should hold.
+    /// Prompt tokens to prefill, without the parts that the engine should have
+    /// cached.
     pub prompt_tokens: u32,
-    /// Most tokens of its answer.
+    /// Maximum number of output tokens.
     pub max_answer: u32,
-    /// The longest pause between two events that its route bears; none if it
-    /// bears any.
+    /// Longest gap between events that the route allows; none if unlimited.
     pub max_gap: Option<Duration>,
 }
 
-/// How the calls of a service load its engines, as one entry sees it.
+/// Load of each service's engines, as seen by one entry.
 #[derive(Debug, Default)]
 pub struct PhasePools {
     routes: HashMap<String, RouteProfile>,
     services: HashMap<Rc<str>, LoadAverages>,
 }
 
-/// What the calls of a route are like on average.
+/// Moving averages over the calls of a route.
 #[derive(Debug, Clone, Copy)]
 struct RouteProfile {
-    /// Tokens of the prompt.
+    /// Prompt tokens per call.
     prompt: f64,
-    /// Tokens of the answer.
+    /// Output tokens per call.
     answer: f64,
-    /// Whether its streams are kept apart from reading.
-    apart: bool,
+    /// Whether its streams are separated from prefill.
+    isolated: bool,
 }
 
-/// What comes for a service.
+/// Load averages of a service.
 #[derive(Debug)]
 struct LoadAverages {
-    /// When the averages were brought up to date.
-    at: Instant,
-    /// Prompt tokens a second of calls that read.
-    reading: f64,
-    /// Calls in progress that write, now and on average.
-    open: u32,
-    writing: f64,
-    /// Time to the first event by what had to be read.
-    first: LinearFit,
-    /// Pauses of streams at engines that read.
+    /// When the averages were last updated.
+    updated: Instant,
+    /// Prompt tokens per second of prefill calls.
+    prefill_rate: f64,
+    /// Decode calls in progress: current number and moving average.
+    open_streams: u32,
+    decode_calls: f64,
+    /// Time to first event as a function of the tokens to prefill.
+    ttft_fit: LinearFit,
+    /// Pauses of streams on engines that also prefill.
     pauses: PauseEstimate,
-    /// The longest pause that any of its routes bears.
-    patience: Duration,
-    /// What other entries say of their own calls.
-    others: ServiceDemand,
-    /// Engines that were left to calls that write.
-    cut: usize,
+    /// Longest maximum gap of all routes of the service.
+    longest_gap: Duration,
+    /// Sum of the other entries' demand.
+    remote: ServiceDemand,
+    /// Engines currently assigned to decode.
+    decode_engines: usize,
 }
 
-/// What one entry, or several together, have for a service.
+/// Demand for a service from one entry or the sum of several.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServiceDemand {
-    /// Prompt tokens a second of calls that read.
+    /// Prompt tokens per second of prefill calls.
     pub prefill_rate: f64,
-    /// Calls in progress that write.
+    /// Decode calls in progress.
     pub decode_calls: f64,
-    /// Seconds that an engine takes to read a token, on the mean of those who
-    /// know; 0 when nobody does.
+    /// Mean prefill time in seconds per token over the entries that know it; 0
+    /// if none does.
     pub prefill_pace: f64,
-    /// How many entries know the pace.
-    pub pace_samples: u32,
-    /// The pause that streams meet beside reading, in seconds, the longest
-    /// that is told; 0 when nobody knows.
+    /// Number of entries that know the pace.
+    pub pace_entries: u32,
+    /// Longest reported pause of streams beside prefill, in seconds; 0 if
+    /// unknown.
     pub stream_pause: f64,
 }
 
 impl ServiceDemand {
-    /// What two have together.
+    /// The sum of two demands.
     #[must_use]
     pub fn combined(&self, other: &Self) -> Self {
-        let pace_samples = self.pace_samples + other.pace_samples;
-        let known = |told: &Self| told.prefill_pace * f64::from(told.pace_samples);
+        let pace_entries = self.pace_entries + other.pace_entries;
+        let known = |demand: &Self| demand.prefill_pace * f64::from(demand.pace_entries);
         Self {
             prefill_rate: self.prefill_rate + other.prefill_rate,
             decode_calls: self.decode_calls + other.decode_calls,
-            prefill_pace: (known(self) + known(other)) / f64::from(pace_samples.max(1)),
-            pace_samples,
+            prefill_pace: (known(self) + known(other)) / f64::from(pace_entries.max(1)),
+            pace_entries,
             stream_pause: self.stream_pause.max(other.stream_pause),
         }
     }
 
-    /// What is left of several without one of them.
+    /// The sum without the entry `one`.
     #[must_use]
     pub fn without(&self, one: &Self) -> Self {
         Self {
             prefill_rate: (self.prefill_rate - one.prefill_rate).max(0.0),
             decode_calls: (self.decode_calls - one.decode_calls).max(0.0),
             prefill_pace: self.prefill_pace,
-            pace_samples: self.pace_samples.saturating_sub(one.pace_samples),
+            pace_entries: self.pace_entries.saturating_sub(one.pace_entries),
             stream_pause: self.stream_pause,
         }
     }
 }
 
 impl LoadAverages {
-    /// This entry's own calls.
+    /// Demand of this entry's own calls.
     fn local_demand(&self, now: Instant) -> ServiceDemand {
-        let slope = self.first.slope() * 1e-6;
+        let slope = self.ttft_fit.slope() * 1e-6;
         ServiceDemand {
-            prefill_rate: self.reading,
-            decode_calls: self.writing.max(f64::from(self.open)),
-            // More load makes it longer, and more engines are left to read.
+            prefill_rate: self.prefill_rate,
+            decode_calls: self.decode_calls.max(f64::from(self.open_streams)),
+            // The slope grows with the load, which then assigns more engines
+            // to prefill.
             prefill_pace: match slope > 0.0 {
-                true => slope.max(READ_LEAST),
+                true => slope.max(PREFILL_PACE_MIN),
                 false => 0.0,
             },
-            pace_samples: u32::from(slope > 0.0),
+            pace_entries: u32::from(slope > 0.0),
             stream_pause: self.pauses.expected(now).unwrap_or(0.0),
         }
     }
 
-    /// Whether streams that bear pauses of `gap` need engines that read
-    /// nothing beside them; `apart` says whether they have them.
-    fn needs(&self, now: Instant, gap: Duration, apart: bool) -> bool {
+    /// Whether streams with a maximum gap of `gap` need engines without
+    /// prefill; `isolated` says whether they have them now.
+    fn needs_isolation(&self, now: Instant, gap: Duration, isolated: bool) -> bool {
         let pause = self
             .local_demand(now)
             .stream_pause
-            .max(self.others.stream_pause);
-        let share = if apart { PAUSE_SHARE_BACK } else { PAUSE_SHARE };
+            .max(self.remote.stream_pause);
+        let share = if isolated {
+            REJOIN_SHARE
+        } else {
+            ISOLATE_SHARE
+        };
         match pause > 0.0 {
             true => pause > gap.as_secs_f64() * share,
-            false => gap < self.patience.mul_f64(PRIOR_SHARE),
+            false => gap < self.longest_gap.mul_f64(PRIOR_SHARE),
         }
     }
 }
 
 impl PhasePools {
-    /// Notes a call and says what its time goes into.
-    pub fn classify(&mut self, now: Instant, service: &Rc<str>, coming: IncomingCall<'_>) -> Phase {
-        let shape = self.shape(&coming);
-        let writes = shape.answer >= shape.prompt * WRITING_RATIO;
-        let demand = self.demand(now, service);
-        let gap = coming.max_gap.unwrap_or(Duration::MAX);
-        demand.patience = demand.patience.max(coming.max_gap.unwrap_or_default());
-        let apart = writes && demand.needs(now, gap, shape.apart);
-        let work = match apart {
+    /// Records a call and returns the phase whose engines it uses.
+    pub fn classify(&mut self, now: Instant, service: &Rc<str>, call: IncomingCall<'_>) -> Phase {
+        let profile = self.update_profile(&call);
+        let is_decode = profile.answer >= profile.prompt * DECODE_RATIO;
+        let averages = self.averages(now, service);
+        let gap = call.max_gap.unwrap_or(Duration::MAX);
+        averages.longest_gap = averages.longest_gap.max(call.max_gap.unwrap_or_default());
+        let isolated = is_decode && averages.needs_isolation(now, gap, profile.isolated);
+        let phase = match isolated {
             true => {
-                demand.open += 1;
+                averages.open_streams += 1;
                 Phase::Decode
             }
             false => {
-                demand.reading += f64::from(coming.prompt_tokens) / SMOOTH.as_secs_f64();
+                averages.prefill_rate +=
+                    f64::from(call.prompt_tokens) / SMOOTHING_TIME.as_secs_f64();
                 Phase::Prefill
             }
         };
-        if let Some(shape) = self.routes.get_mut(coming.route) {
-            shape.apart = apart;
+        if let Some(profile) = self.routes.get_mut(call.route) {
+            profile.isolated = isolated;
         }
-        work
+        phase
     }
 
-    /// Notes the longest pause of a stream that ended at an engine which
-    /// reads.
+    /// Records the longest pause of a stream that ended on an engine that also
+    /// prefills.
     pub fn record_pause(&mut self, now: Instant, service: &Rc<str>, pause: Duration) {
-        self.demand(now, service).pauses.record(now, pause);
+        self.averages(now, service).pauses.record(now, pause);
     }
 
-    /// Notes that the first event of a call came `took` after it was sent, for
-    /// which the engine had to read `prompt` tokens.
+    /// Records that the first event of a call arrived `took` after it was
+    /// sent, with `prompt` tokens to prefill.
     pub fn record_first_event(
         &mut self,
         now: Instant,
@@ -252,33 +256,33 @@
         prompt: u32,
         took: Duration,
     ) {
-        let us = took.as_secs_f64() * 1e6;
-        self.demand(now, service).first.add(prompt, us);
+        let micros = took.as_secs_f64() * 1e6;
+        self.averages(now, service).ttft_fit.add(prompt, micros);
     }
 
-    /// Notes that a call which writes has ended.
+    /// Notes that a decode call has ended.
     pub fn call_ended(&mut self, now: Instant, service: &Rc<str>) {
-        let demand = self.demand(now, service);
-        demand.open = demand.open.saturating_sub(1);
+        let averages = self.averages(now, service);
+        averages.open_streams = averages.open_streams.saturating_sub(1);
     }
 
-    /// What this entry has for each service.
+    /// This entry's own demand by service.
     pub fn local_demand(&mut self, now: Instant) -> Vec<(Rc<str>, ServiceDemand)> {
         let services: Vec<Rc<str>> = self.services.keys().cloned().collect();
-        let told = |s: Rc<str>| {
-            let told = self.demand(now, &s).local_demand(now);
-            (s, told)
+        let demand = |s: Rc<str>| {
+            let demand = self.averages(now, &s).local_demand(now);
+            (s, demand)
         };
-        services.into_iter().map(told).collect()
+        services.into_iter().map(demand).collect()
     }
 
-    /// Takes over what all other entries together have for a service.
-    pub fn set_remote(&mut self, now: Instant, service: &Rc<str>, told: ServiceDemand) {
-        self.demand(now, service).others = told;
+    /// Sets the sum of the other entries' demand for a service.
+    pub fn set_remote(&mut self, now: Instant, service: &Rc<str>, demand: ServiceDemand) {
+        self.averages(now, service).remote = demand;
     }
 
-    /// How many of `engines` with so many `slots` each should be left to
-    /// calls that write; none when there is nothing to keep apart.
+    /// How many of `engines` with `slots` slots each should be assigned to
+    /// decode; 0 if the phases need no separation.
     pub fn decode_engines(
         &mut self,
         now: Instant,
@@ -286,84 +290,84 @@
         engines: usize,
         slots: u32,
     ) -> usize {
-        let demand = self.demand(now, service);
-        let (own, others) = (demand.local_demand(now), demand.others);
-        let writing = own.decode_calls + others.decode_calls;
-        let writing = writing / (f64::from(slots.max(1)) * SLOT_SHARE).min(STREAMS);
-        // All entries weigh alike, or each would cut by its own few samples
-        // and streams of one would meet prompts of another.
-        let pace_samples = own.pace_samples + others.pace_samples;
-        let sum = own.prefill_pace * f64::from(own.pace_samples)
-            + others.prefill_pace * f64::from(others.pace_samples);
-        let pace = match pace_samples {
+        let averages = self.averages(now, service);
+        let (own, remote) = (averages.local_demand(now), averages.remote);
+        let decode_need = own.decode_calls + remote.decode_calls;
+        let decode_need = decode_need / (f64::from(slots.max(1)) * SLOT_TARGET).min(MAX_STREAMS);
+        // The mean over all entries: with its own few samples, each entry
+        // would split differently and mix one entry's streams with another's
+        // prompts.
+        let pace_entries = own.pace_entries + remote.pace_entries;
+        let sum = own.prefill_pace * f64::from(own.pace_entries)
+            + remote.prefill_pace * f64::from(remote.pace_entries);
+        let pace = match pace_entries {
             0 => DEFAULT_PREFILL_SECS,
-            _ => sum / f64::from(pace_samples),
+            _ => sum / f64::from(pace_entries),
         };
-        let reading = (own.prefill_rate + others.prefill_rate) * pace / READ_SHARE;
-        if engines < 2 || writing <= 0.0 || reading <= 0.0 {
-            self.demand(now, service).cut = 0;
+        let prefill_need = (own.prefill_rate + remote.prefill_rate) * pace / PREFILL_TARGET;
+        if engines < 2 || decode_need <= 0.0 || prefill_need <= 0.0 {
+            self.averages(now, service).decode_engines = 0;
             return 0;
         }
-        // What is left over when both have what they need is shared in the
-        // same proportion. When there is not enough for both, streams go
-        // first: a prompt that waits is late at the worst, a stream among too
-        // many makes all of them late.
-        let share = engines as f64 * writing / (writing + reading);
-        let wanted = share.max(writing);
-        let readers = (engines / READERS_LEAST).max(1);
-        let most = engines - readers;
-        let held = &mut self.demand(now, service).cut;
-        let off = wanted - *held as f64;
-        let slack = CUT_SLACK * engines as f64;
-        if *held == 0 || off > slack.max(0.5) || -off > 2.0 * slack.max(0.5) {
-            *held = wanted.round() as usize;
+        // Capacity beyond both needs is split in the same proportion. If it
+        // does not cover both, decode goes first: a waiting prompt is only
+        // late itself, while too many streams on an engine are all late.
+        let split = engines as f64 * decode_need / (decode_need + prefill_need);
+        let wanted = split.max(decode_need);
+        let prefill_min = (engines / PREFILL_RESERVE).max(1);
+        let decode_max = engines - prefill_min;
+        let assigned = &mut self.averages(now, service).decode_engines;
+        let deviation = wanted - *assigned as f64;
+        let slack = SPLIT_SLACK * engines as f64;
+        if *assigned == 0 || deviation > slack.max(0.5) || -deviation > 2.0 * slack.max(0.5) {
+            *assigned = wanted.round() as usize;
         }
-        *held = (*held).clamp(1, most);
-        *held
+        *assigned = (*assigned).clamp(1, decode_max);
+        *assigned
     }
 
-    /// What the calls of a route are like, with one more.
-    fn shape(&mut self, coming: &IncomingCall<'_>) -> RouteProfile {
-        let (prompt, answer) = (
-            f64::from(coming.prompt_tokens),
-            f64::from(coming.max_answer),
-        );
-        if let Some(shape) = self.routes.get_mut(coming.route) {
-            shape.prompt += (prompt - shape.prompt) * SHAPE_STEP;
-            shape.answer += (answer - shape.answer) * SHAPE_STEP;
-            return *shape;
+    /// Updates the averages of the call's route and returns them.
+    fn update_profile(&mut self, call: &IncomingCall<'_>) -> RouteProfile {
+        let (prompt, answer) = (f64::from(call.prompt_tokens), f64::from(call.max_answer));
+        if let Some(profile) = self.routes.get_mut(call.route) {
+            profile.prompt += (prompt - profile.prompt) * PROFILE_WEIGHT;
+            profile.answer += (answer - profile.answer) * PROFILE_WEIGHT;
+            return *profile;
         }
-        let shape = RouteProfile {
+        let profile = RouteProfile {
             prompt,
             answer,
-            apart: false,
+            isolated: false,
         };
-        self.routes.insert(coming.route.to_owned(), shape);
-        shape
+        self.routes.insert(call.route.to_owned(), profile);
+        profile
     }
 
-    /// The demand for a service, with its averages brought up to `now`.
-    fn demand(&mut self, now: Instant, service: &Rc<str>) -> &mut LoadAverages {
+    /// The averages of a service, updated to `now`.
+    fn averages(&mut self, now: Instant, service: &Rc<str>) -> &mut LoadAverages {
         if !self.services.contains_key(service) {
-            let none = LoadAverages {
-                at: now,
-                reading: 0.0,
-                open: 0,
-                writing: 0.0,
-                first: LinearFit::default(),
+            let empty = LoadAverages {
+                updated: now,
+                prefill_rate: 0.0,
+                open_streams: 0,
+                decode_calls: 0.0,
+                ttft_fit: LinearFit::default(),
                 pauses: PauseEstimate::default(),
-                patience: Duration::ZERO,
-                others: ServiceDemand::default(),
-                cut: 0,
+                longest_gap: Duration::ZERO,
+                remote: ServiceDemand::default(),
+                decode_engines: 0,
             };
-            self.services.insert(Rc::clone(service), none);
+            self.services.insert(Rc::clone(service), empty);
         }
-        let demand = self.services.get_mut(service).expect("inserted above");
-        let passed = now.saturating_duration_since(demand.at).as_secs_f64();
-        let kept = (-passed / SMOOTH.as_secs_f64()).exp();
-        demand.at = now;
-        demand.reading *= kept;
-        demand.writing = demand.writing * kept + f64::from(demand.open) * (1.0 - kept);
-        demand
+        let averages = self.services.get_mut(service).expect("inserted above");
+        let elapsed = now
+            .saturating_duration_since(averages.updated)
+            .as_secs_f64();
+        let decay = (-elapsed / SMOOTHING_TIME.as_secs_f64()).exp();
+        averages.updated = now;
+        averages.prefill_rate *= decay;
+        averages.decode_calls =
+            averages.decode_calls * decay + f64::from(averages.open_streams) * (1.0 - decay);
+        averages
     }
 }
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -1,11 +1,11 @@
 //! How many backend servers a service should have in each availability zone.
 //!
-//! Load pattern: calls swell within a second, while a server that is ordered
-//! takes its first call only after its boot time and has read nothing by then;
-//! and each server is paid for as long as it is there. So the number rises at
-//! once with the load that is seen, and falls step by step to what the highest
-//! load of a while has needed. What is left after the loss of one zone must
-//! carry all of it. See docs/DECISIONS/0702-scaling.md.
+//! Load pattern: load rises within a second, while a newly ordered server
+//! takes its first call only after its boot time and with an empty cache; and
+//! every server costs money as long as it exists. The number of servers
+//! therefore rises at once with the load and falls in steps to what the peak
+//! load of a period has needed. The servers that remain after the loss of one
+//! zone must carry the whole load. See docs/DECISIONS/0702-scaling.md.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -13,186 +13,200 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Part of a server's time that calls should take. A burst that doubles the
-/// load is carried by the rest until what is ordered for it has booted.
-const BUSY: f64 = 0.5;
+/// Target utilization of a server. The spare capacity carries a burst that
+/// doubles the load until the servers ordered for it have booted.
+const TARGET_USE: f64 = 0.5;
 
-/// The same of the servers that are left when one zone is lost. Calls wait
-/// then, but none has to be turned away.
-const BUSY_LEFT: f64 = 0.9;
+/// Maximum utilization of the remaining servers after the loss of one zone.
+/// Calls wait then, but none has to be refused.
+const FAILOVER_USE: f64 = 0.9;
 
-/// Part of the servers that stays with each step down. What is seen of the
-/// load may be too low, and shows only in the servers that are left.
-const KEPT: f64 = 0.75;
+/// Part of the servers kept at each step down. The measured load may be too
+/// low, which only shows on the remaining servers.
+const SHRINK_FACTOR: f64 = 0.75;
 
-/// Boot times for which the load must have been lower before servers are given
-/// up: one that is given up too soon is missed for a boot time.
-const CALM_BOOTS: u32 = 5;
+/// Cooldown before scaling down, in boot times: a server that is removed too
+/// early is missing for a boot time.
+const COOLDOWN_BOOTS: u32 = 5;
 
-/// The least of that time. Load that comes and goes within it would have
-/// servers boot and leave by turns, each with an empty memory; people come in
-/// waves of seconds to a minute.
-const CALM_LEAST: Duration = Duration::from_secs(60);
+/// Minimum cooldown. Load comes in waves of a few seconds to a minute; with a
+/// shorter cooldown, servers would boot and stop in turn, each with an empty
+/// cache.
+const COOLDOWN_MIN: Duration = Duration::from_secs(60);
 
-/// How long a service is watched before anything is ordered. Servers that the
-/// store has lost sight of are listed again within two seconds of its return.
-const WATCH: Duration = Duration::from_secs(4);
+/// How long a service is observed before the first order. Servers that the
+/// store has lost are listed again within 2 seconds of its return.
+const OBSERVE_MIN: Duration = Duration::from_secs(4);
 
-/// How long an order that was accepted is taken to stand. One that was thought
-/// lost may be carried out after it, and would stand for good.
-const REPEAT: Duration = Duration::from_secs(10);
+/// Accepted orders are sent again after this time. An earlier order that
+/// seemed lost may be executed after the accepted one and would otherwise stay
+/// in force.
+const ORDER_REFRESH: Duration = Duration::from_secs(10);
 
-/// What operators allow for a service.
+/// The operators' limits for a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScalingLimits {
-    /// The fewest servers in a zone.
+    /// Minimum number of servers per zone.
     #[serde(rename = "least")]
     pub min_servers: u32,
-    /// The most servers in a zone.
+    /// Maximum number of servers per zone.
     #[serde(rename = "most")]
     pub max_servers: u32,
-    /// How long a new server takes until it serves.
+    /// Time from the order of a server until it serves.
     #[serde(rename = "boot")]
     pub boot_time: Duration,
 }
 
-/// What is seen of a service in one availability zone.
+/// Observed load of a service in one availability zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ZoneLoad {
-    /// Servers that take new calls.
+    /// Servers that accept new calls.
     pub serving: u32,
-    /// The parts of their time that calls take, summed; calls that wait count
-    /// as well, so that one server may have more than 1.
+    /// Sum of the servers' utilizations. Waiting calls count, so that one
+    /// server may contribute more than 1.
     pub busy_servers: f64,
 }
 
-/// How many servers a zone should have.
+/// The number of servers that a zone should have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerOrder {
     /// The availability zone.
     pub zone: Rc<str>,
-    /// Servers there.
+    /// Number of servers in that zone.
     pub count: u32,
 }
 
-/// The number of servers of one service, as one daemon decides it for all.
+/// Scaling of one service, decided by one daemon for all.
 #[derive(Debug, Default)]
 pub struct Scaler {
-    /// What was seen, the newest last.
-    seen: VecDeque<Seen>,
-    /// When the service was first looked at, or servers were last given up.
-    since: Option<Instant>,
-    /// Whether the service has had any load.
-    used: bool,
-    /// What is wanted in each zone that was decided about.
-    wanted: BTreeMap<Rc<str>, u32>,
-    /// What was accepted, and when.
+    /// Observations, the newest last.
+    samples: VecDeque<Sample>,
+    /// First observation or last step down.
+    cooldown_start: Option<Instant>,
+    /// Whether the service has ever had load.
+    has_load: bool,
+    /// Desired number of servers by zone.
+    desired: BTreeMap<Rc<str>, u32>,
+    /// Accepted number of servers by zone, and when it was accepted.
     accepted: BTreeMap<Rc<str>, (u32, Instant)>,
 }
 
-/// What a service looked like at one moment.
+/// An observation of a service.
 #[derive(Debug)]
-struct Seen {
+struct Sample {
     at: Instant,
-    /// The servers that its calls keep busy.
-    busy: f64,
-    /// Servers in each zone.
+    /// Number of servers that its calls keep busy.
+    busy_servers: f64,
+    /// Number of servers by zone.
     serving: BTreeMap<Rc<str>, u32>,
 }
 
 impl Scaler {
-    /// Takes what is seen at `now`.
+    /// Takes an observation and updates the desired numbers.
     ///
-    /// Before a service has had any load nothing is decided: all daemons may
-    /// just have started, and what is there is what operators have set up.
+    /// Nothing is decided before a service has had load: all daemons may have
+    /// just started, and the existing servers are what the operators have set
+    /// up.
     ///
-    /// The list of servers may lack most of them for seconds, after the store
-    /// was away or before this daemon was told; ordered by it, healthy ones
-    /// would be taken away in the middle of their calls. So a zone counts with
-    /// the most servers that it had during the calm time.
+    /// The list of servers may be incomplete for seconds, after a store outage
+    /// or before this daemon is up to date. Based on it, healthy servers would
+    /// be removed in the middle of their calls. Each zone therefore counts
+    /// with its maximum number of servers within the cooldown.
     pub fn observe(
         &mut self,
         now: Instant,
         limits: &ScalingLimits,
         zones: &BTreeMap<Rc<str>, ZoneLoad>,
     ) {
-        let calm = CALM_LEAST.max(limits.boot_time * CALM_BOOTS);
-        self.note(now, calm, zones);
-        let since = *self.since.get_or_insert(now);
-        let first = self.seen.front().map_or(now, |seen| seen.at);
-        if !self.used || now < first + WATCH {
+        let cooldown = COOLDOWN_MIN.max(limits.boot_time * COOLDOWN_BOOTS);
+        self.record(now, cooldown, zones);
+        let cooldown_start = *self.cooldown_start.get_or_insert(now);
+        let first = self.samples.front().map_or(now, |sample| sample.at);
+        if !self.has_load || now < first + OBSERVE_MIN {
             return;
         }
-        let busy = self.seen.iter().map(|s| s.busy).fold(0.0, f64::max);
-        let most = self.most();
-        let need = needed(busy, most.len());
+        let busy_servers = self
+            .samples
+            .iter()
+            .map(|s| s.busy_servers)
+            .fold(0.0, f64::max);
+        let peak = self.peak_servers();
+        let need = servers_needed(busy_servers, peak.len());
         let serving: u32 = zones.values().map(|z| z.serving).sum();
-        let had: u32 = most.values().sum();
-        let each = |servers: f64| {
-            let each = (servers / most.len().max(1) as f64).ceil() as u32;
-            each.clamp(
+        let peak_count: u32 = peak.values().sum();
+        let per_zone = |servers: f64| {
+            let per_zone = (servers / peak.len().max(1) as f64).ceil() as u32;
+            per_zone.clamp(
                 limits.min_servers,
                 limits.max_servers.max(limits.min_servers),
             )
         };
-        let kept = each(need.max(f64::from(had) * KEPT));
-        if need > f64::from(serving) || lacks_reserve(busy, &most) {
-            let each = each(need);
-            let more = most.into_iter().map(|(zone, had)| (zone, each.max(had)));
-            self.wanted.extend(more);
-        } else if now >= since + calm && kept * (most.len() as u32) < had {
-            self.wanted
-                .extend(most.into_keys().map(|zone| (zone, kept)));
-            self.since = Some(now);
+        let reduced = per_zone(need.max(f64::from(peak_count) * SHRINK_FACTOR));
+        if need > f64::from(serving) || lacks_failover(busy_servers, &peak) {
+            let per_zone = per_zone(need);
+            let more = peak
+                .into_iter()
+                .map(|(zone, peak_count)| (zone, per_zone.max(peak_count)));
+            self.desired.extend(more);
+        } else if now >= cooldown_start + cooldown && reduced * (peak.len() as u32) < peak_count {
+            self.desired
+                .extend(peak.into_keys().map(|zone| (zone, reduced)));
+            self.cooldown_start = Some(now);
         } else {
-            self.keep_within(limits, most);
+            self.raise_to_min(limits, peak);
         }
     }
 
-    /// Remembers what is seen for as long as it counts.
-    fn note(&mut self, now: Instant, calm: Duration, zones: &BTreeMap<Rc<str>, ZoneLoad>) {
-        let busy: f64 = zones.values().map(|z| z.busy_servers).sum();
-        self.used |= busy > 0.0;
-        let serving = zones.iter().map(|(z, seen)| (Rc::clone(z), seen.serving));
-        self.seen.push_back(Seen {
+    /// Records an observation and drops those older than the cooldown.
+    fn record(&mut self, now: Instant, cooldown: Duration, zones: &BTreeMap<Rc<str>, ZoneLoad>) {
+        let busy_servers: f64 = zones.values().map(|z| z.busy_servers).sum();
+        self.has_load |= busy_servers > 0.0;
+        let serving = zones
+            .iter()
+            .map(|(z, sample)| (Rc::clone(z), sample.serving));
+        self.samples.push_back(Sample {
             at: now,
-            busy,
+            busy_servers,
             serving: serving.collect(),
         });
-        while self.seen.front().is_some_and(|seen| now >= seen.at + calm) {
-            self.seen.pop_front();
+        while self
+            .samples
+            .front()
+            .is_some_and(|sample| now >= sample.at + cooldown)
+        {
+            self.samples.pop_front();
         }
     }
 
-    /// The most servers that each zone was seen to have.
-    fn most(&self) -> BTreeMap<Rc<str>, u32> {
-        let mut most = BTreeMap::new();
-        for (zone, serving) in self.seen.iter().flat_map(|seen| &seen.serving) {
-            let had: &mut u32 = most.entry(Rc::clone(zone)).or_default();
-            *had = (*had).max(*serving);
+    /// Maximum number of servers of each zone within the cooldown.
+    fn peak_servers(&self) -> BTreeMap<Rc<str>, u32> {
+        let mut peak = BTreeMap::new();
+        for (zone, serving) in self.samples.iter().flat_map(|sample| &sample.serving) {
+            let peak_count: &mut u32 = peak.entry(Rc::clone(zone)).or_default();
+            *peak_count = (*peak_count).max(*serving);
         }
-        most
+        peak
     }
 
-    /// Wants what the limits ask for where a zone is below them.
-    fn keep_within(&mut self, limits: &ScalingLimits, most: BTreeMap<Rc<str>, u32>) {
-        for (zone, had) in most {
-            if had < limits.min_servers {
-                let wanted = self.wanted.entry(zone).or_default();
-                *wanted = (*wanted).max(limits.min_servers);
+    /// Raises zones below the minimum to it.
+    fn raise_to_min(&mut self, limits: &ScalingLimits, peak: BTreeMap<Rc<str>, u32>) {
+        for (zone, peak_count) in peak {
+            if peak_count < limits.min_servers {
+                let desired = self.desired.entry(zone).or_default();
+                *desired = (*desired).max(limits.min_servers);
             }
         }
     }
 
-    /// What is to be ordered at `now`: what was not accepted yet, and now and
-    /// then what was.
+    /// The orders to send: those not accepted yet, and accepted ones that have
+    /// to be repeated.
     #[must_use]
     pub fn due_orders(&self, now: Instant) -> Vec<ServerOrder> {
-        let stands = |zone: &Rc<str>, count: u32| {
+        let is_current = |zone: &Rc<str>, count: u32| {
             let accepted = self.accepted.get(zone);
-            accepted.is_some_and(|(was, at)| *was == count && now < *at + REPEAT)
+            accepted.is_some_and(|(was, at)| *was == count && now < *at + ORDER_REFRESH)
         };
-        let due = self.wanted.iter().filter(|(z, c)| !stands(z, **c));
+        let due = self.desired.iter().filter(|(z, c)| !is_current(z, **c));
         let order = |(zone, count): (&Rc<str>, &u32)| ServerOrder {
             zone: Rc::clone(zone),
             count: *count,
@@ -208,18 +222,18 @@
 }
 
 /// Whether the loss of the largest zone would leave too few servers for a load
-/// that keeps `busy` of them busy all the time.
-fn lacks_reserve(busy: f64, zones: &BTreeMap<Rc<str>, u32>) -> bool {
+/// of `busy_servers`.
+fn lacks_failover(busy_servers: f64, zones: &BTreeMap<Rc<str>, u32>) -> bool {
     let largest = zones.values().copied().max().unwrap_or(0);
-    let left = zones.values().sum::<u32>() - largest;
-    zones.len() > 1 && busy / BUSY_LEFT > f64::from(left)
+    let remaining = zones.values().sum::<u32>() - largest;
+    zones.len() > 1 && busy_servers / FAILOVER_USE > f64::from(remaining)
 }
 
-/// Servers that a load needs which keeps `busy` of them busy all the time.
-fn needed(busy: f64, zones: usize) -> f64 {
-    let left = match zones {
+/// Number of servers needed for a load of `busy_servers`.
+fn servers_needed(busy_servers: f64, zones: usize) -> f64 {
+    let remaining = match zones {
         0 | 1 => 1.0,
         n => (n - 1) as f64 / n as f64,
     };
-    busy / BUSY.min(BUSY_LEFT * left)
+    busy_servers / TARGET_USE.min(FAILOVER_USE * remaining)
 }
