--- a/crates/forward/tests/events.rs
+++ b/crates/forward/tests/events.rs
@@ -1,4 +1,4 @@
-//! Where the events of a stream end.
+//! Tests of the splitter for server-sent events.
 
 use forward::events::EventSplitter;
 use proptest::prelude::*;
@@ -6,40 +6,40 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, ..ProptestConfig::default() })]
 
-    /// However a stream is cut into pieces on its way, the same events come
-    /// out, whole and in order, and nothing of them is lost.
+    /// The events do not depend on how the stream is divided into chunks: all of them are
+    /// returned completely and in order.
     #[test]
-    fn pieces_do_not_matter(
+    fn chunk_boundaries_do_not_matter(
         texts in proptest::collection::vec("[a-z]{0,12}", 0..12),
-        cuts in proptest::collection::vec(1usize..9, 1..40),
+        chunk_sizes in proptest::collection::vec(1usize..9, 1..40),
         tail in "[a-z:]{0,9}",
     ) {
         let event = |(i, text): (usize, &String)| format!("id: {i}\ndata: {text}\n\n");
         let events: Vec<String> = texts.iter().enumerate().map(event).collect();
         let all = events.concat() + &tail;
         let mut splitter = EventSplitter::default();
-        let (mut rest, mut out, mut cuts) = (all.as_bytes(), Vec::new(), cuts.iter().cycle());
+        let (mut rest, mut out, mut chunk_sizes) = (all.as_bytes(), Vec::new(), chunk_sizes.iter().cycle());
         while !rest.is_empty() {
-            let length = rest.len().min(*cuts.next().unwrap_or(&1));
+            let length = rest.len().min(*chunk_sizes.next().unwrap_or(&1));
             splitter.push(&rest[..length]);
             rest = &rest[length..];
             while let Some(event) = splitter.next_event() {
                 out.push((event.id, String::from_utf8_lossy(&event.bytes).into_owned()));
             }
         }
-        let wanted: Vec<_> = events.into_iter().enumerate().map(|(i, e)| (Some(i as u64), e)).collect();
-        prop_assert_eq!(out, wanted);
+        let expected: Vec<_> = events.into_iter().enumerate().map(|(i, e)| (Some(i as u64), e)).collect();
+        prop_assert_eq!(out, expected);
         prop_assert_eq!(splitter.take_pending(), tail.as_bytes());
     }
 
     #[test]
-    fn any_bytes_are_taken(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_lose_nothing(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut splitter = EventSplitter::default();
         splitter.push(&bytes);
-        let mut taken = 0;
+        let mut returned = 0;
         while let Some(event) = splitter.next_event() {
-            taken += event.bytes.len();
+            returned += event.bytes.len();
         }
-        prop_assert_eq!(taken + splitter.pending_len(), bytes.len());
+        prop_assert_eq!(returned + splitter.pending_len(), bytes.len());
     }
 }
--- a/crates/forward/tests/tables/common.rs
+++ b/crates/forward/tests/tables/common.rs
@@ -1,17 +1,17 @@
-//! What the tests of the store's tables share.
+//! Helpers shared by the tests of the store's tables.
 
 use std::time::Duration;
 
 use forward::edge::{Ask, Dialect, Order, Signs};
 use http::HeaderMap;
 
-/// Long enough for any step here, so that a test that hangs fails instead.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound for any step of these tests, so that a test that hangs fails instead.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A dialect for entries that get no calls.
-pub(crate) struct Mute;
+/// A dialect for entries that receive no calls.
+pub(crate) struct NoCallsDialect;
 
-impl Dialect for Mute {
+impl Dialect for NoCallsDialect {
     fn ask(&self, _headers: &HeaderMap) -> Ask {
         Ask::default()
     }
@@ -25,13 +25,13 @@
     }
 }
 
-/// Waits until something is so.
-pub(crate) async fn until(what: &str, mut done: impl FnMut() -> bool) {
+/// Waits until `done` returns true; `what` names the condition in the failure message.
+pub(crate) async fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let wait = async {
         while !done() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, wait).await;
-    assert!(waited.is_ok(), "never: {what}");
+    let waited = tokio::time::timeout(TEST_TIMEOUT, wait).await;
+    assert!(waited.is_ok(), "timed out waiting for: {what}");
 }
--- a/crates/forward/tests/tables/crashes.rs
+++ b/crates/forward/tests/tables/crashes.rs
@@ -1,4 +1,4 @@
-//! Following the servers that crash under calls, through losses of the store.
+//! Tests of the crash table, also during outages of the store.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,23 +15,23 @@
 use policy::suspects::{Crash, Fingerprint};
 use tokio::net::TcpListener;
 
-use crate::common::{Mute, PATIENCE, until};
+use crate::common::{NoCallsDialect, TEST_TIMEOUT, wait_until};
 
-/// The table in a store that all entries share.
+/// The crash table in a store that all entries share.
 #[derive(Clone, Default)]
 struct Table(Rc<Inner>);
 
 #[derive(Default)]
 struct Inner {
     log: RefCell<Vec<(String, Option<u64>)>>,
-    away: Cell<bool>,
-    /// Whether it has refused a question.
+    unavailable: Cell<bool>,
+    /// Whether it has refused a request.
     refused: Cell<bool>,
 }
 
 impl Table {
-    /// Has the store come back from a copy that ends at `next`.
-    fn rewind(&self, next: usize) {
+    /// Restores the store from a copy that ends at position `next`.
+    fn restore(&self, next: usize) {
         self.0.log.borrow_mut().truncate(next);
     }
 
@@ -39,13 +39,13 @@
     fn records(&self) -> BTreeMap<String, u64> {
         let log = self.0.log.borrow();
         let newest: BTreeMap<_, _> = log.iter().cloned().collect();
-        let held = |(key, at): (String, Option<u64>)| Some((key, at?));
-        newest.into_iter().filter_map(held).collect()
+        let kept = |(key, at): (String, Option<u64>)| Some((key, at?));
+        newest.into_iter().filter_map(kept).collect()
     }
 
     fn check(&self) -> Result<(), SourceError> {
         let (step, peer, cause) = ("read", "store".to_owned(), "down".to_owned());
-        if self.0.away.get() {
+        if self.0.unavailable.get() {
             self.0.refused.set(true);
             return Err(SourceError::Unavailable { step, peer, cause });
         }
@@ -90,16 +90,16 @@
     }
 }
 
-fn fatal() -> Fingerprint {
+fn crashing_call() -> Fingerprint {
     Fingerprint::from_parts(&[b"fatal"])
 }
 
-/// Has an entry with a store of its own see servers crash.
-async fn see(table: &Table, lives: std::ops::Range<u64>) {
-    let crashes = lives.map(|incarnation| {
+/// Records crashes of several server incarnations, as another entry would.
+async fn record_crashes(table: &Table, incarnations: std::ops::Range<u64>) {
+    let crashes = incarnations.map(|incarnation| {
         (
             Crash {
-                fingerprint: fatal(),
+                fingerprint: crashing_call(),
                 incarnation,
             },
             Some(SystemClock.wall_ms()),
@@ -112,7 +112,7 @@
 }
 
 /// Starts an entry on `table`.
-async fn entry(table: &Table) -> Rc<State> {
+async fn start_entry(table: &Table) -> Rc<State> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     let any = "127.0.0.1:1";
@@ -122,7 +122,7 @@
         "repeat_window_s": 10.0, "link_mbps": 10.0,
     });
     let settings: Settings = serde_json::from_value(text).expect("settings");
-    let state = State::new(settings, Rc::new(Mute), Rc::new(SystemClock));
+    let state = State::new(settings, Rc::new(NoCallsDialect), Rc::new(SystemClock));
     let (follows, writes) = (Rc::clone(&state), Rc::clone(&state));
     actix_rt::spawn(follow::crashes(follows, table.clone()));
     actix_rt::spawn(crashes::write_to_store(
@@ -139,89 +139,89 @@
     state
 }
 
-/// Has `state` hear `first`, which has a wider link, and enough silent ones for
-/// a zone that shares.
-fn hear(state: &State, first: &State) {
-    let (until, addr) = (Instant::now() + PATIENCE, first.settings.gossip);
+/// Makes `first`, which has a wider link, known to `state`, and enough silent entries that
+/// the zone shares reads.
+fn observe_entries(state: &State, first: &State) {
+    let (expires_at, addr) = (Instant::now() + TEST_TIMEOUT, first.settings.gossip);
     let mut readers = state.readers.borrow_mut();
-    readers.observe(addr, Rank::new(0, addr, u32::MAX), until);
+    readers.observe(addr, Rank::new(0, addr, u32::MAX), expires_at);
     for n in 2..=MIN_SHARING_ENTRIES {
         let addr = ([127, 0, 0, u8::try_from(n).expect("a few")], 1).into();
-        readers.observe(addr, Rank::new(0, addr, 0), until);
+        readers.observe(addr, Rank::new(0, addr, 0), expires_at);
     }
 }
 
 fn refused(state: &State) -> bool {
     state
         .crashes
-        .refusal_left(state.clock.now(), fatal())
+        .refusal_left(state.clock.now(), crashing_call())
         .is_some()
 }
 
-/// Guards against a request being passed on by an entry that no server has
-/// crashed for.
+/// Guards against a request being sent on by an entry that saw none of its crashes: those
+/// that other entries recorded count as well.
 #[actix_rt::test]
-async fn ends_seen_elsewhere_are_held() {
+async fn crashes_seen_by_other_entries_count() {
     let table = Table::default();
-    let state = entry(&table).await;
-    see(&table, 0..2).await;
-    until("two are known", || state.crashes.count() == 2).await;
+    let state = start_entry(&table).await;
+    record_crashes(&table, 0..2).await;
+    wait_until("two crashes are known", || state.crashes.count() == 2).await;
     assert!(!refused(&state));
-    see(&table, 2..3).await;
-    until("refused", || refused(&state)).await;
+    record_crashes(&table, 2..3).await;
+    wait_until("refused", || refused(&state)).await;
 }
 
-/// Guards against an entry of a large zone, which does not read the store,
-/// learning nothing.
+/// Guards against an entry of a large zone, which does not read the store, missing the
+/// crashes: it gets them from its neighbour.
 #[actix_rt::test]
-async fn neighbour_tells_of_ends() {
+async fn neighbour_passes_crashes_on() {
     let (table, nothing) = (Table::default(), Table::default());
-    let first = entry(&table).await;
-    let other = entry(&nothing).await;
-    nothing.0.away.set(true);
-    hear(&other, &first);
-    see(&table, 0..3).await;
-    until("refused", || refused(&other)).await;
+    let first = start_entry(&table).await;
+    let other = start_entry(&nothing).await;
+    nothing.0.unavailable.set(true);
+    observe_entries(&other, &first);
+    record_crashes(&table, 0..3).await;
+    wait_until("refused", || refused(&other)).await;
 }
 
-/// Guards against a request being passed on again once the store has come back
-/// from a copy that lacks what the entries had told it.
+/// Guards against a request being sent on again after the store was restored from a copy
+/// that lacks the latest crashes.
 #[actix_rt::test]
-async fn lost_ends_are_written_again() {
+async fn lost_crashes_are_written_again() {
     let table = Table::default();
-    let state = entry(&table).await;
-    see(&table, 0..1).await;
-    see(&table, 1..3).await;
-    until("refused", || refused(&state)).await;
-    table.rewind(1);
-    until("the store refuses the position", || table.0.refused.get()).await;
-    until("written again", || table.records().len() == 3).await;
+    let state = start_entry(&table).await;
+    record_crashes(&table, 0..1).await;
+    record_crashes(&table, 1..3).await;
+    wait_until("refused", || refused(&state)).await;
+    table.restore(1);
+    wait_until("the store refuses the position", || table.0.refused.get()).await;
+    wait_until("written again", || table.records().len() == 3).await;
     assert!(refused(&state));
 }
 
-/// Guards against a request being passed on by entries that read the store while
-/// it is away.
+/// Guards against a request being sent on by entries that read the store while it is
+/// unavailable.
 #[actix_rt::test]
-async fn held_while_the_store_is_away() {
+async fn refused_while_store_unavailable() {
     let table = Table::default();
-    let state = entry(&table).await;
-    see(&table, 0..3).await;
-    until("refused", || refused(&state)).await;
-    table.0.away.set(true);
-    until("the store does not answer", || table.0.refused.get()).await;
+    let state = start_entry(&table).await;
+    record_crashes(&table, 0..3).await;
+    wait_until("refused", || refused(&state)).await;
+    table.0.unavailable.set(true);
+    wait_until("the store refuses the request", || table.0.refused.get()).await;
     assert!(refused(&state));
 }
 
-/// Guards against a crash being held for ever that another entry has cleared.
+/// Guards against a crash counting forever although another entry has cleared it.
 #[actix_rt::test]
-async fn cleared_elsewhere_is_let_go() {
+async fn crashes_cleared_by_another_entry_are_removed() {
     let table = Table::default();
-    let state = entry(&table).await;
-    see(&table, 0..3).await;
-    until("refused", || refused(&state)).await;
-    let other = entry(&table).await;
-    until("refused there too", || refused(&other)).await;
-    other.crashes.request_served(fatal());
-    until("gone from the store", || table.records().is_empty()).await;
-    until("let go", || !refused(&state)).await;
+    let state = start_entry(&table).await;
+    record_crashes(&table, 0..3).await;
+    wait_until("refused", || refused(&state)).await;
+    let other = start_entry(&table).await;
+    wait_until("refused by the other entry", || refused(&other)).await;
+    other.crashes.request_served(crashing_call());
+    wait_until("deleted from the store", || table.records().is_empty()).await;
+    wait_until("accepted again", || !refused(&state)).await;
 }
--- a/crates/forward/tests/tables/follow.rs
+++ b/crates/forward/tests/tables/follow.rs
@@ -1,4 +1,4 @@
-//! Following the store's tables through its outages.
+//! Tests of the table readers during outages of the store.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -14,46 +14,46 @@
 use policy::routes::{CallerLimits, Catalog};
 use rstest::rstest;
 
-use crate::common::{Mute, until};
+use crate::common::{NoCallsDialect, wait_until};
 
-/// What a table answers to one question.
+/// The answer of a table to one request.
 enum Answer<T> {
     Records(Vec<(String, Option<T>)>),
-    Away,
+    Unavailable,
     Expired,
-    /// The store came back from an old copy.
-    Rewound,
-    /// The question is lost with its connection: no answer ever comes.
+    /// The store was restored from an old copy.
+    Restored,
+    /// The request is lost with its connection: no answer ever arrives.
     Lost,
 }
 
-/// A table with prepared answers; after the last one it has no more news.
+/// A table with prepared answers; after the last one it has no more changes.
 struct Table<T> {
     answers: RefCell<VecDeque<Answer<T>>>,
-    asked: Rc<Cell<usize>>,
+    requests: Rc<Cell<usize>>,
 }
 
 impl<T> Table<T> {
     fn new(answers: Vec<Answer<T>>) -> Self {
         Self {
             answers: RefCell::new(answers.into()),
-            asked: Rc::default(),
+            requests: Rc::default(),
         }
     }
 
     async fn answer(&self) -> Result<Changes<T>, SourceError> {
-        self.asked.set(self.asked.get() + 1);
+        self.requests.set(self.requests.get() + 1);
         let next = self.answers.borrow_mut().pop_front();
         let (step, peer) = ("read", "store".to_owned());
         match next {
             Some(Answer::Records(records)) => Ok(Changes { records, next: 1 }),
-            Some(Answer::Away) => Err(SourceError::Unavailable {
+            Some(Answer::Unavailable) => Err(SourceError::Unavailable {
                 step,
                 peer,
                 cause: "down".to_owned(),
             }),
             Some(Answer::Expired) => Err(SourceError::Expired { step, peer }),
-            Some(Answer::Rewound) => Err(SourceError::Rewound { step, peer }),
+            Some(Answer::Restored) => Err(SourceError::Rewound { step, peer }),
             Some(Answer::Lost) => std::future::pending().await,
             None => {
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -86,7 +86,7 @@
         "repeat_window_s": 10.0,
     });
     let settings: Settings = serde_json::from_value(text).expect("settings");
-    State::new(settings, Rc::new(Mute), Rc::new(SystemClock))
+    State::new(settings, Rc::new(NoCallsDialect), Rc::new(SystemClock))
 }
 
 fn catalog(version: u64) -> Answer<Catalog> {
@@ -101,14 +101,14 @@
 }
 
 fn server(id: &str) -> Answer<ServerRecord> {
-    Answer::Records(vec![(id.to_owned(), Some(listed(id, false)))])
+    Answer::Records(vec![(id.to_owned(), Some(record(id, false)))])
 }
 
-fn listed(id: &str, leaving: bool) -> ServerRecord {
+fn record(id: &str, leaving: bool) -> ServerRecord {
     ServerRecord {
         id: Rc::from(id),
         service: Rc::from("app"),
-        // No two servers stand at one address.
+        // Each server has its own address.
         addr: format!("127.0.0.1:{}", id.len())
             .parse()
             .expect("an address"),
@@ -123,30 +123,28 @@
     state.catalog.borrow().as_ref().map_or(0, |c| c.version)
 }
 
-/// The store goes down while it holds a question for the catalog, and comes
-/// back. The servers' question fails and is soon answered again; the
-/// catalog's was lost and would be waited for on and on, while callers are
-/// refused by the old catalog. The store's return for one table must have the
-/// other asked anew.
+/// Guards against a catalog reader that blocks on a request lost in an outage of the store,
+/// while callers are refused by the old catalog. The request for servers fails and is soon
+/// answered again; that recovery must make the catalog reader send its request again.
 #[actix_rt::test]
-async fn lost_question_asked_anew_when_the_store_is_back() {
+async fn lost_request_is_sent_again_after_recovery() {
     let state = state();
     let catalogs = Table::new(vec![catalog(1), Answer::Lost, catalog(2)]);
-    let servers = Table::new(vec![server("s1"), Answer::Away, server("s1")]);
+    let servers = Table::new(vec![server("s1"), Answer::Unavailable, server("s1")]);
     actix_rt::spawn(follow::catalogs(Rc::clone(&state), catalogs));
     actix_rt::spawn(follow::servers(Rc::clone(&state), servers));
-    until("the new catalog", || version(&state) == 2).await;
+    wait_until("the new catalog", || version(&state) == 2).await;
 }
 
-/// The store's history is gone and its table is older than what was read. A
-/// catalog that was in force must not go back.
+/// The store has lost its history, and its table is older than the data already read. The
+/// catalog in force must not revert.
 #[actix_rt::test]
-async fn catalog_never_goes_back() {
+async fn catalog_never_reverts() {
     let state = state();
     let catalogs = Table::new(vec![catalog(5), Answer::Expired, catalog(4), catalog(6)]);
     let seen = Rc::new(RefCell::new(Vec::new()));
     actix_rt::spawn(follow::catalogs(Rc::clone(&state), catalogs));
-    until("the newest catalog", || {
+    wait_until("the newest catalog", || {
         seen.borrow_mut().push(version(&state));
         version(&state) == 6
     })
@@ -154,16 +152,16 @@
     assert!(seen.borrow().is_sorted());
 }
 
-/// Guards against calls to a server that leaves, or has left, because the store
-/// came back from a copy in which it stays.
+/// Guards against calls to a server that is leaving or has left, after the store was
+/// restored from a copy in which it is still serving.
 #[actix_rt::test]
-async fn leaving_server_leaves_after_a_rewind() {
+async fn leaving_server_stays_leaving_after_restore() {
     let state = state();
     let table = |records: &[(&str, Option<bool>)]| {
-        let record = |(id, leaving): &(&str, Option<bool>)| {
-            (id.to_string(), leaving.map(|leaving| listed(id, leaving)))
+        let keyed = |(id, leaving): &(&str, Option<bool>)| {
+            (id.to_string(), leaving.map(|leaving| record(id, leaving)))
         };
-        Answer::Records(records.iter().map(record).collect())
+        Answer::Records(records.iter().map(keyed).collect())
     };
     let servers = Table::new(vec![
         table(&[
@@ -172,40 +170,40 @@
             ("stays", Some(false)),
         ]),
         table(&[("leaves", Some(true)), ("left", None)]),
-        Answer::Rewound,
+        Answer::Restored,
         table(&[
             ("leaves", Some(false)),
             ("left", Some(false)),
             ("stays", Some(false)),
         ]),
     ]);
-    let asked = Rc::clone(&servers.asked);
+    let requests = Rc::clone(&servers.requests);
     actix_rt::spawn(follow::servers(Rc::clone(&state), servers));
-    until("all is read", || asked.get() > 5).await;
+    wait_until("all answers are read", || requests.get() > 5).await;
     let serving = state.balance.borrow().serving("app");
     let names: Vec<&str> = serving.iter().map(|(s, _)| &*s.id).collect();
     assert_eq!(names, ["stays"]);
 }
 
-/// The store is away from the start. The entry is not ready, and asks on
-/// until it has both tables.
+/// The store is unavailable at the start. The entry retries until it has both tables, and
+/// is not ready before.
 #[actix_rt::test]
 async fn ready_only_with_both_tables() {
     let state = state();
-    let catalogs = Table::new(vec![Answer::Away, catalog(1)]);
-    let servers = Table::new(vec![Answer::Away, Answer::Away, server("s1")]);
+    let catalogs = Table::new(vec![Answer::Unavailable, catalog(1)]);
+    let servers = Table::new(vec![Answer::Unavailable, Answer::Unavailable, server("s1")]);
     assert!(!state.ready());
     actix_rt::spawn(follow::catalogs(Rc::clone(&state), catalogs));
-    until("the catalog", || version(&state) == 1).await;
+    wait_until("the catalog", || version(&state) == 1).await;
     assert!(!state.ready());
     actix_rt::spawn(follow::servers(Rc::clone(&state), servers));
-    until("ready", || state.ready()).await;
+    wait_until("ready", || state.ready()).await;
 }
 
-/// The store is back, but the servers' entries lapsed while it was away, and
-/// each is written anew at another moment within two seconds. A fresh entry
-/// refuses every call until it has read them, so it must ask several times in
-/// each of these seconds; on a calm day that would only cost calls.
+/// After an outage in which the servers' records expired, each server registers again at
+/// its own time within two seconds. An entry that has just started refuses every call until
+/// it has read them, so it must read several times a second; in normal operation, that would
+/// only cost calls.
 #[test]
 fn servers_read_often_after_an_outage() {
     for entries in [0, 3, 100] {
@@ -215,8 +213,8 @@
     assert!(follow::poll_delay(false, 100) > follow::poll_delay(false, 3));
 }
 
-/// The store is away for seconds. The first questions follow each other soon,
-/// the later ones four times as slowly.
+/// In an outage of a few seconds, the first retries follow quickly, and the later ones at
+/// four times the first delay.
 #[rstest]
 #[case::first(1, 150)]
 #[case::second(2, 300)]
--- a/crates/forward/tests/tables/main.rs
+++ b/crates/forward/tests/tables/main.rs
@@ -1,5 +1,4 @@
-//! Keeping level with the store's tables, through its outages and those of
-//! neighbours.
+//! Replication of the store's tables during outages of the store and of neighbours.
 
 mod common;
 mod crashes;
--- a/crates/forward/tests/tables/neighbours.rs
+++ b/crates/forward/tests/tables/neighbours.rs
@@ -1,4 +1,4 @@
-//! Entries that tell each other what the store's tables say.
+//! Tests of entries that copy the store's tables from each other.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,33 +16,33 @@
 use policy::routes::{CallerLimits, Catalog};
 use tokio::net::TcpListener;
 
-use crate::common::{Mute, PATIENCE, until};
+use crate::common::{NoCallsDialect, TEST_TIMEOUT, wait_until};
 
 /// A table of one record in a store that all entries share.
 #[derive(Clone)]
 struct Table<T> {
     record: Rc<RefCell<(u64, T)>>,
-    /// Whether this entry reaches the store.
-    away: Rc<Cell<bool>>,
-    /// Questions of this entry.
-    asked: Rc<Cell<usize>>,
+    /// Whether the store is unavailable to this entry.
+    unavailable: Rc<Cell<bool>>,
+    /// Number of requests of this entry.
+    requests: Rc<Cell<usize>>,
 }
 
 impl<T: Clone> Table<T> {
     fn new(value: T) -> Self {
         Self {
             record: Rc::new(RefCell::new((1, value))),
-            away: Rc::default(),
-            asked: Rc::default(),
+            unavailable: Rc::default(),
+            requests: Rc::default(),
         }
     }
 
-    /// The same table, as another entry reaches it.
-    fn elsewhere(&self) -> Self {
+    /// The same table with its own availability, for another entry.
+    fn for_another_entry(&self) -> Self {
         Self {
             record: Rc::clone(&self.record),
-            away: Rc::default(),
-            asked: Rc::default(),
+            unavailable: Rc::default(),
+            requests: Rc::default(),
         }
     }
 
@@ -52,9 +52,9 @@
     }
 
     async fn answer(&self, from: u64) -> Result<Changes<T>, SourceError> {
-        self.asked.set(self.asked.get() + 1);
+        self.requests.set(self.requests.get() + 1);
         tokio::time::sleep(Duration::from_millis(20)).await;
-        if self.away.get() {
+        if self.unavailable.get() {
             let (step, peer, cause) = ("read", "store".to_owned(), "down".to_owned());
             return Err(SourceError::Unavailable { step, peer, cause });
         }
@@ -79,7 +79,7 @@
     }
 }
 
-/// A catalog by its version; these tests need no more of it.
+/// A catalog, represented by its version, which is all that these tests need.
 #[derive(Clone)]
 struct Version(u64);
 
@@ -119,7 +119,7 @@
     }
 }
 
-/// An entry, with the store as it reaches it.
+/// An entry with its connections to the store.
 struct Entry {
     state: Rc<State>,
     addr: SocketAddr,
@@ -128,14 +128,14 @@
 }
 
 impl Entry {
-    /// Starts an entry that asks neighbours; `answers` says whether it answers
-    /// them, or takes their connections and says nothing.
+    /// Starts an entry that polls neighbours. With `answers` it also answers them; otherwise
+    /// it accepts their connections and sends nothing.
     async fn start(catalog: Table<Version>, servers: Table<ServerRecord>, answers: bool) -> Self {
-        Self::start_by(Rc::new(SystemClock), catalog, servers, answers).await
+        Self::start_with_clock(Rc::new(SystemClock), catalog, servers, answers).await
     }
 
-    /// The same by a clock of the test's.
-    async fn start_by(
+    /// [`Entry::start`] with a given clock.
+    async fn start_with_clock(
         clock: Rc<dyn Clock>,
         catalog: Table<Version>,
         servers: Table<ServerRecord>,
@@ -150,7 +150,7 @@
             "repeat_window_s": 10.0, "link_mbps": 10.0,
         });
         let settings: Settings = serde_json::from_value(text).expect("settings");
-        let state = State::new(settings, Rc::new(Mute), clock);
+        let state = State::new(settings, Rc::new(NoCallsDialect), clock);
         actix_rt::spawn(follow::catalogs(
             Rc::clone(&state),
             Catalogs(catalog.clone()),
@@ -178,16 +178,16 @@
         }
     }
 
-    /// Has the entry hear `first`, which has a wider link, and enough
-    /// silent ones for a zone that shares.
-    fn hear(&self, first: &Entry) {
-        let until = Instant::now() + PATIENCE;
+    /// Makes `first`, which has a wider link, known to the entry, and enough silent entries
+    /// that the zone shares reads.
+    fn observe_entries(&self, first: &Entry) {
+        let expires_at = Instant::now() + TEST_TIMEOUT;
         let mut readers = self.state.readers.borrow_mut();
-        readers.observe(first.addr, Rank::new(0, first.addr, u32::MAX), until);
+        readers.observe(first.addr, Rank::new(0, first.addr, u32::MAX), expires_at);
         for n in 2..=MIN_SHARING_ENTRIES {
             let n = u8::try_from(n).expect("a few");
             let addr = SocketAddr::from(([127, 0, 0, n], 1));
-            readers.observe(addr, Rank::new(0, addr, 0), until);
+            readers.observe(addr, Rank::new(0, addr, 0), expires_at);
         }
     }
 
@@ -199,8 +199,8 @@
             .map_or(0, |c| c.version)
     }
 
-    fn asked(&self) -> usize {
-        self.catalog.asked.get() + self.servers.asked.get()
+    fn requests(&self) -> usize {
+        self.catalog.requests.get() + self.servers.requests.get()
     }
 
     fn server_open(&self) -> bool {
@@ -212,93 +212,107 @@
     (Table::new(Version(1)), Table::new(server(false)))
 }
 
-/// An entry starts while the store turns it away and serves others. Without a
-/// neighbour it would know no route and refuse every caller until the store
-/// takes it back.
+/// An entry starts while the store is unavailable to it but not to others. Without a
+/// neighbour it would know no route and refuse every caller until it reaches the store.
 #[actix_rt::test]
-async fn turned_away_entry_learns_from_a_neighbour() {
+async fn entry_without_store_copies_from_neighbour() {
     let (catalog, servers) = tables();
     let first = Entry::start(catalog.clone(), servers.clone(), true).await;
-    let (catalog, servers) = (catalog.elsewhere(), servers.elsewhere());
-    catalog.away.set(true);
-    servers.away.set(true);
+    let (catalog, servers) = (catalog.for_another_entry(), servers.for_another_entry());
+    catalog.unavailable.set(true);
+    servers.unavailable.set(true);
     let other = Entry::start(catalog, servers, true).await;
-    other.hear(&first);
-    until("ready", || other.state.ready()).await;
+    other.observe_entries(&first);
+    wait_until("ready", || other.state.ready()).await;
     assert!(other.server_open());
 
-    // And it stays level: an entry that is cut off from the store is told of
-    // each change and of the server that leaves.
+    // The copies stay current: the entry gets later changes too, such as a server that
+    // starts to leave.
     first.catalog.write(Version(2));
     first.servers.write(server(true));
-    until("the new catalog", || other.version() == 2).await;
-    until("the server leaves", || !other.server_open()).await;
+    wait_until("the new catalog", || other.version() == 2).await;
+    wait_until("the server leaves", || !other.server_open()).await;
 }
 
-/// A neighbour reads both tables. While it does, others have nothing to ask
-/// the store: that calls grow with the number of entries is what is to be
-/// prevented. The clock stands still, so that no copy grows too old however
-/// slowly the machine runs this.
+/// Guards against calls to the store that grow with the number of entries: while a neighbour
+/// reads both tables, the others send the store no requests. The clock is stopped, so that
+/// no copy becomes too old on a slow machine.
 #[actix_rt::test]
-async fn store_is_read_by_one() {
+async fn only_one_entry_reads_the_store() {
     let (catalog, servers) = tables();
     let clock: Rc<dyn Clock> = Rc::new(ManualClock::new());
-    let start = |catalog, servers| Entry::start_by(Rc::clone(&clock), catalog, servers, true);
+    let start =
+        |catalog, servers| Entry::start_with_clock(Rc::clone(&clock), catalog, servers, true);
     let first = start(catalog.clone(), servers.clone()).await;
-    until("the first is ready", || first.state.ready()).await;
+    wait_until("the first is ready", || first.state.ready()).await;
     let mut others = Vec::new();
     for _ in 0..3 {
-        let other = start(catalog.elsewhere(), servers.elsewhere()).await;
-        other.hear(&first);
+        let other = start(catalog.for_another_entry(), servers.for_another_entry()).await;
+        other.observe_entries(&first);
         others.push(other);
     }
-    until("all are ready", || others.iter().all(|o| o.state.ready())).await;
-    // A question that was out when the neighbour was heard still ends.
-    let settled = first.asked() + 20;
-    until("they settle", || first.asked() >= settled).await;
-    let before: Vec<usize> = others.iter().map(Entry::asked).collect();
-    let later = first.asked() + 100;
-    until("the first reads on", || first.asked() >= later).await;
-    let after: Vec<usize> = others.iter().map(Entry::asked).collect();
+    wait_until("all are ready", || others.iter().all(|o| o.state.ready())).await;
+    // Requests that were in flight when the neighbour became known still finish.
+    let target = first.requests() + 20;
+    wait_until("requests in flight have finished", || {
+        first.requests() >= target
+    })
+    .await;
+    let before: Vec<usize> = others.iter().map(Entry::requests).collect();
+    let later = first.requests() + 100;
+    wait_until("the first entry continues to read", || {
+        first.requests() >= later
+    })
+    .await;
+    let after: Vec<usize> = others.iter().map(Entry::requests).collect();
     assert_eq!(before, after);
 }
 
-/// The neighbour's host goes dark: its connections stay open and nothing comes
-/// over them. A catalog that the operators publish then has to be in force all
-/// the same, so the entry must not wait for that neighbour for long.
+/// The neighbour's host fails silently: its connections stay open but carry no data. A newly
+/// published catalog still has to come into force, so the entry must time out and read it
+/// from another source.
 #[actix_rt::test]
-async fn silent_neighbour_is_not_waited_for() {
+async fn silent_neighbour_times_out() {
     let (catalog, servers) = tables();
     let first = Entry::start(catalog.clone(), servers.clone(), false).await;
-    let other = Entry::start(catalog.elsewhere(), servers.elsewhere(), true).await;
-    other.hear(&first);
-    until("ready", || other.state.ready()).await;
+    let other = Entry::start(
+        catalog.for_another_entry(),
+        servers.for_another_entry(),
+        true,
+    )
+    .await;
+    other.observe_entries(&first);
+    wait_until("ready", || other.state.ready()).await;
     catalog.write(Version(2));
-    until("the new catalog", || other.version() == 2).await;
+    wait_until("the new catalog", || other.version() == 2).await;
 }
 
-/// The neighbour alone loses the store and goes on answering with what it
-/// read last. Operators publish a catalog and a server leaves: an entry that
-/// believed the neighbour would never hear of either.
+/// Only the neighbour loses the store, and it continues to answer with its last copies. An
+/// entry that relied on it would miss a newly published catalog and a leaving server.
 #[actix_rt::test]
-async fn neighbour_without_store_does_not_hold_others_back() {
+async fn neighbour_without_store_is_not_relied_on() {
     let (catalog, servers) = tables();
     let first = Entry::start(catalog.clone(), servers.clone(), true).await;
-    let other = Entry::start(catalog.elsewhere(), servers.elsewhere(), true).await;
-    other.hear(&first);
-    until("both are ready", || {
+    let other = Entry::start(
+        catalog.for_another_entry(),
+        servers.for_another_entry(),
+        true,
+    )
+    .await;
+    other.observe_entries(&first);
+    wait_until("both are ready", || {
         first.state.ready() && other.state.ready()
     })
     .await;
-    first.catalog.away.set(true);
-    first.servers.away.set(true);
+    first.catalog.unavailable.set(true);
+    first.servers.unavailable.set(true);
     catalog.write(Version(2));
     servers.write(server(true));
-    until("the new catalog", || other.version() == 2).await;
-    until("the server leaves", || !other.server_open()).await;
-    // What the neighbour says from now on is old.
-    let asked = other.asked();
-    until("it reads on", || other.asked() > asked + 4).await;
+    wait_until("the new catalog", || other.version() == 2).await;
+    wait_until("the server leaves", || !other.server_open()).await;
+    // From here on, the neighbour's answers are outdated and must not replace the copies.
+    let requests = other.requests();
+    wait_until("it continues to read", || other.requests() > requests + 4).await;
     assert_eq!(other.version(), 2);
     assert!(!other.server_open());
 }
