--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -298,7 +298,9 @@
         Some(age) if snapshot && age < REWRITE_WINDOW => {
             let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
             let seen_ms = state.clock.wall_ms().saturating_sub(age);
-            info!("crash missing from the store; writing it again", kv: { crash = crash.to_string().as_str() });
+            info!("crash missing from the store; writing it again", kv: {
+                crash = crash.to_string().as_str()
+            });
             state.crashes.queue_write(crash, Some(seen_ms));
         }
         _ => state.crashes.suspects.borrow_mut().remove_crash(crash),
--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -67,7 +67,7 @@
                 client = poll(&state, addr, client).await;
                 POLL_DELAY
             }
-            // Without a neighbour, `follow` reads from the store.
+            // Without a neighbour, `crate::follow` reads from the store.
             None => {
                 client = None;
                 if age.is_some() {
--- a/crates/forward/src/reload.rs
+++ b/crates/forward/src/reload.rs
@@ -43,9 +43,7 @@
         match read {
             Ok(new) => self.apply(new),
             // The file may be partially written; the current settings stay in force.
-            Err(e) => {
-                warn!("reloading settings failed; current settings stay in force", kv: { cause = e.to_string().as_str() })
-            }
+            Err(e) => warn!("settings reload failed", kv: { cause = e.to_string().as_str() }),
         }
     }
 
--- a/crates/forward/tests/tables/neighbours.rs
+++ b/crates/forward/tests/tables/neighbours.rs
@@ -254,16 +254,10 @@
     wait_until("all are ready", || others.iter().all(|o| o.state.ready())).await;
     // Requests that were in flight when the neighbour became known still finish.
     let target = first.requests() + 20;
-    wait_until("requests in flight have finished", || {
-        first.requests() >= target
-    })
-    .await;
+    wait_until("in-flight requests end", || first.requests() >= target).await;
     let before: Vec<usize> = others.iter().map(Entry::requests).collect();
     let later = first.requests() + 100;
-    wait_until("the first entry continues to read", || {
-        first.requests() >= later
-    })
-    .await;
+    wait_until("first keeps reading", || first.requests() >= later).await;
     let after: Vec<usize> = others.iter().map(Entry::requests).collect();
     assert_eq!(before, after);
 }
