--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -220,7 +220,9 @@
         match base::listen("tables", state.settings.gossip).await {
             Ok(listener) => return answer_requests(listener, state, end).await,
             Err(e) if !warned => {
-                warn!("port for neighbours not bound; retrying", kv: { cause = e.to_string().as_str() });
+                warn!("port for neighbours not bound; retrying", kv: {
+                    cause = e.to_string().as_str()
+                });
                 warned = true;
             }
             Err(_) => {}
