--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -67,7 +67,7 @@
                 client = poll(&state, addr, client).await;
                 POLL_DELAY
             }
-            // Without a neighbour, `follow` reads from the store.
+            // Without a neighbour, `crate::follow` reads from the store.
             None => {
                 client = None;
                 if age.is_some() {
@@ -223,7 +223,9 @@
         match base::listen("tables", state.settings.gossip).await {
             Ok(listener) => return answer_requests(listener, state, end).await,
             Err(e) if !warned => {
-                warn!("port for neighbours not bound; retrying", kv: { cause = e.to_string().as_str() });
+                warn!("port for neighbours not bound; retrying", kv: {
+                    cause = e.to_string().as_str()
+                });
                 warned = true;
             }
             Err(_) => {}
