--- a/crates/forward/src/grants.rs
+++ b/crates/forward/src/grants.rs
@@ -1,7 +1,7 @@
-//! Asking the sidecar beside an engine whether a call may be sent there now.
+//! Asks the sidecar next to an engine whether a call may be sent to the engine now.
 //!
-//! A sidecar that says nothing, since it or its link is gone, decides nothing:
-//! the entry goes by its own estimate until it is heard again.
+//! A sidecar that does not respond, because it or its link has failed, must not block
+//! calls: the entry uses its own estimate until the sidecar responds again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,144 +17,145 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use wire::grants::{self, AdmissionRequest, GrantResponse, PrefixLookup, RequestKind, Verdict};
 
-/// How long an answer is waited for before the question is sent again. It
-/// takes a millisecond or two each way and some of a thin host's processor.
-const ANSWER: Duration = Duration::from_millis(20);
+/// Time to wait for an answer before the request is sent again. An answer takes a
+/// millisecond or two each way, plus processor time on a small host.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// The same once the sidecar has the call in its queue.
-const QUEUED: Duration = Duration::from_millis(100);
+/// Time to wait for the next answer once the sidecar has queued the call.
+const QUEUED_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long an answer to a look is waited for, once: reading a prompt costs
-/// little more.
-const LOOK: Duration = Duration::from_millis(10);
+/// Timeout of a prefix lookup, which is sent only once: the prefill of a prompt
+/// costs little more than a second attempt.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// How long an answer is waited for that says how busy an engine is. No caller
-/// waits for it.
-const BUSY: Duration = Duration::from_millis(200);
+/// Timeout of a utilization request. No caller waits for the answer.
+const UTILIZATION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Questions without any answer after which a sidecar counts as silent.
-const TRIES: u32 = 3;
+/// Unanswered requests after which a sidecar counts as not responding.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// How long a silent sidecar is not asked; it doubles each time. A call that
-/// asks in vain has lost 60 ms.
-const SILENT_FIRST: Duration = Duration::from_secs(1);
+/// Initial time for which a sidecar that did not respond gets no admission requests.
+/// It doubles with each failure. A call whose requests are not answered loses 60 ms.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The longest time for which a silent sidecar is not asked.
-const SILENT_MOST: Duration = Duration::from_secs(8);
+/// Maximum time for which a sidecar that did not respond gets no admission requests.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// The pause after a socket's failure.
-const RETRY: Duration = Duration::from_millis(20);
+/// Delay after a failure to receive from the socket.
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The sidecars, as an entry talks to them.
+/// An entry's connection to the sidecars of all engines.
 #[derive(Debug)]
 pub struct SidecarClient {
     socket: UdpSocket,
-    /// The port at which each of them listens on its engine's host.
+    /// The port on which each sidecar listens on its engine's host.
     port: u16,
     incarnation: u64,
-    next: Cell<u32>,
-    /// Calls that wait for an answer, by their numbers.
-    asked: RefCell<HashMap<u32, UnboundedSender<GrantResponse>>>,
-    /// Sidecars that said nothing, by their hosts.
-    silent: RefCell<HashMap<IpAddr, Silence>>,
+    next_number: Cell<u32>,
+    /// Calls and lookups that wait for an answer, by number.
+    pending: RefCell<HashMap<u32, UnboundedSender<GrantResponse>>>,
+    /// Sidecars that did not respond, by host.
+    backoffs: RefCell<HashMap<IpAddr, Backoff>>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Silence {
-    times: u32,
-    until: Instant,
+struct Backoff {
+    failures: u32,
+    ends_at: Instant,
 }
 
-/// What a sidecar has decided.
+/// A sidecar's decision about a call.
 #[derive(Debug)]
 pub enum AdmissionDecision {
     /// The call may be sent.
     Granted(Grant, CachedPrefix),
-    /// Its first event would take this long.
+    /// The call may not be sent; its first event would take this long.
     Refused(Duration, CachedPrefix),
-    /// The life of the engine that was meant has ended.
+    /// The addressed incarnation of the engine has ended.
     ServerGone,
-    /// The engine is about to end and takes no new calls.
+    /// The engine is draining and accepts no new calls.
     Leaving,
-    /// The sidecar says nothing.
+    /// The sidecar did not respond.
     NoResponse,
 }
 
-/// What an engine holds of a call's prompt.
+/// The cached prefix of a call's prompt at an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CachedPrefix {
-    /// Tokens from the prompt's start.
+    /// Tokens from the start of the prompt.
     pub tokens: u32,
-    /// Whether the engine should rather fetch the others than read them.
+    /// Whether the engine should fetch the remaining tokens from another engine
+    /// instead of computing them by prefill.
     pub prefer_fetch: bool,
 }
 
-/// The right to send one call to one engine. Dropping it tells the sidecar
-/// that the call has ended or will not come.
+/// The permission to send one call to one engine. Dropping it tells the sidecar
+/// that the call has ended or will not be sent.
 #[derive(Debug)]
 pub struct Grant {
     sidecars: Rc<SidecarClient>,
     to: SocketAddr,
     number: u32,
-    /// The longest pause between two events of its stream.
-    pause: Cell<Duration>,
+    /// The longest gap between two events of the call's stream.
+    max_gap: Cell<Duration>,
 }
 
 impl Grant {
-    /// Tells the sidecar that the call has its first event.
+    /// Tells the sidecar that the call has received its first event.
     pub fn report_first_event(&self) {
         self.sidecars
-            .tell(self.to, self.number, RequestKind::FirstEvent);
+            .send(self.to, self.number, RequestKind::FirstEvent);
     }
 
-    /// Tells the sidecar that the call fetches what another engine holds of
-    /// the first `source` tokens of its prompt.
-    pub fn report_fetch(&self, source: u32) {
+    /// Tells the sidecar that the engine fetches the first `remote_tokens` tokens of
+    /// the call's prompt from the cache of another engine.
+    pub fn report_fetch(&self, remote_tokens: u32) {
         self.sidecars
-            .tell(self.to, self.number, RequestKind::Fetching(source));
+            .send(self.to, self.number, RequestKind::Fetching(remote_tokens));
     }
 
-    /// Tells the sidecar that the engine has refused the call as meant for
-    /// another life than `server`.
+    /// Tells the sidecar that the engine has refused the call because the
+    /// incarnation `server` has ended.
     pub fn report_gone(&self, server: &ServerRecord) {
         let gone = RequestKind::ServerGone {
             server: server.id.to_string(),
             started_ms: server.started_ms,
         };
-        self.sidecars.tell(self.to, self.number, gone);
+        self.sidecars.send(self.to, self.number, gone);
     }
 
-    /// Notes a pause between two events of its stream.
-    pub fn record_gap(&self, pause: Duration) {
-        self.pause.set(self.pause.get().max(pause));
+    /// Records the gap between two events of the call's stream.
+    pub fn record_gap(&self, gap: Duration) {
+        self.max_gap.set(self.max_gap.get().max(gap));
     }
 }
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        self.sidecars.asked.borrow_mut().remove(&self.number);
-        let pause = self.pause.get().as_millis();
-        let pause_ms = u32::try_from(pause).unwrap_or(u32::MAX);
+        self.sidecars.pending.borrow_mut().remove(&self.number);
+        let max_gap = self.max_gap.get().as_millis();
+        let pause_ms = u32::try_from(max_gap).unwrap_or(u32::MAX);
         self.sidecars
-            .tell(self.to, self.number, RequestKind::Ended { pause_ms });
+            .send(self.to, self.number, RequestKind::Ended { pause_ms });
     }
 }
 
-/// Forgets a question once it is answered or nobody waits for it any more;
-/// callers that leave meanwhile would otherwise each leave an entry behind.
-struct Looking<'a> {
+/// Removes a request from the pending ones once it is answered or nobody waits for the
+/// answer any more. Without it, each caller that disconnects while it waits would leak
+/// an entry of the map.
+struct PendingRequest<'a> {
     sidecars: &'a SidecarClient,
     number: u32,
 }
 
-impl Drop for Looking<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.sidecars.asked.borrow_mut().remove(&self.number);
+        self.sidecars.pending.borrow_mut().remove(&self.number);
     }
 }
 
 impl SidecarClient {
-    /// Binds to `addr`, on whose port the sidecars listen too.
+    /// Binds to `addr`; the sidecars listen on the same port.
     ///
     /// # Errors
     ///
@@ -164,51 +165,52 @@
             socket: UdpSocket::bind(addr).await?,
             port: addr.port(),
             incarnation: Incarnation::random().0,
-            next: Cell::new(0),
-            asked: RefCell::default(),
-            silent: RefCell::default(),
+            next_number: Cell::new(0),
+            pending: RefCell::default(),
+            backoffs: RefCell::default(),
         });
-        actix_rt::spawn(Rc::clone(&sidecars).listen());
+        actix_rt::spawn(Rc::clone(&sidecars).receive());
         Ok(sidecars)
     }
 
-    /// Asks the sidecar beside `server` and waits until it has decided.
+    /// Asks the sidecar next to `server` to admit a call and waits for its decision.
     pub async fn request_admission(
         self: &Rc<Self>,
         now: Instant,
         server: &ServerRecord,
-        want: AdmissionRequest,
+        request: AdmissionRequest,
     ) -> AdmissionDecision {
         let host = server.addr.ip();
         if self
-            .silent
+            .backoffs
             .borrow()
             .get(&host)
-            .is_some_and(|s| now < s.until)
+            .is_some_and(|b| now < b.ends_at)
         {
             return AdmissionDecision::NoResponse;
         }
-        let (number, mut answers) = self.asking();
-        // Also tells the sidecar when the caller leaves while it waits.
+        let (number, mut answers) = self.register_request();
+        // Dropping the grant also tells the sidecar if the caller disconnects while
+        // it waits for the decision.
         let grant = Grant {
             sidecars: Rc::clone(self),
             to: SocketAddr::new(host, self.port),
             number,
-            pause: Cell::default(),
+            max_gap: Cell::default(),
         };
-        let Some(answer) = self.decide(&grant, &want, &mut answers).await else {
-            self.note_silent(now, host);
+        let Some(answer) = self.await_decision(&grant, &request, &mut answers).await else {
+            self.start_backoff(now, host);
             return AdmissionDecision::NoResponse;
         };
-        self.silent.borrow_mut().remove(&host);
-        let held = CachedPrefix {
+        self.backoffs.borrow_mut().remove(&host);
+        let cached = CachedPrefix {
             tokens: answer.cached_tokens,
             prefer_fetch: answer.prefer_fetch,
         };
         match answer.verdict {
-            Verdict::Granted => AdmissionDecision::Granted(grant, held),
+            Verdict::Granted => AdmissionDecision::Granted(grant, cached),
             Verdict::Refused(ms) | Verdict::Queued(ms) => {
-                AdmissionDecision::Refused(Duration::from_millis(u64::from(ms)), held)
+                AdmissionDecision::Refused(Duration::from_millis(u64::from(ms)), cached)
             }
             Verdict::ServerGone => AdmissionDecision::ServerGone,
             Verdict::Leaving => AdmissionDecision::Leaving,
@@ -216,129 +218,134 @@
         }
     }
 
-    /// How many tokens from the start of a prompt the engine beside a sidecar
-    /// holds; 0 when the sidecar does not say so at once.
+    /// The number of tokens from the start of a prompt that `server` has in its KV
+    /// cache; 0 if its sidecar does not answer at once.
     pub async fn lookup_prefix(&self, server: &ServerRecord, prompt_parts: Vec<(u64, u32)>) -> u32 {
-        let (number, mut answers) = self.asking();
-        let _open = Looking {
+        let (number, mut answers) = self.register_request();
+        let _pending = PendingRequest {
             sidecars: self,
             number,
         };
-        let look = PrefixLookup {
+        let lookup = PrefixLookup {
             server: server.id.to_string(),
             prompt_parts,
         };
         let to = SocketAddr::new(server.addr.ip(), self.port);
-        self.tell(to, number, RequestKind::Lookup(look));
-        let answer = tokio::time::timeout(LOOK, answers.recv()).await;
+        self.send(to, number, RequestKind::Lookup(lookup));
+        let answer = tokio::time::timeout(LOOKUP_TIMEOUT, answers.recv()).await;
         answer.ok().flatten().map_or(0, |a| a.cached_tokens)
     }
 
-    /// The part of its time, slots or memory that calls take of the engine
-    /// beside the sidecar on `host`; none when the sidecar does not say.
+    /// The utilization of the engine next to the sidecar on `host`: the fraction of its
+    /// time, slots or memory that calls use. None if the sidecar does not answer.
     pub async fn utilization(&self, host: IpAddr) -> Option<f64> {
-        let (number, mut answers) = self.asking();
-        let _open = Looking {
+        let (number, mut answers) = self.register_request();
+        let _pending = PendingRequest {
             sidecars: self,
             number,
         };
-        self.tell(
+        self.send(
             SocketAddr::new(host, self.port),
             number,
             RequestKind::Utilization,
         );
-        let answer = tokio::time::timeout(BUSY, answers.recv()).await;
+        let answer = tokio::time::timeout(UTILIZATION_TIMEOUT, answers.recv()).await;
         match answer.ok().flatten()?.verdict {
             Verdict::Utilization(thousandths) => Some(f64::from(thousandths) / 1e3),
             _ => None,
         }
     }
 
-    /// The number of a new question, and where its answers come.
-    fn asking(&self) -> (u32, UnboundedReceiver<GrantResponse>) {
-        let number = self.next.get();
-        self.next.set(number.wrapping_add(1));
+    /// Allocates the number of a new request, and the channel for its answers.
+    fn register_request(&self) -> (u32, UnboundedReceiver<GrantResponse>) {
+        let number = self.next_number.get();
+        self.next_number.set(number.wrapping_add(1));
         let (sender, answers) = unbounded_channel();
-        self.asked.borrow_mut().insert(number, sender);
+        self.pending.borrow_mut().insert(number, sender);
         (number, answers)
     }
 
-    /// The sidecar's last word; none when it says nothing.
-    async fn decide(
+    /// Sends the admission request until the sidecar has decided; none if it does not
+    /// respond.
+    async fn await_decision(
         &self,
         grant: &Grant,
-        want: &AdmissionRequest,
+        request: &AdmissionRequest,
         answers: &mut UnboundedReceiver<GrantResponse>,
     ) -> Option<GrantResponse> {
-        let mut wait = ANSWER;
-        let mut tries = 0;
-        while tries < TRIES {
-            self.tell(grant.to, grant.number, RequestKind::Admission(want.clone()));
-            tries += 1;
+        let mut wait = ANSWER_TIMEOUT;
+        let mut attempts = 0;
+        while attempts < MAX_ATTEMPTS {
+            self.send(
+                grant.to,
+                grant.number,
+                RequestKind::Admission(request.clone()),
+            );
+            attempts += 1;
             match tokio::time::timeout(wait, answers.recv()).await {
                 Err(_) => {}
-                Ok(Some(answer)) if queued(&answer) => {
-                    wait = QUEUED;
-                    tries = 0;
-                    // What follows is the end of the wait, or nothing until
-                    // it is time to ask again.
+                Ok(Some(answer)) if is_queued(&answer) => {
+                    wait = QUEUED_TIMEOUT;
+                    attempts = 0;
+                    // The next message is the final decision, unless the timeout
+                    // passes and the request is sent again.
                     match tokio::time::timeout(wait, answers.recv()).await {
                         Err(_) => {}
-                        Ok(Some(answer)) if queued(&answer) => {}
-                        Ok(last) => return last,
+                        Ok(Some(answer)) if is_queued(&answer) => {}
+                        Ok(decision) => return decision,
                     }
                 }
-                Ok(last) => return last,
+                Ok(decision) => return decision,
             }
         }
         None
     }
 
-    fn note_silent(&self, now: Instant, host: IpAddr) {
-        let mut silent = self.silent.borrow_mut();
-        let times = silent.get(&host).map_or(0, |s| s.times);
-        let doubled = SILENT_FIRST.saturating_mul(1 << times.min(8));
-        let until = now + doubled.min(SILENT_MOST);
-        silent.insert(
+    fn start_backoff(&self, now: Instant, host: IpAddr) {
+        let mut backoffs = self.backoffs.borrow_mut();
+        let failures = backoffs.get(&host).map_or(0, |b| b.failures);
+        let delay = INITIAL_BACKOFF.saturating_mul(1 << failures.min(8));
+        let ends_at = now + delay.min(MAX_BACKOFF);
+        backoffs.insert(
             host,
-            Silence {
-                times: times + 1,
-                until,
+            Backoff {
+                failures: failures + 1,
+                ends_at,
             },
         );
-        info!("sidecar silent", kv: { host = host.to_string().as_str(), times = times + 1 });
+        info!("sidecar not responding", kv: { host = host.to_string().as_str(), times = failures + 1 });
     }
 
-    fn tell(&self, to: SocketAddr, call_number: u32, kind: RequestKind) {
-        let ask = grants::GrantRequest {
+    fn send(&self, to: SocketAddr, call_number: u32, kind: RequestKind) {
+        let request = grants::GrantRequest {
             incarnation: self.incarnation,
             call_number,
             kind,
         };
-        // One that cannot be sent is like one that is lost.
-        let _ = self.socket.try_send_to(&grants::encode(&ask), to);
+        // A datagram that cannot be sent is treated like one that is lost.
+        let _ = self.socket.try_send_to(&grants::encode(&request), to);
     }
 
-    async fn listen(self: Rc<Self>) {
+    async fn receive(self: Rc<Self>) {
         let mut buffer = vec![0; grants::MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
-                Ok(got) => got,
+                Ok(received) => received,
                 Err(e) => {
-                    // A host without a sidecar refuses; whoever asked it is
-                    // not answered in time.
+                    // A host without a sidecar answers with an ICMP error, which
+                    // surfaces here; the request itself runs into its timeout.
                     metrics::counter!("pimentocart_grant_errors_total").increment(1);
                     if e.kind() != io::ErrorKind::ConnectionRefused {
-                        tokio::time::sleep(RETRY).await;
+                        tokio::time::sleep(SOCKET_RETRY_DELAY).await;
                     }
                     continue;
                 }
             };
             match grants::decode::<GrantResponse>(&buffer[..length]) {
                 Ok(answer) => {
-                    if let Some(asker) = self.asked.borrow().get(&answer.call_number) {
-                        // A call that is answered already waits no more.
-                        let _ = asker.send(answer);
+                    if let Some(sender) = self.pending.borrow().get(&answer.call_number) {
+                        // A call that already has its decision has dropped its receiver.
+                        let _ = sender.send(answer);
                     }
                 }
                 Err(e) => warn!("message not understood", kv: {
@@ -349,6 +356,6 @@
     }
 }
 
-fn queued(answer: &GrantResponse) -> bool {
+fn is_queued(answer: &GrantResponse) -> bool {
     matches!(answer.verdict, Verdict::Queued(_))
 }
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the operators set.
+//! Settings of an entry for routed calls.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,87 +8,87 @@
 use policy::repeat_budget;
 use serde::{Deserialize, Serialize};
 
-/// Part of the grace time that is left for closing connections once calls in
-/// progress were waited for.
-const CLOSE_SHARE: f64 = 0.06;
+/// Fraction of the grace period that is reserved for closing connections after the
+/// entry has waited for the calls in progress.
+const CLOSE_FRACTION: f64 = 0.06;
 
 /// Settings of an entry for routed calls.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The daemon's name, for logs.
+    /// Name of the daemon in logs.
     pub name: String,
-    /// The availability zone that it stands in.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether to send new connections.
+    /// Address for the load balancer's readiness probes.
     pub ready: SocketAddr,
-    /// The path that the balancer asks for.
+    /// Path of the readiness probes.
     pub ready_path: String,
-    /// Where metrics are scraped, if anywhere.
+    /// Address at which metrics are scraped, if any.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Where other entries tell this one what they have in progress. Where
-    /// there are duties, the port after it is used for these.
+    /// UDP address for load reports from other entries. If duties are configured, the
+    /// next higher port is used for their messages.
     pub gossip: SocketAddr,
-    /// Hosts where other entries may run, which an entry that starts asks who
-    /// there is, on its own port for other entries. Without any, entries find
-    /// each other in the store alone.
+    /// Hosts on which other entries may run. A starting entry asks them for the known
+    /// entries, on the port of `gossip`. Without seeds, entries find each other through
+    /// the store only.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether all hosts start for the first time.
+    /// Whether this is the first start of the whole fleet.
     #[serde(default)]
     pub first_start: bool,
-    /// Where the sidecars beside engines answer, and on whose port they
-    /// listen; without it the entry decides by itself.
+    /// UDP address for answers of the sidecars next to engines; the sidecars listen on
+    /// the same port. Without it the entry decides about admission on its own.
     #[serde(default)]
     pub grants: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What the host's link carries, in million bits a second; without it
-    /// the link is taken to be wide enough.
+    /// Capacity of the host's network link in Mbit/s. Without it the link counts as
+    /// never congested.
     #[serde(default)]
     pub link_mbps: Option<f64>,
-    /// How long a stop may take before the process is killed, in seconds.
+    /// Time from the request to stop until the process is killed, in seconds.
     pub grace_s: f64,
-    /// Repeats to other servers for each call, over all entries together.
+    /// Allowed repeats to other servers per call, over all entries together.
     pub repeat_ratio: f64,
-    /// The span over which repeats are counted, in seconds.
+    /// Time window over which calls and repeats are counted, in seconds.
     pub repeat_window_s: f64,
-    /// Repeats that all entries together may make beyond that for a service in
-    /// such a span.
+    /// Additional repeats per service and window that all entries together may make.
     #[serde(default)]
     pub repeat_slack: f64,
-    /// How often the balancer asks; two answers in a row decide.
+    /// Interval of the load balancer's readiness probes; it acts on two equal results in
+    /// a row.
     #[serde(rename = "ask_every", default = "ask_every")]
     pub probe_interval: HumanDuration,
-    /// Duties that one entry performs for all, where the platform has any.
+    /// Duties that one entry performs for the whole fleet, if the platform has any.
     #[serde(default)]
     pub duties: Option<DutySettings>,
-    /// How much is logged.
+    /// Minimum level of logged events.
     #[serde(default)]
     pub log_level: Level,
 }
 
-/// Settings of the duties that one entry performs for all.
+/// Settings of the duties that one entry performs for the whole fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DutySettings {
-    /// The platform's interface for duties.
+    /// Address of the platform API that duties call.
     pub platform: SocketAddr,
-    /// Which duties there are.
+    /// The duties to perform.
     pub kinds: Vec<DutyKind>,
-    /// Calls a second that the interface takes from all daemons.
+    /// Calls per second that the API accepts from all daemons together.
     #[serde(default = "call_rate")]
     pub rate: f64,
-    /// How long a window of usage is, in seconds.
+    /// Length of a usage window, in seconds.
     #[serde(default = "report_window")]
     pub window_s: f64,
-    /// How long after its window's end a report is due, in seconds.
+    /// Time after the end of a window by which its report is due, in seconds.
     #[serde(default = "report_due")]
     pub due_s: f64,
-    /// How long a host stays away from a duty that went to another one, in
+    /// Time for which a host that lost a duty to another host does not take it back, in
     /// milliseconds.
     #[serde(default = "lease")]
     pub lease_ms: u64,
@@ -98,20 +98,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DutyKind {
-    /// Reporting what each workspace has used.
+    /// Reports the requests of each workspace.
     UsageReport,
-    /// Ordering the number of backend servers.
+    /// Orders the number of backend servers.
     Autoscale,
 }
 
 impl DutySettings {
-    /// Whether usage is to be reported.
+    /// Whether usage reporting is among the duties.
     #[must_use]
     pub fn reports_usage(&self) -> bool {
         self.kinds.contains(&DutyKind::UsageReport)
     }
 
-    /// Whether the number of backend servers is to be ordered.
+    /// Whether autoscaling of backend servers is among the duties.
     #[must_use]
     pub fn autoscales(&self) -> bool {
         self.kinds.contains(&DutyKind::Autoscale)
@@ -119,13 +119,13 @@
 
     fn check(&self) -> Result<(), base::settings::Error> {
         use base::settings::check;
-        let above = |n: f64| n.is_finite() && n > 0.0;
+        let positive = |n: f64| n.is_finite() && n > 0.0;
         let hint = "seconds above zero";
         let window = self.window_s;
-        check("duties.window_s", window, above(window), hint)?;
-        check("duties.due_s", self.due_s, above(self.due_s), hint)?;
-        let hint = "calls a second above zero";
-        check("duties.rate", self.rate, above(self.rate), hint)
+        check("duties.window_s", window, positive(window), hint)?;
+        check("duties.due_s", self.due_s, positive(self.due_s), hint)?;
+        let hint = "calls per second above zero";
+        check("duties.rate", self.rate, positive(self.rate), hint)
     }
 }
 
@@ -150,18 +150,18 @@
 }
 
 impl Settings {
-    /// Checks what parsing cannot.
+    /// Checks the values that parsing accepts but that are out of range.
     ///
     /// # Errors
     ///
-    /// Returns the key, what was found and a hint.
+    /// Returns the first invalid key with its value and a hint.
     pub fn check(&self) -> Result<(), base::settings::Error> {
         use base::settings::check;
-        let seconds = |s: f64| s.is_finite() && s > 0.0;
+        let positive = |s: f64| s.is_finite() && s > 0.0;
         let hint = "seconds above zero";
-        check("grace_s", self.grace_s, seconds(self.grace_s), hint)?;
+        check("grace_s", self.grace_s, positive(self.grace_s), hint)?;
         let window = self.repeat_window_s;
-        check("repeat_window_s", window, seconds(window), hint)?;
+        check("repeat_window_s", window, positive(window), hint)?;
         if let Some(link) = self.link_mbps {
             check(
                 "link_mbps",
@@ -172,24 +172,29 @@
         }
         self.duties.as_ref().map_or(Ok(()), DutySettings::check)?;
         let ratio = self.repeat_ratio;
-        let fine = (0.0..=1.0).contains(&ratio);
-        check("repeat_ratio", ratio, fine, "a share from 0 to 1")?;
+        let valid = (0.0..=1.0).contains(&ratio);
+        check("repeat_ratio", ratio, valid, "a ratio from 0 to 1")?;
         let slack = self.repeat_slack;
-        let fine = slack.is_finite() && slack >= 0.0;
-        check("repeat_slack", slack, fine, "a number from 0")?;
-        let fine = self.ready_path.starts_with('/');
-        check("ready_path", &self.ready_path, fine, "a path from its /")
+        let valid = slack.is_finite() && slack >= 0.0;
+        check("repeat_slack", slack, valid, "a number not below zero")?;
+        let valid = self.ready_path.starts_with('/');
+        check(
+            "ready_path",
+            &self.ready_path,
+            valid,
+            "a path that starts with /",
+        )
     }
 
-    /// Where other entries tell this one what its duties need.
+    /// UDP address for the duties' messages from other entries.
     #[must_use]
     pub fn duty_addr(&self) -> SocketAddr {
         let gossip = self.gossip;
         SocketAddr::new(gossip.ip(), gossip.port().wrapping_add(1))
     }
 
-    /// Where the entries on the hosts of [`Settings::seeds`] hear others; all
-    /// entries use the same port for it.
+    /// Gossip addresses of the entries on the hosts of [`Settings::seeds`]; all entries
+    /// use the same port.
     #[must_use]
     pub fn seed_addrs(&self) -> Vec<SocketAddr> {
         let port = self.gossip.port();
@@ -197,7 +202,7 @@
         seeds.filter(|addr| *addr != self.gossip).collect()
     }
 
-    /// The share of calls that may be repeated.
+    /// The limit on repeated calls.
     #[must_use]
     pub fn repeat_limit(&self) -> repeat_budget::RepeatLimit {
         repeat_budget::RepeatLimit {
@@ -207,17 +212,17 @@
         }
     }
 
-    /// How long the balancer may take to notice that the entry stops: two
-    /// questions in a row, and half of one for connections on their way.
+    /// Time until the load balancer sends no new connections to a stopping entry: two
+    /// probe intervals, plus half of one for connections that are being opened.
     #[must_use]
     pub fn deregistration_delay(&self) -> Duration {
         self.probe_interval.0 * 5 / 2
     }
 
-    /// How long calls in progress are waited for once no new ones are taken.
+    /// Maximum wait for calls in progress once no new connections are accepted.
     #[must_use]
     pub fn drain_timeout(&self) -> Duration {
-        let grace = Duration::from_secs_f64(self.grace_s * (1.0 - CLOSE_SHARE));
+        let grace = Duration::from_secs_f64(self.grace_s * (1.0 - CLOSE_FRACTION));
         grace.saturating_sub(self.deregistration_delay())
     }
 }
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -1,4 +1,5 @@
-//! The catalog in force, the known servers, and what is open.
+//! The state that the parts of an entry share: the catalog in force, the known servers
+//! and the calls in progress.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -28,64 +29,64 @@
 use crate::settings::Settings;
 use crate::tables::Tables;
 
-/// How often idle connections are looked through. Nothing waits for it: a
-/// connection whose time is over is not used either way.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Interval at which expired connections are closed. It is not critical: a connection
+/// that has expired is not used in any case.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a call waits for the tables of an entry that has just started.
-const TABLES_WAIT: Duration = Duration::from_millis(400);
+/// How long a call waits at an entry that has just started and has not read its tables.
+const TABLES_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// All that the parts of an entry share.
+/// The shared state of an entry.
 pub struct State {
-    /// What the operators set.
+    /// The settings, read at the start.
     pub settings: Settings,
-    /// How callers and servers are spoken to.
+    /// Reads and writes the headers of callers and servers.
     pub dialect: Rc<dyn Dialect>,
-    /// The time.
+    /// The source of all times.
     pub clock: Rc<dyn Clock>,
-    /// The catalog in force, once there is one.
+    /// The catalog in force, once one has been read.
     pub catalog: RefCell<Option<Rc<Catalog>>>,
-    /// The known servers.
+    /// The known servers, and the choice among them.
     pub balancer: RefCell<Balancer>,
-    /// What calls load the engines with.
+    /// The split of engines by prefill and decode load.
     pub phase_pools: RefCell<PhasePools>,
-    /// How long calls wait at engines.
+    /// Estimates how long calls wait at engines.
     pub wait_estimator: RefCell<WaitEstimator>,
-    /// Copies of the store's tables.
+    /// Replicas of the store's tables.
     pub tables: Tables,
-    /// Who reads the store in this availability zone.
+    /// Which entries of this availability zone read the store.
     pub zone_readers: RefCell<ZoneReaders>,
-    /// What other entries have in progress.
+    /// The calls that other entries have in progress.
     pub peer_loads: RefCell<PeerLoads>,
-    /// Other entries.
+    /// The other known entries.
     pub roster: RefCell<Roster>,
-    /// How they are found.
+    /// The search for other entries.
     pub discovery: RefCell<PeerDiscovery>,
-    /// How many entries there are.
+    /// The number of entries.
     pub entry_count: RefCell<PeakEntryCount>,
-    /// Repeats that are left.
+    /// Limits the repeats of calls.
     pub repeat_budget: RefCell<RepeatBudget>,
-    /// The sidecars beside engines, if there are any.
+    /// Asks the sidecars next to engines, if there are any.
     pub sidecars: RefCell<Option<Rc<SidecarClient>>>,
-    /// What one entry does for all, if there is anything.
+    /// The fleet-wide duties, if any are configured and their port could be bound.
     pub duties: RefCell<Option<Rc<Duties>>>,
-    /// Servers that have crashed under calls.
+    /// Server crashes, and the calls that may have caused them.
     pub crashes: Crashes,
-    /// Connections to servers.
+    /// Idle connections to servers.
     pub connection_pool: Pool,
-    /// Wakes those who wait for the store when it answers again.
+    /// Wakes the tasks that wait for the store when it answers again.
     pub store_recovered: Notify,
-    /// Has the others told at once what this one has.
+    /// Triggers a load report to the other entries ahead of the next interval.
     pub gossip_now: Notify,
-    /// Whether the store does not answer questions about servers.
+    /// Whether the store does not answer reads of the server table.
     pub store_lost: Cell<bool>,
-    /// What the host's link carries towards the callers, if it matters.
+    /// Load on the host's network link towards the callers, if its capacity is set.
     pub link_load: RefCell<Option<LinkLoad>>,
-    /// Whether the servers are known.
+    /// Whether the server table has been read.
     pub servers_loaded: Cell<bool>,
-    /// Set when the entry is about to stop.
+    /// Triggered when the entry starts to drain.
     pub stopping: StopSignal,
-    /// Calls whose answers have not left whole.
+    /// Number of calls whose answers have not been sent completely.
     pub open_calls: Cell<usize>,
 }
 
@@ -99,7 +100,7 @@
 }
 
 impl State {
-    /// Makes the state of an entry that knows nothing yet.
+    /// Creates the state of a starting entry, without a catalog and servers.
     #[must_use]
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>, clock: Rc<dyn Clock>) -> Rc<Self> {
         Rc::new(Self {
@@ -138,16 +139,15 @@
         })
     }
 
-    /// Whether new connections should be sent here.
+    /// Whether the load balancer should send new connections here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let known = self.servers_loaded.get() && self.catalog.borrow().is_some();
         known && !self.stopping.is_triggered() && !self.is_congested()
     }
 
-    /// Waits until the catalog and the servers are known, for a while. An entry
-    /// that has started has them in a moment, and a caller that is turned away
-    /// comes back later than that.
+    /// Waits until the catalog and the servers are known, or until a timeout. A starting
+    /// entry has them within a moment, and a rejected caller would take longer to retry.
     pub async fn wait_for_tables(&self) {
         let known = || self.catalog.borrow().is_some() && !self.balancer.borrow().is_empty();
         let wait = async {
@@ -156,19 +156,18 @@
             }
         };
         if !known() {
-            // Either way the call is judged by what is known then.
-            let _ = tokio::time::timeout(TABLES_WAIT, wait).await;
+            // After the timeout the call continues with the tables that are there.
+            let _ = tokio::time::timeout(TABLES_TIMEOUT, wait).await;
         }
     }
 
-    /// Whether the entries of this availability zone read the store for each
-    /// other.
+    /// Whether the entries of this availability zone share their reads of the store.
     #[must_use]
     pub fn shares_reads(&self) -> bool {
         self.zone_readers.borrow().shares_reads()
     }
 
-    /// Other entries that read the store as often as this one.
+    /// Number of other entries that read the store as often as this one.
     #[must_use]
     pub fn competing_readers(&self) -> usize {
         match self.shares_reads() {
@@ -177,7 +176,8 @@
         }
     }
 
-    /// Whether callers should rather open their next connection elsewhere.
+    /// Whether the host's link is congested, so that callers should open their next
+    /// connection to another entry.
     #[must_use]
     pub fn is_congested(&self) -> bool {
         let now = self.clock.now();
@@ -186,7 +186,7 @@
     }
 }
 
-/// This entry as others know it.
+/// The address, zone and link capacity of this entry, as sent to other entries.
 fn own_entry_info(settings: &Settings) -> EntryInfo {
     EntryInfo {
         addr: settings.gossip,
@@ -195,22 +195,23 @@
     }
 }
 
-/// Where this entry stands among those of its zone.
+/// This entry's rank in the order of entries.
 pub(crate) fn own_rank(settings: &Settings) -> Rank {
     own_entry_info(settings).rank()
 }
 
-/// An availability zone's number between entries.
+/// The number that stands for an availability zone in messages between entries.
 pub(crate) fn zone_hash(zone: &str) -> u32 {
     rendezvous::hash_name(zone) as u32
 }
 
-/// What the host's link carries, in million bits a second, as others are told.
+/// Capacity of the host's link in Mbit/s, as sent to other entries; the maximum if it is
+/// not set.
 pub(crate) fn link_mbps(settings: &Settings) -> u32 {
     settings.link_mbps.map_or(u32::MAX, |mbps| mbps as u32)
 }
 
-/// Counts one open call for as long as it lives.
+/// Guard that counts a call as open until it is dropped.
 #[derive(Debug)]
 pub struct OpenCall(Rc<State>);
 
@@ -231,10 +232,10 @@
     }
 }
 
-/// Closes connections whose time is over, and tidies up, until `end`.
+/// Closes expired connections and drops expired crash records, until `end`.
 pub async fn sweep(state: Rc<State>, end: StopSignal) {
     while !end.is_triggered() {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         state.connection_pool.sweep(state.clock.now());
         crashes::expire(&state, state.clock.now());
     }
--- a/crates/forward/src/status.rs
+++ b/crates/forward/src/status.rs
@@ -1,48 +1,48 @@
-//! What the entry believes, for operators.
+//! An entry's status, for operators.
 
 use serde::Serialize;
 
 use crate::duties::DutyStatus;
 use crate::state::State;
 
-/// What an entry believes.
+/// An entry's own state and what it knows of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Status {
-    /// The daemon's name.
+    /// Name of the daemon.
     pub name: String,
-    /// The availability zone that it stands in.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Whether new connections should be sent here.
+    /// Whether the load balancer should send new connections here.
     pub ready: bool,
-    /// The version of the catalog in force.
+    /// Version of the catalog in force, if any.
     #[serde(rename = "catalog")]
     pub catalog_version: Option<u64>,
-    /// Other entries that are heard.
+    /// Number of other live entries.
     #[serde(rename = "entries")]
     pub peers: usize,
-    /// Backend servers that are known.
+    /// Number of known backend servers.
     pub servers: usize,
-    /// Those of them that say in their answers that they leave.
+    /// Servers that are draining, by their own feedback.
     pub leaving: usize,
-    /// Those that have asked for rest.
+    /// Servers in a backoff that they asked for.
     #[serde(rename = "resting")]
     pub backing_off: usize,
-    /// Those that name how many calls they take.
+    /// Servers that have set a rate limit.
     pub limited: usize,
-    /// Crashes of servers that are held against calls.
+    /// Server crashes that are attributed to calls.
     pub crashes: usize,
-    /// Calls whose answers have not left whole.
+    /// Calls whose answers have not been sent completely.
     #[serde(rename = "open")]
     pub open_calls: usize,
-    /// The duties of one entry for all, where there are any.
+    /// Status of the fleet-wide duties, if any are configured.
     pub duties: Option<DutyStatus>,
 }
 
 impl Status {
-    /// What `state` holds.
+    /// The status of the entry with this `state`.
     #[must_use]
     pub fn of(state: &State) -> Self {
-        let said = state.balancer.borrow().feedback_counts(state.clock.now());
+        let feedback = state.balancer.borrow().feedback_counts(state.clock.now());
         Self {
             name: state.settings.name.clone(),
             zone: state.settings.zone.clone(),
@@ -50,9 +50,9 @@
             catalog_version: state.catalog.borrow().as_ref().map(|c| c.version),
             peers: state.roster.borrow().count().total.saturating_sub(1),
             servers: state.balancer.borrow().ids().len(),
-            leaving: said.leaving,
-            backing_off: said.backing_off,
-            limited: said.limited,
+            leaving: feedback.leaving,
+            backing_off: feedback.backing_off,
+            limited: feedback.limited,
             crashes: state.crashes.count(),
             open_calls: state.open_calls.get(),
             duties: state.duties.borrow().as_ref().map(|d| d.status()),
