--- a/crates/forward/src/duties.rs
+++ b/crates/forward/src/duties.rs
@@ -1,10 +1,10 @@
-//! Duties that one entry performs for all of them. See
+//! Duties that one entry performs for the whole fleet. See
 //! docs/DECISIONS/0701-duties.md.
 //!
-//! - [`election`]: holding the duties through the store.
-//! - [`report`]: reporting the usage while they are held.
-//! - [`scale`]: ordering the number of backend servers meanwhile.
-//! - [`messages`]: what entries tell each other for it.
+//! - [`election`]: elects the holder of the duties through the store.
+//! - [`report`]: reports the usage to the platform.
+//! - [`scale`]: orders the number of backend servers.
+//! - [`messages`]: exchanges usage counts and holder notices among entries.
 
 pub mod election;
 pub mod messages;
@@ -29,39 +29,39 @@
 use crate::settings::{self, Settings};
 use crate::state::own_rank;
 
-/// How often an entry looks what its duties ask of it.
+/// Interval at which an entry checks for due steps of its duties.
 const TICK: Duration = Duration::from_millis(100);
 
-/// All that an entry knows of its duties.
+/// An entry's state of the duties, as holder or as candidate.
 pub struct Duties {
-    /// What the operators set.
+    /// The settings of the duties.
     settings: settings::DutySettings,
-    /// The daemon's name, for the platform.
+    /// Name of the daemon in calls to the platform.
     name: String,
     clock: Rc<dyn Clock>,
-    /// Where other entries tell this one.
+    /// Address for messages from other entries.
     addr: SocketAddr,
     socket: UdpSocket,
     candidate: RefCell<Candidate>,
     counter: RefCell<UsageCounter>,
-    time: RefCell<FleetTime>,
-    /// What is reported, while this entry holds the duties.
+    fleet_time: RefCell<FleetTime>,
+    /// The usage data of the duties' record, while this entry holds the duties.
     usage: RefCell<UsageState>,
-    /// Windows that the store keeps as they are reported.
+    /// Finalized windows whose counts the store keeps, so that they may be reported.
     stored_windows: RefCell<BTreeMap<u64, WorkspaceCounts>>,
-    /// Since when this entry has held the duties.
+    /// When this entry acquired the duties, if it holds them.
     held_since: Cell<Option<Instant>>,
-    /// Whether the platform's interface does not answer here.
+    /// Whether the platform API does not answer this entry.
     api_unreachable: Cell<bool>,
-    /// Servers that were ordered, by service and availability zone.
+    /// Number of servers ordered, by service and availability zone.
     ordered_servers: RefCell<BTreeMap<String, u32>>,
-    /// Who said last that it holds the duties.
+    /// The entry that last announced that it holds the duties.
     holder: Cell<Option<SocketAddr>>,
-    /// The first window whose counts are still wanted: the store does not keep
-    /// them as fixed.
+    /// The first window that the store does not keep as finalized; its counts and later
+    /// ones are still needed.
     next_window: Cell<u64>,
     own_rank: Rank,
-    /// The other entries, by their place in the order of all.
+    /// The other entries, by address.
     peers: RefCell<HashMap<SocketAddr, Peer>>,
 }
 
@@ -69,9 +69,9 @@
 #[derive(Debug, Clone, Copy)]
 struct Peer {
     rank: Rank,
-    /// Until when it counts as there unless it is heard again.
+    /// When it no longer counts as present, unless it is heard from again.
     expires_at: Instant,
-    /// When it last told its counts.
+    /// When its last counts arrived.
     last_counts: Option<Instant>,
 }
 
@@ -84,22 +84,23 @@
 }
 
 impl Duties {
-    /// Gets ready for the duties that the settings name, if there are any.
+    /// Creates the state for the configured duties and binds their port; none if no
+    /// duties are configured.
     ///
     /// # Errors
     ///
-    /// Returns the error when the port for them cannot be bound.
+    /// Returns the error when the port cannot be bound.
     pub async fn bind(own: &Settings, clock: Rc<dyn Clock>) -> io::Result<Option<Rc<Self>>> {
-        let any = |d: &settings::DutySettings| d.reports_usage() || d.autoscales();
-        let Some(settings) = own.duties.clone().filter(any) else {
+        let has_duties = |d: &settings::DutySettings| d.reports_usage() || d.autoscales();
+        let Some(settings) = own.duties.clone().filter(has_duties) else {
             return Ok(None);
         };
         let addr = own.duty_addr();
         let socket = UdpSocket::bind(addr).await?;
         let now = clock.now_boottime();
-        let life = Incarnation::random();
+        let incarnation = Incarnation::random();
         let host = addr.ip().to_string();
-        let away = Duration::from_millis(settings.lease_ms);
+        let return_delay = Duration::from_millis(settings.lease_ms);
         let windows = UsageWindows {
             length: Duration::from_secs_f64(settings.window_s),
             deadline: Duration::from_secs_f64(settings.due_s),
@@ -108,9 +109,14 @@
             name: own.name.clone(),
             addr,
             socket,
-            candidate: RefCell::new(Candidate::new(now, &life.to_string(), &host, away)),
-            counter: RefCell::new(UsageCounter::new(life.0, windows)),
-            time: RefCell::new(FleetTime::new(now)),
+            candidate: RefCell::new(Candidate::new(
+                now,
+                &incarnation.to_string(),
+                &host,
+                return_delay,
+            )),
+            counter: RefCell::new(UsageCounter::new(incarnation.0, windows)),
+            fleet_time: RefCell::new(FleetTime::new(now)),
             usage: RefCell::default(),
             stored_windows: RefCell::default(),
             held_since: Cell::new(None),
@@ -125,31 +131,31 @@
         })))
     }
 
-    /// Where the platform's interface for duties answers.
+    /// Address of the platform API for duties.
     #[must_use]
     pub fn platform_addr(&self) -> SocketAddr {
         self.settings.platform
     }
 
-    /// Counts a request of a workspace that a backend server has begun. Where
-    /// nobody reports, nothing would ever be forgotten, and nothing is counted.
+    /// Counts a request of a workspace that a backend server has begun. Without usage
+    /// reporting nothing is counted, since counts are dropped only after their report.
     pub fn count_request(&self, workspace: &str) {
         if !self.settings.reports_usage() {
             return;
         }
-        let time = self.time();
+        let time = self.fleet_time();
         let now = self.clock.now_boottime();
         self.counter
             .borrow_mut()
             .count_request(now, time, workspace);
     }
 
-    /// Notes another entry, which speaks again `within` that time, and what its
-    /// host takes for the time of day.
-    pub fn observe_peer(&self, from: SocketAddr, rank: Rank, within: Duration, wall_ms: u64) {
+    /// Records another entry, which counts as present for `ttl`, and the wall clock of
+    /// its host in milliseconds since the Unix epoch.
+    pub fn observe_peer(&self, from: SocketAddr, rank: Rank, ttl: Duration, wall_ms: u64) {
         let now = self.clock.now_boottime();
         let addr = SocketAddr::new(from.ip(), self.addr.port());
-        let expires_at = now + within;
+        let expires_at = now + ttl;
         let mut peers = self.peers.borrow_mut();
         let last_counts = peers.get(&addr).and_then(|peer| peer.last_counts);
         peers.insert(
@@ -163,32 +169,32 @@
         drop(peers);
         let wall = Duration::from_millis(wall_ms);
         let peer = policy::rendezvous::hash_name(&addr.to_string());
-        self.time.borrow_mut().observe(now, peer, wall);
+        self.fleet_time.borrow_mut().observe(now, peer, wall);
     }
 
-    /// The fencing token while this entry holds the duties.
+    /// The fencing token, while this entry holds the duties.
     #[must_use]
     pub fn token(&self) -> Option<u64> {
         self.candidate.borrow().token(self.clock.now_boottime())
     }
 
-    /// This life's number among the counts.
+    /// The incarnation number of this entry in usage counts.
     #[must_use]
     pub fn incarnation(&self) -> IncarnationId {
         self.counter.borrow().own_incarnation()
     }
 
-    /// Requests that a life has told this entry of, of windows that are not
-    /// settled.
+    /// Number of requests that this entry knows of an incarnation, in windows that are
+    /// not finalized.
     #[must_use]
-    pub fn requests_of(&self, life: IncarnationId) -> u64 {
-        self.counter.borrow().requests_of(life)
+    pub fn requests_of(&self, incarnation: IncarnationId) -> u64 {
+        self.counter.borrow().requests_of(incarnation)
     }
 
-    /// What the duties look like from here.
+    /// The duties as this entry knows them.
     #[must_use]
     pub fn status(&self) -> DutyStatus {
-        let account = self.usage.borrow();
+        let usage = self.usage.borrow();
         DutyStatus {
             token: self.token(),
             holder: match self.token() {
@@ -196,18 +202,20 @@
                 None => self.holder.get(),
             },
             next_window: self.next_window.get(),
-            unreported: account.finalized.keys().copied().collect(),
+            unreported: usage.finalized.keys().copied().collect(),
             ordered_servers: self.ordered_servers.borrow().clone(),
         }
     }
 
-    /// The time of day that the hosts agree on, from the Unix epoch.
-    fn time(&self) -> Duration {
+    /// The common time of the fleet's hosts, since the Unix epoch.
+    fn fleet_time(&self) -> Duration {
         let wall = Duration::from_millis(self.clock.wall_ms());
-        self.time.borrow_mut().now(self.clock.now_boottime(), wall)
+        self.fleet_time
+            .borrow_mut()
+            .now(self.clock.now_boottime(), wall)
     }
 
-    /// The other entries that are there, in the order of all.
+    /// The other entries that are present, in rank order.
     fn peers(&self) -> Vec<(Rank, SocketAddr)> {
         let now = self.clock.now_boottime();
         let mut peers = self.peers.borrow_mut();
@@ -217,17 +225,17 @@
         peers
     }
 
-    /// Whether all entries that are there have told their counts since `then`.
-    /// Lives that have ended stay in the books, so that their number says
-    /// nothing of those that have yet to speak.
-    fn all_peers_reported(&self, then: Instant) -> bool {
+    /// Whether all other entries that are present have sent their counts since `since`.
+    /// The usage counter cannot tell: it also keeps incarnations that have ended, so
+    /// their number does not show whether a present entry is missing.
+    fn all_peers_reported(&self, since: Instant) -> bool {
         let peers = self.peers.borrow();
         peers
             .values()
-            .all(|p| p.last_counts.is_some_and(|told| told >= then))
+            .all(|p| p.last_counts.is_some_and(|at| at >= since))
     }
 
-    /// Entries that go before this one in the order of all.
+    /// Number of other entries that precede this one in rank order.
     fn peers_ahead(&self) -> usize {
         self.peers()
             .iter()
@@ -236,20 +244,20 @@
     }
 }
 
-/// What an entry says of the duties to those who ask.
+/// The duties as an entry knows them, for its status page.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 pub struct DutyStatus {
-    /// The fencing token, if this entry holds them.
+    /// The fencing token, if this entry holds the duties.
     pub token: Option<u64>,
-    /// Where the holder is heard, as far as this entry knows.
+    /// Address of the holder, if this entry knows it.
     pub holder: Option<SocketAddr>,
-    /// The first window of usage whose counts are still open.
+    /// The first usage window that is not finalized.
     #[serde(rename = "next")]
     pub next_window: u64,
-    /// Windows whose counts are fixed and not yet accepted by the platform, if
-    /// this entry holds the duties.
+    /// Finalized windows that the platform has not yet accepted, if this entry holds the
+    /// duties.
     pub unreported: Vec<u64>,
-    /// Servers that this entry has ordered, by service and availability zone,
+    /// Number of servers that this entry has ordered, by service and availability zone,
     /// while it holds the duties.
     #[serde(rename = "ordered")]
     pub ordered_servers: BTreeMap<String, u32>,
--- a/crates/forward/src/duties/election.rs
+++ b/crates/forward/src/duties/election.rs
@@ -1,4 +1,5 @@
-//! Holding the duties through the store.
+//! Elects the holder of the duties through the store, and writes the duties' record while
+//! this entry holds them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,39 +13,42 @@
 use crate::edge::{Kept, Records};
 use crate::state::State;
 
-/// Ticks after which the holder says again that it is there.
-const REPEAT: u32 = 4;
+/// Ticks between two notices in which the holder announces itself to the other entries.
+const NOTICE_TICKS: u32 = 4;
 
-/// How long an entry stays away whom the platform's interface does not
-/// answer. Others may well reach it.
-const AWAY: Duration = Duration::from_secs(10);
+/// Time for which an entry does not hold the duties after the platform API did not
+/// answer it. Other entries may still reach the API.
+const UNREACHABLE_PAUSE: Duration = Duration::from_secs(10);
 
-/// Holds the duties while it is this entry's turn, until `end`.
+/// Runs this entry's candidacy for the duties until `end`. The entry resigns when it
+/// stops or when it cannot reach the platform API.
 pub async fn run<R: Records>(state: Rc<State>, duties: Rc<Duties>, records: R, end: StopSignal) {
-    let mut leaving = false;
+    let mut resigned = false;
     for tick in 0u32.. {
         tokio::time::sleep(TICK).await;
         if end.is_triggered() {
             return;
         }
-        if state.stopping.is_triggered() && !leaving {
-            leaving = true;
-            duties.give_up(&records, None).await;
+        if state.stopping.is_triggered() && !resigned {
+            resigned = true;
+            duties.resign_duties(&records, None).await;
         } else if duties.api_unreachable.take() {
-            duties.give_up(&records, Some(AWAY)).await;
+            duties
+                .resign_duties(&records, Some(UNREACHABLE_PAUSE))
+                .await;
         }
-        duties.round(&records).await;
+        duties.run_step(&records).await;
         if let Some(token) = duties.token()
-            && tick.is_multiple_of(REPEAT)
+            && tick.is_multiple_of(NOTICE_TICKS)
         {
-            duties.tell_held(token, false);
+            duties.send_holder_notice(token, false);
         }
     }
 }
 
 impl Duties {
-    /// One look at what is due.
-    async fn round<R: Records>(&self, records: &R) {
+    /// Performs the step that is due, if any.
+    async fn run_step<R: Records>(&self, records: &R) {
         let now = self.clock.now_boottime();
         let step = self.candidate.borrow().next_step(now, self.peers_ahead());
         let step = match step {
@@ -53,7 +57,7 @@
         };
         match step {
             Step::Renew(term) | Step::Claim(term) => self.write(records, term).await,
-            _ if self.fix() => {
+            _ if self.finalize_windows() => {
                 let term = self.candidate.borrow().term().cloned();
                 if let Some(term) = term {
                     self.write(records, term).await;
@@ -61,13 +65,13 @@
             }
             _ => {}
         }
-        self.note_lost();
-        let next = self.next_window.get();
-        self.counter.borrow_mut().expire(now, next);
+        self.clear_if_lost();
+        let next_window = self.next_window.get();
+        self.counter.borrow_mut().expire(now, next_window);
     }
 
-    /// Reads the record and takes over what it keeps if the duties are to be
-    /// taken.
+    /// Reads the duties' record. If the duties are to be claimed, adopts the usage data
+    /// of the record.
     async fn read<R: Records>(&self, records: &R) -> Step {
         let read = records.read().await;
         let now = self.clock.now_boottime();
@@ -76,7 +80,7 @@
             Ok(read) => read,
             Err(e) => {
                 candidate.record_read_failure(now);
-                // The first of a row is logged.
+                // Only the first of consecutive failures is logged.
                 if candidate.failed_first() {
                     warn!("duties not read", kv: { cause = e.to_string().as_str() });
                 }
@@ -89,7 +93,11 @@
                 .set(self.next_window.get().max(kept.usage.next_window));
         }
         if matches!(step, Step::Claim(_)) {
-            let window = self.counter.borrow().windows().containing(self.time());
+            let window = self
+                .counter
+                .borrow()
+                .windows()
+                .containing(self.fleet_time());
             let mut usage = kept.map_or_else(|| UsageState::starting_at(window), |k| k.usage);
             for window in usage.catch_up(self.next_window.get(), &self.usage.borrow()) {
                 warn!("usage window not in the store", kv: { window = window });
@@ -100,79 +108,82 @@
         step
     }
 
-    /// Writes the record, and notes what the store keeps since.
+    /// Writes the duties' record, and notes the windows that the store keeps from then on.
     async fn write<R: Records>(&self, records: &R, term: Term) {
-        let time = self.time();
+        let time = self.fleet_time();
         let usage = {
-            let account = self.usage.borrow();
-            self.counter.borrow().snapshot(time, &account)
+            let usage = self.usage.borrow();
+            self.counter.borrow().snapshot(time, &usage)
         };
-        let (fixed, next) = (usage.finalized.clone(), usage.next_window);
+        let (finalized, next_window) = (usage.finalized.clone(), usage.next_window);
         let kept = Kept {
             term: term.clone(),
             usage,
         };
-        let (at, sent) = (self.candidate.borrow().log_end(), self.clock.now_boottime());
-        let written = records.write(at, &kept).await;
+        let (log_end, sent_at) = (self.candidate.borrow().log_end(), self.clock.now_boottime());
+        let outcome = records.write(log_end, &kept).await;
         let now = self.clock.now_boottime();
         let (token, released) = (term.token, term.released);
         self.candidate
             .borrow_mut()
-            .record_write(now, sent, term, written);
-        if !matches!(written, WriteOutcome::Stored(_)) || released {
+            .record_write(now, sent_at, term, outcome);
+        if !matches!(outcome, WriteOutcome::Stored(_)) || released {
             return;
         }
         if self.held_since.get().is_none() {
             self.held_since.set(Some(now));
             self.holder.set(None);
-            info!("duties taken", kv: { token = token, place = self.peers_ahead(), at = at });
+            info!("duties taken", kv: { token = token, place = self.peers_ahead(), at = log_end });
         }
         metrics::gauge!("pimentocart_duties_held").set(1.0);
-        let account = self.usage.borrow();
-        let open = |(window, _): &(u64, _)| account.finalized.contains_key(window);
-        *self.stored_windows.borrow_mut() = fixed.into_iter().filter(open).collect();
-        drop(account);
-        self.next_window.set(self.next_window.get().max(next));
-        self.tell_held(token, false);
+        let usage = self.usage.borrow();
+        let unreported = |(window, _): &(u64, _)| usage.finalized.contains_key(window);
+        *self.stored_windows.borrow_mut() = finalized.into_iter().filter(unreported).collect();
+        drop(usage);
+        self.next_window
+            .set(self.next_window.get().max(next_window));
+        self.send_holder_notice(token, false);
     }
 
-    /// Fixes the counts of windows that are over; whether there were any.
-    fn fix(&self) -> bool {
+    /// Finalizes the counts of windows that can be reported; returns whether there were
+    /// any.
+    fn finalize_windows(&self) -> bool {
         if !self.settings.reports_usage() {
             return false;
         }
         let now = self.clock.now_boottime();
-        let (Some(since), Some(token)) = (self.held_since.get(), self.token()) else {
+        let (Some(held_since), Some(token)) = (self.held_since.get(), self.token()) else {
             return false;
         };
-        let time = self.time();
-        let gathered = self.all_peers_reported(since);
-        let held = now.saturating_duration_since(since);
-        let books = self.counter.borrow();
-        let mut account = self.usage.borrow_mut();
-        let before = account.finalized.len();
-        let missed = books.finalize(time, held, gathered, &mut account);
+        let time = self.fleet_time();
+        let gathered = self.all_peers_reported(held_since);
+        let held_for = now.saturating_duration_since(held_since);
+        let counter = self.counter.borrow();
+        let mut usage = self.usage.borrow_mut();
+        let before = usage.finalized.len();
+        let missed = counter.finalize(time, held_for, gathered, &mut usage);
         for window in missed {
             warn!("usage window missed", kv: { window = window, token = token });
             metrics::counter!("pimentocart_usage_reports_total", "outcome" => "missed")
                 .increment(1);
         }
-        account.finalized.len() > before
+        usage.finalized.len() > before
     }
 
-    /// Gives the duties up, so that another entry takes them at once.
-    async fn give_up<R: Records>(&self, records: &R, pause: Option<Duration>) {
+    /// Releases the duties, so that another entry can take them at once. This entry becomes
+    /// a candidate again after `pause`, or never if there is none.
+    async fn resign_duties<R: Records>(&self, records: &R, pause: Option<Duration>) {
         let now = self.clock.now_boottime();
         let term = self.candidate.borrow_mut().resign(now, pause);
         let Some(term) = term else { return };
         let token = term.token;
         info!("duties given up", kv: { token = token, for_good = pause.is_none() });
         self.write(records, term).await;
-        self.tell_held(token, true);
+        self.send_holder_notice(token, true);
     }
 
-    /// Notes that the duties are not held any more.
-    fn note_lost(&self) {
+    /// Clears the holder's state once the duties are no longer held.
+    fn clear_if_lost(&self) {
         let held = self.candidate.borrow().term().is_some();
         if !held && self.held_since.take().is_some() {
             info!("duties lost", kv: { end = self.candidate.borrow().log_end() });
--- a/crates/forward/src/duties/messages.rs
+++ b/crates/forward/src/duties/messages.rs
@@ -1,8 +1,8 @@
-//! What entries tell each other for their duties.
+//! Messages between entries for the duties.
 //!
-//! Each entry tells the holder and the first few in the order of all what it
-//! has counted, so that whoever follows the holder knows it as well. The
-//! holder tells everybody that it is there.
+//! Each entry sends its usage counts to the holder and to the first few entries in rank
+//! order, so that the holder's successor has them as well. The holder announces itself
+//! to all entries.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,45 +16,45 @@
 
 use super::Duties;
 
-/// How often counts are told. An entry that is killed takes along what it has
-/// not told yet.
-const EVERY: Duration = Duration::from_millis(250);
+/// Interval at which counts are sent. The counts that an entry has not yet sent are lost
+/// if it is killed.
+const COUNTS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Entries that are told counts beside the holder. Any one of them may follow
-/// it without losing what entries counted that have ended.
-const TOLD: usize = 6;
+/// Number of entries that get counts besides the holder. Any of them can succeed the
+/// holder without losing the counts of entries that have ended.
+const COUNTS_RECIPIENTS: usize = 6;
 
-/// The pause after hearing failed.
-const RETRY: Duration = Duration::from_millis(100);
+/// Delay after a failure to receive from the socket.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Tells what this entry has counted until `end`.
+/// Sends this entry's counts at regular intervals until `end`.
 pub async fn send_counts(duties: Rc<Duties>, end: StopSignal) {
     while !end.is_triggered() {
-        tokio::time::sleep(EVERY).await;
-        duties.tell_counts();
+        tokio::time::sleep(COUNTS_INTERVAL).await;
+        duties.send_own_counts();
     }
 }
 
-/// Hears the others.
+/// Receives and applies the messages of other entries.
 pub async fn receive(duties: Rc<Duties>) {
     let mut buffer = vec![0; duties::MAX_DATAGRAM_BYTES + 1];
     loop {
         let (length, from) = match duties.socket.recv_from(&mut buffer).await {
-            Ok(got) => got,
+            Ok(received) => received,
             Err(e) => {
-                // An unreachable peer's refusal shows up here; it says
-                // nothing about the others.
+                // The ICMP error of an unreachable peer surfaces here; it does not
+                // concern other peers.
                 metrics::counter!("pimentocart_duty_errors_total").increment(1);
                 if e.kind() != io::ErrorKind::ConnectionRefused {
-                    tokio::time::sleep(RETRY).await;
+                    tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                 }
                 continue;
             }
         };
         match duties::decode(&buffer[..length]) {
-            Ok(Message::Counts(counts)) => duties.take_counts(from, counts),
-            Ok(Message::Holder(held)) => duties.take_held(from, held),
-            Err(e) => warn!("duties not understood", kv: {
+            Ok(Message::Counts(counts)) => duties.apply_counts(from, counts),
+            Ok(Message::Holder(notice)) => duties.apply_notice(from, notice),
+            Err(e) => warn!("duty message not understood", kv: {
                 peer = from.to_string().as_str(), cause = e.to_string().as_str()
             }),
         }
@@ -62,82 +62,87 @@
 }
 
 impl Duties {
-    /// Tells what this entry has counted.
-    fn tell_counts(&self) {
-        let (now, time) = (self.clock.now_boottime(), self.time());
-        let told = self
+    /// Sends this entry's counts to the holder and the first entries in rank order.
+    fn send_own_counts(&self) {
+        let (now, time) = (self.clock.now_boottime(), self.fleet_time());
+        let own_counts = self
             .counter
             .borrow_mut()
             .own_counts(now, time, self.next_window.get());
-        let mut targets: Vec<SocketAddr> = self.peers().iter().take(TOLD).map(|p| p.1).collect();
+        let mut targets: Vec<SocketAddr> = self
+            .peers()
+            .iter()
+            .take(COUNTS_RECIPIENTS)
+            .map(|p| p.1)
+            .collect();
         targets.extend(self.holder.get().filter(|holder| !targets.contains(holder)));
-        for told in told {
-            self.send(&targets, &Message::Counts(counts_message(told)));
+        for counts in own_counts {
+            self.send(&targets, &Message::Counts(counts_message(counts)));
         }
     }
 
-    /// Tells everybody that this entry holds the duties, or has given them up.
-    pub(super) fn tell_held(&self, fencing_token: u64, released: bool) {
-        let held = HolderNotice {
+    /// Announces to all entries that this entry holds the duties, or has released them.
+    pub(super) fn send_holder_notice(&self, fencing_token: u64, released: bool) {
+        let notice = HolderNotice {
             fencing_token,
             log_end: self.candidate.borrow().log_end(),
-            // What the store does not keep yet may be fixed anew by a
-            // successor, who needs the counts of all for it.
+            // A successor may finalize the windows that the store does not keep yet,
+            // and needs the counts of all entries for them.
             next_window: self.next_window.get(),
             released,
         };
         let peers: Vec<SocketAddr> = self.peers().into_iter().map(|p| p.1).collect();
-        self.send(&peers, &Message::Holder(held));
+        self.send(&peers, &Message::Holder(notice));
     }
 
     fn send(&self, targets: &[SocketAddr], message: &Message) {
         for bytes in duties::encode(message) {
             for target in targets {
-                // A datagram that cannot be sent is like one that is lost.
+                // A datagram that cannot be sent is treated like one that is lost.
                 let _ = self.socket.try_send_to(&bytes, *target);
             }
         }
     }
 
-    fn take_counts(&self, from: SocketAddr, counts: UsageCounts) {
+    fn apply_counts(&self, from: SocketAddr, counts: UsageCounts) {
         let now = self.clock.now_boottime();
         if let Some(peer) = self.peers.borrow_mut().get_mut(&from) {
             peer.last_counts = Some(now);
         }
-        let told = WindowCounts {
+        let counts = WindowCounts {
             incarnation: counts.incarnation,
             closed_before: counts.closed_before,
             window: counts.window,
             total: counts.total,
             counts: counts.counts.into_iter().collect(),
         };
-        self.counter.borrow_mut().observe(now, told);
+        self.counter.borrow_mut().observe(now, counts);
     }
 
-    fn take_held(&self, from: SocketAddr, held: HolderNotice) {
+    fn apply_notice(&self, from: SocketAddr, notice: HolderNotice) {
         let now = self.clock.now_boottime();
         let mut candidate = self.candidate.borrow_mut();
-        if held.log_end < candidate.log_end() {
+        if notice.log_end < candidate.log_end() {
             return;
         }
-        candidate.observe_record(now, held.log_end, held.released);
-        let holder = (!held.released).then_some(from);
+        candidate.observe_record(now, notice.log_end, notice.released);
+        let holder = (!notice.released).then_some(from);
         if self.holder.replace(holder) != holder {
             info!("duties held elsewhere", kv: {
-                peer = from.to_string().as_str(), token = held.fencing_token, released = held.released
+                peer = from.to_string().as_str(), token = notice.fencing_token, released = notice.released
             });
         }
         self.next_window
-            .set(self.next_window.get().max(held.next_window));
+            .set(self.next_window.get().max(notice.next_window));
     }
 }
 
-fn counts_message(told: WindowCounts) -> UsageCounts {
+fn counts_message(counts: WindowCounts) -> UsageCounts {
     UsageCounts {
-        incarnation: told.incarnation,
-        closed_before: told.closed_before,
-        window: told.window,
-        total: told.total,
-        counts: told.counts.into_iter().collect(),
+        incarnation: counts.incarnation,
+        closed_before: counts.closed_before,
+        window: counts.window,
+        total: counts.total,
+        counts: counts.counts.into_iter().collect(),
     }
 }
--- a/crates/forward/src/duties/report.rs
+++ b/crates/forward/src/duties/report.rs
@@ -1,8 +1,7 @@
-//! Reporting the usage while the duties are held.
+//! Reports the usage to the platform while the duties are held.
 //!
-//! Only what the store keeps is reported, so that whoever follows reports the
-//! same. A call that is not answered is made again as it was, until it is
-//! accepted.
+//! Only counts that the store keeps are reported, so that a successor reports the same
+//! ones. A call without an answer is repeated unchanged until it is accepted.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,35 +13,35 @@
 use super::{Duties, TICK};
 use crate::edge::{DutyApi, Outcome};
 
-/// The pause after a call that was not carried out; it doubles up to
-/// [`RETRY_MOST`].
-const RETRY: Duration = Duration::from_millis(150);
+/// Delay after a call that failed. It doubles with each consecutive failure, up to
+/// [`MAX_RETRY_DELAY`].
+const RETRY_BASE: Duration = Duration::from_millis(150);
 
-/// The longest pause after a call that was not carried out. Reports are due
-/// seconds after their window's end.
-const RETRY_MOST: Duration = Duration::from_secs(1);
+/// Maximum delay after a call that failed. Reports are due seconds after the end of
+/// their window.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Calls in a row without an answer after which another entry should try.
-pub(super) const UNHEARD: u32 = 3;
+/// Consecutive failed calls after which the entry resigns, so that another entry tries.
+pub(super) const MAX_API_FAILURES: u32 = 3;
 
-/// Reports what is recorded until `end`.
+/// Reports the stored windows until `end`.
 pub async fn run<B: DutyApi>(duties: Rc<Duties>, duty_api: B, end: StopSignal) {
     if !duties.settings.reports_usage() {
         return;
     }
     let mut failures = 0;
     while !end.is_triggered() {
-        tokio::time::sleep(duties.pause(failures)).await;
-        let Some((window, counts)) = duties.due() else {
+        tokio::time::sleep(duties.next_delay(failures)).await;
+        let Some((window, counts)) = duties.next_report() else {
             continue;
         };
         let token = || duties.token();
         let outcome = duty_api.report(&duties.name, window, &counts, token).await;
-        failures = match duties.note(window, &counts, &outcome) {
+        failures = match duties.record_outcome(window, &counts, &outcome) {
             true => 0,
             false => failures + 1,
         };
-        if failures >= UNHEARD && !duties.peers().is_empty() {
+        if failures >= MAX_API_FAILURES && !duties.peers().is_empty() {
             duties.api_unreachable.set(true);
             failures = 0;
         }
@@ -50,42 +49,42 @@
 }
 
 impl Duties {
-    /// The least time between two calls of one duty, so that all duties
-    /// together keep to what the interface takes.
-    pub(super) fn spacing(&self) -> Duration {
-        let duties = self.settings.kinds.len().max(1) as f64;
-        Duration::from_secs_f64(duties / self.settings.rate)
+    /// Minimum interval between two calls of one duty, so that all duties together stay
+    /// within the rate limit of the API.
+    pub(super) fn call_interval(&self) -> Duration {
+        let duty_count = self.settings.kinds.len().max(1) as f64;
+        Duration::from_secs_f64(duty_count / self.settings.rate)
     }
 
-    /// The pause before the next call, after so many that failed in a row.
-    fn pause(&self, failures: u32) -> Duration {
-        let rate = self.spacing();
+    /// The delay before the next call, after this number of consecutive failures.
+    fn next_delay(&self, failures: u32) -> Duration {
+        let min_delay = self.call_interval();
         let retry = match failures {
             0 => TICK,
-            n => RETRY * 2u32.saturating_pow(n - 1),
+            n => RETRY_BASE * 2u32.saturating_pow(n - 1),
         };
-        retry.min(RETRY_MOST).max(rate)
+        retry.min(MAX_RETRY_DELAY).max(min_delay)
     }
 
-    /// The first window to report, while the duties are held.
-    fn due(&self) -> Option<(u64, WorkspaceCounts)> {
+    /// The first window to report with its counts, while the duties are held.
+    fn next_report(&self) -> Option<(u64, WorkspaceCounts)> {
         self.token()?;
-        let recorded = self.stored_windows.borrow();
-        let (window, counts) = recorded.first_key_value()?;
+        let stored = self.stored_windows.borrow();
+        let (window, counts) = stored.first_key_value()?;
         Some((*window, counts.clone()))
     }
 
-    /// Notes what became of a report; whether the interface has answered.
-    fn note(&self, window: u64, counts: &WorkspaceCounts, outcome: &Outcome) -> bool {
-        let time = self.time();
+    /// Records the outcome of a report; returns whether the API was reachable.
+    fn record_outcome(&self, window: u64, counts: &WorkspaceCounts, outcome: &Outcome) -> bool {
+        let time = self.fleet_time();
         let end = self.counter.borrow().windows().end(window);
-        let late_ms = time.saturating_sub(end).as_millis() as u64;
-        let word = outcome.word();
-        metrics::counter!("pimentocart_usage_reports_total", "outcome" => word).increment(1);
+        let elapsed_ms = time.saturating_sub(end).as_millis() as u64;
+        let label = outcome.word();
+        metrics::counter!("pimentocart_usage_reports_total", "outcome" => label).increment(1);
         let requests: u64 = counts.values().sum();
         if *outcome != Outcome::Accepted {
             warn!("usage not reported", kv: {
-                window = window, outcome = word, after_ms = late_ms,
+                window = window, outcome = label, after_ms = elapsed_ms,
                 detail = format!("{outcome:?}").as_str()
             });
         }
@@ -94,7 +93,7 @@
                 info!("usage reported", kv: {
                     window = window, requests = requests, workspaces = counts.len(),
                     missing = self.counter.borrow().pending_incarnations(self.clock.now_boottime(), window),
-                    after_ms = late_ms
+                    after_ms = elapsed_ms
                 });
                 self.stored_windows.borrow_mut().remove(&window);
                 self.usage.borrow_mut().finalized.remove(&window);
--- a/crates/forward/src/duties/scale.rs
+++ b/crates/forward/src/duties/scale.rs
@@ -1,4 +1,4 @@
-//! Ordering the number of backend servers while the duties are held.
+//! Orders the number of backend servers from the platform while the duties are held.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -12,17 +12,17 @@
 use spdlog::{info, warn};
 
 use super::Duties;
-use super::report::UNHEARD;
+use super::report::MAX_API_FAILURES;
 use crate::edge::{DutyApi, Outcome};
 use crate::state::State;
 
-/// How often the load is looked at. A server takes longer than that to boot.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval at which the load is observed. It is shorter than the boot time of a server.
+const OBSERVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was decided for each service, while the duties are held.
+/// The scaler of each service, while the duties are held.
 type Scalers = HashMap<Rc<str>, Scaler>;
 
-/// Orders servers where operators leave their number open, until `end`.
+/// Orders servers for the services with scaling limits, until `end`.
 pub async fn run<B: DutyApi>(state: Rc<State>, duties: Rc<Duties>, duty_api: B, end: StopSignal) {
     if !duties.settings.autoscales() {
         return;
@@ -30,20 +30,22 @@
     let mut scalers = Scalers::new();
     let mut failures = 0;
     while !end.is_triggered() {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(OBSERVE_INTERVAL).await;
         if duties.token().is_none() {
-            // Others may have ordered since, by loads that are not known here.
+            // Another holder may order in the meantime, by loads that are not known here.
             scalers.clear();
             duties.ordered_servers.borrow_mut().clear();
             continue;
         }
-        for service in state.scaled() {
+        for service in state.scaled_services() {
             let name = Rc::clone(&service.name);
             let scaler = scalers.entry(name).or_default();
-            let heard = duties.scale(&state, &duty_api, &service, scaler).await;
-            failures = if heard { 0 } else { failures + 1 };
+            let reachable = duties
+                .scale_service(&state, &duty_api, &service, scaler)
+                .await;
+            failures = if reachable { 0 } else { failures + 1 };
         }
-        if failures >= UNHEARD && !duties.peers().is_empty() {
+        if failures >= MAX_API_FAILURES && !duties.peers().is_empty() {
             duties.api_unreachable.set(true);
             failures = 0;
         }
@@ -51,43 +53,45 @@
 }
 
 impl State {
-    /// The services whose number of servers may be ordered.
-    fn scaled(&self) -> Vec<Rc<Service>> {
+    /// The services with scaling limits.
+    fn scaled_services(&self) -> Vec<Rc<Service>> {
         let catalog = self.catalog.borrow();
         let services = catalog.iter().flat_map(|c| c.services());
         services.filter(|s| s.scaling.is_some()).cloned().collect()
     }
 
-    /// How busy the servers of a service are, by availability zone.
-    async fn busy(&self, service: &str) -> BTreeMap<Rc<str>, ZoneLoad> {
+    /// The load on the servers of a service, by availability zone.
+    async fn zone_loads(&self, service: &str) -> BTreeMap<Rc<str>, ZoneLoad> {
         let serving = self.balancer.borrow().serving(service);
-        let busy = serving.iter().map(|(s, open)| self.busy_at(s, *open));
-        let busy = join_all(busy).await;
+        let utilizations = serving
+            .iter()
+            .map(|(s, open)| self.server_utilization(s, *open));
+        let utilizations = join_all(utilizations).await;
         let mut zones: BTreeMap<Rc<str>, ZoneLoad> = BTreeMap::new();
-        for ((server, _), busy) in serving.iter().zip(busy) {
+        for ((server, _), utilization) in serving.iter().zip(utilizations) {
             let zone = zones.entry(Rc::clone(&server.zone)).or_default();
             zone.serving += 1;
-            zone.busy_servers += busy;
+            zone.busy_servers += utilization;
         }
         zones
     }
 
-    /// How busy a server is, by its sidecar if it has one, else by the calls
-    /// that are open there.
-    async fn busy_at(&self, server: &ServerRecord, open: u32) -> f64 {
+    /// The utilization of a server as reported by its sidecar, or its open calls per slot
+    /// if no sidecar answers.
+    async fn server_utilization(&self, server: &ServerRecord, open_calls: u32) -> f64 {
         let sidecars = self.sidecars.borrow().clone();
-        let told = match sidecars {
+        let reported = match sidecars {
             Some(sidecars) => sidecars.utilization(server.addr.ip()).await,
             None => None,
         };
-        told.unwrap_or_else(|| f64::from(open) / f64::from(server.slots.max(1)))
+        reported.unwrap_or_else(|| f64::from(open_calls) / f64::from(server.slots.max(1)))
     }
 }
 
 impl Duties {
-    /// Looks at the load of a service and orders what it needs; whether the
-    /// platform's interface was heard.
-    async fn scale<B: DutyApi>(
+    /// Observes the load of a service and sends the orders that are due; returns whether
+    /// the platform API was reachable.
+    async fn scale_service<B: DutyApi>(
         &self,
         state: &State,
         duty_api: &B,
@@ -97,37 +101,37 @@
         let Some(limits) = &service.scaling else {
             return true;
         };
-        let zones = state.busy(&service.name).await;
+        let zones = state.zone_loads(&service.name).await;
         scaler.observe(state.clock.now(), limits, &zones);
         for order in scaler.due_orders(state.clock.now()) {
             let token = || self.token();
             let outcome = duty_api
                 .order(&self.name, &service.name, &order, token)
                 .await;
-            self.note_order(&service.name, &order, zones.get(&order.zone), &outcome);
+            self.record_order(&service.name, &order, zones.get(&order.zone), &outcome);
             if outcome != Outcome::Accepted {
                 return outcome.heard();
             }
             scaler.mark_accepted(state.clock.now(), &order);
-            tokio::time::sleep(self.spacing()).await;
+            tokio::time::sleep(self.call_interval()).await;
         }
         true
     }
 
-    /// Notes what became of an order.
-    fn note_order(
+    /// Records the outcome of an order.
+    fn record_order(
         &self,
         service: &str,
         order: &ServerOrder,
-        seen: Option<&ZoneLoad>,
+        load: Option<&ZoneLoad>,
         outcome: &Outcome,
     ) {
-        let word = outcome.word();
-        metrics::counter!("pimentocart_server_orders_total", "outcome" => word).increment(1);
-        let seen = seen.copied().unwrap_or_default();
+        let label = outcome.word();
+        metrics::counter!("pimentocart_server_orders_total", "outcome" => label).increment(1);
+        let load = load.copied().unwrap_or_default();
         info!("servers ordered", kv: {
-            service, zone = &*order.zone, count = order.count, outcome = word,
-            serving = seen.serving, busy = format!("{:.2}", seen.busy_servers).as_str()
+            service, zone = &*order.zone, count = order.count, outcome = label,
+            serving = load.serving, busy = format!("{:.2}", load.busy_servers).as_str()
         });
         match outcome {
             Outcome::Accepted => {
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,27 +1,27 @@
-//! The entry for routed calls: each goes straight to a backend server and its
-//! answer straight back. See docs/DECISIONS/0601-on-the-platform.md.
+//! The entry for routed calls: it forwards each call directly to a backend server and
+//! the answer directly back. See docs/DECISIONS/0601-on-the-platform.md.
 //!
-//! - [`settings`]: what the operators set.
-//! - [`edge`]: what a platform has to translate for this package.
-//! - [`follow`]: reading the platform's tables from the store.
-//! - [`neighbours`]: asking a neighbour for them, and answering neighbours.
-//! - [`tables`]: what they say, put to use.
-//! - [`state`]: the catalog in force, the known servers, what is open.
-//! - [`grants`]: asking the sidecars beside engines.
-//! - [`finding`]: finding the other entries.
-//! - [`gossip`]: what entries tell each other.
-//! - [`http`]: the callers' side.
-//! - [`call`]: one call, and getting it to run.
-//! - [`crashes`]: servers that crash, and the calls under which they do.
+//! - [`settings`]: the settings of an entry.
+//! - [`edge`]: the interfaces that a platform implements for this package.
+//! - [`follow`]: reads the platform's tables from the store.
+//! - [`neighbours`]: copies the tables from a peer, and serves peers that ask.
+//! - [`tables`]: applies changes of the tables.
+//! - [`state`]: the catalog in force, the known servers and the calls in progress.
+//! - [`grants`]: asks the sidecars next to engines for admission.
+//! - [`finding`]: discovers the other entries.
+//! - [`gossip`]: exchanges load reports with the other entries.
+//! - [`http`]: the HTTP interface for callers and operators.
+//! - [`call`]: the processing of one call.
+//! - [`crashes`]: server crashes, and the calls that may have caused them.
 //! - [`pool`]: connections to backend servers.
-//! - [`exchange`]: sending a call once, and what is known when it fails.
-//! - [`relay`]: passing a stream on, and going on with it elsewhere.
-//! - [`events`]: where the events of a stream end, and their numbers.
+//! - [`exchange`]: one attempt to send a call, and what is known when it fails.
+//! - [`relay`]: passes a stream on, and resumes it at another server.
+//! - [`events`]: splits a stream into its numbered events.
 //! - [`reply`]: answers to callers.
-//! - [`reload`]: reading the settings again.
-//! - [`duties`]: what one entry does for all.
-//! - [`status`]: what the entry believes, for operators.
-//! - [`drain`]: stopping without cutting anything off.
+//! - [`reload`]: reads the settings again at run time.
+//! - [`duties`]: duties that one entry performs for the whole fleet.
+//! - [`status`]: the entry's status, for operators.
+//! - [`drain`]: stops the entry without interrupting calls.
 
 pub mod call;
 pub mod crashes;
@@ -60,8 +60,8 @@
 pub use settings::Settings;
 use state::State;
 
-/// Runs an entry for routed calls until `stop` is asked and everything in
-/// progress has ended.
+/// Runs an entry for routed calls until `stop` is triggered and all calls in progress
+/// have ended.
 ///
 /// # Errors
 ///
@@ -82,10 +82,10 @@
     let socket = UdpSocket::bind(settings.gossip).await?;
     let duties = match Duties::bind(&settings, Rc::clone(&clock)).await {
         Ok(duties) => duties,
-        // Others perform the duties; callers are served all the same.
+        // Other entries can perform the duties; this one can still serve callers.
         Err(e) => {
             let addr = settings.duty_addr().to_string();
-            warn!("duties left to others", kv: {
+            warn!("duty port not bound; duties left to other entries", kv: {
                 step = "bind", addr = addr.as_str(), cause = e.to_string().as_str()
             });
             None
@@ -132,14 +132,14 @@
     let closed = StopSignal::new();
     actix_rt::spawn(drain::drain(Rc::clone(&state), stop, closed.clone()));
     let app = http::app(Rc::clone(&state));
-    let limit = state.settings.drain_timeout();
-    base::http::serve_and_drain(listener, app, closed, limit).await?;
+    let drain_timeout = state.settings.drain_timeout();
+    base::http::serve_and_drain(listener, app, closed, drain_timeout).await?;
     info!("entry stopped", kv: { name = state.settings.name.as_str(), open = state.open_calls.get() });
     end.trigger();
     Ok(())
 }
 
-/// Starts what counts, holds and performs the duties, until `end`.
+/// Starts the tasks that elect the holder of the duties and perform them, until `end`.
 fn start_duties<P: Platform>(
     state: &Rc<State>,
     duties: Rc<Duties>,
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -232,7 +232,8 @@
     }
 }
 
-/// Closes expired connections and drops expired crash records, until `end`.
+/// Closes expired connections and drops expired crash records at regular intervals, until
+/// `end`.
 pub async fn sweep(state: Rc<State>, end: StopSignal) {
     while !end.is_triggered() {
         tokio::time::sleep(SWEEP_INTERVAL).await;
