--- a/crates/forward/tests/duties/common.rs
+++ b/crates/forward/tests/duties/common.rs
@@ -1,4 +1,4 @@
-//! A store and a platform in memory, and entries before them.
+//! A fleet of entries in one process, with a store and a platform API in memory.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,126 +21,126 @@
 use policy::scaling::{self, ServerOrder};
 use policy::usage::WorkspaceCounts;
 
-/// Long enough for any step here, so that a test that hangs fails instead.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of each step, so that a test that hangs fails.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a peer that was heard counts as there.
-const HEARD: Duration = Duration::from_secs(1);
+/// Time for which a peer counts as present after a message.
+const PEER_TTL: Duration = Duration::from_secs(1);
 
-/// Addresses that a fleet may use.
-const HOSTS: u8 = 8;
+/// Number of loopback addresses that are reserved for each fleet.
+const HOSTS_PER_FLEET: u8 = 8;
 
-/// The port for other entries' calls; duties use the next one.
+/// The gossip port of all entries; duties use the next one.
 const PORT: u16 = 7440;
 
-/// Numbers the fleets of this process, for addresses of their own.
-static FLEETS: AtomicU8 = AtomicU8::new(1);
+/// Number of the next fleet of this process; each fleet has its own addresses.
+static NEXT_FLEET: AtomicU8 = AtomicU8::new(1);
 
-/// The duties' record.
+/// The store's log with the duties' record.
 #[derive(Default)]
 pub(crate) struct Store {
     kept: RefCell<Option<Kept>>,
-    end: Cell<u64>,
-    pub(crate) away: Cell<bool>,
+    log_end: Cell<u64>,
+    pub(crate) unavailable: Cell<bool>,
 }
 
 impl Store {
     pub(crate) fn kept(&self) -> Kept {
-        self.kept.borrow().clone().expect("a record")
+        self.kept.borrow().clone().expect("a stored record")
     }
 
-    /// Has the store come back from a copy that holds `kept`. Positions grow all
-    /// the same.
+    /// Restores the store from a copy that holds `kept`. Its offsets keep growing.
     pub(crate) fn rewind(&self, kept: Kept) {
         *self.kept.borrow_mut() = Some(kept);
-        self.end.set(self.end.get() + (1 << 40));
+        self.log_end.set(self.log_end.get() + (1 << 40));
     }
 }
 
-struct Log(Rc<Store>);
+struct StoreRecords(Rc<Store>);
 
-impl Records for Log {
+impl Records for StoreRecords {
     async fn read(&self) -> Result<(Option<Kept>, u64), SourceError> {
-        match self.0.away.get() {
+        match self.0.unavailable.get() {
             true => Err(SourceError::Unavailable {
                 step: "read",
                 peer: "store".to_owned(),
-                cause: "away".to_owned(),
+                cause: "unavailable".to_owned(),
             }),
-            false => Ok((self.0.kept.borrow().clone(), self.0.end.get())),
+            false => Ok((self.0.kept.borrow().clone(), self.0.log_end.get())),
         }
     }
 
     async fn write(&self, at: u64, kept: &Kept) -> WriteOutcome {
-        if self.0.away.get() {
+        if self.0.unavailable.get() {
             return WriteOutcome::Refused;
         }
-        if at != self.0.end.get() {
+        if at != self.0.log_end.get() {
             return WriteOutcome::Conflict;
         }
         *self.0.kept.borrow_mut() = Some(kept.clone());
-        self.0.end.set(at + 1);
+        self.0.log_end.set(at + 1);
         WriteOutcome::Stored(at)
     }
 }
 
-/// What the platform has accepted.
+/// The calls that the platform has accepted.
 #[derive(Default)]
 pub(crate) struct Platform {
     windows: RefCell<BTreeMap<u64, WorkspaceCounts>>,
     tokens: RefCell<BTreeSet<u64>>,
     calls: Cell<usize>,
-    losing: Cell<u32>,
-    orders: RefCell<Vec<Ordered>>,
+    lost_answers: Cell<u32>,
+    orders: RefCell<Vec<AcceptedOrder>>,
 }
 
 /// An order that was carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Ordered {
+pub(crate) struct AcceptedOrder {
     pub(crate) token: u64,
     pub(crate) zone: String,
     pub(crate) count: u32,
-    /// Whether the holder was told so.
+    /// Whether the holder received the answer.
     pub(crate) answered: bool,
 }
 
 impl Platform {
-    /// Carries the next `count` calls out without an answer.
-    pub(crate) fn lose(&self, count: u32) {
-        self.losing.set(count);
+    /// Loses the answers to the next `count` calls, which are carried out.
+    pub(crate) fn lose_answers(&self, count: u32) {
+        self.lost_answers.set(count);
     }
 
-    /// Answers that are still to be lost.
-    pub(crate) fn left(&self) -> u32 {
-        self.losing.get()
+    /// Number of answers that are still to be lost.
+    pub(crate) fn answers_to_lose(&self) -> u32 {
+        self.lost_answers.get()
     }
 
     pub(crate) fn calls(&self) -> usize {
         self.calls.get()
     }
 
-    /// Requests that were reported for a workspace.
-    pub(crate) fn of(&self, workspace: &str) -> u64 {
+    /// Number of requests that were reported for a workspace.
+    pub(crate) fn requests_of(&self, workspace: &str) -> u64 {
         let windows = self.windows.borrow();
         windows.values().filter_map(|c| c.get(workspace)).sum()
     }
 
+    /// Number of fencing tokens that were seen in calls.
     pub(crate) fn holders(&self) -> usize {
         self.tokens.borrow().len()
     }
 
-    /// Windows that were reported.
+    /// Number of windows that were reported.
     pub(crate) fn windows(&self) -> usize {
         self.windows.borrow().len()
     }
 
-    /// All orders that were carried out, in their order.
-    pub(crate) fn orders(&self) -> Vec<Ordered> {
+    /// All orders that were carried out, in the order of their calls.
+    pub(crate) fn orders(&self) -> Vec<AcceptedOrder> {
         self.orders.borrow().clone()
     }
 
-    /// Takes a call with the holder's token; returns that with what the caller
-    /// is answered once it is carried out, or why it is not.
+    /// Checks the fencing token of a call. Returns the token and the outcome that the
+    /// caller sees, or the reason why the call is rejected.
     fn call(&self, token: impl FnOnce() -> Option<u64>) -> Result<(u64, Outcome), Outcome> {
         let token = token().ok_or(Outcome::NotHeld)?;
         self.calls.set(self.calls.get() + 1);
@@ -149,9 +149,9 @@
             return Err(Outcome::Fenced(token));
         }
         self.tokens.borrow_mut().insert(token);
-        let losing = self.losing.get();
-        self.losing.set(losing.saturating_sub(1));
-        let outcome = match losing {
+        let lost_answers = self.lost_answers.get();
+        self.lost_answers.set(lost_answers.saturating_sub(1));
+        let outcome = match lost_answers {
             0 => Outcome::Accepted,
             _ => Outcome::Lost("no answer".to_owned()),
         };
@@ -159,9 +159,9 @@
     }
 }
 
-struct Office(Rc<Platform>);
+struct PlatformApi(Rc<Platform>);
 
-impl DutyApi for Office {
+impl DutyApi for PlatformApi {
     async fn report(
         &self,
         _holder: &str,
@@ -174,8 +174,11 @@
             Err(outcome) => return outcome,
         };
         let mut windows = self.0.windows.borrow_mut();
-        let told = windows.entry(window).or_insert_with(|| counts.clone());
-        assert_eq!(told, counts, "two reports of window {window}");
+        let first_counts = windows.entry(window).or_insert_with(|| counts.clone());
+        assert_eq!(
+            first_counts, counts,
+            "two different reports of window {window}"
+        );
         outcome
     }
 
@@ -187,10 +190,10 @@
         token: impl FnOnce() -> Option<u64>,
     ) -> Outcome {
         let (token, outcome) = match self.0.call(token) {
-            Ok(done) => done,
+            Ok(accepted) => accepted,
             Err(outcome) => return outcome,
         };
-        self.0.orders.borrow_mut().push(Ordered {
+        self.0.orders.borrow_mut().push(AcceptedOrder {
             token,
             zone: order.zone.to_string(),
             count: order.count,
@@ -202,7 +205,7 @@
 
 /// Entries in one process.
 pub(crate) struct Fleet {
-    pub(crate) net: u8,
+    pub(crate) fleet_number: u8,
     pub(crate) store: Rc<Store>,
     pub(crate) platform: Rc<Platform>,
     entries: Vec<Entry>,
@@ -211,58 +214,61 @@
 struct Entry {
     state: Rc<State>,
     duties: Rc<Duties>,
-    /// Ends all that the entry does, without a word.
+    /// Ends all tasks of the entry without a message to the others.
     end: StopSignal,
     tasks: Vec<actix_rt::task::JoinHandle<()>>,
 }
 
 impl Fleet {
-    /// Starts entries that hear each other and perform all duties.
+    /// Starts `count` entries that know each other and perform all duties.
     pub(crate) async fn start(count: u8) -> Self {
-        Self::with(count, &["usage_report", "autoscale"]).await
+        Self::start_with(count, &["usage_report", "autoscale"]).await
     }
 
-    /// The same with only some of the duties.
-    pub(crate) async fn with(count: u8, kinds: &[&str]) -> Self {
-        let net = FLEETS.fetch_add(1, Ordering::Relaxed);
+    /// Starts `count` entries that know each other and perform duties of these kinds.
+    pub(crate) async fn start_with(count: u8, kinds: &[&str]) -> Self {
+        let fleet_number = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
         let (store, platform) = (Rc::<Store>::default(), Rc::<Platform>::default());
         let mut entries = Vec::new();
         for number in 0..count {
-            entries.push(entry(settings(net, number, kinds), &store, &platform).await);
+            entries.push(entry(settings(fleet_number, number, kinds), &store, &platform).await);
         }
         let fleet = Self {
-            net,
+            fleet_number,
             store,
             platform,
             entries,
         };
         for (n, entry) in fleet.entries.iter().enumerate() {
             let others = (0..count).filter(|other| usize::from(*other) != n);
-            let others: Vec<_> = others.map(|other| settings(net, other, kinds)).collect();
+            let others: Vec<_> = others
+                .map(|other| settings(fleet_number, other, kinds))
+                .collect();
             let (duties, end) = (Rc::clone(&entry.duties), entry.end.clone());
-            let lives: Vec<StopSignal> = fleet.entries.iter().map(|e| e.end.clone()).collect();
+            let ends: Vec<StopSignal> = fleet.entries.iter().map(|e| e.end.clone()).collect();
             actix_rt::spawn(async move {
                 while !end.is_triggered() {
                     for settings in &others {
-                        let number = usize::from(last(settings) - 1);
-                        if !lives[number].is_triggered() {
-                            let rank = Rank::new(1, settings.gossip, u32::from(last(settings)));
+                        let number = usize::from(entry_number(settings) - 1);
+                        if !ends[number].is_triggered() {
+                            let rank =
+                                Rank::new(1, settings.gossip, u32::from(entry_number(settings)));
                             duties.observe_peer(
                                 settings.gossip,
                                 rank,
-                                HEARD,
+                                PEER_TTL,
                                 SystemClock.wall_ms(),
                             );
                         }
                     }
-                    tokio::time::sleep(HEARD / 5).await;
+                    tokio::time::sleep(PEER_TTL / 5).await;
                 }
             });
         }
         fleet
     }
 
-    /// The entry that holds the duty, with its token.
+    /// The entry that holds the duties, with its fencing token.
     pub(crate) fn holder(&self) -> Option<(usize, u64)> {
         let entries = self.entries.iter().enumerate();
         let live = entries.filter(|(_, e)| !e.end.is_triggered());
@@ -271,16 +277,15 @@
     }
 
     /// Counts requests at an entry.
-    pub(crate) fn count(&self, entry: usize, workspace: &str, count: u32) {
+    pub(crate) fn count_requests(&self, entry: usize, workspace: &str, count: u32) {
         for _ in 0..count {
             self.entries[entry].duties.count_request(workspace);
         }
     }
 
-    /// Has an entry know a service with a server of four slots in each of two
-    /// availability zones, up to eight of which may be ordered, and so many
-    /// calls open at each.
-    pub(crate) fn serve(&self, entry: usize, calls: u32) {
+    /// Adds a service to what an entry knows: a server of four slots with `calls` open
+    /// calls in each of two availability zones. Up to eight servers may be ordered.
+    pub(crate) fn add_service(&self, entry: usize, calls: u32) {
         let state = &self.entries[entry].state;
         *state.catalog.borrow_mut() = Some(Rc::new(catalog()));
         let now = state.clock.now();
@@ -293,28 +298,28 @@
         }
     }
 
-    /// All requests that were reported.
-    pub(crate) fn reported(&self) -> u64 {
+    /// Number of all reported requests.
+    pub(crate) fn reported_requests(&self) -> u64 {
         let windows = self.platform.windows.borrow();
         windows.values().flat_map(|c| c.values()).sum()
     }
 
-    /// Other entries that have heard of the duty's holder and of its counts.
-    pub(crate) fn told(&self, entry: usize) -> usize {
+    /// Number of other entries that have received counts of an entry.
+    pub(crate) fn informed_peers(&self, entry: usize) -> usize {
         let others = self.entries.iter().enumerate().filter(|(n, _)| *n != entry);
-        let life = self.entries[entry].duties.incarnation();
+        let incarnation = self.entries[entry].duties.incarnation();
         others
-            .filter(|(_, e)| e.duties.requests_of(life) > 0)
+            .filter(|(_, e)| e.duties.requests_of(incarnation) > 0)
             .count()
     }
 
-    /// Requests that an entry has counted and not forgotten.
-    pub(crate) fn counted(&self, entry: usize) -> u64 {
+    /// Number of requests that an entry has counted itself and still keeps.
+    pub(crate) fn counted_requests(&self, entry: usize) -> u64 {
         let duties = &self.entries[entry].duties;
         duties.requests_of(duties.incarnation())
     }
 
-    /// Ends an entry without a word.
+    /// Ends an entry without a message to the others.
     pub(crate) fn kill(&self, entry: usize) {
         let entry = &self.entries[entry];
         entry.end.trigger();
@@ -323,41 +328,44 @@
         }
     }
 
-    /// Asks an entry to stop.
+    /// Requests an entry to stop.
     pub(crate) fn stop(&self, entry: usize) {
         self.entries[entry].state.stopping.trigger();
     }
 }
 
-/// The place of an entry in its fleet, from 1.
-fn last(settings: &Settings) -> u8 {
+/// The number of an entry in its fleet, from 1.
+fn entry_number(settings: &Settings) -> u8 {
     match settings.gossip.ip() {
-        std::net::IpAddr::V4(ip) => ip.octets()[3] % HOSTS,
-        std::net::IpAddr::V6(_) => unreachable!("all hosts have short addresses"),
+        std::net::IpAddr::V4(ip) => ip.octets()[3] % HOSTS_PER_FLEET,
+        std::net::IpAddr::V6(_) => unreachable!("all hosts have IPv4 addresses"),
     }
 }
 
 async fn entry(settings: Settings, store: &Rc<Store>, platform: &Rc<Platform>) -> Entry {
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     let duties = Duties::bind(&settings, Rc::clone(&clock)).await;
-    let duties = duties.expect("the port is free").expect("a duty");
-    let state = State::new(settings, Rc::new(Mute), clock);
+    let duties = duties.expect("binds the port").expect("has duties");
+    let state = State::new(settings, Rc::new(NullDialect), clock);
     let end = StopSignal::new();
-    let (log, office) = (Log(Rc::clone(store)), Office(Rc::clone(platform)));
+    let (records, duty_api) = (
+        StoreRecords(Rc::clone(store)),
+        PlatformApi(Rc::clone(platform)),
+    );
     let tasks = vec![
         actix_rt::spawn(messages::receive(Rc::clone(&duties))),
         actix_rt::spawn(messages::send_counts(Rc::clone(&duties), end.clone())),
-        actix_rt::spawn(report::run(Rc::clone(&duties), office, end.clone())),
+        actix_rt::spawn(report::run(Rc::clone(&duties), duty_api, end.clone())),
         actix_rt::spawn(scale::run(
             Rc::clone(&state),
             Rc::clone(&duties),
-            Office(Rc::clone(platform)),
+            PlatformApi(Rc::clone(platform)),
             end.clone(),
         )),
         actix_rt::spawn(election::run(
             Rc::clone(&state),
             Rc::clone(&duties),
-            log,
+            records,
             end.clone(),
         )),
     ];
@@ -369,29 +377,33 @@
     }
 }
 
-/// Where entry `number` of a fleet stands. Each process has a part of loopback
-/// of its own, so that several can run these tests side by side.
-pub(crate) fn ip(net: u8, number: u8) -> String {
+/// The IP address of entry `number` of a fleet. Each process uses its own part of the
+/// loopback range, so that several processes can run these tests in parallel.
+pub(crate) fn ip(fleet: u8, number: u8) -> String {
     let [_, _, a, b] = std::process::id().to_be_bytes();
-    format!("127.{}.{b}.{}", a.max(1), net * HOSTS + number + 1)
+    format!(
+        "127.{}.{b}.{}",
+        a.max(1),
+        fleet * HOSTS_PER_FLEET + number + 1
+    )
 }
 
 /// Settings of entry `number` of a fleet.
-pub(crate) fn settings(net: u8, number: u8, kinds: &[&str]) -> Settings {
+pub(crate) fn settings(fleet: u8, number: u8, kinds: &[&str]) -> Settings {
     let host = number + 1;
-    let any = "127.0.0.1:1";
+    let unused = "127.0.0.1:1";
     let text = serde_json::json!({
-        "name": format!("entry-{host}"), "zone": "a", "listen": any, "ready": any,
-        "ready_path": "/ready", "gossip": format!("{}:{PORT}", ip(net, number)),
-        "store": any, "grace_s": 8.0, "repeat_ratio": 0.2, "repeat_window_s": 10.0,
+        "name": format!("entry-{host}"), "zone": "a", "listen": unused, "ready": unused,
+        "ready_path": "/ready", "gossip": format!("{}:{PORT}", ip(fleet, number)),
+        "store": unused, "grace_s": 8.0, "repeat_ratio": 0.2, "repeat_window_s": 10.0,
         "link_mbps": f64::from(host),
-        "duties": {"platform": any, "kinds": kinds, "rate": 50.0,
+        "duties": {"platform": unused, "kinds": kinds, "rate": 50.0,
             "window_s": 1.0, "due_s": 10.0, "lease_ms": 1000},
     });
-    serde_json::from_value(text).expect("settings")
+    serde_json::from_value(text).expect("valid settings")
 }
 
-/// A service whose number of servers may be ordered.
+/// A catalog with one service that has scaling limits.
 fn catalog() -> Catalog {
     let service = Service {
         name: Rc::from("app"),
@@ -406,7 +418,7 @@
     Catalog::new(1, Vec::new(), vec![service], None, CallerLimits::default())
 }
 
-/// The server in an availability zone, named like it.
+/// The server in an availability zone; its id is the zone's name.
 fn server(zone: &str) -> ServerRecord {
     let host = u8::from(zone == "b") + 1;
     ServerRecord {
@@ -414,7 +426,7 @@
         service: Rc::from("app"),
         addr: format!("127.42.0.{host}:{PORT}")
             .parse()
-            .expect("an address"),
+            .expect("valid address"),
         zone: Rc::from(zone),
         slots: 4,
         leaving: false,
@@ -422,9 +434,9 @@
     }
 }
 
-struct Mute;
+struct NullDialect;
 
-impl Dialect for Mute {
+impl Dialect for NullDialect {
     fn ask(&self, _headers: &HeaderMap) -> Ask {
         Ask::default()
     }
@@ -438,13 +450,13 @@
     }
 }
 
-/// Waits until something is so.
-pub(crate) async fn until(what: &str, mut done: impl FnMut() -> bool) {
+/// Waits until `condition` holds; fails after a timeout.
+pub(crate) async fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let wait = async {
-        while !done() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, wait).await;
-    assert!(waited.is_ok(), "never: {what}");
+    let waited = tokio::time::timeout(TIMEOUT, wait).await;
+    assert!(waited.is_ok(), "timed out: {what}");
 }
