--- a/crates/forward/src/duties.rs
+++ b/crates/forward/src/duties.rs
@@ -34,7 +34,6 @@
 
 /// An entry's state of the duties, as holder or as candidate.
 pub struct Duties {
-    /// The settings of the duties.
     settings: settings::DutySettings,
     /// Name of the daemon in calls to the platform.
     name: String,
