--- a/crates/forward/src/call.rs
+++ b/crates/forward/src/call.rs
@@ -1,12 +1,12 @@
-//! One call, and getting it to run.
+//! A caller's request and the attempts to have it executed.
 //!
-//! - `attempt`: sending the call to the chosen server.
-//! - `place`: choosing a server, and when the call may go there.
-//! - `answer`: taking what comes back.
+//! - `attempt`: sending the call to a chosen server.
+//! - `placement`: choosing a server and getting admission to it.
+//! - `response`: processing the server's response.
 
-mod answer;
 mod attempt;
-mod place;
+mod placement;
+mod response;
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 use rand::RngExt;
 use spdlog::info;
 
-use answer::is_valid_success;
+use response::is_valid_success;
 
 use crate::crashes;
 use crate::exchange::{ResponseBody, SendError};
@@ -33,39 +33,39 @@
 use crate::reply::{LocalReply, Reply};
 use crate::state::{Open, State};
 
-/// When to come back if no server takes the call: servers that were replaced
-/// are known about so long after.
+/// Retry-After when no server takes the call. Servers that replace lost ones
+/// are known after about this time.
 const NO_SERVER_RETRY: Duration = Duration::from_millis(400);
 
-/// When to come back if the server was full: a slot falls free about that
-/// often on a busy server.
+/// Retry-After when the server was full. A slot becomes free about this often
+/// on a busy server.
 const SERVERS_FULL_RETRY: Duration = Duration::from_millis(100);
 
-/// When to come back if the catalog is not known yet.
+/// Retry-After when the catalog is not known yet.
 const NO_CATALOG_RETRY: Duration = Duration::from_millis(500);
 
-/// A caller's call.
+/// A call, routed by the catalog in force, with everything needed to send it.
 #[derive(Debug)]
 pub struct Call {
-    /// What the entry knows.
+    /// The state that all parts of the entry share.
     pub state: Rc<State>,
-    /// Its route.
+    /// The route that matched.
     pub route: Rc<Route>,
-    /// The service that it goes to.
+    /// The service that the call is sent to.
     pub service: Rc<str>,
-    /// What its headers say.
+    /// The fields parsed from the caller's headers.
     pub parsed_headers: CallHeaders,
-    /// Its workspace, if callers have keys.
+    /// The caller's workspace, if callers need keys.
     pub workspace: Option<Rc<Workspace>>,
-    /// When it came.
+    /// When the entry received it.
     pub received_at: Instant,
-    /// When the caller or the route gives it up.
+    /// When the caller's or the route's timeout ends, whichever is first.
     pub deadline: Instant,
-    /// What its time goes into, if an engine serves it.
+    /// The phase that dominates its cost, if an engine serves it.
     phase: Option<Phase>,
-    /// Whether a backend server has begun with it.
+    /// Whether its workspace was charged for it.
     billing: Cell<BillingState>,
-    /// Its fingerprint, once it is needed.
+    /// The fingerprint, computed on first use.
     fingerprint: OnceCell<Fingerprint>,
     method: Method,
     uri: Uri,
@@ -85,28 +85,29 @@
     }
 }
 
-/// Whether a backend server has begun with a call, which is what its workspace
-/// pays for.
+/// Whether a backend server has started the call. A workspace is charged for
+/// each call that was started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BillingState {
-    /// No server has.
+    /// No server has started it.
     NotStarted,
-    /// It was sent to a plain service, which begins soon and does not say so.
+    /// It was sent to a service without engine, which starts calls at once and
+    /// sends no event when it does.
     MaybeStarted,
-    /// A server has, and it was counted.
+    /// A server has started it, and it was charged.
     Counted,
 }
 
-/// Where a server begins with a call.
+/// Where a server starts the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StartPoint {
-    /// At its start.
+    /// At its beginning.
     Beginning,
-    /// After the last event that the caller has of its stream, if any.
+    /// After the last event of its stream that the caller has received, if any.
     After(Option<u64>),
 }
 
-/// A call as it came.
+/// A request as it was received.
 #[derive(Debug)]
 pub struct IncomingRequest {
     /// The method.
@@ -117,16 +118,16 @@
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// When it came.
+    /// When the entry received it.
     pub received_at: Instant,
 }
 
 impl Call {
-    /// Reads a call by the catalog in force.
+    /// Routes a request by the catalog in force.
     ///
     /// # Errors
     ///
-    /// Returns the answer for a call that is not served.
+    /// Returns the reply when the request is not served.
     pub fn from_request(state: &Rc<State>, incoming: IncomingRequest) -> Result<Self, LocalReply> {
         let catalog = state.catalog.borrow().clone();
         let Some(catalog) = catalog else {
@@ -146,18 +147,18 @@
         let engine = catalog.service(&service).and_then(|s| s.engine);
         let phase = engine.map(|_| {
             let mut pools = state.pools.borrow_mut();
-            let coming = IncomingCall {
+            let call = IncomingCall {
                 route: &route.name,
                 prompt_tokens: unshared_tokens(&parsed_headers),
                 max_answer: parsed_headers.max_tokens,
                 max_gap: route.max_gap,
             };
-            pools.classify(incoming.received_at, &service, coming)
+            pools.classify(incoming.received_at, &service, call)
         });
-        let patience = parsed_headers.caller_timeout.unwrap_or(route.call_timeout);
+        let caller_timeout = parsed_headers.caller_timeout.unwrap_or(route.call_timeout);
         Ok(Self {
             state: Rc::clone(state),
-            deadline: incoming.received_at + route.call_timeout.min(patience),
+            deadline: incoming.received_at + route.call_timeout.min(caller_timeout),
             phase,
             billing: Cell::new(BillingState::NotStarted),
             fingerprint: OnceCell::new(),
@@ -173,13 +174,13 @@
         })
     }
 
-    /// The caller's identity of the call, for logs.
+    /// The caller's request ID, or `-`, for logs.
     #[must_use]
     pub fn request_id(&self) -> &str {
         self.parsed_headers.request_id.as_deref().unwrap_or("-")
     }
 
-    /// Names what the caller sent, the same for each of its tries.
+    /// Identifies the request's content. It is equal for all retries of a call.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
@@ -196,29 +197,29 @@
         })
     }
 
-    /// For how long it is not to be sent to any server, as servers crash under
-    /// it; none if it may be.
+    /// How long the call must not be sent to any server because servers crash
+    /// while they run it; `None` if it may be sent.
     fn blocked_for(&self) -> Option<Duration> {
         let crashes = &self.state.crashes;
-        // Few calls need a fingerprint.
+        // Skips the hash of the body, which few calls need.
         if crashes.is_empty() {
             return None;
         }
         crashes.refused(self.state.clock.now(), self.fingerprint())
     }
 
-    /// Notes that a server has run it whole.
+    /// Records that a server has completed the call.
     pub(crate) fn record_completed(&self) {
         self.state.crashes.served(self.fingerprint());
     }
 
-    /// Notes that its connection to `server` broke before the answer was
-    /// whole.
+    /// Records that the connection to `server` broke before the response was
+    /// complete.
     pub(crate) fn record_broken(&self, server: &ServerRecord) {
         crashes::broke(&self.state, server, self.fingerprint());
     }
 
-    /// Milliseconds since it came.
+    /// The time since the call was received, in milliseconds.
     #[must_use]
     pub fn age_ms(&self) -> u64 {
         let age = self
@@ -229,20 +230,20 @@
         u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The call's tier: the workspace's, or else the route's.
+    /// The call's tier: the workspace's if it has one, otherwise the route's.
     #[must_use]
     pub fn tier(&self) -> Tier {
-        let own = self.workspace.as_ref().and_then(|w| w.tier);
-        own.unwrap_or(self.route.tier)
+        let tier = self.workspace.as_ref().and_then(|w| w.tier);
+        tier.unwrap_or(self.route.tier)
     }
 
-    /// The call's rank for engines.
+    /// The call's priority rank at engines.
     fn rank(&self) -> u8 {
         let workspace = self.workspace.as_ref().and_then(|w| w.tier);
         urgency::rank(workspace, self.route.tier)
     }
 
-    /// Gets the call to run and says what to answer.
+    /// Sends the call, with retries, and returns the reply for the caller.
     pub async fn run(self: Rc<Self>) -> Reply {
         let _open = Open::new(&self.state);
         let mut tried = Vec::new();
@@ -251,62 +252,64 @@
             .borrow_mut()
             .record_call(self.received_at, &self.service);
         let mut last = None;
-        // A failure that a server vouches for, for the case that no other
-        // server does better.
-        let mut answered = None;
+        // A failure response that a server has sealed. It is returned if no
+        // other server does better.
+        let mut failed_reply = None;
         for attempt in 1..=self.route.max_attempts.max(1) {
             if attempt > 1 && !self.take_retry() {
                 break;
             }
-            let answer = self.send(&mut tried, StartPoint::Beginning).await;
-            let failure = match answer {
-                Ok(answer) => match self.accept(answer, &tried).await {
+            let response = self.send(&mut tried, StartPoint::Beginning).await;
+            let error = match response {
+                Ok(response) => match self.accept(response, &tried).await {
                     Ok(reply) if self.should_retry(&reply, &tried) => {
-                        answered = Some(reply);
+                        failed_reply = Some(reply);
                         continue;
                     }
                     Ok(reply) => return reply,
-                    Err(failure) => failure,
+                    Err(error) => error,
                 },
-                Err(failure) => failure,
+                Err(error) => error,
             };
-            if matches!(failure, SendError::Unknown(_)) {
-                // Engines crash with calls of which nothing has come yet.
+            if matches!(error, SendError::Unknown(_)) {
+                // An engine can crash while it runs a call that has sent
+                // nothing yet.
                 self.record_usage();
             }
-            metrics::counter!("pimentocart_sends_failed_total", "cause" => failure.label())
+            metrics::counter!("pimentocart_sends_failed_total", "cause" => error.label())
                 .increment(1);
             info!("send failed", kv: {
                 id = self.request_id(),
                 route = self.route.name.as_str(),
                 attempt,
                 server = tried.last().map_or("-", |s| &**s),
-                cause = failure.label(),
-                detail = format!("{failure:?}").as_str(),
+                cause = error.label(),
+                detail = format!("{error:?}").as_str(),
                 ms = self.age_ms()
             });
-            let again = failure.not_run() || self.route.kind.repeatable();
-            let over = failure.is_final();
-            // Once the call may have run somewhere, no later failure changes
-            // that, and no refusal would be true.
+            let may_retry = error.not_run() || self.route.kind.repeatable();
+            let is_final = error.is_final();
+            // Once the call may have run on some server, a later failure does
+            // not change that, and a refusal, which claims that it has not run,
+            // would be wrong.
             if last.as_ref().is_none_or(SendError::not_run) {
-                last = Some(failure);
+                last = Some(error);
             }
-            if !again || over {
+            if !may_retry || is_final {
                 break;
             }
         }
-        answered.unwrap_or_else(|| Reply::Local(self.final_reply(last.as_ref())))
+        failed_reply.unwrap_or_else(|| Reply::Local(self.final_reply(last.as_ref())))
     }
 
-    /// Whether another server may well serve what this one failed.
+    /// Whether another server may succeed where this one failed.
     fn should_retry(&self, reply: &Reply, tried: &[Rc<str>]) -> bool {
         let failed = matches!(reply, Reply::Buffered { status, .. } if *status >= 500);
-        let spare = tried.len() < self.route.max_attempts as usize;
-        failed && spare && self.route.kind == CallKind::Idempotent
+        let attempts_left = tried.len() < self.route.max_attempts as usize;
+        failed && attempts_left && self.route.kind == CallKind::Idempotent
     }
 
-    /// Goes on with a stream after event `last` at another server.
+    /// Resumes a stream at another server after event `last`.
     pub async fn resume(
         self: Rc<Self>,
         last: Option<u64>,
@@ -317,16 +320,16 @@
                 return None;
             }
             match self.send(tried, StartPoint::After(last)).await {
-                Ok(answer) if is_valid_success(&answer) => return Some(answer.body),
+                Ok(response) if is_valid_success(&response) => return Some(response.body),
                 Ok(_) => {}
-                Err(failure) if failure.is_final() => return None,
+                Err(error) if error.is_final() => return None,
                 Err(_) => {}
             }
         }
         None
     }
 
-    /// Notes the longest pause of its stream, which has ended.
+    /// Records the longest gap between two events of a stream that has ended.
     pub fn record_pause(&self, pause: Duration) {
         if self.phase == Some(Phase::Prefill) {
             let now = self.state.clock.now();
@@ -335,7 +338,8 @@
         }
     }
 
-    /// Counts the call as used by its workspace, once.
+    /// Charges the call to its workspace. Later calls of this method do
+    /// nothing.
     fn record_usage(&self) {
         if self.billing.replace(BillingState::Counted) == BillingState::Counted {
             return;
@@ -346,21 +350,22 @@
         }
     }
 
-    /// Notes that the call goes out to a server.
+    /// Records that the call is being sent to a server.
     fn record_sent(&self) {
         if self.phase.is_none() && self.billing.get() == BillingState::NotStarted {
             self.billing.set(BillingState::MaybeStarted);
         }
     }
 
-    /// Notes what a send has shown of the call having begun.
-    fn record_failed(&self, failure: &SendError) {
-        if self.billing.get() == BillingState::MaybeStarted && failure.not_run() {
+    /// Clears the mark of a possible start if the failure shows that the call
+    /// has not run.
+    fn record_failed(&self, error: &SendError) {
+        if self.billing.get() == BillingState::MaybeStarted && error.not_run() {
             self.billing.set(BillingState::NotStarted);
         }
     }
 
-    /// Takes one repeat from the budget.
+    /// Takes one retry from the retry budget, if one is left.
     fn take_retry(&self) -> bool {
         let now = self.state.clock.now();
         let left = self
@@ -371,12 +376,12 @@
         let outcome = if left { "taken" } else { "none_left" };
         metrics::counter!("pimentocart_repeats_total", "outcome" => outcome).increment(1);
         if !left {
-            info!("no repeat left", kv: { id = self.request_id(), service = &*self.service });
+            info!("retry budget exhausted", kv: { id = self.request_id(), service = &*self.service });
         }
         left
     }
 
-    /// The answer when no server has served the call.
+    /// The reply when no server has served the call.
     fn final_reply(&self, last: Option<&SendError>) -> LocalReply {
         match last {
             Some(SendError::TimedOut) => LocalReply::failed(504, Refusal::Expired),
@@ -403,8 +408,9 @@
         }
     }
 
-    /// When to come back: not before a server takes calls or is tried again, and
-    /// not in the same moment as others that are refused now.
+    /// The Retry-After time: not before a server accepts calls or is tried
+    /// again, and with jitter so that callers refused together do not return
+    /// together.
     fn retry_after(&self, least: Duration) -> Duration {
         let now = self.state.clock.now();
         let balance = self.state.balance.borrow();
@@ -422,10 +428,10 @@
     route.ok_or(LocalReply::denied(404, Refusal::UnknownTarget))
 }
 
-/// Tokens of a prompt that no earlier call can have left in a cache.
+/// Tokens of the prompt that no other call can have left in a prefix cache.
 fn unshared_tokens(parsed_headers: &CallHeaders) -> u32 {
     parsed_headers
         .prompt_parts
         .last()
-        .map_or(parsed_headers.prompt_tokens, |own| own.tokens)
+        .map_or(parsed_headers.prompt_tokens, |part| part.tokens)
 }
--- a/crates/forward/src/call/attempt.rs
+++ b/crates/forward/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! Choosing a server for a call and sending it there.
+//! One attempt to send a call: choosing a server and sending it there.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,28 +10,28 @@
 use policy::balance::{ServerFeedback, ServerRecord};
 use spdlog::{info, warn};
 
-use super::place::Placement;
+use super::placement::Placement;
 use super::{Call, StartPoint};
 use crate::exchange::{self, SendError, ServerResponse};
 use crate::platform::AddedHeaders;
 
-/// Connections that are tried before a call is given up that could not be
-/// sent anywhere: a region that lost some hosts has others.
+/// Servers to which a connection is tried before an unsent call fails. After
+/// the loss of some hosts a region still has others.
 const MAX_CONNECTS: usize = 4;
 
-/// The part of its target that a call may wait for servers that have asked for
-/// fewer calls.
+/// The share of its latency target that a call may wait for its turn when all
+/// servers have asked for a lower rate.
 const TURN_SHARE: f64 = 0.5;
 
 impl Call {
-    /// Sends the call to one server. Servers that cannot be reached count as
-    /// no send.
+    /// Sends the call to one server. A server that cannot be reached is skipped
+    /// and does not count as an attempt.
     pub(super) async fn send(
         &self,
         tried: &mut Vec<Rc<str>>,
-        begin: StartPoint,
+        start: StartPoint,
     ) -> Result<ServerResponse, SendError> {
-        let mut failure = SendError::NeverSent("no server".to_owned());
+        let mut error = SendError::NeverSent("no server".to_owned());
         let mut unreachable = Vec::new();
         for _ in 0..MAX_CONNECTS {
             let now = self.state.clock.now();
@@ -39,9 +39,9 @@
                 return Err(SendError::TimedOut);
             }
             self.check_crashes()?;
-            let avoid: Vec<Rc<str>> = tried.iter().chain(&unreachable).cloned().collect();
-            // A call that waits for its turn past its time was never sent.
-            let place = self.place(now, &avoid, begin);
+            let excluded: Vec<Rc<str>> = tried.iter().chain(&unreachable).cloned().collect();
+            // A call whose deadline passes during placement was never sent.
+            let place = self.place(now, &excluded, start);
             let place = tokio::time::timeout_at(self.deadline.into(), place).await;
             metrics::histogram!("pimentocart_place_seconds")
                 .record(self.state.clock.now().saturating_duration_since(now));
@@ -49,14 +49,15 @@
                 let Some(wait) = self.next_turn(now) else {
                     break;
                 };
-                failure = SendError::ServersBusy(wait);
+                error = SendError::ServersBusy(wait);
                 if !self.may_wait(now, wait) {
                     break;
                 }
                 tokio::time::sleep(wait).await;
                 continue;
             };
-            // Servers may have crashed under another try while this one waited.
+            // Servers may have crashed under another attempt of this call while
+            // this one waited.
             self.check_crashes()?;
             let Placement {
                 server,
@@ -66,26 +67,26 @@
             } = place;
             let now = self.state.clock.now();
             if !self.state.balance.borrow_mut().take_turn(now, &server.id) {
-                // Another call took the turn while this one was placed, or the
-                // server has asked for rest or begun to leave.
-                failure = self.next_turn(now).map_or(failure, SendError::ServersBusy);
+                // Another call took the turn during placement, or the server
+                // has asked for backoff or announced that it is leaving.
+                error = self.next_turn(now).map_or(error, SendError::ServersBusy);
                 continue;
             }
-            let request = self.build_request(now, &server, begin, fetch_from);
+            let request = self.build_request(now, &server, start, fetch_from);
             let id = self.parsed_headers.request_id.as_deref();
             self.record_sent();
             let sent =
                 exchange::send(&self.state, &server, request, id, self.deadline, grant).await;
-            let sent = sent.map(|answer| ServerResponse {
+            let sent = sent.map(|response| ServerResponse {
                 sent_at: now,
                 waiting_calls,
-                ..answer
+                ..response
             });
             if sent.as_ref().is_err_and(|e| *e == SendError::TimedOut) {
                 self.record_timeout(now, waiting_calls);
             }
-            if let Err(failure) = &sent {
-                self.record_failed(failure);
+            if let Err(error) = &sent {
+                self.record_failed(error);
             }
             match sent {
                 Err(SendError::NeverSent(e)) => {
@@ -93,15 +94,16 @@
                         id = self.request_id(), server = &*server.id, cause = e.as_str()
                     });
                     unreachable.push(Rc::clone(&server.id));
-                    failure = SendError::NeverSent(e);
+                    error = SendError::NeverSent(e);
                 }
                 Err(SendError::WrongServer) => {
                     self.mark_replaced(now, &server);
                     unreachable.push(Rc::clone(&server.id));
-                    failure = SendError::WrongServer;
-                    // It reached a server all the same. When many servers are
-                    // replaced at once, calls that go from one to the next
-                    // would double the load of those that are left.
+                    error = SendError::WrongServer;
+                    // The call did reach a server, so it counts as a retry.
+                    // When many servers are replaced at once, calls that move
+                    // from one to the next would double the load on those that
+                    // are left.
                     if !self.take_retry() {
                         break;
                     }
@@ -113,31 +115,31 @@
                 }
             }
         }
-        Err(failure)
+        Err(error)
     }
 
-    /// Fails if servers crash under the call.
+    /// Fails if servers crash while they run the call.
     fn check_crashes(&self) -> Result<(), SendError> {
         self.blocked_for()
             .map_or(Ok(()), |left| Err(SendError::CrashesServers(left)))
     }
 
-    /// How long it is until a server takes a call, if all that are there have
-    /// asked for fewer.
+    /// The time until a server accepts a call, if all known servers have asked
+    /// for a lower rate.
     fn next_turn(&self, now: Instant) -> Option<Duration> {
         self.state.balance.borrow().next_turn(now, &self.service)
     }
 
-    /// Whether the call may wait that long for a turn. Callers come back once or
-    /// twice, so a short wait serves more of them than a refusal.
+    /// Whether the call may wait this long for its turn. Callers retry only
+    /// once or twice, so a short wait serves more of them than a refusal.
     fn may_wait(&self, now: Instant, wait: Duration) -> bool {
         let age = now.saturating_duration_since(self.received_at);
         age + wait <= self.route.latency_target.mul_f64(TURN_SHARE)
     }
 
-    /// Notes that another server has the address of `server` by now. The list
-    /// shows the old one for seconds, in which every call to it would be
-    /// refused; it counts as missing from here on.
+    /// Marks `server` as missing because another server has its address now.
+    /// The server list shows the old one for some seconds, during which every
+    /// call to it would be refused.
     pub(super) fn mark_replaced(&self, now: Instant, server: &ServerRecord) {
         info!("server replaced", kv: {
             id = self.request_id(), server = &*server.id, addr = server.addr.to_string().as_str()
@@ -148,28 +150,28 @@
             .mark_missing(now, &server.id, now);
     }
 
-    /// Notes that the sidecar beside `server` says that it leaves.
+    /// Marks `server` as leaving, as its sidecar has reported.
     pub(super) fn mark_leaving(&self, server: &ServerRecord) {
-        let word = ServerFeedback {
+        let feedback = ServerFeedback {
             leaving: true,
             ..ServerFeedback::default()
         };
-        exchange::apply_feedback(&self.state, server, self.state.clock.now(), &word);
+        exchange::apply_feedback(&self.state, server, self.state.clock.now(), &feedback);
     }
 
     fn build_request(
         &self,
         now: Instant,
         server: &ServerRecord,
-        begin: StartPoint,
+        start: StartPoint,
         fetch_from: Option<SocketAddr>,
     ) -> Request<Full<Bytes>> {
-        let order = AddedHeaders {
+        let added = AddedHeaders {
             time_left: self.deadline.saturating_duration_since(now),
             server: &server.id,
             workspace: self.workspace.as_ref().map(|w| w.name.as_str()),
             priority: Some(self.rank()),
-            last_event: match begin {
+            last_event: match start {
                 StartPoint::Beginning => None,
                 StartPoint::After(last) => last,
             },
@@ -178,16 +180,16 @@
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
-        *request.headers_mut() = self.state.dialect.forwarded_headers(&self.headers, &order);
+        *request.headers_mut() = self.state.dialect.forwarded_headers(&self.headers, &added);
         request
     }
 
-    /// Notes what a send tells about the server.
+    /// Records in the balancer how the attempt ended.
     fn record_outcome(&self, server: &ServerRecord, sent: &Result<ServerResponse, SendError>) {
         let now = self.state.clock.now();
         let mut balance = self.state.balance.borrow_mut();
         match sent {
-            Ok(answer) if answer.status < 500 => balance.call_succeeded(&server.id),
+            Ok(response) if response.status < 500 => balance.call_succeeded(&server.id),
             Ok(_) => balance.call_failed(now, &server.id),
             Err(SendError::Unknown(_)) => balance.call_failed(now, &server.id),
             Err(SendError::NotRun(_)) => balance.call_rejected(now, &server.id),
--- a/crates/forward/src/call/place.rs
+++ b/crates/forward/src/call/placement.rs
@@ -1,4 +1,4 @@
-//! Choosing a server for a call, and when it may go there.
+//! Choosing a server for a call and getting admission to it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,41 +20,44 @@
 use crate::platform;
 use crate::relay::millis;
 
-/// A server that sends nothing for so many times the route's target is taken
-/// to be dark; other calls find it well again as soon as anything comes.
+/// A server that has sent nothing for this multiple of the route's latency
+/// target counts as unresponsive. It is used again as soon as anything arrives
+/// from it.
 const SILENCE_FACTOR: u32 = 3;
 
-/// The least of that time: a plain service's slowest answers take as long.
+/// Lower bound of that time; the slowest responses of a plain service take as
+/// long.
 const MIN_SILENCE: Duration = Duration::from_millis(300);
 
-/// The most of it: an engine with a full queue still sends something.
+/// Upper bound of that time; an engine with a full queue still sends something
+/// within it.
 const MAX_SILENCE: Duration = Duration::from_millis(1200);
 
-/// Engines of the call's own part that are asked for a place by its prompt's
-/// shared parts: their home and the next one.
+/// Engines in the call's own partition that are asked for admission, by the
+/// prompt's shared prefix: its home and the next one.
 const HOME_ENGINES: usize = 2;
 
-/// On what terms an engine is asked for a place.
+/// How an engine is asked for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AdmissionTerms {
-    /// It is the home of the prompt's shared parts.
+    /// It is the home of the prompt's shared prefix.
     Home,
-    /// It is not, and has to read them.
+    /// It is not the home and has to prefill the shared prefix.
     Spill,
-    /// It has to take the call.
+    /// It has to admit the call.
     Forced,
 }
 
-/// An engine that holds a part of the prompt.
+/// The engine with the longest cached prefix of the prompt.
 #[derive(Debug, Default)]
 struct PrefixHolder {
-    /// Tokens from the prompt's start.
+    /// Length of the cached prefix, in tokens.
     tokens: u32,
     server: Option<ServerRecord>,
 }
 
 impl PrefixHolder {
-    /// Notes that `server` holds `tokens`.
+    /// Keeps `server` if its prefix of `tokens` is the longest so far.
     fn record(&mut self, tokens: u32, server: &ServerRecord) {
         if tokens > self.tokens {
             *self = Self {
@@ -65,56 +68,57 @@
     }
 }
 
-/// Where a call goes.
+/// Where a call is sent.
 #[derive(Debug)]
 pub(super) struct Placement {
     /// The server.
     pub(super) server: ServerRecord,
-    /// Calls that wait there for their first event.
+    /// Calls that wait at the server for their first event.
     pub(super) waiting_calls: u32,
-    /// The sidecar's leave, if there is one.
+    /// The sidecar's admission, if one was asked.
     pub(super) grant: Option<Grant>,
-    /// An engine that holds parts of the prompt which this one lacks.
+    /// An engine from which to fetch cached parts of the prompt that the server
+    /// lacks.
     pub(super) fetch_from: Option<SocketAddr>,
 }
 
 impl Call {
-    /// Finds a server for the call and waits until it may be sent there; none
-    /// when no server may take it.
+    /// Finds a server for the call and waits until the call may be sent there.
+    /// Returns `None` when no server may take it.
     pub(super) async fn place(
         &self,
         now: Instant,
-        avoid: &[Rc<str>],
-        begin: StartPoint,
+        excluded: &[Rc<str>],
+        start: StartPoint,
     ) -> Result<Option<Placement>, SendError> {
         let sidecars = self.state.sidecars.borrow().clone();
         let placed = match (sidecars, self.phase) {
             (Some(sidecars), Some(phase)) => {
-                self.request_grant(now, &sidecars, phase, avoid, begin)
+                self.request_grant(now, &sidecars, phase, excluded, start)
                     .await?
             }
             _ => None,
         };
         match placed {
             Some(place) => Ok(Some(place)),
-            None => self.choose_locally(now, avoid, begin),
+            None => self.choose_locally(now, excluded, start),
         }
     }
 
-    /// Chooses by what this entry knows.
+    /// Chooses a server by the local state of this entry.
     fn choose_locally(
         &self,
         now: Instant,
-        avoid: &[Rc<str>],
-        begin: StartPoint,
+        excluded: &[Rc<str>],
+        start: StartPoint,
     ) -> Result<Option<Placement>, SendError> {
         let part = self.partition(now);
-        let want = self.server_query(part, avoid);
-        let server = self.state.balance.borrow_mut().choose(now, &want);
+        let request = self.server_query(part, excluded);
+        let server = self.state.balance.borrow_mut().choose(now, &request);
         let Some(server) = server else {
             return Ok(None);
         };
-        let waiting_calls = self.check_wait(&server, begin)?;
+        let waiting_calls = self.check_wait(&server, start)?;
         Ok(Some(Placement {
             server,
             waiting_calls,
@@ -123,26 +127,26 @@
         }))
     }
 
-    /// Asks the sidecars of the best engines for a place; none when the first
-    /// that matters is silent, and the entry has to choose by itself.
+    /// Asks the sidecars of the best engines for admission. Returns `None` when
+    /// a sidecar does not answer; the entry then chooses by its local state.
     async fn request_grant(
         &self,
         now: Instant,
         sidecars: &Rc<Sidecars>,
         phase: Phase,
-        avoid: &[Rc<str>],
-        begin: StartPoint,
+        excluded: &[Rc<str>],
+        start: StartPoint,
     ) -> Result<Option<Placement>, SendError> {
-        let mut least: Option<(Duration, ServerRecord)> = None;
+        let mut lowest: Option<(Duration, ServerRecord)> = None;
         let mut holder = PrefixHolder::default();
-        let candidates = self.candidates(now, phase, avoid);
+        let candidates = self.candidates(now, phase, excluded);
         for (n, server) in candidates.iter().enumerate() {
             let terms = if n == 0 {
                 AdmissionTerms::Home
             } else {
                 AdmissionTerms::Spill
             };
-            let asked = self.ask_sidecar(sidecars, server, begin, terms, &holder);
+            let asked = self.ask_sidecar(sidecars, server, start, terms, &holder);
             match asked.await {
                 Decided::Granted(grant, held) => {
                     let asked = &candidates[..=n];
@@ -156,23 +160,23 @@
                 Decided::Leaving => self.mark_leaving(server),
                 Decided::Refused(expected, held) => {
                     holder.record(held.tokens, server);
-                    if least.as_ref().is_none_or(|(e, _)| expected < *e) {
-                        least = Some((expected, server.clone()));
+                    if lowest.as_ref().is_none_or(|(e, _)| expected < *e) {
+                        lowest = Some((expected, server.clone()));
                     }
                 }
             }
         }
-        let Some((expected, server)) = least else {
+        let Some((expected, server)) = lowest else {
             return Ok(None);
         };
         let left = self
             .deadline
             .saturating_duration_since(self.state.clock.now());
-        let must = phase == Phase::Decode || self.call_timing(begin).must_accept(expected, left);
-        if !must {
+        let forced = phase == Phase::Decode || self.call_timing(start).must_accept(expected, left);
+        if !forced {
             return Err(self.refuse_late(&server, expected));
         }
-        let asked = self.ask_sidecar(sidecars, &server, begin, AdmissionTerms::Forced, &holder);
+        let asked = self.ask_sidecar(sidecars, &server, start, AdmissionTerms::Forced, &holder);
         match asked.await {
             Decided::Granted(grant, held) => {
                 let fetch_from = self.fetch_source(sidecars, &grant, held, holder, &candidates);
@@ -192,9 +196,10 @@
         }
     }
 
-    /// From where the engine of `grant`, which holds `held` of the prompt,
-    /// should fetch more of it: from an engine that has said so, or from one
-    /// of the homes of the shared parts. Not knowing costs one read.
+    /// The engine from which the engine of `grant`, which has cached `held`,
+    /// should fetch more of the prompt: one that has reported a longer prefix
+    /// when it refused, or a home of the shared prefix. If none is found, the
+    /// cost is one prefill.
     async fn fetch_source(
         &self,
         sidecars: &Rc<Sidecars>,
@@ -203,24 +208,24 @@
         holder: PrefixHolder,
         asked: &[ServerRecord],
     ) -> Option<SocketAddr> {
-        let wanted = held.tokens.saturating_add(fetch::MIN_FETCH_TOKENS);
-        let shared = self
+        let min_tokens = held.tokens.saturating_add(fetch::MIN_FETCH_TOKENS);
+        let shared_parts = self
             .parsed_headers
             .prompt_parts
             .split_last()
             .map_or(&[][..], |(_, s)| s);
-        let shared = shared
+        let shared_tokens = shared_parts
             .iter()
             .fold(0, |sum: u32, p| sum.saturating_add(p.tokens));
-        if !held.fetch || shared < wanted {
+        if !held.fetch || shared_tokens < min_tokens {
             return None;
         }
-        let known = holder.tokens >= wanted;
+        let known = holder.tokens >= min_tokens;
         let holder = match known {
             true => holder,
             false => self.find_holder(sidecars, asked).await,
         };
-        let found = holder.tokens >= wanted;
+        let found = holder.tokens >= min_tokens;
         if found && !known {
             grant.fetches(holder.tokens);
         }
@@ -233,24 +238,24 @@
         holder.server.filter(|_| found).map(|s| s.addr)
     }
 
-    /// Asks the homes of the prompt's shared parts, but those in `asked`, what
-    /// they hold.
+    /// Looks up the cached prefix at the homes of the prompt's shared prefix
+    /// that are not in `asked`.
     async fn find_holder(&self, sidecars: &Rc<Sidecars>, asked: &[ServerRecord]) -> PrefixHolder {
         let now = self.state.clock.now();
         let holders = {
             let balance = self.state.balance.borrow();
             balance.prefix_holders(now, &self.server_query(Partition::All, &[]))
         };
-        let fresh = |s: &ServerRecord| asked.iter().all(|a| a.id != s.id);
-        let mut fresh = holders.into_iter().filter(fresh);
+        let not_asked = |s: &ServerRecord| asked.iter().all(|a| a.id != s.id);
+        let mut not_asked = holders.into_iter().filter(not_asked);
         let mut holder = PrefixHolder::default();
-        let (one, two) = (fresh.next(), fresh.next());
-        let look = async |server: &Option<ServerRecord>| match server {
+        let (first, second) = (not_asked.next(), not_asked.next());
+        let lookup = async |server: &Option<ServerRecord>| match server {
             Some(server) => sidecars.look(server, self.prompt_parts()).await,
             None => 0,
         };
-        let held = futures_util::future::join(look(&one), look(&two)).await;
-        for (tokens, server) in [(held.0, one), (held.1, two)] {
+        let held = futures_util::future::join(lookup(&first), lookup(&second)).await;
+        for (tokens, server) in [(held.0, first), (held.1, second)] {
             if let Some(server) = server {
                 holder.record(tokens, &server);
             }
@@ -258,8 +263,8 @@
         holder
     }
 
-    /// The engines to ask, the best first.
-    fn candidates(&self, now: Instant, phase: Phase, avoid: &[Rc<str>]) -> Vec<ServerRecord> {
+    /// The engines to ask for admission, best first.
+    fn candidates(&self, now: Instant, phase: Phase, excluded: &[Rc<str>]) -> Vec<ServerRecord> {
         let part = self.partition(now);
         let other = match part {
             Partition::First(count) => Partition::Rest(count),
@@ -267,40 +272,41 @@
             Partition::All => Partition::All,
         };
         let mut balance = self.state.balance.borrow_mut();
-        let mut ranked = balance.ranked(now, &self.server_query(part, avoid));
+        let mut ranked = balance.ranked(now, &self.server_query(part, excluded));
         ranked.truncate(HOME_ENGINES);
         if phase != Phase::Prefill {
             return ranked;
         }
-        // One that is late anyway is not to stretch the pauses of streams.
+        // A retry is late already; it must not lengthen the gaps of streams on
+        // the decode engines.
         let other = match self.is_retry() {
             true => ServerQuery {
                 strategy: Strategy::TwoChoices,
-                ..self.server_query(part, avoid)
+                ..self.server_query(part, excluded)
             },
-            false => self.server_query(other, avoid),
+            false => self.server_query(other, excluded),
         };
-        let fresh = |s: &ServerRecord| ranked.iter().all(|r| r.id != s.id);
-        let other = balance.ranked(now, &other).into_iter().find(fresh);
+        let not_ranked = |s: &ServerRecord| ranked.iter().all(|r| r.id != s.id);
+        let other = balance.ranked(now, &other).into_iter().find(not_ranked);
         ranked.extend(other);
         ranked
     }
 
-    /// Asks one sidecar.
+    /// Asks one sidecar for admission.
     async fn ask_sidecar(
         &self,
         sidecars: &Rc<Sidecars>,
         server: &ServerRecord,
-        begin: StartPoint,
+        start: StartPoint,
         terms: AdmissionTerms,
         holder: &PrefixHolder,
     ) -> Decided {
         let now = self.state.clock.now();
         let age = now.saturating_duration_since(self.received_at);
         let left = self.deadline.saturating_duration_since(now);
-        let allowed = self.call_timing(begin).latency_limit(age, left);
-        let ms = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
-        let want = grants::AdmissionRequest {
+        let allowed = self.call_timing(start).latency_limit(age, left);
+        let ms = |duration: Duration| u32::try_from(duration.as_millis()).unwrap_or(u32::MAX);
+        let request = grants::AdmissionRequest {
             request_id: self.request_id().to_owned(),
             server: server.id.to_string(),
             started_ms: server.started_ms,
@@ -319,10 +325,10 @@
             remote_tokens: holder.tokens,
             copy_ns: self.copy_ns(),
         };
-        sidecars.ask(now, server, want).await
+        sidecars.ask(now, server, request).await
     }
 
-    /// The parts of the prompt, as sidecars are told.
+    /// The parts of the prompt, in the form that sidecars take.
     fn prompt_parts(&self) -> Vec<(u64, u32)> {
         if self.parsed_headers.prompt_parts.is_empty() {
             return vec![(rand::rng().random(), self.parsed_headers.prompt_tokens)];
@@ -335,7 +341,8 @@
         parts.take(grants::MAX_PROMPT_PARTS).collect()
     }
 
-    /// Nanoseconds for copying a token between engines, as declared.
+    /// The declared time to copy one token of KV cache between engines, in
+    /// nanoseconds.
     fn copy_ns(&self) -> Option<u32> {
         let catalog = self.state.catalog.borrow();
         let service = catalog.as_ref()?.service(&self.service)?;
@@ -343,7 +350,7 @@
         u32::try_from(copy.as_nanos()).ok()
     }
 
-    /// A place that was granted, unless the server has left meanwhile.
+    /// The placement for a grant; `None` if the server has left since.
     fn granted_placement(
         &self,
         server: &ServerRecord,
@@ -378,15 +385,15 @@
         SendError::TooLate(after)
     }
 
-    /// What is asked of the balance.
+    /// The query to the balancer.
     fn server_query<'a>(&'a self, partition: Partition, tried: &'a [Rc<str>]) -> ServerQuery<'a> {
         let prefix_hash = prefix_hash(&self.parsed_headers.prompt_parts);
         ServerQuery {
             service: &self.service,
             strategy: match self.phase {
                 None => Strategy::LeastOwnCalls,
-                // What little these calls share is read faster than a crowded
-                // server writes.
+                // These calls share short prefixes, which a server with few
+                // calls prefills faster than a crowded one decodes.
                 Some(Phase::Decode) => Strategy::TwoChoices,
                 Some(Phase::Prefill) if prefix_hash.is_none() => Strategy::TwoChoices,
                 Some(Phase::Prefill) => Strategy::PrefixAffinity,
@@ -399,40 +406,42 @@
         }
     }
 
-    /// What its terms depend on.
-    fn call_timing(&self, begin: StartPoint) -> CallTiming {
+    /// The call's times, from which its latency limit follows.
+    fn call_timing(&self, start: StartPoint) -> CallTiming {
         CallTiming {
             tier: self.route.tier.0,
             target: self.route.latency_target,
             timeout: self.route.call_timeout,
             caller_timeout: self.parsed_headers.caller_timeout,
-            first_attempt: begin == StartPoint::Beginning,
+            first_attempt: start == StartPoint::Beginning,
         }
     }
 
-    /// Whether the caller has spent its target elsewhere before.
+    /// Whether the caller has certainly spent its latency target on an earlier
+    /// attempt.
     fn is_retry(&self) -> bool {
         self.call_timing(StartPoint::Beginning).is_retry()
     }
 
-    /// Whether the call may go to a server, or would come too late there.
-    fn check_wait(&self, server: &ServerRecord, begin: StartPoint) -> Result<u32, SendError> {
+    /// Checks that the call would not come too late at `server`. Returns the
+    /// number of calls that wait there.
+    fn check_wait(&self, server: &ServerRecord, start: StartPoint) -> Result<u32, SendError> {
         let ahead = self.state.balance.borrow().waiting_calls(&server.id);
-        // A caller that has a part of its stream is not turned away.
-        if self.phase != Some(Phase::Prefill) || begin != StartPoint::Beginning {
+        // A caller that has received a part of its stream is not refused.
+        if self.phase != Some(Phase::Prefill) || start != StartPoint::Beginning {
             return Ok(ahead);
         }
         let waits = self.state.waits.borrow();
         let target = self.route.latency_target;
         let now = self.state.clock.now();
-        let claim = CallDeadline {
+        let call = CallDeadline {
             tier: self.route.tier.0,
             rank: self.rank(),
             target,
             left: self.deadline.saturating_duration_since(now),
             is_retry: self.is_retry(),
         };
-        match waits.decide(&self.service, claim, ahead, rand::rng().random()) {
+        match waits.decide(&self.service, call, ahead, rand::rng().random()) {
             Decision::Send => Ok(ahead),
             Decision::Refuse {
                 retry_after,
@@ -452,15 +461,15 @@
         }
     }
 
-    /// The part of the engines that the call should go to.
+    /// The partition of the engines that the call should go to.
     fn partition(&self, now: Instant) -> Partition {
         let Some(phase) = self.phase else {
             return Partition::All;
         };
         let (engines, slots) = self.state.balance.borrow().serving_capacity(&self.service);
         let mut pools = self.state.pools.borrow_mut();
-        let writers = pools.decode_engines(now, &self.service, engines, slots);
-        match (writers, phase) {
+        let decode_engines = pools.decode_engines(now, &self.service, engines, slots);
+        match (decode_engines, phase) {
             (0, _) => Partition::All,
             (count, Phase::Decode) => Partition::First(count),
             (count, Phase::Prefill) => Partition::Rest(count),
@@ -468,8 +477,8 @@
     }
 }
 
-/// The shared parts of a prompt as one number: all but the last one, which
-/// belongs to the call itself.
+/// A hash of the prompt's shared prefix: all parts but the last one, which
+/// belongs to the call itself. A prompt of one part has only that one.
 fn prefix_hash(parts: &[platform::PromptPart]) -> Option<u64> {
     let (_, shared) = parts.split_last()?;
     let last = shared.last().or(parts.last())?;
--- /dev/null
+++ b/crates/forward/src/call/response.rs
@@ -0,0 +1,130 @@
+//! Processing a backend server's response to a call.
+
+use std::rc::Rc;
+use std::time::Instant;
+
+use bytes::Bytes;
+use policy::pools::Phase;
+
+use super::{Call, unshared_tokens};
+use crate::exchange::{ResponseBody, SendError, ServerResponse};
+use crate::relay::Relay;
+use crate::reply::Reply;
+use crate::state::Open;
+
+/// Largest response, in bytes, that is buffered until it is complete. A larger
+/// one that is not a stream is a fault of the server: plain services answer
+/// with a few kilobytes, and an entry has about 100 MB of memory in all.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
+
+impl Call {
+    /// Processes a response whose head has arrived.
+    pub(super) async fn accept(
+        self: &Rc<Self>,
+        mut response: ServerResponse,
+        tried: &[Rc<str>],
+    ) -> Result<Reply, SendError> {
+        let success = (200..300).contains(&response.status);
+        if success && !is_valid_success(&response) {
+            return Err(SendError::Unknown(
+                "success response without seal or ID, or encoded".to_owned(),
+            ));
+        }
+        if success && self.route.kind.streams() {
+            let first_bytes = self.before_deadline(response.body.next()).await;
+            let first_bytes = first_bytes
+                .inspect_err(|_| self.record_timeout(response.sent_at, response.waiting_calls))?;
+            let first_bytes = first_bytes.map_err(|e| self.response_broken(&response.body, e))?;
+            let first_bytes = first_bytes.unwrap_or_default();
+            self.record_first_event(&response);
+            self.record_usage();
+            let relay = Relay::new(
+                Rc::clone(self),
+                response.body,
+                first_bytes,
+                tried.to_vec(),
+                Open::new(&self.state),
+            );
+            return Ok(Reply::Stream {
+                headers: response.headers,
+                relay: Box::new(relay),
+            });
+        }
+        self.record_usage();
+        let body = self.read_body(&mut response.body).await?;
+        if response.status < 500 && response.body.framed {
+            self.record_completed();
+        }
+        Ok(Reply::Buffered {
+            status: response.status,
+            headers: response.headers,
+            body,
+        })
+    }
+
+    /// Records the time to the first event.
+    fn record_first_event(&self, response: &ServerResponse) {
+        if self.phase == Some(Phase::Prefill) {
+            let now = self.state.clock.now();
+            let elapsed = now.saturating_duration_since(response.sent_at);
+            let mut pools = self.state.pools.borrow_mut();
+            pools.record_first_event(
+                now,
+                &self.service,
+                unshared_tokens(&self.parsed_headers),
+                elapsed,
+            );
+            let mut waits = self.state.waits.borrow_mut();
+            waits.record(&self.service, self.rank(), response.waiting_calls, elapsed);
+        }
+    }
+
+    /// Records that no first event came before the deadline. Without these
+    /// samples the estimated waits would cover only calls that were served.
+    pub(super) fn record_timeout(&self, sent_at: Instant, waiting_calls: u32) {
+        if self.phase == Some(Phase::Prefill) {
+            let elapsed = self.state.clock.now().saturating_duration_since(sent_at);
+            let mut waits = self.state.waits.borrow_mut();
+            waits.record(&self.service, self.rank(), waiting_calls, elapsed);
+        }
+    }
+
+    /// Reads a response to its end, so that a truncated one is detected before
+    /// the caller sees any of it.
+    async fn read_body(&self, body: &mut ResponseBody) -> Result<Bytes, SendError> {
+        let mut all = Vec::new();
+        loop {
+            let next = self.before_deadline(body.next()).await?;
+            let Some(bytes) = next.map_err(|e| self.response_broken(body, e))? else {
+                break;
+            };
+            if all.len() + bytes.len() > MAX_BUFFERED_BYTES {
+                return Err(SendError::Unknown(
+                    "response exceeds the buffer limit".to_owned(),
+                ));
+            }
+            all.extend_from_slice(&bytes);
+        }
+        Ok(all.into())
+    }
+
+    /// Records that the connection broke during the response.
+    fn response_broken(&self, body: &ResponseBody, cause: String) -> SendError {
+        self.record_broken(&body.server);
+        SendError::Unknown(cause)
+    }
+
+    async fn before_deadline<T>(&self, future: impl Future<Output = T>) -> Result<T, SendError> {
+        let result = tokio::time::timeout_at(self.deadline.into(), future).await;
+        result.map_err(|_| SendError::TimedOut)
+    }
+}
+
+/// Whether a response is a success that may be passed on to the caller.
+pub(super) fn is_valid_success(response: &ServerResponse) -> bool {
+    let parsed_headers = &response.parsed_headers;
+    (200..300).contains(&response.status)
+        && parsed_headers.sealed
+        && parsed_headers.request_id.is_some()
+        && !parsed_headers.encoded
+}
--- a/crates/forward/src/drain.rs
+++ b/crates/forward/src/drain.rs
@@ -1,4 +1,4 @@
-//! Stopping without cutting anything off.
+//! Graceful shutdown of an entry.
 
 use std::rc::Rc;
 
@@ -7,11 +7,12 @@
 
 use crate::state::State;
 
-/// Waits for `stop`, lets the balancer notice, then has the listener closed.
+/// Waits for `stop`, gives the load balancer time to notice, then triggers
+/// `closed` to close the listener.
 ///
-/// The balancer goes on sending connections until it has asked twice. An
-/// entry that closed its listener at once would reset callers that have done
-/// nothing wrong; serving them until the balancer knows is enough.
+/// The load balancer sends new connections until two of its readiness checks
+/// have failed. Closing the listener at once would reset those connections, so
+/// the entry serves them until then.
 pub async fn drain(state: Rc<State>, stop: StopSignal, closed: StopSignal) {
     stop.wait().await;
     state.stopping.trigger();
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -1,4 +1,5 @@
-//! Sending a call to a backend server once, and what is known when it fails.
+//! One exchange with a backend server: sending a call and reading the head of
+//! the response. A failure says whether the call may have run.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,29 +18,32 @@
 use crate::relay::millis;
 use crate::state::State;
 
-/// What of a failed send is known about the call having run.
+/// Why a call got no response from a server, and whether it may have run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SendError {
-    /// No byte of the call has left this process.
+    /// No byte of the call was sent.
     NeverSent(String),
-    /// The server says that it did not run the call and never will.
+    /// The server reports, with this status, that it did not run the call and
+    /// never will.
     NotRun(u16),
-    /// Another server has the address by now, and did not run the call.
+    /// The server at the address is another one than the call was meant for,
+    /// and did not run it.
     WrongServer,
-    /// The call may have run.
+    /// The connection failed or the response was invalid; the call may have
+    /// run.
     Unknown(String),
-    /// The caller's time is over; the call may have run.
+    /// The call's deadline passed after it was sent; it may have run.
     TimedOut,
-    /// The caller's time is over, and the call was never sent.
+    /// The call's deadline passed before it was sent.
     TimedOutUnsent,
-    /// The call was not sent, since it would have come too late; the caller
-    /// may come back after this time.
+    /// The call was not sent because it would have come too late. The caller
+    /// may retry after this time.
     TooLate(Duration),
-    /// The call was not sent, since all servers that are there have asked for
-    /// fewer calls or for none; the first of them takes one after this time.
+    /// The call was not sent because all known servers have asked for a lower
+    /// rate or for backoff. The first of them accepts a call after this time.
     ServersBusy(Duration),
-    /// The call was not sent, since servers crash under it; it will not be for
-    /// this long.
+    /// The call was not sent because servers crash while they run it. It stays
+    /// blocked for this time.
     CrashesServers(Duration),
 }
 
@@ -59,14 +63,14 @@
         )
     }
 
-    /// Whether sending the call to yet another server makes no sense: its time
-    /// is over, or all servers that could be reached were tried.
+    /// Whether another server must not be tried: the deadline has passed, or
+    /// all servers that could be reached were tried.
     #[must_use]
     pub fn is_final(&self) -> bool {
         !matches!(self, Self::NotRun(_) | Self::Unknown(_))
     }
 
-    /// One word for logs and labels.
+    /// A short name for logs and metric labels.
     #[must_use]
     pub fn label(&self) -> &'static str {
         match self {
@@ -83,48 +87,49 @@
     }
 }
 
-/// An answer whose head has come.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub struct ServerResponse {
     /// The status.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
-    /// What the headers say.
+    /// The fields parsed from the headers.
     pub parsed_headers: ResponseHeaders,
-    /// When it was sent.
+    /// When the call was sent.
     pub sent_at: Instant,
-    /// Calls that were waiting at the server then.
+    /// Calls that waited at the server at that time.
     pub waiting_calls: u32,
-    /// The rest.
+    /// The body, still to be read.
     pub body: ResponseBody,
 }
 
-/// The body of an answer and the connection that it comes on. Dropped before
-/// its end, it closes the connection, and the server stops working on it.
+/// The body of a response and its connection. Dropping it before its end closes
+/// the connection, which makes the server stop working on the call.
 #[derive(Debug)]
 pub struct ResponseBody {
     state: Rc<State>,
-    /// The server that makes it.
+    /// The server that sends it.
     pub server: ServerRecord,
     incoming: Incoming,
     conn: Option<Connection>,
     reusable: bool,
-    /// Whether its end is marked, and not only by the connection's.
+    /// Whether its end is marked by a length or by chunks, not just by the end
+    /// of the connection.
     pub framed: bool,
-    /// Whether nothing of it has come.
+    /// Whether no byte of it has arrived.
     waiting: bool,
-    /// The sidecar's leave, which ends with the answer.
+    /// The sidecar's grant, which ends with the response.
     grant: Option<Grant>,
 }
 
 impl ResponseBody {
-    /// The next bytes; none at the end. Bytes end without an error only where
-    /// the answer is whole by its framing.
+    /// Returns the next bytes, or `None` at the end of a response that is
+    /// complete by its framing.
     ///
     /// # Errors
     ///
-    /// Returns what broke when the answer is not whole.
+    /// Returns the cause when the response was cut short.
     pub async fn next(&mut self) -> Result<Option<Bytes>, String> {
         loop {
             match self.incoming.frame().await {
@@ -149,7 +154,8 @@
         }
     }
 
-    /// Notes that the call does not wait any more.
+    /// Records the first bytes: the call does not wait in the server's queue
+    /// any more.
     fn record_start(&mut self) {
         if std::mem::take(&mut self.waiting) {
             self.state
@@ -162,14 +168,14 @@
         }
     }
 
-    /// Notes a pause between two events.
+    /// Records the time between two events, for the sidecar.
     pub fn record_pause(&self, pause: Duration) {
         if let Some(grant) = &self.grant {
             grant.paused(pause);
         }
     }
 
-    /// Notes that the server is alive.
+    /// Records in the balancer that the server is alive.
     fn record_activity(&self) {
         let now = self.state.clock.now();
         self.state
@@ -178,7 +184,7 @@
             .bytes_received(now, &self.server.id);
     }
 
-    /// Gives the connection back for the next call.
+    /// Returns the connection to the pool.
     fn release_connection(&mut self) {
         let Some(conn) = self.conn.take() else { return };
         if self.reusable {
@@ -198,23 +204,23 @@
     }
 }
 
-/// Sends a call to `server` and waits for the head of the answer until
-/// `until`.
+/// Sends a call to `server` and waits for the head of the response until
+/// `deadline`.
 ///
 /// # Errors
 ///
-/// Returns what is known about the call having run.
+/// Returns why there is no response, and whether the call may have run.
 pub async fn send(
     state: &Rc<State>,
     server: &ServerRecord,
     request: Request<Full<Bytes>>,
     id: Option<&str>,
-    until: Instant,
+    deadline: Instant,
     grant: Option<Grant>,
 ) -> Result<ServerResponse, SendError> {
-    let out = InFlight::new(state, &server.id);
-    let begun = state.clock.now();
-    let sent = tokio::time::timeout_at(until.into(), deliver(state, server, request)).await;
+    let in_flight = InFlight::new(state, &server.id);
+    let sent_at = state.clock.now();
+    let sent = tokio::time::timeout_at(deadline.into(), deliver(state, server, request)).await;
     let (response, mut conn) = match sent {
         Ok(sent) => sent?,
         Err(_) => return Err(SendError::TimedOut),
@@ -226,20 +232,22 @@
     if let Some(keep) = parsed_headers.idle_timeout {
         conn.set_idle_timeout(keep);
     }
-    // Another server at the address speaks for itself only.
+    // Feedback from another server at the address does not concern this one.
     if !parsed_headers.wrong_server {
-        apply_feedback(state, server, begun, &parsed_headers.feedback);
+        apply_feedback(state, server, sent_at, &parsed_headers.feedback);
     }
 
-    // A server may send a second answer to an earlier call late, just where
-    // the answer to this one is expected. Its identity tells; the connection
-    // is of no use any more, since the true answer may follow at any time.
+    // A server may send a second response to an earlier call late, which then
+    // arrives in place of the response to this one. The request ID shows it.
+    // The connection is not used again, since the right response may still
+    // arrive.
     if parsed_headers.request_id.is_some() && parsed_headers.request_id.as_deref() != id {
-        return Err(SendError::Unknown("answer to another call".to_owned()));
+        return Err(SendError::Unknown("response to another request".to_owned()));
     }
     let reusable = !parsed_headers.close && !parsed_headers.feedback.leaving;
     if parsed_headers.not_run {
-        // Its body has no use, but its connection may have.
+        // The body is of no use, but the connection can be reused once it is
+        // read.
         if reusable {
             drain_refusal(state, server, response, conn).await;
         }
@@ -252,9 +260,9 @@
         return Err(SendError::WrongServer);
     }
     let (parts, incoming) = response.into_parts();
-    let marks = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
-    let framed = marks.iter().any(|m| parts.headers.contains_key(m));
-    out.hand_over();
+    let framing = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
+    let framed = framing.iter().any(|m| parts.headers.contains_key(m));
+    in_flight.hand_over();
     let body = ResponseBody {
         state: Rc::clone(state),
         server: server.clone(),
@@ -275,39 +283,41 @@
     })
 }
 
-/// Notes what a server says of itself in its answer to a call that was sent at
+/// Applies the feedback in a server's response to a call that was sent at
 /// `sent`.
 pub(crate) fn apply_feedback(
     state: &State,
     server: &ServerRecord,
     sent: Instant,
-    word: &ServerFeedback,
+    feedback: &ServerFeedback,
 ) {
     let now = state.clock.now();
-    let news =
-        state
-            .balance
-            .borrow_mut()
-            .apply_feedback(now, server, sent, word, rand::rng().random());
-    if news.leaving {
+    let changes = state.balance.borrow_mut().apply_feedback(
+        now,
+        server,
+        sent,
+        feedback,
+        rand::rng().random(),
+    );
+    if changes.leaving {
         metrics::counter!("pimentocart_servers_leaving_total").increment(1);
         info!("server leaves", kv: { server = &*server.id });
         state.pool.close_idle(&server.id);
     }
-    if let Some(rest) = news.backoff {
+    if let Some(backoff) = changes.backoff {
         metrics::counter!("pimentocart_rests_asked_total").increment(1);
-        info!("server rests", kv: { server = &*server.id, ms = millis(rest) });
+        info!("server asked for backoff", kv: { server = &*server.id, ms = millis(backoff) });
     }
-    if let Some(named) = news.limited {
+    if let Some(named) = changes.limited {
         info!("server limit changed", kv: {
             server = &*server.id,
             named,
-            rate = word.rate_limit.unwrap_or(0.0)
+            rate = feedback.rate_limit.unwrap_or(0.0)
         });
     }
 }
 
-/// Counts a call at a server until its answer's body takes over.
+/// Counts a call as in flight at a server until the response body takes over.
 struct InFlight<'a> {
     state: &'a State,
     id: &'a str,
@@ -340,9 +350,9 @@
     }
 }
 
-/// Gets the request out on a kept connection or a new one. A kept connection
-/// that closed before the request was written gives it back, and only then it
-/// is sent again.
+/// Sends the request on an idle connection or a new one. If an idle connection
+/// closes before the request is written, the request is sent again on another
+/// one.
 async fn deliver(
     state: &Rc<State>,
     server: &ServerRecord,
@@ -352,15 +362,15 @@
         match conn.sender.try_send_request(request).await {
             Ok(response) => return Ok((response, conn)),
             Err(mut e) => match e.take_message() {
-                Some(back) => request = back,
+                Some(unsent) => request = unsent,
                 None => return Err(SendError::Unknown(describe(e.error()))),
             },
         }
     }
 
     let now = state.clock.now();
-    let dialled = ConnectionPool::connect(now, server.addr).await;
-    let mut conn = dialled.map_err(|e| {
+    let connected = ConnectionPool::connect(now, server.addr).await;
+    let mut conn = connected.map_err(|e| {
         state.balance.borrow_mut().connect_failed(now, &server.id);
         SendError::NeverSent(e.to_string())
     })?;
@@ -374,8 +384,7 @@
     }
 }
 
-/// Reads the short body of a refusal, so that the connection can be used
-/// again.
+/// Reads the short body of a refusal so that the connection can be reused.
 async fn drain_refusal(
     state: &Rc<State>,
     server: &ServerRecord,
@@ -389,10 +398,10 @@
     }
 }
 
-/// How long the body of a refusal is waited for; it is a few bytes.
+/// How long to wait for the body of a refusal, which is a few bytes.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// An error with its causes on one line.
+/// Formats an error and its causes on one line.
 fn describe(e: &hyper::Error) -> String {
     let mut text = e.to_string();
     let mut cause = std::error::Error::source(e);
--- a/crates/forward/src/http.rs
+++ b/crates/forward/src/http.rs
@@ -1,4 +1,4 @@
-//! The callers' side, and the operators'.
+//! The HTTP servers for callers and for operators.
 
 use std::io;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use crate::state::State;
 use crate::status::Status;
 
-/// The application that callers reach.
+/// The application that serves callers.
 pub fn app(
     state: Rc<State>,
 ) -> App<
@@ -47,10 +47,10 @@
             Some(incoming) => run_call(&state, incoming).await,
             None => Reply::Local(LocalReply::denied(400, Refusal::BadRequest)),
         },
-        Err(own) => Reply::Local(own),
+        Err(reply) => Reply::Local(reply),
     };
-    // A caller that is told so opens its next connection elsewhere, before
-    // this entry closes.
+    // A caller whose connection is closed opens the next one elsewhere. This
+    // relieves an entry that is stopping or whose link is congested.
     reply.into_response(state.stopping.is_triggered() || state.crowded())
 }
 
@@ -60,24 +60,24 @@
     let version = state.catalog.borrow().as_ref().map_or(0, |c| c.version);
     let call = match Call::from_request(state, incoming) {
         Ok(call) => Rc::new(call),
-        Err(own) => {
+        Err(reply) => {
             info!("call denied", kv: {
                 id = id.as_deref().unwrap_or("-"),
-                status = own.status,
-                reason = own.reason.as_str(),
+                status = reply.status,
+                reason = reply.reason.as_str(),
                 version
             });
-            return Reply::Local(own);
+            return Reply::Local(reply);
         }
     };
     let reply = Rc::clone(&call).run().await;
     let status = match &reply {
         Reply::Buffered { status, .. } => *status,
         Reply::Stream { .. } => 200,
-        Reply::Local(own) => own.status,
+        Reply::Local(reply) => reply.status,
     };
     let reason = match &reply {
-        Reply::Local(own) => own.reason.as_str(),
+        Reply::Local(reply) => reply.reason.as_str(),
         _ => "-",
     };
     metrics::counter!("pimentocart_calls_total", "status" => status.to_string()).increment(1);
@@ -100,7 +100,7 @@
     reply
 }
 
-/// Counts a body that has come over the link.
+/// Counts a received body towards the link's load.
 fn count_body(state: &State, body: Bytes) -> Bytes {
     if let Some(link) = state.link.borrow_mut().as_mut() {
         link.record_bytes(state.clock.now(), body.len());
@@ -122,7 +122,7 @@
     Ok(all.freeze())
 }
 
-/// The call in the types of the library that speaks to servers.
+/// Converts the request to the types of the HTTP client library.
 fn convert_request(
     request: &HttpRequest,
     body: Bytes,
@@ -145,7 +145,7 @@
     })
 }
 
-/// Answers the balancer and those who scrape metrics until `end`.
+/// Serves the readiness check, the status and the metrics until `end`.
 ///
 /// # Errors
 ///
--- a/crates/forward/src/platform.rs
+++ b/crates/forward/src/platform.rs
@@ -1,5 +1,5 @@
-//! What a platform has to translate for this package. Everything here speaks
-//! of what the words on the wire mean, not of how they are spelled.
+//! The interface between this package and the platform that it runs on: the
+//! store, the duty API and the names and meanings of headers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,135 +14,136 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Everything outside that an entry reads from and writes to.
+/// The platform's services that an entry uses.
 pub trait Platform {
-    /// What the operators declare.
+    /// The operators' declarations.
     type Catalogs: Source<Item = Catalog> + 'static;
-    /// The backend servers.
+    /// The table of backend servers.
     type Servers: Source<Item = ServerRecord> + 'static;
-    /// Where entries find each other.
+    /// The directory of entries.
     type Directory: Directory + 'static;
-    /// Servers that have crashed under calls.
+    /// The table of servers that have crashed under calls.
     type Crashes: CrashTable + 'static;
-    /// Where the duties' record is kept.
+    /// The store of the duty record.
     type DutyStore: DutyStore + 'static;
-    /// Where duties go to.
+    /// The client of the duty API.
     type DutyApi: DutyApi + 'static;
 
-    /// The operators' declarations.
+    /// Reads the operators' declarations.
     fn catalogs(&self) -> Self::Catalogs;
 
-    /// The table of backend servers.
+    /// Opens the table of backend servers.
     fn servers(&self) -> Self::Servers;
 
-    /// The directory of entries.
+    /// Opens the directory of entries.
     fn directory(&self) -> Self::Directory;
 
-    /// The table of servers that have crashed under calls.
+    /// Opens the table of servers that have crashed under calls.
     fn crashes(&self) -> Self::Crashes;
 
-    /// The duties' record.
+    /// Opens the store of the duty record.
     fn duty_store(&self) -> Self::DutyStore;
 
-    /// The interface for duties at `addr`.
+    /// Connects to the duty API at `addr`.
     fn duty_api(&self, addr: SocketAddr) -> Self::DutyApi;
 }
 
-/// How callers and backend servers are spoken to.
+/// The headers that callers and backend servers use.
 pub trait Dialect {
-    /// What a caller's headers say.
+    /// Parses a caller's headers.
     fn parse_call(&self, headers: &HeaderMap) -> CallHeaders;
 
-    /// The headers for a backend server: the caller's, without those that
-    /// concern one connection only or that callers must not set, and with
-    /// what `order` says.
-    fn forwarded_headers(&self, headers: &HeaderMap, order: &AddedHeaders<'_>) -> HeaderMap;
+    /// The headers to send to a backend server: the caller's, without those
+    /// that are hop-by-hop or that callers must not set, plus those that carry
+    /// `added`.
+    fn forwarded_headers(&self, headers: &HeaderMap, added: &AddedHeaders<'_>) -> HeaderMap;
 
-    /// What a backend server's headers say.
+    /// Parses the headers of a backend server's response.
     fn parse_response(&self, status: u16, headers: &HeaderMap) -> ResponseHeaders;
 }
 
-/// What a caller's headers say about its call.
+/// The fields of a caller's headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallHeaders {
-    /// The caller's identity of this try.
+    /// The caller's ID of this attempt.
     pub request_id: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub caller_timeout: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub api_key: Option<String>,
-    /// Size of the prompt, in tokens; 0 when it was not said.
+    /// Length of the prompt in tokens; 0 if not given.
     pub prompt_tokens: u32,
-    /// Most tokens that the answer may have; 0 when it was not said.
+    /// Upper limit of the answer's length in tokens; 0 if not given.
     pub max_tokens: u32,
-    /// The caller's guess of the answer's tokens.
+    /// The caller's estimate of the answer's length in tokens.
     pub length_hint: Option<u32>,
-    /// The parts of the prompt in order; the last one belongs to the call
+    /// The parts of the prompt in order. The last one belongs to the call
     /// itself or its session.
     pub prompt_parts: Vec<PromptPart>,
-    /// The number of the last event that the caller has of a stream.
+    /// The number of the last event of a stream that the caller has received.
     pub last_event: Option<u64>,
 }
 
 /// A part of a prompt that other calls may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Equal for equal parts.
+    /// A hash of the content; equal parts have equal IDs.
     pub id: u64,
-    /// Its size.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// What a backend server is told beside the caller's own headers.
+/// What a backend server is told in addition to the caller's own headers.
 #[derive(Debug, Clone, Copy)]
 pub struct AddedHeaders<'a> {
-    /// How long the caller goes on waiting.
+    /// How long the caller keeps waiting.
     pub time_left: Duration,
-    /// The life of the server that is meant; another one refuses.
+    /// The ID of the intended server incarnation; any other one rejects the
+    /// call.
     pub server: &'a str,
     /// The caller's workspace.
     pub workspace: Option<&'a str>,
-    /// The call's rank for engines; 0 is the most urgent.
+    /// The priority rank at engines; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// The last event that the caller has of a stream that goes on.
+    /// The last event that the caller has received of a stream to resume.
     pub last_event: Option<u64>,
-    /// Another server that holds parts of the prompt, from which they may be
-    /// copied instead of being read again.
+    /// Another server that has parts of the prompt cached, from which they may
+    /// be copied instead of being computed again.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// What a backend server's headers say about its answer.
+/// The fields of the headers of a backend server's response.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ResponseHeaders {
-    /// The call that the answer belongs to.
+    /// The ID of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// Whether the server has made this answer itself, and vouches for it.
+    /// Whether the response carries the seal that only the server itself sets.
     pub sealed: bool,
-    /// Whether the server says that it did not run the call.
+    /// Whether the server reports that it did not run the call.
     pub not_run: bool,
-    /// Whether the server says that the call was meant for another one.
+    /// Whether the server reports that the call was meant for another one.
     pub wrong_server: bool,
-    /// Whether the body was encoded on the way, which no caller asked for.
+    /// Whether an intermediary has encoded the body, which no caller asked for.
     pub encoded: bool,
-    /// How long the server keeps an idle connection.
+    /// How long the server keeps an idle connection open.
     pub idle_timeout: Option<Duration>,
-    /// Whether the server closes the connection after this answer.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
-    /// What it says of the server itself.
+    /// The server's feedback about its own state.
     pub feedback: ServerFeedback,
 }
 
-/// A table in the platform's store: the newest record of each key, and what
-/// changed since.
+/// A table in the platform's store: a snapshot of its records, and the changes
+/// since.
 pub trait Source {
-    /// What a record says.
+    /// The decoded value of a record.
     type Item;
 
-    /// Everything that the table holds.
+    /// Reads the newest record of each key.
     fn snapshot(&self) -> impl Future<Output = Result<Changes<Self::Item>, SourceError>>;
 
-    /// What changed from position `from` on; waits up to `wait` for the first
-    /// change.
+    /// Reads the changes from position `from` on. Waits up to `wait` for the
+    /// first one.
     fn changes(
         &self,
         from: u64,
@@ -150,51 +151,51 @@
     ) -> impl Future<Output = Result<Changes<Self::Item>, SourceError>>;
 }
 
-/// Where entries find each other.
+/// The directory in which entries publish their addresses.
 pub trait Directory {
-    /// Writes an entry's address under its name.
+    /// Publishes an entry's address under its name.
     fn announce(
         &self,
         name: &str,
         addr: SocketAddr,
     ) -> impl Future<Output = Result<(), SourceError>>;
 
-    /// The addresses that were written, also those of entries that are gone.
+    /// The published addresses, including those of entries that have stopped.
     fn entries(&self) -> impl Future<Output = Result<Vec<SocketAddr>, SourceError>>;
 }
 
-/// The store's table of servers that have crashed under calls, each with the Unix
-/// millisecond at which it was seen.
+/// The store's table of servers that have crashed under calls. Each record
+/// holds the time of the crash in milliseconds since the Unix epoch.
 pub trait CrashTable: Source<Item = u64> {
-    /// Writes some of them, all or none; those without a time are dropped.
+    /// Writes some records, all or none; a record without a time is deleted.
     fn write(
         &self,
         crashes: &[(Crash, Option<u64>)],
     ) -> impl Future<Output = Result<(), SourceError>>;
 }
 
-/// What the store keeps of the duties of one daemon.
+/// The stored state of the duties, which one daemon holds at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyRecord {
-    /// Who holds them.
+    /// The current holder and its term.
     pub term: Term,
-    /// What was used, and is to be reported.
+    /// The usage that is still to be reported.
     pub usage: UsageState,
 }
 
-/// Where the duties' record is kept.
+/// The store of the duty record, which is kept as a log.
 pub trait DutyStore {
-    /// The record, and where its log ends.
+    /// Reads the newest record and the end of its log.
     fn read(&self) -> impl Future<Output = Result<(Option<DutyRecord>, u64), SourceError>>;
 
-    /// Writes the record if its log still ends at `at`.
-    fn write(&self, at: u64, kept: &DutyRecord) -> impl Future<Output = WriteOutcome>;
+    /// Appends the record if its log still ends at `at`.
+    fn write(&self, at: u64, record: &DutyRecord) -> impl Future<Output = WriteOutcome>;
 }
 
-/// The platform's interface that duties go to.
+/// The platform's API that the duties call.
 pub trait DutyApi {
-    /// Reports what each workspace has used in a window. `token` is asked for
-    /// the fencing token right before the call is sent.
+    /// Reports each workspace's usage in a window. `token` is called for the
+    /// fencing token right before the request is sent.
     fn report(
         &self,
         holder: &str,
@@ -203,8 +204,8 @@
         token: impl FnOnce() -> Option<u64>,
     ) -> impl Future<Output = DutyOutcome>;
 
-    /// Orders how many servers `service` should have in an availability zone;
-    /// `token` as in [`DutyApi::report`].
+    /// Orders the number of servers that `service` should have in an
+    /// availability zone; `token` as in [`DutyApi::report`].
     fn order(
         &self,
         holder: &str,
@@ -214,23 +215,24 @@
     ) -> impl Future<Output = DutyOutcome>;
 }
 
-/// What became of a call of a duty.
+/// The outcome of a duty's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DutyOutcome {
-    /// It was carried out, or had been before.
+    /// It was carried out, now or by an earlier request.
     Accepted,
-    /// A higher token than this one was seen; it was not carried out.
+    /// The API has seen this higher fencing token; the request was not carried
+    /// out.
     Fenced(u64),
-    /// It was refused with this status, and not carried out.
+    /// It was refused with this status and not carried out.
     Refused(u16),
-    /// It was not answered; it may be carried out at any time.
+    /// There was no response; it may be carried out at any time.
     Unanswered(String),
-    /// The duty was not held any more, and nothing was sent.
+    /// The duty was no longer held, and nothing was sent.
     NotHeld,
 }
 
 impl DutyOutcome {
-    /// It in one word, for logs and metrics.
+    /// A short name for logs and metric labels.
     #[must_use]
     pub fn label(&self) -> &'static str {
         match self {
@@ -242,52 +244,53 @@
         }
     }
 
-    /// Whether the interface was heard, or need not have been.
+    /// Whether the request needs no retry at another entry: the API has decided
+    /// it, or nothing had to be sent.
     #[must_use]
     pub fn is_conclusive(&self) -> bool {
         !matches!(self, Self::Unanswered(_) | Self::Refused(_))
     }
 }
 
-/// Records of a table.
+/// Records read from a table.
 #[derive(Debug, Clone)]
 pub struct Changes<T> {
-    /// Keys with what they say now; none for a key that was dropped.
+    /// Keys with their current values; `None` for a deleted key.
     pub records: Vec<(String, Option<T>)>,
-    /// The position from which to go on. Positions only grow, also when the
-    /// store comes back from an old copy.
+    /// The position from which to continue. Positions only grow, even when the
+    /// store is restored from an old copy.
     pub next: u64,
 }
 
-/// Why the store gave no records.
+/// Why the store returned no records.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum SourceError {
-    /// The store has dropped the records that were asked for.
-    #[snafu(display("step={step} peer={peer}: the store has dropped these records"))]
+    /// The store has deleted the requested records.
+    #[snafu(display("step={step} peer={peer}: the store has deleted these records"))]
     Expired {
-        /// The call.
+        /// The operation.
         step: &'static str,
-        /// The store.
+        /// The store's address.
         peer: String,
     },
-    /// The store has come back from an old copy: what it took last is gone, and
-    /// positions of before lead nowhere.
-    #[snafu(display("step={step} peer={peer}: the store came back from an old copy"))]
+    /// The store was restored from an old copy: its latest writes are gone, and
+    /// positions from before are invalid.
+    #[snafu(display("step={step} peer={peer}: the store was restored from an old copy"))]
     Rewound {
-        /// The call.
+        /// The operation.
         step: &'static str,
-        /// The store.
+        /// The store's address.
         peer: String,
     },
-    /// The store could not be reached, refused or answered nonsense.
+    /// The store could not be reached, refused, or sent an invalid response.
     #[snafu(display("step={step} peer={peer}: {cause}"))]
     Unavailable {
-        /// The call.
+        /// The operation.
         step: &'static str,
-        /// The store.
+        /// The store's address.
         peer: String,
-        /// What came instead of an answer.
+        /// The error or the unexpected response.
         cause: String,
     },
 }
--- a/crates/forward/src/pool.rs
+++ b/crates/forward/src/pool.rs
@@ -1,8 +1,8 @@
 //! Connections to backend servers.
 //!
-//! The pool knows of each connection which life of a server it leads to and
-//! how long the server keeps it, and hands one out only while nothing unread
-//! lies on it.
+//! For each connection the pool keeps the server incarnation at its other end
+//! and the server's idle timeout. It hands out only connections without unread
+//! bytes.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -19,46 +19,46 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// How long an idle connection is kept when the server does not say.
+/// Idle timeout of a connection when the server does not state one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Part of the time that the server keeps a connection after which it is not
-/// used any more: a call sent as the server closes would be lost.
+/// The share of the server's idle timeout after which a connection is not used
+/// any more. A call sent while the server closes the connection would be lost.
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
 
-/// A new connection is one round trip; within a region anything longer means
-/// that the host does not answer.
+/// Timeout for a new connection. It takes one round trip, so within a region
+/// anything longer means that the host does not respond.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Bytes that are sent and not acknowledged for so long mean that the path
-/// has lost track of the connection. Without this a call on such a connection
-/// would wait for its whole timeout.
+/// Bytes that stay unacknowledged for this long mean that the network path has
+/// lost the connection. Without this limit a call on such a connection would
+/// wait for its whole timeout.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Idle connections are probed this often, so that one that went silent is
-/// found before a call is sent on it.
+/// The interval of TCP keepalive probes. They detect a dead idle connection
+/// before a call is sent on it.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Header bytes and lines that a server's answer may have.
+/// Buffer size for a response's header, in bytes; a longer header is an error.
 const READ_BUFFER: usize = 64 << 10;
 
-/// Idle connections by server.
+/// Idle connections, by the ID of the server.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: RefCell<HashMap<Rc<str>, VecDeque<Connection>>>,
 }
 
-/// One connection to a backend server. Dropping it closes it, which also
-/// tells the server to stop working on the call in progress.
+/// A connection to a backend server. Dropping it closes it, which also tells
+/// the server to stop working on the call in progress.
 #[derive(Debug)]
 pub struct Connection {
-    /// The way in.
+    /// Sends requests on the connection.
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    /// Reads and writes the socket.
+    /// The task that reads and writes the socket.
     task: JoinHandle<()>,
-    /// When it becomes useless if it is not used.
+    /// When the connection must not be used any more, if it stays idle.
     expires_at: Instant,
-    /// How long the server keeps it idle, as far as it said.
+    /// How long it may stay idle.
     idle_timeout: Duration,
 }
 
@@ -69,16 +69,16 @@
 }
 
 impl Connection {
-    /// Notes how long the server keeps the connection idle.
-    pub fn set_idle_timeout(&mut self, keep: Duration) {
-        self.idle_timeout = keep.mul_f64(IDLE_TIMEOUT_SHARE);
+    /// Sets the idle timeout from the one that the server has stated.
+    pub fn set_idle_timeout(&mut self, idle_timeout: Duration) {
+        self.idle_timeout = idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE);
     }
 }
 
 impl ConnectionPool {
-    /// An idle connection to a server, if there is a sound one. The one that
-    /// was idle longest goes first: a late second answer to its last call has
-    /// come by then, and shows as unread bytes.
+    /// Takes a usable idle connection to a server, if there is one. The one
+    /// that was idle longest goes first: a late second response to its last
+    /// call has arrived by then and shows as unread bytes.
     pub fn take(&self, now: Instant, id: &str) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let conns = idle.get_mut(id)?;
@@ -90,7 +90,7 @@
         None
     }
 
-    /// Gives a connection back whose answer was read to its end.
+    /// Returns a connection whose last response was read to its end.
     pub fn put(&self, now: Instant, id: &Rc<str>, mut conn: Connection) {
         if conn.sender.is_closed() {
             return;
@@ -105,7 +105,7 @@
         self.idle.borrow_mut().remove(id);
     }
 
-    /// Closes idle connections whose time has passed.
+    /// Closes idle connections that have expired.
     pub fn remove_expired(&self, now: Instant) {
         self.idle.borrow_mut().retain(|_, conns| {
             conns.retain(|c| now < c.expires_at && !c.sender.is_closed());
@@ -117,11 +117,11 @@
     ///
     /// # Errors
     ///
-    /// Returns the error when no connection could be made in time; nothing
-    /// was sent then.
+    /// Returns the error when no connection could be made in time. Nothing was
+    /// sent in that case.
     pub async fn connect(now: Instant, addr: SocketAddr) -> io::Result<Connection> {
-        let dialled = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
-        let stream = dialled.map_err(|_| io::ErrorKind::TimedOut)??;
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
+        let stream = connected.map_err(|_| io::ErrorKind::TimedOut)??;
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
         let probes = TcpKeepalive::new()
@@ -130,14 +130,14 @@
         socket.set_tcp_keepalive(&probes.with_retries(2))?;
         socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
 
-        let shaken = http1::Builder::new()
+        let handshake = http1::Builder::new()
             .max_buf_size(READ_BUFFER)
             .handshake(TokioIo::new(stream))
             .await;
-        let (sender, conn) = shaken.map_err(io::Error::other)?;
+        let (sender, conn) = handshake.map_err(io::Error::other)?;
         let task = actix_rt::spawn(async move {
-            // The call in progress reports the failure; an idle connection
-            // that ends is found closed when it would be used.
+            // The call in progress reports the error. An idle connection that
+            // ends is found closed before its next use.
             let _ = conn.await;
         });
         Ok(Connection {
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passing a stream on, and going on with it at another server.
+//! Relays a stream of events to a caller and resumes it at another server when
+//! it breaks.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,58 +15,58 @@
 use crate::exchange::ResponseBody;
 use crate::state::Open;
 
-/// A stream on its way to a caller.
+/// A stream that is being relayed to a caller.
 #[derive(Debug)]
 pub struct Relay {
     call: Rc<Call>,
     body: ResponseBody,
     splitter: Splitter,
-    /// Bytes that came before the caller was answered.
+    /// Bytes received before the reply to the caller was started.
     first_bytes: Option<Bytes>,
-    /// The number of the last event that was passed on.
+    /// The number of the last event sent to the caller.
     last_event: Option<u64>,
     /// Whether each event's number was one more than the one before.
     consecutive: bool,
     /// Whether the next event is the first from another server.
     just_resumed: bool,
-    /// Whether a part of it came from another server.
+    /// Whether any part of the stream came from another server.
     resumed: bool,
-    /// Events passed on.
+    /// Events sent to the caller.
     event_count: u64,
-    /// When the last event was passed on, or the call came.
+    /// When the last event was sent; at first, when the call was received.
     last_sent: Instant,
-    /// How long after the call the first event was passed on.
+    /// Time from receiving the call to sending the first event.
     first_delay: Duration,
-    /// The longest pause between two events.
+    /// The longest gap between two events.
     max_pause: Duration,
     /// Servers that the call was sent to.
     tried: Vec<Rc<str>>,
-    /// Keeps the entry from stopping meanwhile.
+    /// Counts the call as open, so that the entry does not stop before its end.
     _open: Open,
 }
 
-/// Why a stream ended before its end.
+/// Why a stream ended early.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StreamError {
-    /// The route's time is over.
-    #[snafu(display("step=relay peer={server}: the route's timeout has passed"))]
+    /// The call's deadline has passed.
+    #[snafu(display("step=relay peer={server}: the call's deadline has passed"))]
     TimedOut {
         /// The server.
         server: String,
     },
-    /// The server broke off and nobody can go on.
+    /// The connection to the server broke and the stream could not be resumed.
     #[snafu(display("step=relay peer={server}: {cause}"))]
     Broken {
         /// The server.
         server: String,
-        /// What was seen.
+        /// The error of the connection or of the event sequence.
         cause: String,
     },
 }
 
 impl Relay {
-    /// Takes over a stream of which `first` has come.
+    /// Relays a stream of which the bytes `first` have arrived.
     #[must_use]
     pub fn new(
         call: Rc<Call>,
@@ -92,16 +93,16 @@
         }
     }
 
-    /// The stream's bytes as they come. It ends with an error when it is not
-    /// whole, which closes the caller's connection instead of ending the
-    /// answer.
+    /// The stream's bytes as they arrive. If the stream is incomplete it ends
+    /// with an error, which closes the caller's connection instead of ending
+    /// the response.
     pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, StreamError>> {
         futures_util::stream::unfold(Some(Box::new(self)), |relay| async {
             let mut relay = relay?;
             match relay.next_chunk().await {
                 Ok(Some(bytes)) => Some((Ok(bytes), Some(relay))),
                 Ok(None) => {
-                    // A stream of one event has no pause.
+                    // A stream of one event has no gap.
                     if relay.event_count > 1 && !relay.resumed {
                         relay.call.record_pause(relay.max_pause);
                     }
@@ -111,15 +112,15 @@
                     relay.log("whole");
                     None
                 }
-                Err(cut) => {
-                    relay.log(&cut.to_string());
-                    Some((Err(cut), None))
+                Err(error) => {
+                    relay.log(&error.to_string());
+                    Some((Err(error), None))
                 }
             }
         })
     }
 
-    /// The next bytes for the caller; none at the end.
+    /// Returns the next bytes for the caller, or `None` at the end.
     async fn next_chunk(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             if let Some(bytes) = self.complete_events()? {
@@ -128,8 +129,8 @@
             let next = match self.first_bytes.take() {
                 Some(first) => Ok(Ok(Some(first))),
                 None => {
-                    let until: Instant = self.call.deadline;
-                    tokio::time::timeout_at(until.into(), self.body.next()).await
+                    let deadline: Instant = self.call.deadline;
+                    tokio::time::timeout_at(deadline.into(), self.body.next()).await
                 }
             };
             match next {
@@ -141,43 +142,45 @@
                 }
                 Ok(Ok(Some(bytes))) => self.splitter.push(&bytes),
                 Ok(Ok(None)) if self.splitter.rest() == 0 => return Ok(None),
-                // Whole by its framing, whatever its last bytes look like; what
-                // follows another server's part must be events.
+                // The response is complete by its framing, even if its last
+                // bytes are no complete event. After a resumption only complete
+                // events may follow.
                 Ok(Ok(None)) if self.body.framed && !self.resumed => {
                     return Ok(Some(self.splitter.take_rest()));
                 }
-                Ok(Ok(None)) => self.fail_over("ended inside an event").await?,
+                Ok(Ok(None)) => self.fail_over("stream ended inside an event").await?,
                 Ok(Err(cause)) => self.fail_over(&cause).await?,
             }
         }
     }
 
-    /// The events that are whole by now, as one piece.
+    /// Takes the events that are complete so far, as one chunk.
     fn complete_events(&mut self) -> Result<Option<Bytes>, StreamError> {
-        let mut piece = Vec::new();
+        let mut chunk = Vec::new();
         while let Some(event) = self.splitter.event() {
             if let (Some(last), Some(number)) = (self.last_event, event.number) {
                 self.check_sequence(last, number)?;
             }
             self.last_event = event.number.or(self.last_event);
             self.event_count += 1;
-            piece.extend_from_slice(&event.bytes);
+            chunk.extend_from_slice(&event.bytes);
         }
-        if piece.is_empty() {
+        if chunk.is_empty() {
             return Ok(None);
         }
         self.record_timing();
-        Ok(Some(piece.into()))
+        Ok(Some(chunk.into()))
     }
 
-    /// Checks that event `number` may follow event `last`. Passed on all the
-    /// same, the caller would have a stream with a hole or a doubled event
-    /// that looks whole. Numbers only have to grow within one server's stream;
-    /// where they grew by one, another server has to go on by one as well.
+    /// Checks that event `number` may follow event `last`. If it were passed on
+    /// anyway, the caller would get a stream with a missing or duplicate event
+    /// that looks complete. Within one server's stream the numbers only have to
+    /// increase; if they increased by one so far, the next server has to
+    /// continue by one as well.
     fn check_sequence(&mut self, last: u64, number: u64) -> Result<(), StreamError> {
         let next = number == last + 1;
-        let hole = std::mem::take(&mut self.just_resumed) && self.consecutive && !next;
-        if number <= last || hole {
+        let gap = std::mem::take(&mut self.just_resumed) && self.consecutive && !next;
+        if number <= last || gap {
             let cause = format!("event {number} after {last}");
             let server = self.server();
             return BrokenSnafu { server, cause }.fail();
@@ -186,48 +189,49 @@
         Ok(())
     }
 
-    /// Notes when events are passed on, which is what callers notice.
+    /// Records when events are sent, as the caller sees it.
     fn record_timing(&mut self) {
         let now = self.call.state.clock.now();
-        let passed = now.saturating_duration_since(self.last_sent);
+        let elapsed = now.saturating_duration_since(self.last_sent);
         if self.first_delay.is_zero() {
-            self.first_delay = passed;
-            metrics::histogram!("pimentocart_first_event_seconds").record(passed);
+            self.first_delay = elapsed;
+            metrics::histogram!("pimentocart_first_event_seconds").record(elapsed);
         } else {
-            self.max_pause = self.max_pause.max(passed);
-            self.body.record_pause(passed);
-            metrics::histogram!("pimentocart_pause_seconds").record(passed);
+            self.max_pause = self.max_pause.max(elapsed);
+            self.body.record_pause(elapsed);
+            metrics::histogram!("pimentocart_pause_seconds").record(elapsed);
         }
         self.last_sent = now;
     }
 
-    /// Goes on at another server after the last whole event, if that may be.
+    /// Resumes the stream at another server after the last complete event, if
+    /// its route allows that.
     async fn fail_over(&mut self, cause: &str) -> Result<(), StreamError> {
         let broken = |server: String, cause: &str| StreamError::Broken {
             server,
             cause: cause.to_owned(),
         };
-        let from = self.server();
+        let failed = self.server();
         self.call.record_broken(&self.body.server);
         self.call
             .state
             .balance
             .borrow_mut()
-            .call_failed(self.call.state.clock.now(), &from);
+            .call_failed(self.call.state.clock.now(), &failed);
         let resumable = self.call.route.kind == policy::routes::CallKind::Resumable;
         if !resumable || self.last_event.is_none() && self.event_count > 0 {
-            return Err(broken(from, cause));
+            return Err(broken(failed, cause));
         }
         self.splitter.take_rest();
-        let went = Rc::clone(&self.call)
+        let resumed = Rc::clone(&self.call)
             .resume(self.last_event, &mut self.tried)
             .await;
-        let Some(body) = went else {
-            return Err(broken(from, cause));
+        let Some(body) = resumed else {
+            return Err(broken(failed, cause));
         };
         info!("stream resumed", kv: {
             id = self.call.request_id(),
-            from = from.as_str(),
+            from = failed.as_str(),
             at = &*body.server.id,
             after = self.last_event.unwrap_or(0),
             cause
--- a/crates/forward/src/reply.rs
+++ b/crates/forward/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Replies to callers.
 
 use std::time::Duration;
 
@@ -12,7 +12,8 @@
 
 use crate::relay::Relay;
 
-/// Headers of a server's answer that concern its own connection only.
+/// Hop-by-hop headers of a server's response, and those that the HTTP library
+/// sets itself.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -25,10 +26,10 @@
     "date",
 ];
 
-/// What a caller is answered.
+/// A reply to a caller.
 #[derive(Debug)]
 pub enum Reply {
-    /// A server's whole answer.
+    /// A complete response of a server.
     Buffered {
         /// Its status.
         status: u16,
@@ -37,32 +38,32 @@
         /// Its body.
         body: Bytes,
     },
-    /// A server's stream.
+    /// A server's stream of events.
     Stream {
         /// Its headers.
         headers: HeaderMap,
-        /// Its events as they come.
+        /// The events as they arrive.
         relay: Box<Relay>,
     },
-    /// An answer of our own.
+    /// A reply made by the entry itself.
     Local(LocalReply),
 }
 
-/// A failure or refusal of our own.
+/// A failure or refusal made by the entry itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalReply {
     /// The status.
     pub status: u16,
-    /// Why.
+    /// The reason.
     pub reason: Refusal,
-    /// What is known about the call having run.
+    /// Whether the call has run, as far as is known.
     pub executed: Executed,
-    /// When asking again may help.
+    /// When a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl LocalReply {
-    /// An answer that promises nothing about the call having run.
+    /// A failure of a call that may have run.
     #[must_use]
     pub fn failed(status: u16, reason: Refusal) -> Self {
         Self {
@@ -73,7 +74,8 @@
         }
     }
 
-    /// An answer to a call that is not served at all.
+    /// A reply to a call that is not served and should not be retried
+    /// unchanged.
     #[must_use]
     pub fn denied(status: u16, reason: Refusal) -> Self {
         Self {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Says that the call has not run, and when to come back.
+    /// A refusal of a call that has not run and may be retried after this time.
     #[must_use]
     pub fn refused(reason: Refusal, after: Duration) -> Self {
         Self {
@@ -97,7 +99,7 @@
 }
 
 impl Reply {
-    /// The answer as the HTTP library writes it. `close` ends the caller's
+    /// Converts the reply for the HTTP library. `close` ends the caller's
     /// connection after it.
     #[must_use]
     pub fn into_response(self, close: bool) -> HttpResponse {
@@ -111,7 +113,7 @@
                 let body = actix_web::body::BodyStream::new(relay.into_stream());
                 build(200, &headers, body)
             }
-            Self::Local(own) => own.into_response(),
+            Self::Local(reply) => reply.into_response(),
         };
         if close {
             response
@@ -146,7 +148,8 @@
         }
         let name = HeaderName::from_bytes(name.as_str().as_bytes());
         let value = HeaderValue::from_bytes(value.as_bytes());
-        // Both were parsed by the same rules before.
+        // Names and values were valid in the other library's types, which
+        // accept the same bytes.
         if let (Ok(name), Ok(value)) = (name, value) {
             response.headers_mut().append(name, value);
         }
