--- a/crates/forward/tests/calls/callers.rs
+++ b/crates/forward/tests/calls/callers.rs
@@ -1,9 +1,10 @@
-//! Callers that are refused, forge, or come while the entry stops.
+//! Calls that are denied or malicious, or that arrive while the entry starts or
+//! stops.
 
 use policy::routes::CallKind;
 use rstest::rstest;
 
-use crate::common::{Act, Entry, OK, Plan, field, request, status};
+use crate::common::{Action, Entry, OK, Plan, header, request, status};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 const ID: &str = "call-id: 1\r\n";
@@ -13,39 +14,39 @@
 #[case::none("", "401")]
 #[case::unknown("key: x\r\n", "401")]
 #[actix_rt::test]
-async fn key_checked(#[case] key: &str, #[case] wanted: &str) {
-    let mut plan = Plan::new(CallKind::Once, 1, &[Act::Send(OK)]);
+async fn key_checked(#[case] key: &str, #[case] expected: &str) {
+    let mut plan = Plan::new(CallKind::Once, 1, &[Action::Send(OK)]);
     plan.keys = true;
     let entry = Entry::start(plan).await;
     let answer = entry.call(&format!("{ID}{key}")).await;
-    assert_eq!(status(&answer), wanted);
+    assert_eq!(status(&answer), expected);
     for request in entry.servers.requests() {
-        assert_eq!(field(&request, "workspace").as_deref(), Some("w"));
-        assert!(field(&request, "key").is_none());
+        assert_eq!(header(&request, "workspace").as_deref(), Some("w"));
+        assert!(header(&request, "key").is_none());
     }
 }
 
-/// An entry that has just started knows no catalog. It cannot tell whether a
-/// route exists, so it refuses for now instead of answering 404.
+/// An entry that has just started has no catalog and cannot tell whether a
+/// route exists. It must refuse the call for now instead of answering 404.
 #[actix_rt::test]
-async fn no_catalog_is_no_404() {
+async fn missing_catalog_is_refused() {
     let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     entry.state.catalog.borrow_mut().take();
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "503");
-    assert!(field(&answer, "retry-after").is_some());
+    assert!(header(&answer, "retry-after").is_some());
     assert!(!entry.state.ready());
 }
 
-/// Guards against callers being turned away by an entry that has started and is
-/// about to be told of the catalog.
+/// Guards against an entry refusing calls right after its start, when it is
+/// about to receive the catalog.
 #[actix_rt::test]
-async fn first_tables_are_waited_for() {
+async fn call_waits_for_first_catalog() {
     let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     let catalog = entry.state.catalog.borrow_mut().take();
     let call = entry.call(ID);
     let told = async {
-        // The call comes meanwhile.
+        // Lets the call arrive first.
         for _ in 0..1000 {
             tokio::task::yield_now().await;
         }
@@ -57,7 +58,7 @@
 }
 
 #[actix_rt::test]
-async fn passed_on_unchanged() {
+async fn request_forwarded_unchanged() {
     let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     entry
         .call("call-id: 1\r\nOther: kept\r\npatience-ms: 900\r\n")
@@ -65,16 +66,17 @@
     let request = entry.servers.requests().remove(0);
     assert!(request.starts_with("POST /r/x?q=1 HTTP/1.1\r\n"));
     assert!(request.ends_with("\r\n\r\nbody"));
-    assert_eq!(field(&request, "other").as_deref(), Some("kept"));
-    let left: u64 = field(&request, "left-ms")
+    assert_eq!(header(&request, "other").as_deref(), Some("kept"));
+    let left: u64 = header(&request, "left-ms")
         .and_then(|l| l.parse().ok())
         .expect("a time");
     assert!(left <= 900);
 }
 
-/// A request hides in the body of another. It must reach the server as body.
+/// A request is smuggled in the body of another one. It must reach the server
+/// as part of the body.
 #[actix_rt::test]
-async fn smuggled_request_stays_a_body() {
+async fn smuggled_request_stays_in_body() {
     let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     let inner = "POST /r/evil HTTP/1.1\r\nHost: h.example\r\n\r\n";
     let length = inner.len();
@@ -91,11 +93,10 @@
     assert!(requests[0].ends_with(inner));
 }
 
-/// The entry is told to stop while a call is at a server. The call ends whole
-/// and its answer tells the caller to connect anew; the entry says that it is
-/// not ready meanwhile.
+/// An entry that is stopping is not ready, but still serves a call whole and
+/// tells the caller to close its connection.
 #[actix_rt::test]
-async fn stopping_ends_calls_whole() {
+async fn stopping_entry_completes_calls() {
     let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     entry.state.listed.set(true);
     assert!(entry.state.ready());
@@ -107,10 +108,10 @@
         .await
         .expect("sent");
     let mut answer = Vec::new();
-    // The connection closes by itself after the answer.
+    // The entry closes the connection after the response.
     let _ = stream.read_to_end(&mut answer).await;
     let answer = String::from_utf8_lossy(&answer).into_owned();
     assert_eq!(status(&answer), "200");
-    assert_eq!(field(&answer, "connection").as_deref(), Some("close"));
+    assert_eq!(header(&answer, "connection").as_deref(), Some("close"));
     entry.stop.trigger();
 }
--- a/crates/forward/tests/calls/common.rs
+++ b/crates/forward/tests/calls/common.rs
@@ -1,4 +1,4 @@
-//! An entry with servers that do as they are told, and a caller.
+//! An entry with scripted backend servers, and a caller.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,19 +18,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The host of the model engines and their sidecars.
+/// The host of the engines and their sidecar.
 pub(crate) const ENGINES: &str = "127.0.0.2";
 
-/// Each test's route takes this prefix.
+/// A path under the prefix of the tests' route.
 pub(crate) const PATH: &str = "/r/x?q=1";
 
-/// The header that carries a call's identity in these tests.
+/// The header of the request ID in these tests.
 const ID: &str = "call-id";
 
-/// A dialect with plain names.
-pub(crate) struct Plain;
+/// A dialect with plain header names.
+pub(crate) struct TestDialect;
 
-impl Dialect for Plain {
+impl Dialect for TestDialect {
     fn parse_call(&self, headers: &HeaderMap) -> CallHeaders {
         CallHeaders {
             request_id: text(headers, ID),
@@ -45,7 +45,7 @@
         }
     }
 
-    fn forwarded_headers(&self, headers: &HeaderMap, order: &AddedHeaders<'_>) -> HeaderMap {
+    fn forwarded_headers(&self, headers: &HeaderMap, added: &AddedHeaders<'_>) -> HeaderMap {
         let mut out = headers.clone();
         for name in ["connection", "content-length", "transfer-encoding", "key"] {
             out.remove(name);
@@ -53,15 +53,15 @@
         let mut set = |name: &'static str, value: String| {
             out.insert(name, HeaderValue::from_str(&value).expect("a value"));
         };
-        set("left-ms", order.time_left.as_millis().to_string());
-        set("server", order.server.to_owned());
-        if let Some(workspace) = order.workspace {
+        set("left-ms", added.time_left.as_millis().to_string());
+        set("server", added.server.to_owned());
+        if let Some(workspace) = added.workspace {
             set("workspace", workspace.to_owned());
         }
-        if let Some(holder) = order.fetch_from {
+        if let Some(holder) = added.fetch_from {
             set("fetch", holder.to_string());
         }
-        if let Some(last) = order.last_event {
+        if let Some(last) = added.last_event {
             set("last-event", last.to_string());
         }
         out
@@ -93,7 +93,7 @@
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
 
-/// Prompt parts, as in `1:800,2:410`.
+/// Parses prompt parts, such as `1:800,2:410`.
 fn parts(headers: &HeaderMap) -> Vec<PromptPart> {
     let text = text(headers, "parts").unwrap_or_default();
     let part = |part: &str| {
@@ -113,38 +113,39 @@
 
 /// What a server does with one request.
 #[derive(Debug, Clone)]
-pub(crate) enum Act {
-    /// Sends these bytes, with `{id}` replaced by the request's identity, and
-    /// keeps the connection.
+pub(crate) enum Action {
+    /// Sends these bytes, with `{id}` replaced by the request's ID, and keeps
+    /// the connection open.
     Send(&'static str),
     /// Sends these bytes and closes the connection.
     SendClose(&'static str),
     /// Sends these bytes and resets the connection.
     SendReset(&'static str),
-    /// Sends nothing until the caller has gone.
+    /// Sends nothing until the other side closes the connection.
     Silent,
-    /// Sends these bytes once the head has come, then takes the body.
+    /// Sends these bytes once the request's head has arrived, then reads the
+    /// body.
     Early(&'static str),
 }
 
-/// An answer that a server vouches for.
+/// A sealed success response.
 pub(crate) const OK: &str =
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 5\r\n\r\nhello";
 
-/// A refusal that says that the call did not run.
+/// A refusal which states that the call did not run.
 pub(crate) const NOT_RUN: &str =
     "HTTP/1.1 503 Full\r\ncall-id: {id}\r\nnot-run: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A refusal by another server than the one that was meant.
-pub(crate) const ELSEWHERE: &str = "HTTP/1.1 421 Other\r\ncall-id: {id}\r\nnot-run: 1\r\n\
+/// A rejection by another server than the intended one.
+pub(crate) const WRONG_SERVER: &str = "HTTP/1.1 421 Other\r\ncall-id: {id}\r\nnot-run: 1\r\n\
     elsewhere: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A failure that a server vouches for.
+/// A sealed failure response.
 pub(crate) const FAILED: &str =
     "HTTP/1.1 500 Failed\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 3\r\n\r\nbad";
 
-/// Servers that do as they are told, one request after the other, whichever
-/// of them gets it.
+/// Servers that share one list of actions. Each request takes the next one,
+/// whichever server it reaches.
 #[derive(Clone, Default)]
 pub(crate) struct Servers {
     inner: Rc<Inner>,
@@ -152,12 +153,12 @@
 
 #[derive(Default)]
 struct Inner {
-    acts: RefCell<Vec<Act>>,
-    /// The requests as they came, in order.
+    actions: RefCell<Vec<Action>>,
+    /// The requests in the order of their arrival.
     requests: RefCell<Vec<String>>,
-    /// Connections that were taken.
-    taken: Cell<usize>,
-    /// Connections whose other side has closed.
+    /// Connections that were accepted.
+    accepted: Cell<usize>,
+    /// Connections that the other side has closed.
     closed: Cell<usize>,
 }
 
@@ -166,12 +167,12 @@
         self.inner.requests.borrow().clone()
     }
 
-    pub(crate) fn taken(&self) -> usize {
-        self.inner.taken.get()
+    pub(crate) fn accepted(&self) -> usize {
+        self.inner.accepted.get()
     }
 
-    /// Waits until the other side of a connection has closed.
-    pub(crate) async fn closed(&self) {
+    /// Waits until the other side has closed a connection.
+    pub(crate) async fn wait_closed(&self) {
         while self.inner.closed.get() == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -183,7 +184,7 @@
         let servers = self.clone();
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                servers.inner.taken.set(servers.inner.taken.get() + 1);
+                servers.inner.accepted.set(servers.inner.accepted.get() + 1);
                 actix_rt::spawn(servers.clone().serve(stream));
             }
         });
@@ -193,28 +194,28 @@
     async fn serve(self, mut stream: TcpStream) {
         let mut all = Vec::new();
         loop {
-            let early = match self.inner.acts.borrow().first() {
-                Some(Act::Early(bytes)) => Some(*bytes),
+            let early = match self.inner.actions.borrow().first() {
+                Some(Action::Early(bytes)) => Some(*bytes),
                 _ => None,
             };
             let Some(request) = read_request(&mut stream, &mut all, early).await else {
                 break;
             };
-            let id = field(&request, ID).unwrap_or_default();
+            let id = header(&request, ID).unwrap_or_default();
             self.inner.requests.borrow_mut().push(request);
-            let act = {
-                let mut acts = self.inner.acts.borrow_mut();
-                if acts.is_empty() {
-                    Act::Send(OK)
+            let action = {
+                let mut actions = self.inner.actions.borrow_mut();
+                if actions.is_empty() {
+                    Action::Send(OK)
                 } else {
-                    acts.remove(0)
+                    actions.remove(0)
                 }
             };
-            let (bytes, end) = match act {
-                Act::Send(bytes) => (bytes, None),
-                Act::SendClose(bytes) => (bytes, Some(false)),
-                Act::SendReset(bytes) => (bytes, Some(true)),
-                Act::Silent | Act::Early(_) => ("", None),
+            let (bytes, end) = match action {
+                Action::Send(bytes) => (bytes, None),
+                Action::SendClose(bytes) => (bytes, Some(false)),
+                Action::SendReset(bytes) => (bytes, Some(true)),
+                Action::Silent | Action::Early(_) => ("", None),
             };
             let bytes = bytes.replace("{id}", &id);
             let _ = stream.write_all(bytes.as_bytes()).await;
@@ -222,7 +223,7 @@
                 None => {}
                 Some(false) => return,
                 Some(true) => {
-                    // Lets the bytes arrive before the reset overtakes them.
+                    // Lets the bytes arrive before the reset discards them.
                     tokio::time::sleep(Duration::from_millis(20)).await;
                     let linger = Some(Duration::ZERO);
                     let _ = socket2::SockRef::from(&stream).set_linger(linger);
@@ -234,9 +235,9 @@
     }
 }
 
-/// Reads one request with its body; none when the other side has closed.
-/// Sends `early` as soon as the head has come. What came of the next request
-/// stays in `all`.
+/// Reads one request with its body, or returns `None` when the other side has
+/// closed the connection. Sends `early` as soon as the head has arrived. Bytes
+/// of the next request stay in `all`.
 async fn read_request(
     stream: &mut TcpStream,
     all: &mut Vec<u8>,
@@ -250,12 +251,12 @@
     };
     let text = String::from_utf8_lossy(&all[..head]).into_owned();
     if let Some(early) = early {
-        let id = field(&text, ID).unwrap_or_default();
+        let id = header(&text, ID).unwrap_or_default();
         let _ = stream
             .write_all(early.replace("{id}", &id).as_bytes())
             .await;
     }
-    let length: usize = field(&text, "content-length").map_or(0, |l| l.parse().expect("a length"));
+    let length: usize = header(&text, "content-length").map_or(0, |l| l.parse().expect("a length"));
     while all.len() < head + length {
         read_more(stream, all).await?;
     }
@@ -271,13 +272,13 @@
 }
 
 /// The value of a header.
-pub(crate) fn field(head: &str, name: &str) -> Option<String> {
+pub(crate) fn header(head: &str, name: &str) -> Option<String> {
     let lines = head.lines().filter_map(|l| l.split_once(": "));
     let mut found = lines.filter(|(n, _)| n.eq_ignore_ascii_case(name));
     found.next().map(|(_, v)| v.to_owned())
 }
 
-/// An entry before two servers that act in order.
+/// An entry with two servers that perform the planned actions in order.
 pub(crate) struct Entry {
     pub(crate) state: Rc<State>,
     pub(crate) servers: Servers,
@@ -285,7 +286,7 @@
     addr: SocketAddr,
 }
 
-/// What a test sets.
+/// The configuration of a test.
 pub(crate) struct Plan {
     pub(crate) kind: CallKind,
     pub(crate) attempts: u32,
@@ -294,13 +295,13 @@
     pub(crate) keys: bool,
     /// The route's tier.
     pub(crate) tier: u8,
-    /// Whether the servers are model engines, on a host of their own.
+    /// Whether the servers are engines, on a host of their own.
     pub(crate) engine: bool,
-    pub(crate) acts: Vec<Act>,
+    pub(crate) actions: Vec<Action>,
 }
 
 impl Plan {
-    pub(crate) fn new(kind: CallKind, attempts: u32, acts: &[Act]) -> Self {
+    pub(crate) fn new(kind: CallKind, attempts: u32, actions: &[Action]) -> Self {
         Self {
             kind,
             attempts,
@@ -309,7 +310,7 @@
             keys: false,
             tier: 1,
             engine: false,
-            acts: acts.to_vec(),
+            actions: actions.to_vec(),
         }
     }
 }
@@ -318,7 +319,7 @@
     pub(crate) async fn start(plan: Plan) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let addr = listener.local_addr().expect("an address");
-        let state = State::new(settings(addr), Rc::new(Plain), Rc::new(SystemClock));
+        let state = State::new(settings(addr), Rc::new(TestDialect), Rc::new(SystemClock));
         let servers = Servers::default();
         for id in ["s1", "s2"] {
             let host = if plan.engine { ENGINES } else { "127.0.0.1" };
@@ -328,7 +329,7 @@
                 .borrow_mut()
                 .upsert(Instant::now(), listed(id, addr));
         }
-        // Earlier calls that earned repeats.
+        // Earlier calls, which fill the retry budget.
         let service = Rc::from("app");
         for _ in 0..100 {
             state
@@ -337,7 +338,7 @@
                 .record_call(state.clock.now(), &service);
         }
         *state.catalog.borrow_mut() = Some(Rc::new(catalog(&plan)));
-        *servers.inner.acts.borrow_mut() = plan.acts;
+        *servers.inner.actions.borrow_mut() = plan.actions;
 
         let stop = StopSignal::new();
         let app = forward::http::app(Rc::clone(&state));
@@ -350,9 +351,10 @@
         }
     }
 
-    /// Moves one of the servers to an address where nothing listens. A port
-    /// that was free a moment ago may belong to another test's server.
-    pub(crate) fn lose_a_server(&self) {
+    /// Moves one of the servers to an address where nothing listens. It is a
+    /// fixed port, since a port that was free a moment ago may belong to
+    /// another test's server.
+    pub(crate) fn make_unreachable(&self) {
         let addr = "127.0.0.1:1".parse().expect("an address");
         self.state
             .balance
@@ -360,8 +362,8 @@
             .upsert(Instant::now(), listed("s2", addr));
     }
 
-    /// Has a server say that it takes no new calls.
-    pub(crate) fn leave(&self, id: &str) {
+    /// Lists a server as leaving.
+    pub(crate) fn mark_leaving(&self, id: &str) {
         let addr = "127.0.0.1:1".parse().expect("an address");
         let leaving = ServerRecord {
             leaving: true,
@@ -375,15 +377,15 @@
     }
 
     /// Puts the route into the lowest tier.
-    pub(crate) fn lower_tier(&self) {
+    pub(crate) fn use_lowest_tier(&self) {
         let mut plan = Plan::new(CallKind::Once, 1, &[]);
         plan.engine = true;
         plan.tier = 2;
         *self.state.catalog.borrow_mut() = Some(Rc::new(catalog(&plan)));
     }
 
-    /// Takes all repeats that are left and returns how many.
-    pub(crate) fn repeats_left(&self) -> usize {
+    /// Takes all retries that are left and returns their number.
+    pub(crate) fn take_all_retries(&self) -> usize {
         let (now, service) = (self.state.clock.now(), Rc::from("app"));
         let mut budget = self.state.budget.borrow_mut();
         (0..1000)
@@ -395,20 +397,20 @@
         TcpStream::connect(self.addr).await.expect("a connection")
     }
 
-    /// Sends one call on a connection of its own; returns all that comes back
-    /// until the entry closes it.
+    /// Sends one call on a connection of its own. Returns everything received
+    /// until the entry closes the connection.
     pub(crate) async fn call(&self, headers: &str) -> String {
         let mut stream = self.connect().await;
         let request = request(headers, "Connection: close\r\n");
         stream.write_all(request.as_bytes()).await.expect("sent");
         let mut all = Vec::new();
-        // A reset shows as an error after the bytes before it.
+        // A reset is reported as an error after the bytes before it.
         let _ = stream.read_to_end(&mut all).await;
         String::from_utf8_lossy(&all).into_owned()
     }
 }
 
-/// A call with a body of four bytes.
+/// A request with a body of four bytes.
 pub(crate) fn request(headers: &str, more: &str) -> String {
     format!(
         "POST {PATH} HTTP/1.1\r\nHost: h.example\r\n{headers}{more}Content-Length: 4\r\n\r\nbody"
@@ -470,7 +472,7 @@
     Catalog::new(1, vec![route], vec![service], keys, CallerLimits::default())
 }
 
-/// The status of an answer.
+/// The status of a response.
 pub(crate) fn status(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or("")
 }
--- a/crates/forward/tests/calls/feedback.rs
+++ b/crates/forward/tests/calls/feedback.rs
@@ -1,64 +1,67 @@
-//! What answers say of the servers that make them.
+//! Feedback that servers give about themselves in their responses.
 
 use policy::routes::CallKind;
 use rstest::rstest;
 
-use crate::common::{Act, Entry, Plan, field, status};
+use crate::common::{Action, Entry, Plan, header, status};
 
 const ID: &str = "call-id: 1\r\n";
 
-/// Calls after a server has said something.
+/// Calls after a server has given feedback.
 const CALLS: usize = 6;
 
-/// Makes a call to which one of two servers gives `answer`, and some more;
-/// returns how many of those have reached that server.
-async fn reached(answer: Act) -> usize {
+/// Makes one call that one of two servers answers with `answer`, then some
+/// more. Returns how many of those reached the same server.
+async fn calls_to_same_server(answer: Action) -> usize {
     let entry = Entry::start(Plan::new(CallKind::Idempotent, 1, &[answer])).await;
     entry.call(ID).await;
     for _ in 0..CALLS {
         entry.call(ID).await;
     }
     let requests = entry.servers.requests();
-    let speaker = field(&requests[0], "server");
+    let server = header(&requests[0], "server");
     let more = requests[1..].iter();
-    more.filter(|r| field(r, "server") == speaker).count()
+    more.filter(|r| header(r, "server") == server).count()
 }
 
-/// Guards against a server's leaving being read from some of its answers only.
+/// Guards against the announcement that a server is leaving being read from
+/// some kinds of responses only.
 #[rstest]
-#[case::whole(Act::Send(
+#[case::whole(Action::Send(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nleaving: 1\r\nContent-Length: 5\r\n\r\nhello"
 ))]
-#[case::bodiless(Act::Send("HTTP/1.1 204 None\r\ncall-id: {id}\r\nseal: s\r\nleaving: 1\r\n\r\n"))]
-#[case::failed(Act::Send(
+#[case::bodiless(Action::Send(
+    "HTTP/1.1 204 None\r\ncall-id: {id}\r\nseal: s\r\nleaving: 1\r\n\r\n"
+))]
+#[case::failed(Action::Send(
     "HTTP/1.1 500 Failed\r\ncall-id: {id}\r\nseal: s\r\nleaving: 1\r\nContent-Length: 3\r\n\r\nbad"
 ))]
-#[case::not_run(Act::Send(
+#[case::not_run(Action::Send(
     "HTTP/1.1 503 Full\r\ncall-id: {id}\r\nnot-run: 1\r\nleaving: 1\r\nContent-Length: 0\r\n\r\n"
 ))]
-#[case::cut_short(Act::SendClose(
+#[case::cut_short(Action::SendClose(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nleaving: 1\r\nContent-Length: 9\r\n\r\nhello"
 ))]
-#[case::unsealed(Act::Send(
+#[case::unsealed(Action::Send(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nleaving: 1\r\nContent-Length: 2\r\n\r\nno"
 ))]
-#[case::of_another_call(Act::Send(
+#[case::of_another_call(Action::Send(
     "HTTP/1.1 200 OK\r\ncall-id: other\r\nseal: s\r\nleaving: 1\r\nContent-Length: 2\r\n\r\nno"
 ))]
-#[case::encoded(Act::Send(
+#[case::encoded(Action::Send(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nleaving: 1\r\nContent-Encoding: br\r\n\
      Content-Length: 2\r\n\r\nno"
 ))]
 #[actix_rt::test]
-async fn leaving_read_from_any_answer(#[case] answer: Act) {
-    assert_eq!(reached(answer).await, 0);
+async fn leaving_read_from_any_response(#[case] answer: Action) {
+    assert_eq!(calls_to_same_server(answer).await, 0);
 }
 
-/// Guards against a server being taken for leaving by what another one says
-/// that has its address by now.
+/// Guards against a server being marked as leaving because of feedback from
+/// another server that has its address now.
 #[actix_rt::test]
-async fn leaving_of_another_server_means_nothing() {
-    let answer = Act::Send(
+async fn leaving_of_another_server_ignored() {
+    let answer = Action::Send(
         "HTTP/1.1 421 Other\r\ncall-id: {id}\r\nnot-run: 1\r\nelsewhere: 1\r\nleaving: 1\r\n\
          Content-Length: 0\r\n\r\n",
     );
@@ -68,53 +71,55 @@
     assert_eq!(entry.state.balance.borrow().feedback_counts(now).leaving, 0);
 }
 
-/// Guards against rest being read from some refusals only.
+/// Guards against a request for backoff being read from some kinds of refusals
+/// only.
 #[rstest]
-#[case::not_run(Act::Send(
+#[case::not_run(Action::Send(
     "HTTP/1.1 503 Full\r\ncall-id: {id}\r\nnot-run: 1\r\nrest-ms: 9000\r\n\
      Content-Length: 0\r\n\r\n"
 ))]
-#[case::may_have_run(Act::Send(
+#[case::may_have_run(Action::Send(
     "HTTP/1.1 503 Full\r\ncall-id: {id}\r\nseal: s\r\nrest-ms: 9000\r\n\
      Content-Length: 0\r\n\r\n"
 ))]
-#[case::of_another_call(Act::Send(
+#[case::of_another_call(Action::Send(
     "HTTP/1.1 503 Full\r\ncall-id: other\r\nnot-run: 1\r\nrest-ms: 9000\r\n\
      Content-Length: 0\r\n\r\n"
 ))]
-#[case::closing(Act::SendClose(
+#[case::closing(Action::SendClose(
     "HTTP/1.1 503 Full\r\ncall-id: {id}\r\nnot-run: 1\r\nrest-ms: 9000\r\n\
      Connection: close\r\nContent-Length: 0\r\n\r\n"
 ))]
-#[case::cut_short(Act::SendClose(
+#[case::cut_short(Action::SendClose(
     "HTTP/1.1 503 Full\r\ncall-id: {id}\r\nnot-run: 1\r\nrest-ms: 9000\r\n\
      Content-Length: 9\r\n\r\nfull"
 ))]
 #[actix_rt::test]
-async fn rest_read_from_any_refusal(#[case] refusal: Act) {
-    assert_eq!(reached(refusal).await, 0);
+async fn backoff_read_from_any_refusal(#[case] refusal: Action) {
+    assert_eq!(calls_to_same_server(refusal).await, 0);
 }
 
-/// Guards against callers being sent away without knowing for how long, or being
-/// kept waiting, while all servers rest.
+/// Guards against callers waiting, or being refused without a Retry-After,
+/// while all servers are in backoff.
 #[actix_rt::test]
-async fn resting_service_says_when_to_return() {
+async fn backoff_refusal_has_retry_after() {
     let refusal = "HTTP/1.1 503 Full\r\ncall-id: {id}\r\nnot-run: 1\r\nrest-ms: 9000\r\n\
                    Content-Length: 0\r\n\r\n";
-    let acts = [Act::Send(refusal), Act::Send(refusal)];
-    let entry = Entry::start(Plan::new(CallKind::Once, 2, &acts)).await;
-    for reached in [2, 2] {
+    let actions = [Action::Send(refusal), Action::Send(refusal)];
+    let entry = Entry::start(Plan::new(CallKind::Once, 2, &actions)).await;
+    for calls_to_same_server in [2, 2] {
         let answer = entry.call(ID).await;
         assert_eq!(status(&answer), "503");
-        let after = field(&answer, "retry-after").and_then(|a| a.parse::<f64>().ok());
+        let after = header(&answer, "retry-after").and_then(|a| a.parse::<f64>().ok());
         let after = after.expect("a time");
         assert!((8.0..20.0).contains(&after), "{after} s");
-        assert_eq!(entry.servers.requests().len(), reached);
+        assert_eq!(entry.servers.requests().len(), calls_to_same_server);
     }
 }
 
-/// Guards against a call being lost on a connection that its server has said it
-/// closes, in a refusal as in any other answer.
+/// Guards against a call being lost on a connection that its server was about
+/// to close. The idle timeout must be read from refusals as from other
+/// responses.
 #[rstest]
 #[case::served(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nkeep-ms: 0\r\nContent-Length: 0\r\n\r\n"
@@ -123,14 +128,14 @@
     "HTTP/1.1 503 Full\r\ncall-id: {id}\r\nnot-run: 1\r\nkeep-ms: 0\r\nContent-Length: 0\r\n\r\n"
 )]
 #[actix_rt::test]
-async fn connection_time_read_from_any_answer(#[case] answer: &'static str) {
-    let acts = [Act::Send(answer)];
-    let entry = Entry::start(Plan::new(CallKind::Once, 1, &acts)).await;
-    entry.lose_a_server();
+async fn idle_timeout_read_from_any_response(#[case] answer: &'static str) {
+    let actions = [Action::Send(answer)];
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &actions)).await;
+    entry.make_unreachable();
     entry.call(ID).await;
     assert_eq!(status(&entry.call(ID).await), "200");
     assert_eq!(
-        (entry.servers.requests().len(), entry.servers.taken()),
+        (entry.servers.requests().len(), entry.servers.accepted()),
         (2, 2)
     );
 }
--- a/crates/forward/tests/calls/grants.rs
+++ b/crates/forward/tests/calls/grants.rs
@@ -1,4 +1,4 @@
-//! Calls for engines beside which a sidecar says when they may come.
+//! Calls to engines whose sidecar admits them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,13 +14,13 @@
 
 use rstest::rstest;
 
-use crate::common::{Act, ELSEWHERE, ENGINES, Entry, OK, Plan, field, request, status};
+use crate::common::{Action, ENGINES, Entry, OK, Plan, WRONG_SERVER, header, request, status};
 
-/// A call whose time goes into reading its prompt.
-const READS: &str = "call-id: 1\r\nprompt: 3000\r\noutput: 50\r\n";
+/// A call dominated by the prefill of its prompt.
+const PREFILL_CALL: &str = "call-id: 1\r\nprompt: 3000\r\noutput: 50\r\n";
 
-/// An answer of a sidecar whose engine holds nothing.
-fn answer(call_number: u32, verdict: Verdict) -> GrantResponse {
+/// A response of a sidecar whose engine has nothing cached.
+fn grant_response(call_number: u32, verdict: Verdict) -> GrantResponse {
     GrantResponse {
         call_number,
         verdict,
@@ -29,22 +29,22 @@
     }
 }
 
-/// A sidecar that answers as its test says.
+/// A sidecar whose responses the test decides.
 struct Sidecar(UdpSocket);
 
 impl Sidecar {
-    /// Starts an entry before two engines with this one sidecar.
+    /// Starts an entry with two engines and this one sidecar.
     async fn start() -> (Self, Entry) {
         Self::start_with(&[]).await
     }
 
-    /// The same where the engines do as they are told first.
-    async fn start_with(acts: &[Act]) -> (Self, Entry) {
-        Self::start_by(Plan::new(CallKind::Once, 1, acts)).await
+    /// The same with actions of the engines.
+    async fn start_with(actions: &[Action]) -> (Self, Entry) {
+        Self::start_plan(Plan::new(CallKind::Once, 1, actions)).await
     }
 
-    /// The same by any plan.
-    async fn start_by(mut plan: Plan) -> (Self, Entry) {
+    /// The same with any plan.
+    async fn start_plan(mut plan: Plan) -> (Self, Entry) {
         let socket = UdpSocket::bind((ENGINES, 0)).await.expect("a port");
         let port = socket.local_addr().expect("an address").port();
         plan.engine = true;
@@ -55,74 +55,80 @@
         (Self(socket), entry)
     }
 
-    /// The next message, and where it came from.
+    /// Receives the next message and its sender.
     async fn next(&self) -> (GrantRequest, SocketAddr) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         let (length, from) = self.0.recv_from(&mut buffer).await.expect("a message");
         (decode(&buffer[..length]).expect("understood"), from)
     }
 
-    /// Answers the next wish or look, of which it returns the server.
-    async fn say(&self, verdict: Verdict, cached_tokens: u32) -> (RequestKind, String) {
+    /// Answers the next admission request or lookup; returns its kind and
+    /// server.
+    async fn respond(&self, verdict: Verdict, cached_tokens: u32) -> (RequestKind, String) {
         loop {
-            let (ask, from) = self.next().await;
-            let server = match &ask.kind {
-                RequestKind::Admission(want) => want.server.clone(),
-                RequestKind::Lookup(look) => look.server.clone(),
+            let (message, from) = self.next().await;
+            let server = match &message.kind {
+                RequestKind::Admission(admission) => admission.server.clone(),
+                RequestKind::Lookup(lookup) => lookup.server.clone(),
                 _ => continue,
             };
-            let said = GrantResponse {
+            let response = GrantResponse {
                 cached_tokens,
                 prefer_fetch: true,
-                ..answer(ask.call_number, verdict)
+                ..grant_response(message.call_number, verdict)
             };
-            self.0.send_to(&encode(&said), from).await.expect("sent");
-            return (ask.kind, server);
+            self.0
+                .send_to(&encode(&response), from)
+                .await
+                .expect("sent");
+            return (message.kind, server);
         }
     }
 
-    /// Answers the next wish and passes over anything else.
-    async fn answer(&self, verdict: Verdict) -> u32 {
+    /// Answers the next admission request and skips any other message; returns
+    /// the call's number.
+    async fn answer_admission(&self, verdict: Verdict) -> u32 {
         loop {
-            let (ask, from) = self.next().await;
-            if matches!(ask.kind, RequestKind::Admission(_)) {
-                let number = ask.call_number;
-                let bytes = encode(&answer(number, verdict));
+            let (message, from) = self.next().await;
+            if matches!(message.kind, RequestKind::Admission(_)) {
+                let number = message.call_number;
+                let bytes = encode(&grant_response(number, verdict));
                 self.0.send_to(&bytes, from).await.expect("sent");
                 return number;
             }
         }
     }
 
-    /// Waits until the entry says that a call has ended.
-    async fn ended(&self, number: u32) {
+    /// Waits until the entry reports the end of a call.
+    async fn wait_ended(&self, number: u32) {
         loop {
-            let (ask, _) = self.next().await;
-            if ask.call_number == number && matches!(ask.kind, RequestKind::Ended { .. }) {
+            let (message, _) = self.next().await;
+            if message.call_number == number && matches!(message.kind, RequestKind::Ended { .. }) {
                 return;
             }
         }
     }
 }
 
-/// The sidecar has a call wait and then lets it in. Only then the engine gets
-/// it, and the sidecar is told of its first bytes and of its end.
+/// The sidecar queues a call and then admits it. The engine must receive it
+/// only after that, and the sidecar must be told of its first event and of its
+/// end.
 #[actix_rt::test]
-async fn queued_sent_when_let_in() {
+async fn queued_call_sent_after_admission() {
     let (sidecar, entry) = Sidecar::start().await;
     let entry = Rc::new(entry);
     let caller = Rc::clone(&entry);
-    let call = actix_rt::spawn(async move { caller.call(READS).await });
-    let first = sidecar.answer(Verdict::Queued(50)).await;
+    let call = actix_rt::spawn(async move { caller.call(PREFILL_CALL).await });
+    let first = sidecar.answer_admission(Verdict::Queued(50)).await;
     tokio::time::sleep(Duration::from_millis(30)).await;
     assert!(entry.servers.requests().is_empty());
-    let again = sidecar.answer(Verdict::Granted).await;
+    let again = sidecar.answer_admission(Verdict::Granted).await;
     assert_eq!(again, first);
-    let mut begun = false;
+    let mut started = false;
     loop {
-        let (ask, _) = sidecar.next().await;
-        match ask.kind {
-            RequestKind::FirstEvent => begun = true,
+        let (message, _) = sidecar.next().await;
+        match message.kind {
+            RequestKind::FirstEvent => started = true,
             RequestKind::Ended { .. } => break,
             RequestKind::Admission(_)
             | RequestKind::Lookup(_)
@@ -131,81 +137,82 @@
             | RequestKind::Utilization => {}
         }
     }
-    assert!(begun);
+    assert!(started);
     assert_eq!(status(&call.await.expect("an answer")), "200");
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// All engines that are asked would take too long. The caller is told at once
-/// that its call has not run and when to come back, and no engine sees it.
+/// All engines that are asked would take too long. The caller must get a
+/// refusal with Retry-After at once, and no engine may receive the call.
 #[actix_rt::test]
-async fn refused_everywhere_not_sent() {
+async fn call_refused_everywhere_not_sent() {
     let (sidecar, entry) = Sidecar::start().await;
     let entry = Rc::new(entry);
-    // A route of the lowest tier; those above wait instead.
+    // A route of the lowest tier; calls of higher tiers wait instead.
     let caller = Rc::clone(&entry);
-    entry.lower_tier();
-    let call = actix_rt::spawn(async move { caller.call(READS).await });
+    entry.use_lowest_tier();
+    let call = actix_rt::spawn(async move { caller.call(PREFILL_CALL).await });
     let refuse = async {
         loop {
-            sidecar.answer(Verdict::Refused(4_000)).await;
+            sidecar.answer_admission(Verdict::Refused(4_000)).await;
         }
     };
     let answer = tokio::select! {
         answer = call => answer.expect("an answer"),
-        () = refuse => unreachable!("it answers for ever"),
+        () = refuse => unreachable!("the sidecar answers until the call ends"),
     };
     assert_eq!(status(&answer), "503");
     assert!(answer.to_ascii_lowercase().contains("retry-after"));
     assert!(entry.servers.requests().is_empty());
 }
 
-/// The sidecar is gone. The entry asks a few times within a tenth of a second
-/// and then goes by itself; the next call does not ask at all.
+/// The sidecar does not respond. The entry asks three times, which takes less
+/// than 0.1 s, and then chooses by its local state. The next call must not ask
+/// at all.
 #[actix_rt::test]
-async fn silent_entry_decides() {
+async fn silent_sidecar_falls_back() {
     let (sidecar, entry) = Sidecar::start().await;
-    assert_eq!(status(&entry.call(READS).await), "200");
+    assert_eq!(status(&entry.call(PREFILL_CALL).await), "200");
     let asked = std::iter::from_fn(|| {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         let (length, _) = sidecar.0.try_recv_from(&mut buffer).ok()?;
         decode::<GrantRequest>(&buffer[..length]).ok()
     });
-    let wanted = |a: &GrantRequest| matches!(a.kind, RequestKind::Admission(_));
-    assert_eq!(asked.filter(wanted).count(), 3);
-    assert_eq!(status(&entry.call(READS).await), "200");
+    let expected = |a: &GrantRequest| matches!(a.kind, RequestKind::Admission(_));
+    assert_eq!(asked.filter(expected).count(), 3);
+    assert_eq!(status(&entry.call(PREFILL_CALL).await), "200");
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     assert!(sidecar.0.try_recv_from(&mut buffer).is_err());
 }
 
-/// A caller leaves while its call waits for its turn. The sidecar is told, so
-/// that the call takes nobody's place.
+/// A caller disconnects while its call is queued. The sidecar must be told, so
+/// that the call does not occupy a slot.
 #[actix_rt::test]
-async fn left_while_queued() {
+async fn disconnect_while_queued_reported() {
     let (sidecar, entry) = Sidecar::start().await;
     let mut caller = entry.connect().await;
-    let sent = request(READS, "");
+    let sent = request(PREFILL_CALL, "");
     caller.write_all(sent.as_bytes()).await.expect("sent");
-    let number = sidecar.answer(Verdict::Queued(4_000)).await;
+    let number = sidecar.answer_admission(Verdict::Queued(4_000)).await;
     drop(caller);
-    sidecar.ended(number).await;
+    sidecar.wait_ended(number).await;
     assert!(entry.servers.requests().is_empty());
 }
 
-/// The server leaves while a call waits for its turn there. Let in, the call
-/// goes to another server all the same.
+/// The server starts leaving while a call is queued there. Once admitted, the
+/// call must go to another server.
 #[actix_rt::test]
-async fn left_server_not_used() {
+async fn leaving_server_not_used() {
     let (sidecar, entry) = Sidecar::start().await;
     let entry = Rc::new(entry);
     let caller = Rc::clone(&entry);
-    let call = actix_rt::spawn(async move { caller.call(READS).await });
-    let (ask, from) = sidecar.next().await;
-    let RequestKind::Admission(want) = ask.kind else {
-        panic!("not a wish: {ask:?}");
+    let call = actix_rt::spawn(async move { caller.call(PREFILL_CALL).await });
+    let (message, from) = sidecar.next().await;
+    let RequestKind::Admission(admission) = message.kind else {
+        panic!("not an admission request: {message:?}");
     };
-    entry.leave(&want.server);
-    let granted = answer(ask.call_number, Verdict::Granted);
+    entry.mark_leaving(&admission.server);
+    let granted = grant_response(message.call_number, Verdict::Granted);
     sidecar
         .0
         .send_to(&encode(&granted), from)
@@ -214,63 +221,65 @@
     assert_eq!(status(&call.await.expect("an answer")), "200");
     let requests = entry.servers.requests();
     assert_eq!(requests.len(), 1);
-    assert!(!requests[0].contains(&format!("server: {}", want.server)));
+    assert!(!requests[0].contains(&format!("server: {}", admission.server)));
 }
 
-/// Guards against calls being sent to an engine of which its sidecar says that it
-/// leaves, as long as no answer and not the store have said so.
+/// Guards against calls being sent to an engine whose sidecar reports that it
+/// is leaving, before a response or the store has reported it.
 #[actix_rt::test]
-async fn leaving_by_the_sidecar() {
+async fn leaving_reported_by_sidecar() {
     let (sidecar, entry) = Sidecar::start().await;
     let entry = Rc::new(entry);
     let caller = Rc::clone(&entry);
-    let call = actix_rt::spawn(async move { caller.call(READS).await });
-    let (_, leaving) = sidecar.say(Verdict::Leaving, 0).await;
-    sidecar.say(Verdict::Granted, 0).await;
+    let call = actix_rt::spawn(async move { caller.call(PREFILL_CALL).await });
+    let (_, leaving) = sidecar.respond(Verdict::Leaving, 0).await;
+    sidecar.respond(Verdict::Granted, 0).await;
     assert_eq!(status(&call.await.expect("an answer")), "200");
     assert!(!entry.state.balance.borrow().accepts_calls(&leaving));
     let requests = entry.servers.requests();
     assert_eq!(requests.len(), 1);
-    assert_ne!(field(&requests[0], "server"), Some(leaving));
+    assert_ne!(header(&requests[0], "server"), Some(leaving));
 }
 
-/// A prompt of which 13,300 tokens are shared.
-const SHARES: &str = "call-id: 1\r\nprompt: 17000\r\noutput: 50\r\nparts: 7:13300,8:3700\r\n";
+/// A call with a prompt of which 13,300 tokens are shared.
+const SHARED_PREFIX_CALL: &str =
+    "call-id: 1\r\nprompt: 17000\r\noutput: 50\r\nparts: 7:13300,8:3700\r\n";
 
-/// The first engine holds the shared parts and is too busy; the second has
-/// room and would read them all again. It is told to fetch them, and its
-/// sidecar has counted on that.
+/// The first engine has the shared parts cached but is too busy. The second one
+/// would have to prefill them. It must be told to fetch them, and its sidecar
+/// must have been told how much can be fetched.
 #[actix_rt::test]
-async fn fetched_from_who_refused() {
+async fn fetch_from_refusing_engine() {
     let (sidecar, entry) = Sidecar::start().await;
     let entry = Rc::new(entry);
     let caller = Rc::clone(&entry);
-    let call = actix_rt::spawn(async move { caller.call(SHARES).await });
-    let (_, first) = sidecar.say(Verdict::Refused(4_000), 13_300).await;
-    let (what, second) = sidecar.say(Verdict::Granted, 0).await;
-    assert!(matches!(what, RequestKind::Admission(want) if want.remote_tokens == 13_300));
+    let call = actix_rt::spawn(async move { caller.call(SHARED_PREFIX_CALL).await });
+    let (_, first) = sidecar.respond(Verdict::Refused(4_000), 13_300).await;
+    let (what, second) = sidecar.respond(Verdict::Granted, 0).await;
+    assert!(matches!(what, RequestKind::Admission(admission) if admission.remote_tokens == 13_300));
     assert_eq!(status(&call.await.expect("an answer")), "200");
     let requests = entry.servers.requests();
-    assert_eq!(field(&requests[0], "server"), Some(second));
+    assert_eq!(header(&requests[0], "server"), Some(second));
     let holder = entry.state.balance.borrow().addr(&first);
     let holder = holder.map(|a| a.to_string());
-    assert_eq!(field(&requests[0], "fetch"), holder);
+    assert_eq!(header(&requests[0], "fetch"), holder);
 }
 
-/// The first engine has room and holds nothing, as after its restart. The
-/// next one, where bursts spill, is asked what it holds; what it has is
-/// fetched, and the first one's sidecar learns that less is to be read.
+/// The first engine admits the call and has nothing cached, as after a restart.
+/// The next one, which gets the overflow of bursts, is asked for its cached
+/// prefix. What it has must be fetched, and the first engine's sidecar must be
+/// told that less prefill is needed.
 #[rstest]
 #[case::held(13_300, true)]
 #[case::not_held(0, false)]
 #[actix_rt::test]
-async fn fetched_from_who_holds(#[case] held: u32, #[case] fetched: bool) {
+async fn fetch_from_looked_up_engine(#[case] held: u32, #[case] fetched: bool) {
     let (sidecar, entry) = Sidecar::start().await;
     let entry = Rc::new(entry);
     let caller = Rc::clone(&entry);
-    let call = actix_rt::spawn(async move { caller.call(SHARES).await });
-    let (_, first) = sidecar.say(Verdict::Granted, 0).await;
-    let (what, second) = sidecar.say(Verdict::Acknowledged, held).await;
+    let call = actix_rt::spawn(async move { caller.call(SHARED_PREFIX_CALL).await });
+    let (_, first) = sidecar.respond(Verdict::Granted, 0).await;
+    let (what, second) = sidecar.respond(Verdict::Acknowledged, held).await;
     assert!(matches!(what, RequestKind::Lookup(_)));
     assert_ne!(first, second);
     let told = loop {
@@ -283,104 +292,105 @@
     assert_eq!(told, fetched.then_some(held));
     assert_eq!(status(&call.await.expect("an answer")), "200");
     assert_eq!(
-        field(&entry.servers.requests()[0], "fetch").is_some(),
+        header(&entry.servers.requests()[0], "fetch").is_some(),
         fetched
     );
 }
 
-/// The holder's sidecar says nothing to a look. Not knowing costs one read,
-/// never a wait.
+/// The other sidecar does not respond to a lookup. The call must proceed at the
+/// cost of one prefill instead of waiting.
 #[actix_rt::test]
-async fn silent_look_costs_a_read() {
+async fn silent_lookup_does_not_block() {
     let (sidecar, entry) = Sidecar::start().await;
     let entry = Rc::new(entry);
     let caller = Rc::clone(&entry);
-    let call = actix_rt::spawn(async move { caller.call(SHARES).await });
-    sidecar.say(Verdict::Granted, 0).await;
+    let call = actix_rt::spawn(async move { caller.call(SHARED_PREFIX_CALL).await });
+    sidecar.respond(Verdict::Granted, 0).await;
     assert_eq!(status(&call.await.expect("an answer")), "200");
-    assert_eq!(field(&entry.servers.requests()[0], "fetch"), None);
+    assert_eq!(header(&entry.servers.requests()[0], "fetch"), None);
 }
 
-/// The engine has started again under another name and refuses the call as
-/// meant for its earlier life. The sidecar is told before the call goes on, so
-/// that the calls of all other entries need not find out by themselves.
+/// The engine has restarted under another ID and rejects a call that was meant
+/// for the earlier incarnation. The sidecar must be told before the call is
+/// sent on, so that other entries need not find out by rejected calls.
 #[actix_rt::test]
-async fn refusal_of_another_life_is_told() {
-    let acts = [Act::Send(ELSEWHERE), Act::Send(OK)];
-    let (sidecar, entry) = Sidecar::start_with(&acts).await;
+async fn wrong_incarnation_reported_to_sidecar() {
+    let actions = [Action::Send(WRONG_SERVER), Action::Send(OK)];
+    let (sidecar, entry) = Sidecar::start_with(&actions).await;
     let entry = Rc::new(entry);
     let caller = Rc::clone(&entry);
-    let call = actix_rt::spawn(async move { caller.call(READS).await });
-    let mut meant = None;
+    let call = actix_rt::spawn(async move { caller.call(PREFILL_CALL).await });
+    let mut intended = None;
     let gone = loop {
-        let (ask, from) = sidecar.next().await;
-        match ask.kind {
-            RequestKind::Admission(want) => {
-                meant = meant.or(Some(want.server));
-                let bytes = encode(&answer(ask.call_number, Verdict::Granted));
+        let (message, from) = sidecar.next().await;
+        match message.kind {
+            RequestKind::Admission(admission) => {
+                intended = intended.or(Some(admission.server));
+                let bytes = encode(&grant_response(message.call_number, Verdict::Granted));
                 sidecar.0.send_to(&bytes, from).await.expect("sent");
             }
             RequestKind::ServerGone { server, .. } => break server,
             _ => {}
         }
     };
-    assert_eq!(Some(gone), meant);
-    sidecar.answer(Verdict::Granted).await;
+    assert_eq!(Some(gone), intended);
+    sidecar.answer_admission(Verdict::Granted).await;
     assert_eq!(status(&call.await.expect("an answer")), "200");
 }
 
-/// The sidecar knows that the life which the entry's list shows has ended. The
-/// call goes to another engine without a trip to this one, and takes no repeat
-/// from the budget, which one for each entry and engine would use up.
+/// The sidecar knows that the incarnation in the entry's server list has ended.
+/// The call must go to another engine without reaching this one, and must not
+/// take a retry: one for each entry and engine would exhaust the budget.
 #[actix_rt::test]
-async fn ended_life_costs_no_repeat() {
-    let (sidecar, entry) = Sidecar::start_with(&[Act::Send(OK)]).await;
+async fn ended_incarnation_takes_no_retry() {
+    let (sidecar, entry) = Sidecar::start_with(&[Action::Send(OK)]).await;
     let entry = Rc::new(entry);
-    // Takes them all, so that none is left for the call.
-    entry.repeats_left();
+    // Takes all of them, so that none is left for the call.
+    entry.take_all_retries();
     let caller = Rc::clone(&entry);
-    let call = actix_rt::spawn(async move { caller.call(READS).await });
-    sidecar.answer(Verdict::ServerGone).await;
-    sidecar.answer(Verdict::Granted).await;
+    let call = actix_rt::spawn(async move { caller.call(PREFILL_CALL).await });
+    sidecar.answer_admission(Verdict::ServerGone).await;
+    sidecar.answer_admission(Verdict::Granted).await;
     assert_eq!(status(&call.await.expect("an answer")), "200");
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// What callers of the next test's route want.
+/// The latency target of the next test's route.
 const TARGET: Duration = Duration::from_secs(2);
 
-/// Callers bring unlike patience of their own. One with nine tenths of the
-/// route's timeout has just come, and its first event may take half of the
-/// target. Taken for one that was turned away before, it would be refused where
-/// an engine could still serve it in time. Only one whose missing time is more
-/// than the target has certainly spent it.
+/// Callers have timeouts of their own. One with nine tenths of the route's
+/// timeout makes its first attempt, and its first event may take half of the
+/// target. Taken for a retry, it would be refused although an engine could
+/// still serve it in time. Only a caller whose timeout is shorter than the
+/// route's by more than the target has certainly spent the target before.
 #[rstest]
 #[case::patient(5_000, true)]
 #[case::less_patient(4_500, true)]
 #[case::came_back(2_000, false)]
 #[actix_rt::test]
-async fn own_patience_is_no_return(#[case] patience_ms: u64, #[case] fresh: bool) {
+async fn short_caller_timeout_is_no_retry(#[case] patience_ms: u64, #[case] first_attempt: bool) {
     let mut plan = Plan::new(CallKind::Once, 1, &[]);
-    // So long that no stall of the machine takes a part of it that matters.
+    // Long enough that a stall of the machine does not matter.
     plan.target = TARGET;
-    let (sidecar, entry) = Sidecar::start_by(plan).await;
+    let (sidecar, entry) = Sidecar::start_plan(plan).await;
     let entry = Rc::new(entry);
     let caller = Rc::clone(&entry);
-    let headers = format!("{READS}patience-ms: {patience_ms}\r\n");
+    let headers = format!("{PREFILL_CALL}patience-ms: {patience_ms}\r\n");
     let call = actix_rt::spawn(async move { caller.call(&headers).await });
-    let (ask, from) = sidecar.next().await;
-    let RequestKind::Admission(want) = ask.kind else {
-        panic!("not a wish: {ask:?}");
+    let (message, from) = sidecar.next().await;
+    let RequestKind::Admission(admission) = message.kind else {
+        panic!("not an admission request: {message:?}");
     };
-    // Half of the target less the call's age, or three tenths of the target.
+    // The limit is half of the target less the call's age for a first attempt,
+    // and three tenths of the target for a retry.
     let late_ms = u32::try_from((TARGET * 3 / 10).as_millis()).expect("small");
     assert_eq!(
-        want.first_event_ms > late_ms,
-        fresh,
+        admission.first_event_ms > late_ms,
+        first_attempt,
         "{}",
-        want.first_event_ms
+        admission.first_event_ms
     );
-    let bytes = encode(&answer(ask.call_number, Verdict::Granted));
+    let bytes = encode(&grant_response(message.call_number, Verdict::Granted));
     sidecar.0.send_to(&bytes, from).await.expect("sent");
     assert_eq!(status(&call.await.expect("an answer")), "200");
 }
--- a/crates/forward/tests/calls/main.rs
+++ b/crates/forward/tests/calls/main.rs
@@ -1,5 +1,5 @@
-//! Calls through a whole entry over real sockets: callers on one side,
-//! backend servers that misbehave on the other.
+//! Calls through a whole entry over real sockets, between callers and backend
+//! servers that misbehave.
 
 mod callers;
 mod common;
--- a/crates/forward/tests/calls/retries.rs
+++ b/crates/forward/tests/calls/retries.rs
@@ -1,4 +1,4 @@
-//! What may be sent to a second server, and what must not.
+//! Which calls may be sent to a second server.
 
 use std::time::Duration;
 
@@ -6,165 +6,175 @@
 use policy::routes::CallKind;
 use rstest::rstest;
 
-use crate::common::{Act, ELSEWHERE, Entry, FAILED, NOT_RUN, OK, Plan, field, request, status};
+use crate::common::{
+    Action, Entry, FAILED, NOT_RUN, OK, Plan, WRONG_SERVER, header, request, status,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 const ID: &str = "call-id: 1\r\n";
 
-/// A kept connection is reset just as a call that may run once goes out on
-/// it. The caller gets 502; the server may have run the call, so no second
-/// server sees it.
+/// A connection is reset after a non-idempotent call was sent on it. The server
+/// may have run the call, so the caller must get 502 and no second server may
+/// receive it.
 #[actix_rt::test]
-async fn once_not_repeated_after_reset() {
-    let acts = [Act::SendReset("")];
-    let entry = Entry::start(Plan::new(CallKind::Once, 2, &acts)).await;
+async fn once_not_retried_after_reset() {
+    let actions = [Action::SendReset("")];
+    let entry = Entry::start(Plan::new(CallKind::Once, 2, &actions)).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "502");
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// The same for a call that may run as often as need be: the second server
-/// answers, and the caller sees nothing of the first.
+/// The same for an idempotent call: the second server must answer, and the
+/// caller must see nothing of the first response.
 #[rstest]
-#[case::reset(Act::SendReset(""))]
-#[case::closed(Act::SendClose(""))]
-#[case::cut_short(Act::SendClose(
+#[case::reset(Action::SendReset(""))]
+#[case::closed(Action::SendClose(""))]
+#[case::cut_short(Action::SendClose(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 9\r\n\r\nhello"
 ))]
-#[case::no_http(Act::SendClose("what?\r\n\r\n"))]
-#[case::unsealed(Act::Send("HTTP/1.1 200 OK\r\ncall-id: {id}\r\nContent-Length: 2\r\n\r\nno"))]
-#[case::of_another_call(Act::Send(
+#[case::no_http(Action::SendClose("what?\r\n\r\n"))]
+#[case::unsealed(Action::Send("HTTP/1.1 200 OK\r\ncall-id: {id}\r\nContent-Length: 2\r\n\r\nno"))]
+#[case::of_another_call(Action::Send(
     "HTTP/1.1 200 OK\r\ncall-id: other\r\nseal: s\r\nContent-Length: 2\r\n\r\nno"
 ))]
-#[case::encoded(Act::Send(
+#[case::encoded(Action::Send(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Encoding: br\r\nContent-Length: 2\r\n\r\nno"
 ))]
-#[case::failed(Act::Send(FAILED))]
+#[case::failed(Action::Send(FAILED))]
 #[actix_rt::test]
-async fn idempotent_repeated(#[case] first: Act) {
+async fn idempotent_retried(#[case] first: Action) {
     let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &[first])).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "200");
     assert!(answer.ends_with("hello"));
     let requests = entry.servers.requests();
     assert_eq!(requests.len(), 2);
-    assert_ne!(field(&requests[0], "server"), field(&requests[1], "server"));
+    assert_ne!(
+        header(&requests[0], "server"),
+        header(&requests[1], "server")
+    );
 }
 
-/// The same answers to a call that may run once: none is passed on as a
-/// success, and none leads to a second run.
+/// The same invalid responses to a non-idempotent call. None may be passed on
+/// as a success, and none may lead to a second attempt.
 #[rstest]
-#[case::cut_short(Act::SendClose(
+#[case::cut_short(Action::SendClose(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 9\r\n\r\nhello"
 ))]
-#[case::no_http(Act::SendClose("what?\r\n\r\n"))]
-#[case::unsealed(Act::Send("HTTP/1.1 200 OK\r\ncall-id: {id}\r\nContent-Length: 2\r\n\r\nno"))]
-#[case::of_another_call(Act::Send(
+#[case::no_http(Action::SendClose("what?\r\n\r\n"))]
+#[case::unsealed(Action::Send("HTTP/1.1 200 OK\r\ncall-id: {id}\r\nContent-Length: 2\r\n\r\nno"))]
+#[case::of_another_call(Action::Send(
     "HTTP/1.1 200 OK\r\ncall-id: other\r\nseal: s\r\nContent-Length: 2\r\n\r\nno"
 ))]
-#[case::reset_without_length(Act::SendReset(
+#[case::reset_without_length(Action::SendReset(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nhel"
 ))]
 #[actix_rt::test]
-async fn spoilt_answer_is_no_success(#[case] first: Act) {
+async fn invalid_response_is_no_success(#[case] first: Action) {
     let entry = Entry::start(Plan::new(CallKind::Once, 2, &[first])).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "502");
-    assert!(field(&answer, "seal").is_none());
+    assert!(header(&answer, "seal").is_none());
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// A server says that it did not run the call. Then even one that may run
-/// once goes to the next server.
+/// A server states that it did not run the call. Even a non-idempotent call
+/// must then go to the next server.
 #[actix_rt::test]
-async fn not_run_goes_elsewhere() {
-    let entry = Entry::start(Plan::new(CallKind::Once, 2, &[Act::Send(NOT_RUN)])).await;
+async fn not_run_goes_to_next_server() {
+    let entry = Entry::start(Plan::new(CallKind::Once, 2, &[Action::Send(NOT_RUN)])).await;
     assert_eq!(status(&entry.call(ID).await), "200");
     assert_eq!(entry.servers.requests().len(), 2);
 }
 
 /// A server was replaced, and its address belongs to another one before the
-/// list shows it. Even a call that one server may get goes on to the next,
-/// and no further call is sent to the old name.
+/// server list shows it. A call with a single attempt must still go to the next
+/// server, and no further call may be sent to the old ID.
 #[actix_rt::test]
-async fn replaced_server_is_left_alone() {
-    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[Act::Send(ELSEWHERE)])).await;
+async fn replaced_server_gets_no_calls() {
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[Action::Send(WRONG_SERVER)])).await;
     for _ in 0..6 {
         assert_eq!(status(&entry.call(ID).await), "200");
     }
     let requests = entry.servers.requests();
-    let old = field(&requests[0], "server");
+    let old = header(&requests[0], "server");
     assert_eq!(
         requests
             .iter()
-            .filter(|r| field(r, "server") == old)
+            .filter(|r| header(r, "server") == old)
             .count(),
         1
     );
 }
 
-/// Many servers were replaced at once, and the service has no repeats left. A
-/// call whose server turns out to be another one has reached a server: sent on
-/// all the same, it would be a repeat that nobody counts. The caller is told,
-/// truly, that it has not run.
+/// Many servers were replaced at once and the retry budget is exhausted. A call
+/// rejected by a server that has taken over the address did reach a server, so
+/// sending it on would be an uncounted retry. The caller must be told that it
+/// has not run.
 #[actix_rt::test]
-async fn replaced_server_costs_a_repeat() {
-    let acts = [Act::Send(ELSEWHERE), Act::Send(ELSEWHERE)];
-    let entry = Entry::start(Plan::new(CallKind::Once, 1, &acts)).await;
-    entry.repeats_left();
+async fn replaced_server_takes_a_retry() {
+    let actions = [Action::Send(WRONG_SERVER), Action::Send(WRONG_SERVER)];
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &actions)).await;
+    entry.take_all_retries();
     assert_eq!(status(&entry.call(ID).await), "503");
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// All servers say so: the refusal is true, and says when to come back.
+/// All servers state that the call did not run. The caller must get a refusal
+/// with Retry-After.
 #[actix_rt::test]
-async fn refused_with_time_to_return() {
-    let acts = [Act::Send(NOT_RUN), Act::Send(NOT_RUN)];
-    let entry = Entry::start(Plan::new(CallKind::Once, 2, &acts)).await;
+async fn refusal_has_retry_after() {
+    let actions = [Action::Send(NOT_RUN), Action::Send(NOT_RUN)];
+    let entry = Entry::start(Plan::new(CallKind::Once, 2, &actions)).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "503");
-    let after: f64 = field(&answer, "retry-after")
+    let after: f64 = header(&answer, "retry-after")
         .and_then(|a| a.parse().ok())
         .expect("a time");
     assert!(after > 0.0);
 }
 
 /// The first server may have run the call, the second one did not. A refusal
-/// would say that it has not run; the caller is told that nobody knows.
+/// would claim that it has not run, so the caller must get 502.
 #[actix_rt::test]
 async fn may_have_run_is_no_refusal() {
-    let acts = [Act::SendReset(""), Act::Send(NOT_RUN)];
-    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &acts)).await;
+    let actions = [Action::SendReset(""), Action::Send(NOT_RUN)];
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &actions)).await;
     assert_eq!(status(&entry.call(ID).await), "502");
 }
 
-/// A call may be sent to so many servers as its route allows, no more.
+/// A call must not be sent to more servers than its route allows.
 #[actix_rt::test]
 async fn attempts_bounded() {
-    let acts = [Act::SendReset(""), Act::SendReset(""), Act::Send(OK)];
-    let entry = Entry::start(Plan::new(CallKind::Idempotent, 1, &acts)).await;
+    let actions = [
+        Action::SendReset(""),
+        Action::SendReset(""),
+        Action::Send(OK),
+    ];
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 1, &actions)).await;
     assert_eq!(status(&entry.call(ID).await), "502");
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// Both servers fail a call and vouch for it. The caller gets that failure
-/// with its seal, not one of our own in its place.
+/// Both servers return sealed failures. The caller must get one of them with
+/// its seal, not a failure made by the entry.
 #[actix_rt::test]
 async fn failure_passed_on_unchanged() {
-    let acts = [Act::Send(FAILED), Act::Send(FAILED)];
-    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &acts)).await;
+    let actions = [Action::Send(FAILED), Action::Send(FAILED)];
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &actions)).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "500");
-    assert_eq!(field(&answer, "seal").as_deref(), Some("s"));
+    assert_eq!(header(&answer, "seal").as_deref(), Some("s"));
     assert!(answer.ends_with("bad"));
 }
 
-/// The first server fails a call and vouches for it, and no repeat is left.
-/// The caller gets that failure, since a 502 would hide what happened.
+/// The first server returns a sealed failure and no retry is left. The caller
+/// must get that failure; a 502 would hide what happened.
 #[actix_rt::test]
-async fn failure_kept_without_repeats() {
-    let acts = [Act::Send(FAILED)];
-    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &acts)).await;
+async fn failure_kept_without_retries() {
+    let actions = [Action::Send(FAILED)];
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &actions)).await;
     let service = std::rc::Rc::from("app");
     let now = entry.state.clock.now();
     while entry.state.budget.borrow_mut().take_repeat(now, &service) {}
@@ -172,28 +182,29 @@
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// A server sends a second answer after a complete one. Taken as the answer
-/// to the next call on that connection, one caller would get another's. The
-/// connection is given up, and the next call goes out on a new one.
+/// A server sends a second response after a complete one. If it were taken as
+/// the response to the next call on the connection, a caller would get another
+/// caller's response. The connection must be dropped and the next call sent on
+/// a new one.
 #[actix_rt::test]
-async fn extra_answer_reaches_nobody() {
-    let doubled = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 5\r\n\r\nhello\
+async fn extra_response_discarded() {
+    let duplicate = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 5\r\n\r\nhello\
          HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 5\r\n\r\nextra";
-    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[Act::Send(doubled)])).await;
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[Action::Send(duplicate)])).await;
     for id in ["1", "2", "3", "4"] {
         let answer = entry.call(&format!("call-id: {id}\r\n")).await;
         assert_eq!(status(&answer), "200");
-        assert_eq!(field(&answer, "call-id").as_deref(), Some(id));
+        assert_eq!(header(&answer, "call-id").as_deref(), Some(id));
         assert!(answer.ends_with("hello"));
     }
 }
 
-/// A server closes kept connections while they are idle. Calls that may run
-/// once go out on new ones; none fails.
+/// A server closes idle connections. Non-idempotent calls must be sent on new
+/// ones, and none may fail.
 #[actix_rt::test]
-async fn closed_while_idle_costs_nothing() {
-    let acts = vec![Act::SendClose(OK); 6];
-    let entry = Entry::start(Plan::new(CallKind::Once, 1, &acts)).await;
+async fn idle_close_fails_no_call() {
+    let actions = vec![Action::SendClose(OK); 6];
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &actions)).await;
     for _ in 0..6 {
         assert_eq!(status(&entry.call(ID).await), "200");
     }
@@ -201,35 +212,35 @@
 }
 
 #[actix_rt::test]
-async fn connections_kept() {
+async fn connections_reused() {
     let entry = Entry::start(Plan::new(CallKind::Once, 1, &[])).await;
     for _ in 0..10 {
         assert_eq!(status(&entry.call(ID).await), "200");
     }
     assert!(
-        entry.servers.taken() <= 2,
+        entry.servers.accepted() <= 2,
         "{} connections",
-        entry.servers.taken()
+        entry.servers.accepted()
     );
 }
 
-/// A server works on past the route's timeout. The caller is told at that
-/// time; and since nobody waits any more, the server's connection is closed.
+/// A server exceeds the route's timeout. The caller must get 504 at that time,
+/// and the server's connection must be closed to cancel the call.
 #[actix_rt::test]
 async fn timeout_answered_and_cancelled() {
-    let mut plan = Plan::new(CallKind::Idempotent, 2, &[Act::Silent]);
+    let mut plan = Plan::new(CallKind::Idempotent, 2, &[Action::Silent]);
     plan.timeout = Duration::from_millis(80);
     let entry = Entry::start(plan).await;
     assert_eq!(status(&entry.call(ID).await), "504");
-    entry.servers.closed().await;
+    entry.servers.wait_closed().await;
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// The caller leaves before the answer. The server's connection is closed,
-/// so that it stops working for nobody.
+/// The caller disconnects before the response. The server's connection must be
+/// closed so that the server cancels the call.
 #[actix_rt::test]
-async fn caller_gone_cancels() {
-    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &[Act::Silent])).await;
+async fn disconnect_cancels_call() {
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &[Action::Silent])).await;
     let mut stream = entry.connect().await;
     stream
         .write_all(request(ID, "").as_bytes())
@@ -239,16 +250,16 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     drop(stream);
-    entry.servers.closed().await;
+    entry.servers.wait_closed().await;
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// A server answers as soon as it has seen the head of a long call. Another
-/// call sent on that connection at once would be taken for the rest of the
-/// body, and run as something that no caller has sent.
+/// A server responds as soon as it has received the head of a long request. If
+/// another call were sent on that connection at once, the server would take it
+/// for the rest of the body, and then run something that no caller has sent.
 #[actix_rt::test]
-async fn early_answer_spoils_nothing() {
-    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[Act::Early(OK)])).await;
+async fn early_response_corrupts_no_call() {
+    let entry = Entry::start(Plan::new(CallKind::Once, 1, &[Action::Early(OK)])).await;
     let body = "x".repeat(1 << 20);
     let length = body.len();
     let head = format!(
@@ -263,7 +274,8 @@
     for _ in 0..4 {
         assert_eq!(status(&entry.call(ID).await), "200");
     }
-    // The long call may have been cut; whatever came is a call of ours.
+    // The long request may have been cut off, but each request must be one that
+    // a caller has sent.
     for request in entry.servers.requests() {
         let body = request.split_once("\r\n\r\n").map_or("", |(_, b)| b);
         assert!(request.starts_with("POST /r/"));
@@ -275,43 +287,46 @@
     }
 }
 
-/// Guards against a server in need getting a call because its service has no
-/// other one: the caller is told, truly, that it has not run, and when to come
-/// back.
+/// Guards against a rate-limited server getting a call because its service has
+/// no other server. The caller must get a refusal with Retry-After.
 #[actix_rt::test]
-async fn limited_servers_refused_with_time_to_return() {
+async fn rate_limited_refusal_has_retry_after() {
     let limited = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nlimit: 0.01\r\n\
                    Content-Length: 5\r\n\r\nhello";
-    let acts = [Act::Send(limited), Act::Send(limited), Act::Send(limited)];
-    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &acts)).await;
-    share(&entry);
+    let actions = [
+        Action::Send(limited),
+        Action::Send(limited),
+        Action::Send(limited),
+    ];
+    let entry = Entry::start(Plan::new(CallKind::Idempotent, 2, &actions)).await;
+    set_single_entry(&entry);
     assert_eq!(status(&entry.call(ID).await), "200");
     assert_eq!(status(&entry.call(ID).await), "200");
     let (answer, before) = (entry.call(ID).await, entry.servers.requests().len());
     assert_eq!((status(&answer), before), ("503", 2));
-    let after: f64 = field(&answer, "retry-after")
+    let after: f64 = header(&answer, "retry-after")
         .and_then(|a| a.parse().ok())
         .expect("a time");
     assert!(after > 0.0 && after <= 100.0, "{after} s");
 }
 
-/// Guards against a caller being refused when a limited server takes its call
-/// in a moment.
+/// Guards against a caller being refused when a rate-limited server accepts its
+/// call within a short wait.
 #[actix_rt::test]
-async fn next_turn_is_waited_for() {
+async fn call_waits_for_next_turn() {
     let limited = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nlimit: 20\r\n\
                    Content-Length: 5\r\n\r\nhello";
-    let mut plan = Plan::new(CallKind::Idempotent, 2, &vec![Act::Send(limited); 10]);
+    let mut plan = Plan::new(CallKind::Idempotent, 2, &vec![Action::Send(limited); 10]);
     plan.target = Duration::from_secs(4);
     let entry = Entry::start(plan).await;
-    share(&entry);
+    set_single_entry(&entry);
     for _ in 0..10 {
         assert_eq!(status(&entry.call(ID).await), "200");
     }
 }
 
-/// Has the entry know that there is no other one.
-fn share(entry: &Entry) {
+/// Tells the entry that it is the only one.
+fn set_single_entry(entry: &Entry) {
     entry.state.balance.borrow_mut().set_turns(TurnSchedule {
         entries: 1,
         turn_index: 0,
--- a/crates/forward/tests/calls/streams.rs
+++ b/crates/forward/tests/calls/streams.rs
@@ -1,111 +1,114 @@
-//! Streams of events: passed on whole, gone on with elsewhere, or cut so that
-//! it shows.
+//! Streams of events: relayed whole, resumed at another server, or ended with a
+//! visible error.
 
 use policy::routes::CallKind;
 use rstest::rstest;
 
-use crate::common::{Act, Entry, OK, Plan, field, status};
+use crate::common::{Action, Entry, OK, Plan, header, status};
 
 const ID: &str = "call-id: 1\r\n";
 
-const WHOLE: &str = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: one\r\n\
+const COMPLETE: &str = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: one\r\n\
     Transfer-Encoding: chunked\r\n\r\n\
     f\r\nid: 1\ndata: a\n\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
 
-/// The second event is cut in its middle.
-const HALF: &str = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: one\r\n\
+/// The second event is incomplete.
+const PARTIAL: &str = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: one\r\n\
     Transfer-Encoding: chunked\r\n\r\n\
     f\r\nid: 1\ndata: a\n\n\r\n8\r\nid: 2\nda\r\n";
 
-/// What another server sends to go on after event 1.
-const REST: &str = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: two\r\n\
+/// The rest of the stream after event 1, from another server.
+const REMAINDER: &str = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: two\r\n\
     Transfer-Encoding: chunked\r\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
 
-/// A server that goes on at the wrong place.
-const WRONG: &str = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: two\r\n\
+/// A server that resumes at the wrong event.
+const WRONG_EVENT: &str = "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: two\r\n\
     Transfer-Encoding: chunked\r\n\r\nf\r\nid: 3\ndata: c\n\n\r\n0\r\n\r\n";
 
-/// The events of an answer, and whether it ended as a whole one.
+/// The events of a response, and whether it ended as a complete one.
 fn events(answer: &str) -> (Vec<&str>, bool) {
     let body = answer.split_once("\r\n\r\n").map_or("", |(_, b)| b);
     let events = body.lines().filter(|l| l.starts_with("data: "));
-    let whole = body.ends_with("0\r\n\r\n");
-    (events.map(|l| &l["data: ".len()..]).collect(), whole)
+    let complete = body.ends_with("0\r\n\r\n");
+    (events.map(|l| &l["data: ".len()..]).collect(), complete)
 }
 
 #[rstest]
 #[case::once(CallKind::Stream)]
 #[case::resumable(CallKind::Resumable)]
 #[actix_rt::test]
-async fn whole_passed_on(#[case] kind: CallKind) {
-    let entry = Entry::start(Plan::new(kind, 2, &[Act::Send(WHOLE)])).await;
+async fn complete_stream_relayed(#[case] kind: CallKind) {
+    let entry = Entry::start(Plan::new(kind, 2, &[Action::Send(COMPLETE)])).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "200");
     assert_eq!(events(&answer), (vec!["a", "b"], true));
 }
 
-/// A server dies in the middle of an event. Another one goes on after the
-/// last whole event, and the caller sees one stream with the first server's
-/// headers; the half event reaches nobody.
+/// A server dies in the middle of an event. Another one must resume after the
+/// last complete event. The caller must see one stream with the first server's
+/// headers and without the partial event.
 #[actix_rt::test]
-async fn resumed_after_last_whole_event() {
-    let acts = [Act::SendReset(HALF), Act::Send(REST)];
-    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &acts)).await;
+async fn resumed_after_last_complete_event() {
+    let actions = [Action::SendReset(PARTIAL), Action::Send(REMAINDER)];
+    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &actions)).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a", "b"], true));
-    assert_eq!(field(&answer, "seal").as_deref(), Some("one"));
+    assert_eq!(header(&answer, "seal").as_deref(), Some("one"));
     let requests = entry.servers.requests();
-    assert_eq!(field(&requests[1], "last-event").as_deref(), Some("1"));
-    assert_ne!(field(&requests[0], "server"), field(&requests[1], "server"));
+    assert_eq!(header(&requests[1], "last-event").as_deref(), Some("1"));
+    assert_ne!(
+        header(&requests[0], "server"),
+        header(&requests[1], "server")
+    );
 }
 
-/// A stream breaks and the only other server cannot be reached. It is tried
-/// once; asked again and again, it would use up the repeats that all other
-/// calls of the service share.
+/// A stream breaks and the only other server is unreachable. It must be tried
+/// once; repeated tries would use up the retries that all calls of the service
+/// share.
 #[actix_rt::test]
-async fn resume_that_cannot_be_sent_costs_one_repeat() {
-    let acts = [Act::SendReset(HALF)];
-    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &acts)).await;
-    entry.lose_a_server();
+async fn unreachable_resume_takes_one_retry() {
+    let actions = [Action::SendReset(PARTIAL)];
+    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &actions)).await;
+    entry.make_unreachable();
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a"], false));
-    assert_eq!(entry.repeats_left(), 19);
+    assert_eq!(entry.take_all_retries(), 19);
 }
 
-/// The server that should go on answers with something that is no event. Put
-/// behind the first part, it would look like the end of the stream.
+/// The server that should resume the stream sends something that is no event.
+/// Appended to the first part, it would look like the end of the stream.
 #[actix_rt::test]
-async fn rest_that_is_no_event_is_not_joined() {
-    let acts = [Act::SendReset(HALF), Act::Send(OK)];
-    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &acts)).await;
+async fn remainder_without_event_not_appended() {
+    let actions = [Action::SendReset(PARTIAL), Action::Send(OK)];
+    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &actions)).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a"], false));
     assert!(!answer.contains("hello"));
 }
 
-/// The second server goes on at another event than it was asked for. Joined,
-/// the stream would miss one and look whole; it is cut instead.
+/// The second server resumes at another event than requested. The joined stream
+/// would lack one event and look complete, so it must be ended with an error.
 #[actix_rt::test]
-async fn wrong_event_is_not_joined() {
-    let acts = [Act::SendReset(HALF), Act::Send(WRONG)];
-    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &acts)).await;
+async fn wrong_event_not_appended() {
+    let actions = [Action::SendReset(PARTIAL), Action::Send(WRONG_EVENT)];
+    let entry = Entry::start(Plan::new(CallKind::Resumable, 2, &actions)).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a"], false));
 }
 
-/// A server numbers its events with gaps. They grow, and the stream is whole;
-/// cut for the gaps, no stream of such a server would ever arrive.
+/// A server's event numbers have gaps but increase. The stream is complete; if
+/// the gaps were errors, no stream of such a server could be relayed.
 #[actix_rt::test]
-async fn numbers_with_gaps_pass() {
+async fn gaps_in_numbers_allowed() {
     let gaps =
         "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nid: 1\ndata: a\n\nid: 8\ndata: b\n\n";
-    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[Act::SendClose(gaps)])).await;
+    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[Action::SendClose(gaps)])).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a", "b"], true));
 }
 
-/// Servers end lines with a carriage return, or leave out the last blank line.
-/// By its framing the stream is whole, and all of it is passed on.
+/// Servers end lines with carriage returns or omit the last blank line. The
+/// stream is complete by its framing, and all of it must be relayed.
 #[rstest]
 #[case::carriage_returns(
     "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\nContent-Length: 36\r\n\r\n\
@@ -116,8 +119,8 @@
      id: 1\ndata: a\n\nid: 2\ndata: b"
 )]
 #[actix_rt::test]
-async fn other_line_ends_pass(#[case] bytes: &'static str) {
-    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[Act::Send(bytes)])).await;
+async fn other_line_endings_allowed(#[case] bytes: &'static str) {
+    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[Action::Send(bytes)])).await;
     let answer = entry.call(ID).await;
     assert_eq!(status(&answer), "200");
     let body = answer.replace('\r', "");
@@ -125,50 +128,55 @@
     assert!(answer.ends_with("0\r\n\r\n"), "{answer}");
 }
 
-/// A server repeats an event. The caller must not get it twice in a stream
-/// that looks whole.
+/// A server sends an event twice. The caller must not get it twice in a stream
+/// that looks complete.
 #[actix_rt::test]
-async fn doubled_event_is_cut() {
-    let doubled =
+async fn duplicate_event_is_error() {
+    let duplicate =
         "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nid: 1\ndata: a\n\nid: 1\ndata: a\n\n";
-    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[Act::SendClose(doubled)])).await;
+    let entry = Entry::start(Plan::new(
+        CallKind::Stream,
+        1,
+        &[Action::SendClose(duplicate)],
+    ))
+    .await;
     let answer = entry.call(ID).await;
     assert!(!events(&answer).1);
 }
 
-/// A stream that may run once breaks. No other server may run it; the caller
-/// must not take what it has for the whole.
+/// A non-resumable stream breaks. No other server may run it, and the caller
+/// must see that it is incomplete.
 #[rstest]
-#[case::reset(Act::SendReset(HALF))]
-#[case::closed(Act::SendClose(HALF))]
+#[case::reset(Action::SendReset(PARTIAL))]
+#[case::closed(Action::SendClose(PARTIAL))]
 #[actix_rt::test]
-async fn broken_stream_shows(#[case] act: Act) {
-    let entry = Entry::start(Plan::new(CallKind::Stream, 2, &[act])).await;
+async fn broken_stream_is_error(#[case] action: Action) {
+    let entry = Entry::start(Plan::new(CallKind::Stream, 2, &[action])).await;
     let answer = entry.call(ID).await;
     assert_eq!(events(&answer), (vec!["a"], false));
     assert_eq!(entry.servers.requests().len(), 1);
 }
 
-/// A stream without a length ends with its connection. Closed, it is whole;
-/// reset, it is not.
+/// A stream without a length ends with its connection. It is complete if the
+/// connection was closed, and incomplete if it was reset.
 #[rstest]
 #[case::closed(
-    Act::SendClose("HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nid: 1\ndata: a\n\n"),
+    Action::SendClose("HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nid: 1\ndata: a\n\n"),
     true
 )]
 #[case::reset(
-    Act::SendReset("HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nid: 1\ndata: a\n\n"),
+    Action::SendReset("HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nid: 1\ndata: a\n\n"),
     false
 )]
 #[case::closed_inside_an_event(
-    Act::SendClose(
+    Action::SendClose(
         "HTTP/1.1 200 OK\r\ncall-id: {id}\r\nseal: s\r\n\r\nid: 1\ndata: a\n\nid: 2\nda"
     ),
     false
 )]
 #[actix_rt::test]
-async fn unframed_stream(#[case] act: Act, #[case] whole: bool) {
-    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[act])).await;
+async fn unframed_stream(#[case] action: Action, #[case] complete: bool) {
+    let entry = Entry::start(Plan::new(CallKind::Stream, 1, &[action])).await;
     let answer = entry.call(ID).await;
-    assert_eq!(events(&answer), (vec!["a"], whole));
+    assert_eq!(events(&answer), (vec!["a"], complete));
 }
--- a/crates/forward/tests/calls/usage.rs
+++ b/crates/forward/tests/calls/usage.rs
@@ -1,4 +1,4 @@
-//! Which calls count as used by their workspace.
+//! Which calls are charged to their workspace.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,17 +8,17 @@
 use policy::routes::CallKind;
 use rstest::rstest;
 
-use crate::common::{Act, Entry, NOT_RUN, OK, Plan};
+use crate::common::{Action, Entry, NOT_RUN, OK, Plan};
 
-/// A call of a workspace whose time goes into reading its prompt.
-const READS: &str = "call-id: 1\r\nkey: k\r\nprompt: 3000\r\noutput: 50\r\n";
+/// A call of a workspace, dominated by the prefill of its prompt.
+const PREFILL_CALL: &str = "call-id: 1\r\nkey: k\r\nprompt: 3000\r\noutput: 50\r\n";
 
-/// Has an entry count what workspaces use.
-async fn count(entry: &Entry) -> Rc<Duties> {
+/// Makes an entry count the usage of workspaces.
+async fn count_usage(entry: &Entry) -> Rc<Duties> {
     let own = &entry.state.settings;
     let duties = serde_json::json!({"platform": own.store, "kinds": ["usage_report"]});
     let settings = Settings {
-        // The port after the last one is any that is free.
+        // The port after the last one is port 0: any free one.
         gossip: SocketAddr::from(([127, 0, 0, 1], u16::MAX)),
         duties: Some(serde_json::from_value(duties).expect("duties")),
         ..own.clone()
@@ -29,26 +29,26 @@
     duties
 }
 
-/// Guards against calls that a server has begun missing in the bill, since its
-/// answer was lost before anything of it came.
+/// Guards against calls missing from the bill that a server has started but
+/// whose response was lost before its first byte.
 #[rstest]
-#[case::lost(&[Act::SendReset("")], 1)]
-#[case::closed(&[Act::SendClose("")], 1)]
-#[case::served(&[Act::Send(OK)], 1)]
-#[case::refused(&[Act::Send(NOT_RUN)], 0)]
-#[case::lost_and_served(&[Act::SendReset(""), Act::Send(OK)], 1)]
-#[case::refused_and_served(&[Act::Send(NOT_RUN), Act::Send(OK)], 1)]
+#[case::lost(&[Action::SendReset("")], 1)]
+#[case::closed(&[Action::SendClose("")], 1)]
+#[case::served(&[Action::Send(OK)], 1)]
+#[case::refused(&[Action::Send(NOT_RUN)], 0)]
+#[case::lost_and_served(&[Action::SendReset(""), Action::Send(OK)], 1)]
+#[case::refused_and_served(&[Action::Send(NOT_RUN), Action::Send(OK)], 1)]
 #[actix_rt::test]
-async fn begun_calls_count_once(
-    #[case] acts: &[Act],
-    #[case] wanted: u64,
+async fn started_calls_charged_once(
+    #[case] actions: &[Action],
+    #[case] expected: u64,
     #[values(false, true)] engine: bool,
 ) {
-    let mut plan = Plan::new(CallKind::Idempotent, acts.len() as u32, acts);
+    let mut plan = Plan::new(CallKind::Idempotent, actions.len() as u32, actions);
     plan.keys = true;
     plan.engine = engine;
     let entry = Entry::start(plan).await;
-    let duties = count(&entry).await;
-    entry.call(READS).await;
-    assert_eq!(duties.heard(duties.life()), wanted);
+    let duties = count_usage(&entry).await;
+    entry.call(PREFILL_CALL).await;
+    assert_eq!(duties.heard(duties.life()), expected);
 }
