--- a/crates/forward/src/call.rs
+++ b/crates/forward/src/call.rs
@@ -91,8 +91,8 @@
 enum BillingState {
     /// No server has started it.
     NotStarted,
-    /// It was sent to a service without engine, which starts calls at once and
-    /// sends no event when it does.
+    /// It was sent to a service without an engine, which starts calls soon and
+    /// does not report it.
     MaybeStarted,
     /// A server has started it, and it was charged.
     Counted,
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -229,8 +229,8 @@
     let now = state.clock.now();
     let parsed_headers = state.dialect.parse_response(status, response.headers());
     state.balance.borrow_mut().bytes_received(now, &server.id);
-    if let Some(keep) = parsed_headers.idle_timeout {
-        conn.set_idle_timeout(keep);
+    if let Some(idle_timeout) = parsed_headers.idle_timeout {
+        conn.set_idle_timeout(idle_timeout);
     }
     // Feedback from another server at the address does not concern this one.
     if !parsed_headers.wrong_server {
@@ -284,18 +284,18 @@
 }
 
 /// Applies the feedback in a server's response to a call that was sent at
-/// `sent`.
+/// `sent_at`.
 pub(crate) fn apply_feedback(
     state: &State,
     server: &ServerRecord,
-    sent: Instant,
+    sent_at: Instant,
     feedback: &ServerFeedback,
 ) {
     let now = state.clock.now();
     let changes = state.balance.borrow_mut().apply_feedback(
         now,
         server,
-        sent,
+        sent_at,
         feedback,
         rand::rng().random(),
     );
--- a/crates/forward/src/platform.rs
+++ b/crates/forward/src/platform.rs
@@ -87,7 +87,7 @@
 /// A part of a prompt that other calls may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// A hash of the content; equal parts have equal IDs.
+    /// Equal for parts with equal content.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
@@ -117,7 +117,8 @@
 pub struct ResponseHeaders {
     /// The ID of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// Whether the response carries the seal that only the server itself sets.
+    /// Whether the response carries the server's seal, which shows that the
+    /// server made it and not an intermediary.
     pub sealed: bool,
     /// Whether the server reports that it did not run the call.
     pub not_run: bool,
@@ -244,8 +245,8 @@
         }
     }
 
-    /// Whether the request needs no retry at another entry: the API has decided
-    /// it, or nothing had to be sent.
+    /// Whether the API has accepted or fenced the request, or nothing was sent.
+    /// Otherwise the API may be unreachable from this entry.
     #[must_use]
     pub fn is_conclusive(&self) -> bool {
         !matches!(self, Self::Unanswered(_) | Self::Refused(_))
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -189,7 +189,8 @@
         Ok(())
     }
 
-    /// Records when events are sent, as the caller sees it.
+    /// Records the time to the first event, or the gap since the last one, as
+    /// the caller sees it.
     fn record_timing(&mut self) {
         let now = self.call.state.clock.now();
         let elapsed = now.saturating_duration_since(self.last_sent);
--- a/crates/forward/tests/calls/grants.rs
+++ b/crates/forward/tests/calls/grants.rs
@@ -59,7 +59,7 @@
     async fn next(&self) -> (GrantRequest, SocketAddr) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         let (length, from) = self.0.recv_from(&mut buffer).await.expect("a message");
-        (decode(&buffer[..length]).expect("understood"), from)
+        (decode(&buffer[..length]).expect("a valid message"), from)
     }
 
     /// Answers the next admission request or lookup; returns its kind and
@@ -366,7 +366,7 @@
 #[rstest]
 #[case::patient(5_000, true)]
 #[case::less_patient(4_500, true)]
-#[case::came_back(2_000, false)]
+#[case::retry(2_000, false)]
 #[actix_rt::test]
 async fn short_caller_timeout_is_no_retry(#[case] patience_ms: u64, #[case] first_attempt: bool) {
     let mut plan = Plan::new(CallKind::Once, 1, &[]);
@@ -383,7 +383,7 @@
     };
     // The limit is half of the target less the call's age for a first attempt,
     // and three tenths of the target for a retry.
-    let late_ms = u32::try_from((TARGET * 3 / 10).as_millis()).expect("small");
+    let late_ms = u32::try_from((TARGET * 3 / 10).as_millis()).expect("fits into u32");
     assert_eq!(
         admission.first_event_ms > late_ms,
         first_attempt,
