--- a/crates/admission/src/edge.rs
+++ b/crates/admission/src/engine.rs
@@ -6,12 +6,12 @@
 /// The engine beside the sidecar.
 pub trait Engine {
     /// What the engine says of itself now.
-    fn ask(&self) -> impl Future<Output = Told>;
+    fn fetch_status(&self) -> impl Future<Output = EngineStatus>;
 }
 
 /// What an engine says of itself.
 #[derive(Debug)]
-pub struct Told {
+pub struct EngineStatus {
     /// Whether it is about to end, which it says also where it fails.
     pub leaving: bool,
     /// What it runs and holds.
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,14 +4,14 @@
 //! themselves. See docs/DECISIONS/0603-grants.md.
 //!
 //! - [`settings`]: what the operators set.
-//! - [`edge`]: what a platform has to translate for this package.
-//! - [`desk`]: answering the entries.
-//! - `watch`: following the engine's own report.
+//! - [`engine`]: what a platform has to translate for this package.
+//! - [`responder`]: answering the entries.
+//! - `poller`: following the engine's own report.
 
-pub mod desk;
-pub mod edge;
+pub mod engine;
+mod poller;
+pub mod responder;
 pub mod settings;
-mod watch;
 
 use std::io;
 use std::rc::Rc;
@@ -21,8 +21,8 @@
 use spdlog::info;
 use tokio::net::UdpSocket;
 
-use desk::Desk;
-use edge::Engine;
+use engine::Engine;
+use responder::GrantResponder;
 pub use settings::Settings;
 
 /// Runs a sidecar until `stop` is asked.
@@ -47,17 +47,17 @@
         listen = settings.listen.to_string().as_str()
     });
 
-    let desk = Desk::new(socket, clock);
-    actix_rt::spawn(watch::follow(
-        Rc::clone(&desk),
+    let responder = GrantResponder::new(socket, clock);
+    actix_rt::spawn(poller::poll_engine(
+        Rc::clone(&responder),
         engine,
         settings.report_every.0,
         end.clone(),
     ));
-    actix_rt::spawn(Rc::clone(&desk).tick(end.clone()));
-    actix_rt::spawn(Rc::clone(&desk).listen());
+    actix_rt::spawn(Rc::clone(&responder).poll_waiting(end.clone()));
+    actix_rt::spawn(Rc::clone(&responder).listen());
     stop.wait().await;
-    let waiting = desk.release().await;
+    let waiting = responder.grant_all().await;
     info!("sidecar stopped", kv: { name = settings.name.as_str(), waiting });
     end.trigger();
     Ok(())
--- a/crates/admission/src/watch.rs
+++ b/crates/admission/src/poller.rs
@@ -6,22 +6,27 @@
 use base::stop::StopSignal;
 use spdlog::{info, warn};
 
-use crate::desk::Desk;
-use crate::edge::Engine;
+use crate::engine::Engine;
+use crate::responder::GrantResponder;
 
 /// Asks the engine for its report while there are calls, until `end`.
-pub(crate) async fn follow<E: Engine>(desk: Rc<Desk>, engine: E, every: Duration, end: StopSignal) {
+pub(crate) async fn poll_engine<E: Engine>(
+    responder: Rc<GrantResponder>,
+    engine: E,
+    every: Duration,
+    end: StopSignal,
+) {
     let mut lost = false;
     while !end.is_triggered() {
         tokio::time::sleep(every).await;
-        if desk.idle() {
+        if responder.is_idle() {
             continue;
         }
         // Another life may be known by the time of the answer.
-        let life = desk.life();
-        let told = engine.ask().await;
+        let life = responder.incarnation();
+        let told = engine.fetch_status().await;
         if let Some(life) = life.filter(|_| told.leaving) {
-            desk.leaves(&life);
+            responder.mark_leaving(&life);
         }
         match told.report {
             Ok(report) => {
@@ -29,7 +34,7 @@
                     info!("engine regained", kv: { running = report.running_calls });
                 }
                 lost = false;
-                desk.report(report);
+                responder.update_report(report);
             }
             Err(e) => {
                 // The first of a row is logged; until the next report the
@@ -38,7 +43,7 @@
                     warn!("engine lost", kv: { cause = e.to_string().as_str() });
                 }
                 lost = true;
-                desk.lost();
+                responder.mark_unreachable();
             }
         }
     }
--- a/crates/admission/src/desk.rs
+++ b/crates/admission/src/responder.rs
@@ -26,7 +26,7 @@
 const RETRY: Duration = Duration::from_millis(20);
 
 /// The sidecar's side of the conversation with the entries.
-pub struct Desk {
+pub struct GrantResponder {
     socket: UdpSocket,
     clock: Rc<dyn Clock>,
     inner: RefCell<Inner>,
@@ -53,8 +53,8 @@
     server: String,
 }
 
-impl Desk {
-    /// Makes a desk that answers on `socket`.
+impl GrantResponder {
+    /// Makes a responder that answers on `socket`.
     #[must_use]
     pub fn new(socket: UdpSocket, clock: Rc<dyn Clock>) -> Rc<Self> {
         Rc::new(Self {
@@ -84,7 +84,7 @@
     }
 
     /// Looks at the waiting calls until `end`.
-    pub async fn tick(self: Rc<Self>, end: StopSignal) {
+    pub async fn poll_waiting(self: Rc<Self>, end: StopSignal) {
         while !end.is_triggered() {
             let waits = !self.inner.borrow().askers.is_empty();
             tokio::time::sleep(if waits { TICK } else { REST }).await;
@@ -96,12 +96,12 @@
 
     /// Whether no call is known.
     #[must_use]
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.inner.borrow().grants.counts() == (0, 0, 0)
     }
 
     /// Takes over what the engine says.
-    pub fn report(&self, report: EngineReport) {
+    pub fn update_report(&self, report: EngineReport) {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
         inner.grants.update_report(now, report);
@@ -111,13 +111,13 @@
     }
 
     /// Notes that the engine did not answer.
-    pub fn lost(&self) {
+    pub fn mark_unreachable(&self) {
         self.inner.borrow_mut().dark = true;
     }
 
     /// Lets all waiting calls go to the engine, since nobody will order them
     /// any more; returns how many there were.
-    pub async fn release(&self) -> usize {
+    pub async fn grant_all(&self) -> usize {
         let askers = std::mem::take(&mut self.inner.borrow_mut().askers);
         for (id, asker) in &askers {
             self.send(asker.addr, *id, grants::Verdict::Granted, 0, false);
@@ -256,12 +256,12 @@
 
     /// The life of the engine that is known.
     #[must_use]
-    pub fn life(&self) -> Option<String> {
+    pub fn incarnation(&self) -> Option<String> {
         self.inner.borrow().lives.current().map(str::to_owned)
     }
 
     /// Notes that life `server` of the engine says that it leaves.
-    pub fn leaves(&self, server: &str) {
+    pub fn mark_leaving(&self, server: &str) {
         let mut inner = self.inner.borrow_mut();
         if inner.lives.mark_leaving(server) {
             info!("engine leaves", kv: { server });
--- a/crates/admission/tests/desk.rs
+++ b/crates/admission/tests/responder.rs
@@ -1,11 +1,11 @@
-//! A sidecar's desk and the entries before it.
+//! A sidecar's responder and the entries before it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use admission::Settings;
-use admission::desk::Desk;
+use admission::responder::GrantResponder;
 use base::clock::SystemClock;
 use base::stop::StopSignal;
 use rstest::rstest;
@@ -83,22 +83,22 @@
     }
 }
 
-async fn start() -> (Rc<Desk>, Entry) {
+async fn start() -> (Rc<GrantResponder>, Entry) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let to = socket.local_addr().expect("an address");
-    let desk = Desk::new(socket, Rc::new(SystemClock));
-    actix_rt::spawn(Rc::clone(&desk).listen());
-    actix_rt::spawn(Rc::clone(&desk).tick(StopSignal::new()));
+    let responder = GrantResponder::new(socket, Rc::new(SystemClock));
+    actix_rt::spawn(Rc::clone(&responder).listen());
+    actix_rt::spawn(Rc::clone(&responder).poll_waiting(StopSignal::new()));
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-    (desk, Entry { socket, to })
+    (responder, Entry { socket, to })
 }
 
 /// A second call waits behind a long one and is let in as soon as the entry
 /// says that the first has its first event.
 #[actix_rt::test]
 async fn queued_let_in() {
-    let (desk, entry) = start().await;
-    assert!(desk.idle());
+    let (responder, entry) = start().await;
+    assert!(responder.is_idle());
     assert_eq!(entry.want(1, 30_000).await, Verdict::Granted);
     assert!(matches!(entry.want(2, 3_000).await, Verdict::Queued(_)));
     entry.tell(1, RequestKind::FirstEvent).await;
@@ -111,7 +111,7 @@
 /// not clear the books of the new engine, which would then be let in too much.
 #[actix_rt::test]
 async fn replaced_engine_refused() {
-    let (_desk, entry) = start().await;
+    let (_responder, entry) = start().await;
     let (old, new) = (1_790_000_000_000, 1_790_000_009_000);
     assert_eq!(entry.want_of(1, 3_000, old).await, Verdict::Granted);
     assert_eq!(entry.want_of(2, 30_000, new).await, Verdict::Granted);
@@ -125,7 +125,7 @@
 /// beyond what it can do, so that more are ordered before callers are refused.
 #[actix_rt::test]
 async fn busy_told() {
-    let (_desk, entry) = start().await;
+    let (_responder, entry) = start().await;
     assert_eq!(entry.busy(1).await, 0);
     assert_eq!(entry.want(2, 30_000).await, Verdict::Granted);
     let one = entry.busy(3).await;
@@ -138,10 +138,10 @@
 /// since nobody will order it any more.
 #[actix_rt::test]
 async fn stop_lets_all_in() {
-    let (desk, entry) = start().await;
+    let (responder, entry) = start().await;
     entry.want(1, 30_000).await;
     entry.want(2, 3_000).await;
-    assert_eq!(desk.release().await, 1);
+    assert_eq!(responder.grant_all().await, 1);
     let answer = entry.next().await;
     assert_eq!((answer.call_number, answer.verdict), (2, Verdict::Granted));
 }
@@ -149,7 +149,7 @@
 /// Bytes that make no sense change nothing.
 #[actix_rt::test]
 async fn odd_bytes_passed_over() {
-    let (_desk, entry) = start().await;
+    let (_responder, entry) = start().await;
     let sent = entry.socket.send_to(b"\x09what", entry.to).await;
     sent.expect("sent");
     assert_eq!(entry.want(1, 100).await, Verdict::Granted);
@@ -181,7 +181,7 @@
 /// stay: cleared with each such question, it would be let in too much.
 #[actix_rt::test]
 async fn ended_life_is_told() {
-    let (desk, entry) = start().await;
+    let (responder, entry) = start().await;
     assert_eq!(entry.want_at("old", 1, 3_000, None).await, Verdict::Granted);
     entry.tell(1, gone("old", None)).await;
     let granted = entry.want_at("new", 2, 30_000, None).await;
@@ -192,14 +192,14 @@
     );
     let queued = entry.want_at("new", 4, 3_000, None).await;
     assert!(matches!(queued, Verdict::Queued(_)));
-    assert!(!desk.idle());
+    assert!(!responder.is_idle());
 }
 
 /// A call waits for a life of the engine that has ended. Let in when its turn
 /// comes, it would only be refused by the next one.
 #[actix_rt::test]
 async fn waiting_for_an_ended_life() {
-    let (_desk, entry) = start().await;
+    let (_responder, entry) = start().await;
     entry.want_at("old", 1, 30_000, None).await;
     let queued = entry.want_at("old", 2, 3_000, None).await;
     assert!(matches!(queued, Verdict::Queued(_)));
@@ -215,7 +215,7 @@
 /// earlier life must not keep calls from the new one.
 #[actix_rt::test]
 async fn same_name_later_life() {
-    let (_desk, entry) = start().await;
+    let (_responder, entry) = start().await;
     entry.want_at("s", 1, 3_000, Some(1_000)).await;
     entry.tell(1, gone("s", Some(1_000))).await;
     assert_eq!(
@@ -230,11 +230,11 @@
 /// those that wait are sent away, and so are those that come.
 #[actix_rt::test]
 async fn leaving_engine_lets_nobody_in() {
-    let (desk, entry) = start().await;
+    let (responder, entry) = start().await;
     entry.want_at("old", 1, 30_000, None).await;
     let queued = entry.want_at("old", 2, 3_000, None).await;
     assert!(matches!(queued, Verdict::Queued(_)));
-    desk.leaves("old");
+    responder.mark_leaving("old");
     let answer = entry.next().await;
     assert_eq!((answer.call_number, answer.verdict), (2, Verdict::Leaving));
     let refused = entry.want_at("old", 3, 3_000, None).await;
@@ -242,7 +242,7 @@
     let judged = entry.want_at("new", 4, 3_000, None).await;
     assert!(matches!(judged, Verdict::Granted | Verdict::Queued(_)));
     // An answer of the earlier life that comes late.
-    desk.leaves("old");
+    responder.mark_leaving("old");
     let judged = entry.want_at("new", 5, 3_000, None).await;
     assert!(matches!(judged, Verdict::Granted | Verdict::Queued(_)));
 }
@@ -251,9 +251,9 @@
 /// leaving.
 #[actix_rt::test]
 async fn same_name_does_not_leave() {
-    let (desk, entry) = start().await;
+    let (responder, entry) = start().await;
     entry.want_at("s", 1, 3_000, Some(1_000)).await;
-    desk.leaves("s");
+    responder.mark_leaving("s");
     let refused = entry.want_at("s", 2, 3_000, Some(1_000)).await;
     assert_eq!(refused, Verdict::Leaving);
     let granted = entry.want_at("s", 3, 3_000, Some(2_000)).await;
--- a/crates/cli/src/commands/daemons.rs
+++ b/crates/cli/src/commands/daemons.rs
@@ -6,9 +6,9 @@
 use base::{logging, settings};
 use bpaf::Bpaf;
 use forward::reload::Reload;
-use platform::dialect::Headers;
-use platform::reports::Reports;
-use platform::site::Site;
+use platform::client::PlatformClient;
+use platform::engine::EngineClient;
+use platform::headers::HeaderCodec;
 
 use crate::{Outcome, daemon};
 
@@ -65,12 +65,12 @@
         settings.check()?;
         logging::init_daemon(settings.log_level)?;
         daemon::run(async |stop| {
-            let site = Site {
+            let client = PlatformClient {
                 store: settings.store,
             };
             let reload = Reload::new(self.settings, &settings);
             actix_rt::spawn(reload.watch(stop.clone()));
-            forward::run(settings, Rc::new(Headers), site, stop).await
+            forward::run(settings, Rc::new(HeaderCodec), client, stop).await
         })
     }
 }
@@ -91,7 +91,7 @@
         settings.check()?;
         logging::init_daemon(settings.log_level)?;
         daemon::run(async |stop| {
-            let engine = Reports::new(settings.engine);
+            let engine = EngineClient::new(settings.engine);
             admission::run(settings, engine, stop).await
         })
     }
