--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -1,31 +1,32 @@
-//! What a platform has to translate for this package.
+//! The interface to the engine, implemented by the platform adapter.
 
 use policy::grants::EngineReport;
 use snafu::Snafu;
 
-/// The engine beside the sidecar.
+/// The engine that a sidecar schedules calls for.
 pub trait Engine {
-    /// What the engine says of itself now.
+    /// Fetches the engine's current status.
     fn fetch_status(&self) -> impl Future<Output = EngineStatus>;
 }
 
-/// What an engine says of itself.
+/// The status of an engine.
 #[derive(Debug)]
 pub struct EngineStatus {
-    /// Whether it is about to end, which it says also where it fails.
+    /// Whether it is shutting down; known also when the report failed but the
+    /// response announced it.
     pub leaving: bool,
-    /// What it runs and holds.
+    /// Its running calls and KV cache usage.
     pub report: Result<EngineReport, EngineError>,
 }
 
-/// Why an engine said nothing.
+/// An engine's report could not be fetched.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub), display("step={step} peer={peer}: {cause}"))]
 pub struct EngineError {
-    /// The call.
+    /// The operation that failed.
     pub step: &'static str,
-    /// The engine.
+    /// The engine's address.
     pub peer: String,
-    /// What came instead of an answer.
+    /// What went wrong.
     pub cause: String,
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,12 +1,12 @@
-//! The sidecar for routed calls: beside a model engine, it says which call of
-//! which entry may be sent there and when. Calls and answers go straight
-//! between entry and engine; without the sidecar entries decide by
-//! themselves. See docs/DECISIONS/0603-grants.md.
+//! The admission sidecar: runs beside a model engine and decides which routed
+//! calls entries may send to it, and when. The calls themselves and their
+//! responses travel directly between entry and engine; without the sidecar,
+//! entries decide on their own. See docs/DECISIONS/0603-grants.md.
 //!
-//! - [`settings`]: what the operators set.
-//! - [`engine`]: what a platform has to translate for this package.
-//! - [`responder`]: answering the entries.
-//! - `poller`: following the engine's own report.
+//! - [`settings`]: the settings of a sidecar.
+//! - [`engine`]: the interface to the engine.
+//! - [`responder`]: answers the admission requests of entries.
+//! - `poller`: polls the engine's status.
 
 pub mod engine;
 mod poller;
@@ -25,11 +25,11 @@
 use responder::GrantResponder;
 pub use settings::Settings;
 
-/// Runs a sidecar until `stop` is asked.
+/// Runs a sidecar until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the sidecar cannot listen.
+/// Returns an error when a listening address cannot be bound.
 pub async fn run<E: Engine + 'static>(
     settings: Settings,
     engine: E,
--- a/crates/admission/src/poller.rs
+++ b/crates/admission/src/poller.rs
@@ -1,4 +1,4 @@
-//! Following the engine's own report.
+//! Polls the engine's status and passes it to the responder.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,40 +9,42 @@
 use crate::engine::Engine;
 use crate::responder::GrantResponder;
 
-/// Asks the engine for its report while there are calls, until `end`.
+/// Polls the engine at `interval` while there are calls, until `end`.
 pub(crate) async fn poll_engine<E: Engine>(
     responder: Rc<GrantResponder>,
     engine: E,
-    every: Duration,
+    interval: Duration,
     end: StopSignal,
 ) {
-    let mut lost = false;
+    let mut failing = false;
     while !end.is_triggered() {
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
         if responder.is_idle() {
             continue;
         }
-        // Another life may be known by the time of the answer.
-        let life = responder.incarnation();
-        let told = engine.fetch_status().await;
-        if let Some(life) = life.filter(|_| told.leaving) {
-            responder.mark_leaving(&life);
+        // The incarnation may change before the response arrives; the response
+        // belongs to the one that was current when it was requested.
+        let incarnation = responder.incarnation();
+        let status = engine.fetch_status().await;
+        if let Some(incarnation) = incarnation.filter(|_| status.leaving) {
+            responder.mark_leaving(&incarnation);
         }
-        match told.report {
+        match status.report {
             Ok(report) => {
-                if lost {
-                    info!("engine regained", kv: { running = report.running_calls });
+                if failing {
+                    info!("engine report available again", kv: { running = report.running_calls });
                 }
-                lost = false;
+                failing = false;
                 responder.update_report(report);
             }
             Err(e) => {
-                // The first of a row is logged; until the next report the
-                // sidecar goes by the calls that it knows.
-                if !lost {
-                    warn!("engine lost", kv: { cause = e.to_string().as_str() });
+                // Only the first of several consecutive failures is logged.
+                // Until the next report, decisions rely on the calls that the
+                // sidecar has granted.
+                if !failing {
+                    warn!("engine report failed", kv: { cause = e.to_string().as_str() });
                 }
-                lost = true;
+                failing = true;
                 responder.mark_unreachable();
             }
         }
--- a/crates/admission/src/responder.rs
+++ b/crates/admission/src/responder.rs
@@ -1,4 +1,5 @@
-//! Answering the entries.
+//! Answers the admission requests of entries over UDP: keeps the waiting calls,
+//! passes every request to the [`GrantController`] and sends its decisions.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,122 +15,128 @@
 use tokio::net::UdpSocket;
 use wire::grants::{self, RequestKind};
 
-/// How often waiting calls are looked at when no message comes: pauses of
-/// streams end by themselves.
-const TICK: Duration = Duration::from_millis(5);
+/// How often waiting calls are checked when no datagram arrives. Capacity also
+/// becomes free with time alone, when the pauses of running streams end.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How often is looked for waiting calls while there are none, and histograms
-/// are tidied up.
-const REST: Duration = Duration::from_millis(50);
+/// How often the loop checks for waiting calls while there are none.
+const IDLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The pause after a socket's failure.
-const RETRY: Duration = Duration::from_millis(20);
+/// The delay after a socket error.
+const ERROR_DELAY: Duration = Duration::from_millis(20);
 
-/// The sidecar's side of the conversation with the entries.
+/// Answers the grant requests that entries send to the sidecar of one engine.
 pub struct GrantResponder {
     socket: UdpSocket,
     clock: Rc<dyn Clock>,
-    inner: RefCell<Inner>,
+    state: RefCell<State>,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     grants: GrantController,
-    /// The life of the engine that the grants are for.
-    lives: Incarnations,
-    /// Who asked for each waiting call.
-    askers: HashMap<CallId, Asker>,
-    /// Whether the engine does not answer; nothing can be fetched from it.
-    dark: bool,
+    /// The current and the ended incarnations of the engine.
+    incarnations: Incarnations,
+    /// The calls that wait for a grant.
+    waiting_calls: HashMap<CallId, WaitingCall>,
+    /// Whether the engine's last report failed. Nothing can be fetched from an
+    /// engine that does not respond.
+    unreachable: bool,
 }
 
-/// Who asked for a waiting call.
+/// A call that waits for a grant.
 #[derive(Debug)]
-struct Asker {
+struct WaitingCall {
+    /// Address of the entry that the grant is sent to.
     addr: SocketAddr,
-    /// The caller's identity of the call, for logs.
-    name: String,
-    /// The engine's life that is meant.
+    /// The request id given by the caller, for logs.
+    request_id: String,
+    /// Id of the engine incarnation that the call is for.
     server: String,
 }
 
 impl GrantResponder {
-    /// Makes a responder that answers on `socket`.
+    /// Creates a responder that answers on `socket`.
     #[must_use]
     pub fn new(socket: UdpSocket, clock: Rc<dyn Clock>) -> Rc<Self> {
         Rc::new(Self {
             socket,
             clock,
-            inner: RefCell::default(),
+            state: RefCell::default(),
         })
     }
 
-    /// Takes messages of entries for as long as the process lives.
+    /// Receives and handles datagrams; never returns.
     pub async fn listen(self: Rc<Self>) {
         let mut buffer = vec![0; grants::MAX_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer).await {
-                Ok((length, from)) => self.take(&buffer[..length], from),
+                Ok((length, from)) => self.handle_datagram(&buffer[..length], from),
                 Err(e) => {
-                    // An entry that is gone shows up here; the others' next
-                    // messages come all the same.
+                    // The port of an entry that has ended shows up as a refused
+                    // connection; datagrams of other entries still arrive.
                     metrics::counter!("pimentocart_grant_errors_total").increment(1);
                     if e.kind() != std::io::ErrorKind::ConnectionRefused {
-                        warn!("socket failed", kv: { cause = e.to_string().as_str() });
-                        tokio::time::sleep(RETRY).await;
+                        warn!("grant socket failed; retrying", kv: { cause = e.to_string().as_str() });
+                        tokio::time::sleep(ERROR_DELAY).await;
                     }
                 }
             }
         }
     }
 
-    /// Looks at the waiting calls until `end`.
+    /// Grants waiting calls as capacity becomes free, until `end`.
     pub async fn poll_waiting(self: Rc<Self>, end: StopSignal) {
         while !end.is_triggered() {
-            let waits = !self.inner.borrow().askers.is_empty();
-            tokio::time::sleep(if waits { TICK } else { REST }).await;
-            if waits {
-                self.let_in();
+            let has_waiting = !self.state.borrow().waiting_calls.is_empty();
+            tokio::time::sleep(if has_waiting {
+                POLL_INTERVAL
+            } else {
+                IDLE_INTERVAL
+            })
+            .await;
+            if has_waiting {
+                self.grant_waiting();
             }
         }
     }
 
-    /// Whether no call is known.
+    /// Whether no call is waiting, granted or running.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.inner.borrow().grants.counts() == (0, 0, 0)
+        self.state.borrow().grants.counts() == (0, 0, 0)
     }
 
-    /// Takes over what the engine says.
+    /// Applies a report of the engine.
     pub fn update_report(&self, report: EngineReport) {
         let now = self.clock.now();
-        let mut inner = self.inner.borrow_mut();
-        inner.grants.update_report(now, report);
-        inner.dark = false;
-        drop(inner);
-        self.let_in();
+        let mut state = self.state.borrow_mut();
+        state.grants.update_report(now, report);
+        state.unreachable = false;
+        drop(state);
+        self.grant_waiting();
     }
 
-    /// Notes that the engine did not answer.
+    /// Records that the engine's report failed.
     pub fn mark_unreachable(&self) {
-        self.inner.borrow_mut().dark = true;
+        self.state.borrow_mut().unreachable = true;
     }
 
-    /// Lets all waiting calls go to the engine, since nobody will order them
-    /// any more; returns how many there were.
+    /// Grants all waiting calls and returns their number. Used on shutdown, after
+    /// which no sidecar schedules them any more.
     pub async fn grant_all(&self) -> usize {
-        let askers = std::mem::take(&mut self.inner.borrow_mut().askers);
-        for (id, asker) in &askers {
-            self.send(asker.addr, *id, grants::Verdict::Granted, 0, false);
+        let waiting_calls = std::mem::take(&mut self.state.borrow_mut().waiting_calls);
+        for (id, call) in &waiting_calls {
+            self.send(call.addr, *id, grants::Verdict::Granted, 0, false);
         }
-        askers.len()
+        waiting_calls.len()
     }
 
-    fn take(&self, bytes: &[u8], from: SocketAddr) {
-        let ask: grants::GrantRequest = match grants::decode(bytes) {
-            Ok(ask) => ask,
+    fn handle_datagram(&self, bytes: &[u8], from: SocketAddr) {
+        let request: grants::GrantRequest = match grants::decode(bytes) {
+            Ok(request) => request,
             Err(e) => {
-                warn!("message not understood", kv: {
+                warn!("undecodable datagram ignored", kv: {
                     peer = from.to_string().as_str(), cause = e.to_string().as_str()
                 });
                 return;
@@ -137,182 +144,193 @@
         };
         let now = self.clock.now();
         let id = CallId {
-            incarnation: ask.incarnation,
-            number: ask.call_number,
+            incarnation: request.incarnation,
+            number: request.call_number,
         };
-        match ask.kind {
-            RequestKind::Admission(want) => self.want(id, want, from),
-            RequestKind::Lookup(look) => self.look(id, &look, from),
-            RequestKind::Utilization => self.busy(id, from),
+        match request.kind {
+            RequestKind::Admission(admission) => self.handle_admission(id, admission, from),
+            RequestKind::Lookup(lookup) => self.handle_lookup(id, &lookup, from),
+            RequestKind::Utilization => self.handle_utilization(id, from),
             RequestKind::Fetching(source) => {
-                self.inner.borrow_mut().grants.record_fetch(id, source)
+                self.state.borrow_mut().grants.record_fetch(id, source)
             }
-            RequestKind::ServerGone { server, started_ms } => self.gone(&server, started_ms),
-            RequestKind::FirstEvent => self.inner.borrow_mut().grants.record_first_event(now, id),
+            RequestKind::ServerGone { server, started_ms } => {
+                self.handle_server_gone(&server, started_ms)
+            }
+            RequestKind::FirstEvent => self.state.borrow_mut().grants.record_first_event(now, id),
             RequestKind::Ended { pause_ms } => {
-                let mut inner = self.inner.borrow_mut();
+                let mut state = self.state.borrow_mut();
                 let pause = Duration::from_millis(u64::from(pause_ms));
-                inner.grants.call_ended(now, id, pause);
-                inner.askers.remove(&id);
+                state.grants.call_ended(now, id, pause);
+                state.waiting_calls.remove(&id);
             }
         }
-        self.let_in();
+        self.grant_waiting();
     }
 
-    fn want(&self, id: CallId, want: grants::AdmissionRequest, from: SocketAddr) {
+    fn handle_admission(&self, id: CallId, admission: grants::AdmissionRequest, from: SocketAddr) {
         let now = self.clock.now();
-        let mut inner = self.inner.borrow_mut();
-        let meant = inner.lives.resolve(&want.server, want.started_ms);
-        let over = match meant {
+        let mut state = self.state.borrow_mut();
+        let incarnation = state
+            .incarnations
+            .resolve(&admission.server, admission.started_ms);
+        let rejection = match incarnation {
             IncarnationStatus::Gone => Some(("gone", grants::Verdict::ServerGone)),
             IncarnationStatus::Leaving => Some(("leaving", grants::Verdict::Leaving)),
             IncarnationStatus::Current | IncarnationStatus::New => None,
         };
-        if let Some((word, verdict)) = over {
-            drop(inner);
-            metrics::counter!("pimentocart_grants_total", "verdict" => word).increment(1);
+        if let Some((label, verdict)) = rejection {
+            drop(state);
+            metrics::counter!("pimentocart_grants_total", "verdict" => label).increment(1);
             self.send(from, id, verdict, 0, false);
             return;
         }
-        if !inner.grants.observe_incarnation(want.started_ms) {
-            // An entry whose list is old means the engine that this one
-            // replaces. Taken for the newest, it would have the books cleared
-            // with each of its calls.
-            drop(inner);
-            let verdict = grants::Verdict::Refused(want.timeout_ms);
+        if !state.grants.observe_incarnation(admission.started_ms) {
+            // An entry with an outdated server list names the engine that this
+            // one has replaced. If that counted as a new incarnation, each of
+            // its calls would reset the state kept for the running engine.
+            drop(state);
+            let verdict = grants::Verdict::Refused(admission.timeout_ms);
             self.send(from, id, verdict, 0, false);
             return;
         }
-        if meant == IncarnationStatus::New {
-            info!("engine known", kv: { server = want.server.as_str() });
-            // Another life of the engine has read nothing yet.
-            inner.grants.reset_engine();
+        if incarnation == IncarnationStatus::New {
+            info!("new engine incarnation", kv: { server = admission.server.as_str() });
+            // A new incarnation has an empty KV cache.
+            state.grants.reset_engine();
         }
-        let ms = |ms: u32| Duration::from_millis(u64::from(ms));
-        let ask = GrantRequest {
+        let from_ms = |ms: u32| Duration::from_millis(u64::from(ms));
+        let request = GrantRequest {
             id,
-            parts: want.prompt_parts,
-            ttft_limit: ms(want.first_event_ms),
-            time_left: ms(want.timeout_ms),
-            max_gap: want.max_gap_ms.map(ms),
-            slots: want.slots,
-            rank: want.priority,
-            is_home: want.is_home,
-            forced: want.forced,
-            fetchable: want.remote_tokens,
-            copy_time: want.copy_ns.map(|ns| Duration::from_nanos(u64::from(ns))),
+            parts: admission.prompt_parts,
+            ttft_limit: from_ms(admission.first_event_ms),
+            time_left: from_ms(admission.timeout_ms),
+            max_gap: admission.max_gap_ms.map(from_ms),
+            slots: admission.slots,
+            rank: admission.priority,
+            is_home: admission.is_home,
+            forced: admission.forced,
+            fetchable: admission.remote_tokens,
+            copy_time: admission
+                .copy_ns
+                .map(|ns| Duration::from_nanos(u64::from(ns))),
         };
-        let tokens = inner.grants.missing_tokens(&ask.parts);
-        let held = inner.held(&ask.parts);
-        let fetch = inner.grants.fetch_pays();
-        let verdict = inner.grants.request(now, ask);
-        let (waiting, flying, running) = inner.grants.counts();
-        let beliefs = inner.grants.estimates();
-        let (word, expected) = match verdict {
+        let tokens = state.grants.missing_tokens(&request.parts);
+        let held = state.cached_prefix(&request.parts);
+        let prefer_fetch = state.grants.fetch_pays();
+        let decision = state.grants.request(now, request);
+        let (waiting, flying, running) = state.grants.counts();
+        let estimates = state.grants.estimates();
+        let (label, expected) = match decision {
             GrantDecision::Granted => ("granted", Duration::ZERO),
             GrantDecision::Queued(expected) => ("queued", expected),
             GrantDecision::Refused(expected) => ("refused", expected),
         };
-        metrics::counter!("pimentocart_grants_total", "verdict" => word).increment(1);
-        // A call in the queue asks again and again.
-        let known = inner.askers.contains_key(&id);
-        if !known {
-            info!("call judged", kv: {
-            id = want.request_id.as_str(),
-            verdict = word,
+        metrics::counter!("pimentocart_grants_total", "verdict" => label).increment(1);
+        // The request of a queued call is repeated; only the first one is logged.
+        let already_waiting = state.waiting_calls.contains_key(&id);
+        if !already_waiting {
+            info!("admission decided", kv: {
+            id = admission.request_id.as_str(),
+            verdict = label,
             expected_ms = millis(expected),
-            allowed_ms = want.first_event_ms, home = want.is_home, tokens, held, source = want.remote_tokens,
-            waiting, flying, running, pace_ns = beliefs.pace_ns, fetch_ns = beliefs.fetch_ns,
-            base_us = beliefs.base_us, window = beliefs.window, gap_percent = beliefs.gap_percent
+            allowed_ms = admission.first_event_ms, home = admission.is_home, tokens, held, source = admission.remote_tokens,
+            waiting, flying, running, pace_ns = estimates.pace_ns, fetch_ns = estimates.fetch_ns,
+            base_us = estimates.base_us, window = estimates.window, gap_percent = estimates.gap_percent
             });
         }
-        if word == "queued" {
-            let asker = Asker {
+        if label == "queued" {
+            let call = WaitingCall {
                 addr: from,
-                name: want.request_id,
-                server: want.server,
+                request_id: admission.request_id,
+                server: admission.server,
             };
-            inner.askers.insert(id, asker);
+            state.waiting_calls.insert(id, call);
         }
-        drop(inner);
-        let verdict = match verdict {
+        drop(state);
+        let verdict = match decision {
             GrantDecision::Granted => grants::Verdict::Granted,
             GrantDecision::Queued(expected) => grants::Verdict::Queued(millis(expected)),
             GrantDecision::Refused(expected) => grants::Verdict::Refused(millis(expected)),
         };
-        self.send(from, id, verdict, held, fetch);
+        self.send(from, id, verdict, held, prefer_fetch);
     }
 
-    /// Notes that a life of the engine has ended.
-    fn gone(&self, server: &str, born: Option<u64>) {
-        let mut inner = self.inner.borrow_mut();
-        if inner.lives.mark_refused(server, born) {
-            info!("engine gone", kv: { server });
-            inner.grants.engine_stopped();
+    /// Records that an incarnation of the engine has ended.
+    fn handle_server_gone(&self, server: &str, started_ms: Option<u64>) {
+        let mut state = self.state.borrow_mut();
+        if state.incarnations.mark_refused(server, started_ms) {
+            info!("engine incarnation ended", kv: { server });
+            state.grants.engine_stopped();
         }
-        // Let in one after the other, each would be refused by the engine.
-        self.send_away(&mut inner, server, grants::Verdict::ServerGone);
+        // The engine would refuse each of these calls if it was granted later.
+        self.reject_waiting(&mut state, server, grants::Verdict::ServerGone);
     }
 
-    /// The life of the engine that is known.
+    /// Id of the engine's current incarnation, if known.
     #[must_use]
     pub fn incarnation(&self) -> Option<String> {
-        self.inner.borrow().lives.current().map(str::to_owned)
+        self.state
+            .borrow()
+            .incarnations
+            .current()
+            .map(str::to_owned)
     }
 
-    /// Notes that life `server` of the engine says that it leaves.
+    /// Records that incarnation `server` of the engine is shutting down and
+    /// accepts no new calls.
     pub fn mark_leaving(&self, server: &str) {
-        let mut inner = self.inner.borrow_mut();
-        if inner.lives.mark_leaving(server) {
-            info!("engine leaves", kv: { server });
-            self.send_away(&mut inner, server, grants::Verdict::Leaving);
+        let mut state = self.state.borrow_mut();
+        if state.incarnations.mark_leaving(server) {
+            info!("engine is shutting down", kv: { server });
+            self.reject_waiting(&mut state, server, grants::Verdict::Leaving);
         }
     }
 
-    /// Answers all calls that wait for a life of the engine.
-    fn send_away(&self, inner: &mut Inner, server: &str, verdict: grants::Verdict) {
+    /// Answers all calls that wait for incarnation `server` with `verdict`.
+    fn reject_waiting(&self, state: &mut State, server: &str, verdict: grants::Verdict) {
         let now = self.clock.now();
-        let meant: Vec<CallId> = {
-            let askers = inner.askers.iter();
-            let meant = askers.filter(|(_, asker)| asker.server == server);
-            meant.map(|(id, _)| *id).collect()
+        let rejected: Vec<CallId> = {
+            let waiting_calls = state.waiting_calls.iter();
+            let same_server = waiting_calls.filter(|(_, call)| call.server == server);
+            same_server.map(|(id, _)| *id).collect()
         };
-        for id in meant {
-            inner.grants.call_ended(now, id, Duration::ZERO);
-            if let Some(asker) = inner.askers.remove(&id) {
-                self.send(asker.addr, id, verdict, 0, false);
+        for id in rejected {
+            state.grants.call_ended(now, id, Duration::ZERO);
+            if let Some(call) = state.waiting_calls.remove(&id) {
+                self.send(call.addr, id, verdict, 0, false);
             }
         }
     }
 
-    /// Says how much of a prompt the engine holds.
-    fn look(&self, id: CallId, look: &grants::PrefixLookup, from: SocketAddr) {
-        let inner = self.inner.borrow();
-        let held = match inner.lives.is_current(&look.server) {
-            true => inner.held(&look.prompt_parts),
+    /// Answers how many tokens of a prompt the engine holds in its KV cache.
+    fn handle_lookup(&self, id: CallId, lookup: &grants::PrefixLookup, from: SocketAddr) {
+        let state = self.state.borrow();
+        let held = match state.incarnations.is_current(&lookup.server) {
+            true => state.cached_prefix(&lookup.prompt_parts),
             false => 0,
         };
         self.send(from, id, grants::Verdict::Acknowledged, held, false);
     }
 
-    /// Says how busy the engine is.
-    fn busy(&self, id: CallId, from: SocketAddr) {
-        let busy = self.inner.borrow().grants.utilization(self.clock.now());
-        let verdict = grants::Verdict::Utilization((busy * 1e3) as u32);
+    /// Answers with the utilization of the engine, in thousandths.
+    fn handle_utilization(&self, id: CallId, from: SocketAddr) {
+        let utilization = self.state.borrow().grants.utilization(self.clock.now());
+        let verdict = grants::Verdict::Utilization((utilization * 1e3) as u32);
         self.send(from, id, verdict, 0, false);
     }
 
-    /// Tells the entries of calls that are let in by now.
-    fn let_in(&self) {
+    /// Grants the waiting calls that the engine has capacity for now.
+    fn grant_waiting(&self) {
         let now = self.clock.now();
-        let mut inner = self.inner.borrow_mut();
-        let fetch = inner.grants.fetch_pays();
-        for (id, held) in inner.grants.grant_waiting(now) {
-            let Some(asker) = inner.askers.remove(&id) else {
+        let mut state = self.state.borrow_mut();
+        let prefer_fetch = state.grants.fetch_pays();
+        for (id, held) in state.grants.grant_waiting(now) {
+            let Some(call) = state.waiting_calls.remove(&id) else {
                 continue;
             };
-            info!("call let in", kv: { id = asker.name.as_str(), held });
-            self.send(asker.addr, id, grants::Verdict::Granted, held, fetch);
+            info!("waiting call granted", kv: { id = call.request_id.as_str(), held });
+            self.send(call.addr, id, grants::Verdict::Granted, held, prefer_fetch);
         }
     }
 
@@ -330,15 +348,17 @@
             cached_tokens,
             prefer_fetch,
         });
-        // One that cannot be sent is like one that is lost: it is asked again.
+        // A response that cannot be sent counts as lost: the entry repeats its
+        // request.
         let _ = self.socket.try_send_to(&bytes, to);
     }
 }
 
-impl Inner {
-    /// Tokens from the prompt's start that others may fetch here.
-    fn held(&self, parts: &[(u64, u32)]) -> u32 {
-        if self.dark {
+impl State {
+    /// Number of tokens from the prompt's start that other engines can fetch
+    /// from this one.
+    fn cached_prefix(&self, parts: &[(u64, u32)]) -> u32 {
+        if self.unreachable {
             0
         } else {
             self.grants.held_tokens(parts)
@@ -346,6 +366,6 @@
     }
 }
 
-fn millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the operators set.
+//! The settings of an admission sidecar.
 
 use std::net::SocketAddr;
 
@@ -6,41 +6,47 @@
 use base::settings::{HumanDuration, check};
 use serde::{Deserialize, Serialize};
 
-/// Settings of a sidecar for routed calls.
+/// Settings of an admission sidecar.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The daemon's name, for logs.
+    /// Name of the sidecar, for logs.
     pub name: String,
-    /// Where entries ask, by datagrams.
+    /// UDP address that receives the requests of entries.
     pub listen: SocketAddr,
-    /// The engine that calls are let into.
+    /// Address of the engine that calls are admitted to.
     pub engine: SocketAddr,
-    /// Where metrics are scraped, if anywhere.
+    /// Address that serves metrics, if any.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// How often the engine is asked for its report.
+    /// Interval at which the engine's report is polled.
     #[serde(default = "report_every")]
     pub report_every: HumanDuration,
-    /// How much is logged.
+    /// Minimum level of log lines.
     #[serde(default)]
     pub log_level: Level,
 }
 
-/// Memory fills within some tenths of a second; asking costs about 0.1 ms.
+/// The engine's memory can fill up within tenths of a second; one poll costs
+/// about 0.1 ms.
 fn report_every() -> HumanDuration {
     HumanDuration::ms(50)
 }
 
 impl Settings {
-    /// Checks what parsing cannot.
+    /// Checks constraints that deserialization does not.
     ///
     /// # Errors
     ///
-    /// Returns the key, what was found and a hint.
+    /// Returns the invalid key with its value and a hint.
     pub fn check(&self) -> Result<(), base::settings::Error> {
-        let every = self.report_every.0;
-        let hint = "a time above zero, such as \"100ms\"";
-        check("report_every", format!("{every:?}"), !every.is_zero(), hint)
+        let interval = self.report_every.0;
+        let hint = "a duration above zero, such as \"100ms\"";
+        check(
+            "report_every",
+            format!("{interval:?}"),
+            !interval.is_zero(),
+            hint,
+        )
     }
 }
--- a/crates/admission/tests/responder.rs
+++ b/crates/admission/tests/responder.rs
@@ -1,4 +1,4 @@
-//! A sidecar's responder and the entries before it.
+//! Grant requests of entries, answered by a responder over real sockets.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,38 +17,41 @@
 
 struct Entry {
     socket: UdpSocket,
-    to: SocketAddr,
+    sidecar: SocketAddr,
 }
 
 impl Entry {
-    async fn tell(&self, call_number: u32, kind: RequestKind) {
-        let ask = GrantRequest {
+    async fn send(&self, call_number: u32, kind: RequestKind) {
+        let request = GrantRequest {
             incarnation: 1,
             call_number,
             kind,
         };
-        let sent = self.socket.send_to(&encode(&ask), self.to).await;
-        sent.expect("sent");
+        let sent = self.socket.send_to(&encode(&request), self.sidecar).await;
+        sent.expect("datagram sent");
     }
 
-    async fn want(&self, number: u32, tokens: u32) -> Verdict {
-        self.want_of(number, tokens, 1_790_000_000_123).await
+    async fn request(&self, number: u32, tokens: u32) -> Verdict {
+        self.request_started_at(number, tokens, 1_790_000_000_123)
+            .await
     }
 
-    /// The same of an engine that started at `born`.
-    async fn want_of(&self, number: u32, tokens: u32, born: u64) -> Verdict {
-        self.want_at("s", number, tokens, Some(born)).await
+    /// Requests admission to the engine that started at `started_ms`, in Unix
+    /// milliseconds.
+    async fn request_started_at(&self, number: u32, tokens: u32, started_ms: u64) -> Verdict {
+        self.request_server("s", number, tokens, Some(started_ms))
+            .await
     }
 
-    /// The same of the engine's life `server`.
-    async fn want_at(
+    /// Requests admission to the engine incarnation `server`.
+    async fn request_server(
         &self,
         server: &str,
         number: u32,
         tokens: u32,
         started_ms: Option<u64>,
     ) -> Verdict {
-        let want = AdmissionRequest {
+        let admission = AdmissionRequest {
             request_id: number.to_string(),
             server: server.to_owned(),
             started_ms,
@@ -63,199 +66,224 @@
             remote_tokens: 0,
             copy_ns: None,
         };
-        self.tell(number, RequestKind::Admission(want)).await;
-        self.next().await.verdict
+        self.send(number, RequestKind::Admission(admission)).await;
+        self.receive().await.verdict
     }
 
-    /// How busy the sidecar says that its engine is, in thousandths.
-    async fn busy(&self, number: u32) -> u32 {
-        self.tell(number, RequestKind::Utilization).await;
-        match self.next().await.verdict {
+    /// Requests the utilization of the engine, in thousandths.
+    async fn utilization(&self, number: u32) -> u32 {
+        self.send(number, RequestKind::Utilization).await;
+        match self.receive().await.verdict {
             Verdict::Utilization(thousandths) => thousandths,
-            other => panic!("expected how busy it is: {other:?}"),
+            other => panic!("expected a utilization: {other:?}"),
         }
     }
 
-    async fn next(&self) -> GrantResponse {
+    async fn receive(&self) -> GrantResponse {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        let (length, _) = self.socket.recv_from(&mut buffer).await.expect("an answer");
-        decode(&buffer[..length]).expect("understood")
+        let (length, _) = self
+            .socket
+            .recv_from(&mut buffer)
+            .await
+            .expect("a response");
+        decode(&buffer[..length]).expect("a valid response")
     }
 }
 
 async fn start() -> (Rc<GrantResponder>, Entry) {
-    let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-    let to = socket.local_addr().expect("an address");
+    let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
+    let sidecar = socket.local_addr().expect("an address");
     let responder = GrantResponder::new(socket, Rc::new(SystemClock));
     actix_rt::spawn(Rc::clone(&responder).listen());
     actix_rt::spawn(Rc::clone(&responder).poll_waiting(StopSignal::new()));
-    let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-    (responder, Entry { socket, to })
+    let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
+    (responder, Entry { socket, sidecar })
 }
 
-/// A second call waits behind a long one and is let in as soon as the entry
-/// says that the first has its first event.
+/// A call that is queued behind a long one is granted as soon as the entry
+/// reports the first event of the long one.
 #[actix_rt::test]
-async fn queued_let_in() {
+async fn queued_call_granted() {
     let (responder, entry) = start().await;
     assert!(responder.is_idle());
-    assert_eq!(entry.want(1, 30_000).await, Verdict::Granted);
-    assert!(matches!(entry.want(2, 3_000).await, Verdict::Queued(_)));
-    entry.tell(1, RequestKind::FirstEvent).await;
-    let answer = entry.next().await;
-    assert_eq!((answer.call_number, answer.verdict), (2, Verdict::Granted));
+    assert_eq!(entry.request(1, 30_000).await, Verdict::Granted);
+    assert!(matches!(entry.request(2, 3_000).await, Verdict::Queued(_)));
+    entry.send(1, RequestKind::FirstEvent).await;
+    let response = entry.receive().await;
+    assert_eq!(
+        (response.call_number, response.verdict),
+        (2, Verdict::Granted)
+    );
 }
 
-/// An engine is replaced beside its sidecar, and one entry's list is old: it
-/// asks on for the engine that leaves. Each such call must go elsewhere, and
-/// not clear the books of the new engine, which would then be let in too much.
+/// Guards against overloading an engine that has replaced another one. An entry
+/// with an outdated server list still requests the old engine; such a request
+/// must be refused and must not reset the state kept for the new engine.
 #[actix_rt::test]
 async fn replaced_engine_refused() {
     let (_responder, entry) = start().await;
     let (old, new) = (1_790_000_000_000, 1_790_000_009_000);
-    assert_eq!(entry.want_of(1, 3_000, old).await, Verdict::Granted);
-    assert_eq!(entry.want_of(2, 30_000, new).await, Verdict::Granted);
-    let refused = entry.want_of(3, 3_000, old).await;
+    assert_eq!(
+        entry.request_started_at(1, 3_000, old).await,
+        Verdict::Granted
+    );
+    assert_eq!(
+        entry.request_started_at(2, 30_000, new).await,
+        Verdict::Granted
+    );
+    let refused = entry.request_started_at(3, 3_000, old).await;
     assert!(matches!(refused, Verdict::Refused(_)));
-    let queued = entry.want_of(4, 3_000, new).await;
+    let queued = entry.request_started_at(4, 3_000, new).await;
     assert!(matches!(queued, Verdict::Queued(_)));
 }
 
-/// Whoever orders engines asks how busy this one is. Calls that wait count
-/// beyond what it can do, so that more are ordered before callers are refused.
+/// Waiting calls raise the utilization beyond the engine's capacity, so that
+/// autoscaling adds servers before callers are refused.
 #[actix_rt::test]
-async fn busy_told() {
+async fn waiting_calls_raise_utilization() {
     let (_responder, entry) = start().await;
-    assert_eq!(entry.busy(1).await, 0);
-    assert_eq!(entry.want(2, 30_000).await, Verdict::Granted);
-    let one = entry.busy(3).await;
-    assert!(matches!(entry.want(4, 30_000).await, Verdict::Queued(_)));
-    let two = entry.busy(5).await;
-    assert!(0 < one && one < two, "{one} {two}");
+    assert_eq!(entry.utilization(1).await, 0);
+    assert_eq!(entry.request(2, 30_000).await, Verdict::Granted);
+    let running = entry.utilization(3).await;
+    assert!(matches!(entry.request(4, 30_000).await, Verdict::Queued(_)));
+    let with_waiting = entry.utilization(5).await;
+    assert!(
+        0 < running && running < with_waiting,
+        "{running} {with_waiting}"
+    );
 }
 
-/// The sidecar is told to stop while a call waits: the call goes on at once,
-/// since nobody will order it any more.
+/// When the sidecar stops, waiting calls are granted at once, since nothing
+/// schedules them any more.
 #[actix_rt::test]
-async fn stop_lets_all_in() {
+async fn stop_grants_all() {
     let (responder, entry) = start().await;
-    entry.want(1, 30_000).await;
-    entry.want(2, 3_000).await;
+    entry.request(1, 30_000).await;
+    entry.request(2, 3_000).await;
     assert_eq!(responder.grant_all().await, 1);
-    let answer = entry.next().await;
-    assert_eq!((answer.call_number, answer.verdict), (2, Verdict::Granted));
+    let response = entry.receive().await;
+    assert_eq!(
+        (response.call_number, response.verdict),
+        (2, Verdict::Granted)
+    );
 }
 
-/// Bytes that make no sense change nothing.
+/// A malformed datagram is ignored.
 #[actix_rt::test]
-async fn odd_bytes_passed_over() {
+async fn malformed_datagram_ignored() {
     let (_responder, entry) = start().await;
-    let sent = entry.socket.send_to(b"\x09what", entry.to).await;
-    sent.expect("sent");
-    assert_eq!(entry.want(1, 100).await, Verdict::Granted);
+    let sent = entry.socket.send_to(b"\x09what", entry.sidecar).await;
+    sent.expect("datagram sent");
+    assert_eq!(entry.request(1, 100).await, Verdict::Granted);
 }
 
 #[rstest]
-#[case::fine("50ms", true)]
+#[case::valid("50ms", true)]
 #[case::zero("0ms", false)]
-fn settings_checked(#[case] every: &str, #[case] fine: bool) {
+fn settings_checked(#[case] interval: &str, #[case] valid: bool) {
     let settings: Settings = serde_json::from_value(serde_json::json!({
-        "name": "n", "listen": "127.0.0.1:1", "engine": "127.0.0.1:2", "report_every": every,
+        "name": "n", "listen": "127.0.0.1:1", "engine": "127.0.0.1:2", "report_every": interval,
     }))
     .expect("settings");
-    assert_eq!(settings.check().is_ok(), fine);
+    assert_eq!(settings.check().is_ok(), valid);
     assert_eq!(
         settings.report_every.0,
-        Duration::from_millis(if fine { 50 } else { 0 })
+        Duration::from_millis(if valid { 50 } else { 0 })
     );
 }
 
-fn gone(server: &str, started_ms: Option<u64>) -> RequestKind {
+fn server_gone(server: &str, started_ms: Option<u64>) -> RequestKind {
     let server = server.to_owned();
     RequestKind::ServerGone { server, started_ms }
 }
 
-/// All engines start again under new names while the store lists both. One
-/// entry's call was refused by the engine itself as meant for the old one. All
-/// other entries that ask for it are told at once, and the books of the new one
-/// stay: cleared with each such question, it would be let in too much.
+/// After a power loss all engines restart under new names while the store lists
+/// both. Once one entry has reported that the engine refused a call for the old
+/// name, further requests for that name are answered at once and must not reset
+/// the state kept for the new incarnation, which would be overloaded.
 #[actix_rt::test]
-async fn ended_life_is_told() {
+async fn ended_incarnation_reported() {
     let (responder, entry) = start().await;
-    assert_eq!(entry.want_at("old", 1, 3_000, None).await, Verdict::Granted);
-    entry.tell(1, gone("old", None)).await;
-    let granted = entry.want_at("new", 2, 30_000, None).await;
+    assert_eq!(
+        entry.request_server("old", 1, 3_000, None).await,
+        Verdict::Granted
+    );
+    entry.send(1, server_gone("old", None)).await;
+    let granted = entry.request_server("new", 2, 30_000, None).await;
     assert_eq!(granted, Verdict::Granted);
     assert_eq!(
-        entry.want_at("old", 3, 3_000, None).await,
+        entry.request_server("old", 3, 3_000, None).await,
         Verdict::ServerGone
     );
-    let queued = entry.want_at("new", 4, 3_000, None).await;
+    let queued = entry.request_server("new", 4, 3_000, None).await;
     assert!(matches!(queued, Verdict::Queued(_)));
     assert!(!responder.is_idle());
 }
 
-/// A call waits for a life of the engine that has ended. Let in when its turn
-/// comes, it would only be refused by the next one.
+/// A call that waits for an ended incarnation is rejected at once. Granted
+/// later, it would be refused by the engine's next incarnation.
 #[actix_rt::test]
-async fn waiting_for_an_ended_life() {
+async fn ended_incarnation_rejects_waiting() {
     let (_responder, entry) = start().await;
-    entry.want_at("old", 1, 30_000, None).await;
-    let queued = entry.want_at("old", 2, 3_000, None).await;
+    entry.request_server("old", 1, 30_000, None).await;
+    let queued = entry.request_server("old", 2, 3_000, None).await;
     assert!(matches!(queued, Verdict::Queued(_)));
-    entry.tell(1, gone("old", None)).await;
-    let answer = entry.next().await;
+    entry.send(1, server_gone("old", None)).await;
+    let response = entry.receive().await;
     assert_eq!(
-        (answer.call_number, answer.verdict),
+        (response.call_number, response.verdict),
         (2, Verdict::ServerGone)
     );
 }
 
-/// An engine starts again under the name that it had. What was said of its
-/// earlier life must not keep calls from the new one.
+/// Guards against an engine that restarts under its old name being rejected
+/// because its earlier incarnation was reported as ended.
 #[actix_rt::test]
-async fn same_name_later_life() {
+async fn restart_under_same_name() {
     let (_responder, entry) = start().await;
-    entry.want_at("s", 1, 3_000, Some(1_000)).await;
-    entry.tell(1, gone("s", Some(1_000))).await;
+    entry.request_server("s", 1, 3_000, Some(1_000)).await;
+    entry.send(1, server_gone("s", Some(1_000))).await;
     assert_eq!(
-        entry.want_at("s", 2, 3_000, Some(1_000)).await,
+        entry.request_server("s", 2, 3_000, Some(1_000)).await,
         Verdict::ServerGone
     );
-    let granted = entry.want_at("s", 3, 3_000, Some(2_000)).await;
+    let granted = entry.request_server("s", 3, 3_000, Some(2_000)).await;
     assert_eq!(granted, Verdict::Granted);
 }
 
-/// Guards against calls being let in to an engine that has said that it leaves:
-/// those that wait are sent away, and so are those that come.
+/// Guards against calls being granted to an engine that is shutting down: both
+/// waiting and new calls are rejected.
 #[actix_rt::test]
-async fn leaving_engine_lets_nobody_in() {
+async fn leaving_engine_grants_nothing() {
     let (responder, entry) = start().await;
-    entry.want_at("old", 1, 30_000, None).await;
-    let queued = entry.want_at("old", 2, 3_000, None).await;
+    entry.request_server("old", 1, 30_000, None).await;
+    let queued = entry.request_server("old", 2, 3_000, None).await;
     assert!(matches!(queued, Verdict::Queued(_)));
     responder.mark_leaving("old");
-    let answer = entry.next().await;
-    assert_eq!((answer.call_number, answer.verdict), (2, Verdict::Leaving));
-    let refused = entry.want_at("old", 3, 3_000, None).await;
+    let response = entry.receive().await;
+    assert_eq!(
+        (response.call_number, response.verdict),
+        (2, Verdict::Leaving)
+    );
+    let refused = entry.request_server("old", 3, 3_000, None).await;
     assert_eq!(refused, Verdict::Leaving);
-    let judged = entry.want_at("new", 4, 3_000, None).await;
-    assert!(matches!(judged, Verdict::Granted | Verdict::Queued(_)));
-    // An answer of the earlier life that comes late.
+    let decided = entry.request_server("new", 4, 3_000, None).await;
+    assert!(matches!(decided, Verdict::Granted | Verdict::Queued(_)));
+    // A late status response of the earlier incarnation.
     responder.mark_leaving("old");
-    let judged = entry.want_at("new", 5, 3_000, None).await;
-    assert!(matches!(judged, Verdict::Granted | Verdict::Queued(_)));
+    let decided = entry.request_server("new", 5, 3_000, None).await;
+    assert!(matches!(decided, Verdict::Granted | Verdict::Queued(_)));
 }
 
-/// Guards against the next life of an engine under the same name being taken for
-/// leaving.
+/// Guards against an engine that restarts under its old name being treated as
+/// still shutting down.
 #[actix_rt::test]
-async fn same_name_does_not_leave() {
+async fn restart_clears_leaving() {
     let (responder, entry) = start().await;
-    entry.want_at("s", 1, 3_000, Some(1_000)).await;
+    entry.request_server("s", 1, 3_000, Some(1_000)).await;
     responder.mark_leaving("s");
-    let refused = entry.want_at("s", 2, 3_000, Some(1_000)).await;
+    let refused = entry.request_server("s", 2, 3_000, Some(1_000)).await;
     assert_eq!(refused, Verdict::Leaving);
-    let granted = entry.want_at("s", 3, 3_000, Some(2_000)).await;
+    let granted = entry.request_server("s", 3, 3_000, Some(2_000)).await;
     assert_eq!(granted, Verdict::Granted);
 }
