--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,17 +1,17 @@
-//! The sidecar for routed calls: beside a model engine, it says which call of
-//! which entry may be sent there and when. Calls and answers go straight
-//! between entry and engine; without the sidecar entries decide by
-//! themselves. See docs/DECISIONS/0603-grants.md.
+//! The admission sidecar: runs beside a model engine and decides which routed
+//! calls entries may send to it, and when. The calls themselves and their
+//! responses travel directly between entry and engine; without the sidecar,
+//! entries decide on their own. See docs/DECISIONS/0603-grants.md.
 //!
-//! - [`settings`]: what the operators set.
-//! - [`edge`]: what a platform has to translate for this package.
-//! - [`desk`]: answering the entries.
-//! - `watch`: following the engine's own report.
+//! - [`settings`]: the settings of a sidecar.
+//! - [`engine`]: the interface to the engine.
+//! - [`responder`]: answers the admission requests of entries.
+//! - `poller`: polls the engine's status.
 
-pub mod desk;
-pub mod edge;
+pub mod engine;
+mod poller;
+pub mod responder;
 pub mod settings;
-mod watch;
 
 use std::io;
 use std::rc::Rc;
@@ -21,15 +21,15 @@
 use spdlog::info;
 use tokio::net::UdpSocket;
 
-use desk::Desk;
-use edge::Engine;
+use engine::Engine;
+use responder::GrantResponder;
 pub use settings::Settings;
 
-/// Runs a sidecar until `stop` is asked.
+/// Runs a sidecar until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the sidecar cannot listen.
+/// Returns an error when a listening address cannot be bound.
 pub async fn run<E: Engine + 'static>(
     settings: Settings,
     engine: E,
@@ -47,17 +47,17 @@
         listen = settings.listen.to_string().as_str()
     });
 
-    let desk = Desk::new(socket, clock);
-    actix_rt::spawn(watch::follow(
-        Rc::clone(&desk),
+    let responder = GrantResponder::new(socket, clock);
+    actix_rt::spawn(poller::poll_engine(
+        Rc::clone(&responder),
         engine,
         settings.report_every.0,
         end.clone(),
     ));
-    actix_rt::spawn(Rc::clone(&desk).tick(end.clone()));
-    actix_rt::spawn(Rc::clone(&desk).listen());
+    actix_rt::spawn(Rc::clone(&responder).poll_waiting(end.clone()));
+    actix_rt::spawn(Rc::clone(&responder).listen());
     stop.wait().await;
-    let waiting = desk.release().await;
+    let waiting = responder.grant_all().await;
     info!("sidecar stopped", kv: { name = settings.name.as_str(), waiting });
     end.trigger();
     Ok(())
--- /dev/null
+++ b/crates/admission/src/responder.rs
@@ -0,0 +1,371 @@
+//! Answers the admission requests of entries over UDP: keeps the waiting calls,
+//! passes every request to the [`GrantController`] and sends its decisions.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use base::clock::Clock;
+use base::stop::StopSignal;
+use policy::grants::incarnations::{IncarnationStatus, Incarnations};
+use policy::grants::{CallId, EngineReport, GrantController, GrantDecision, GrantRequest};
+use spdlog::{info, warn};
+use tokio::net::UdpSocket;
+use wire::grants::{self, RequestKind};
+
+/// How often waiting calls are checked when no datagram arrives. Capacity also
+/// becomes free with time alone, when the pauses of running streams end.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// How often the loop checks for waiting calls while there are none.
+const IDLE_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The delay after a socket error.
+const ERROR_DELAY: Duration = Duration::from_millis(20);
+
+/// Answers the grant requests that entries send to the sidecar of one engine.
+pub struct GrantResponder {
+    socket: UdpSocket,
+    clock: Rc<dyn Clock>,
+    state: RefCell<State>,
+}
+
+#[derive(Debug, Default)]
+struct State {
+    grants: GrantController,
+    /// The current and the ended incarnations of the engine.
+    incarnations: Incarnations,
+    /// The calls that wait for a grant.
+    waiting_calls: HashMap<CallId, WaitingCall>,
+    /// Whether the engine's last report failed. Nothing can be fetched from an
+    /// engine that does not respond.
+    unreachable: bool,
+}
+
+/// A call that waits for a grant.
+#[derive(Debug)]
+struct WaitingCall {
+    /// Address of the entry that the grant is sent to.
+    addr: SocketAddr,
+    /// The request id given by the caller, for logs.
+    request_id: String,
+    /// Id of the engine incarnation that the call is for.
+    server: String,
+}
+
+impl GrantResponder {
+    /// Creates a responder that answers on `socket`.
+    #[must_use]
+    pub fn new(socket: UdpSocket, clock: Rc<dyn Clock>) -> Rc<Self> {
+        Rc::new(Self {
+            socket,
+            clock,
+            state: RefCell::default(),
+        })
+    }
+
+    /// Receives and handles datagrams; never returns.
+    pub async fn listen(self: Rc<Self>) {
+        let mut buffer = vec![0; grants::MAX_DATAGRAM_BYTES];
+        loop {
+            match self.socket.recv_from(&mut buffer).await {
+                Ok((length, from)) => self.handle_datagram(&buffer[..length], from),
+                Err(e) => {
+                    // The port of an entry that has ended shows up as a refused
+                    // connection; datagrams of other entries still arrive.
+                    metrics::counter!("pimentocart_grant_errors_total").increment(1);
+                    if e.kind() != std::io::ErrorKind::ConnectionRefused {
+                        warn!("grant socket failed; retrying", kv: { cause = e.to_string().as_str() });
+                        tokio::time::sleep(ERROR_DELAY).await;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Grants waiting calls as capacity becomes free, until `end`.
+    pub async fn poll_waiting(self: Rc<Self>, end: StopSignal) {
+        while !end.is_triggered() {
+            let has_waiting = !self.state.borrow().waiting_calls.is_empty();
+            tokio::time::sleep(if has_waiting {
+                POLL_INTERVAL
+            } else {
+                IDLE_INTERVAL
+            })
+            .await;
+            if has_waiting {
+                self.grant_waiting();
+            }
+        }
+    }
+
+    /// Whether no call is waiting, granted or running.
+    #[must_use]
+    pub fn is_idle(&self) -> bool {
+        self.state.borrow().grants.counts() == (0, 0, 0)
+    }
+
+    /// Applies a report of the engine.
+    pub fn update_report(&self, report: EngineReport) {
+        let now = self.clock.now();
+        let mut state = self.state.borrow_mut();
+        state.grants.update_report(now, report);
+        state.unreachable = false;
+        drop(state);
+        self.grant_waiting();
+    }
+
+    /// Records that the engine's report failed.
+    pub fn mark_unreachable(&self) {
+        self.state.borrow_mut().unreachable = true;
+    }
+
+    /// Grants all waiting calls and returns their number. Used on shutdown, after
+    /// which no sidecar schedules them any more.
+    pub async fn grant_all(&self) -> usize {
+        let waiting_calls = std::mem::take(&mut self.state.borrow_mut().waiting_calls);
+        for (id, call) in &waiting_calls {
+            self.send(call.addr, *id, grants::Verdict::Granted, 0, false);
+        }
+        waiting_calls.len()
+    }
+
+    fn handle_datagram(&self, bytes: &[u8], from: SocketAddr) {
+        let request: grants::GrantRequest = match grants::decode(bytes) {
+            Ok(request) => request,
+            Err(e) => {
+                warn!("undecodable datagram ignored", kv: {
+                    peer = from.to_string().as_str(), cause = e.to_string().as_str()
+                });
+                return;
+            }
+        };
+        let now = self.clock.now();
+        let id = CallId {
+            incarnation: request.incarnation,
+            number: request.call_number,
+        };
+        match request.kind {
+            RequestKind::Admission(admission) => self.handle_admission(id, admission, from),
+            RequestKind::Lookup(lookup) => self.handle_lookup(id, &lookup, from),
+            RequestKind::Utilization => self.handle_utilization(id, from),
+            RequestKind::Fetching(source) => {
+                self.state.borrow_mut().grants.record_fetch(id, source)
+            }
+            RequestKind::ServerGone { server, started_ms } => {
+                self.handle_server_gone(&server, started_ms)
+            }
+            RequestKind::FirstEvent => self.state.borrow_mut().grants.record_first_event(now, id),
+            RequestKind::Ended { pause_ms } => {
+                let mut state = self.state.borrow_mut();
+                let pause = Duration::from_millis(u64::from(pause_ms));
+                state.grants.call_ended(now, id, pause);
+                state.waiting_calls.remove(&id);
+            }
+        }
+        self.grant_waiting();
+    }
+
+    fn handle_admission(&self, id: CallId, admission: grants::AdmissionRequest, from: SocketAddr) {
+        let now = self.clock.now();
+        let mut state = self.state.borrow_mut();
+        let incarnation = state
+            .incarnations
+            .resolve(&admission.server, admission.started_ms);
+        let rejection = match incarnation {
+            IncarnationStatus::Gone => Some(("gone", grants::Verdict::ServerGone)),
+            IncarnationStatus::Leaving => Some(("leaving", grants::Verdict::Leaving)),
+            IncarnationStatus::Current | IncarnationStatus::New => None,
+        };
+        if let Some((label, verdict)) = rejection {
+            drop(state);
+            metrics::counter!("pimentocart_grants_total", "verdict" => label).increment(1);
+            self.send(from, id, verdict, 0, false);
+            return;
+        }
+        if !state.grants.observe_incarnation(admission.started_ms) {
+            // An entry with an outdated server list names the engine that this
+            // one has replaced. If that counted as a new incarnation, each of
+            // its calls would reset the state kept for the running engine.
+            drop(state);
+            let verdict = grants::Verdict::Refused(admission.timeout_ms);
+            self.send(from, id, verdict, 0, false);
+            return;
+        }
+        if incarnation == IncarnationStatus::New {
+            info!("new engine incarnation", kv: { server = admission.server.as_str() });
+            // A new incarnation has an empty KV cache.
+            state.grants.reset_engine();
+        }
+        let from_ms = |ms: u32| Duration::from_millis(u64::from(ms));
+        let request = GrantRequest {
+            id,
+            parts: admission.prompt_parts,
+            ttft_limit: from_ms(admission.first_event_ms),
+            time_left: from_ms(admission.timeout_ms),
+            max_gap: admission.max_gap_ms.map(from_ms),
+            slots: admission.slots,
+            rank: admission.priority,
+            is_home: admission.is_home,
+            forced: admission.forced,
+            fetchable: admission.remote_tokens,
+            copy_time: admission
+                .copy_ns
+                .map(|ns| Duration::from_nanos(u64::from(ns))),
+        };
+        let tokens = state.grants.missing_tokens(&request.parts);
+        let held = state.cached_prefix(&request.parts);
+        let prefer_fetch = state.grants.fetch_pays();
+        let decision = state.grants.request(now, request);
+        let (waiting, flying, running) = state.grants.counts();
+        let estimates = state.grants.estimates();
+        let (label, expected) = match decision {
+            GrantDecision::Granted => ("granted", Duration::ZERO),
+            GrantDecision::Queued(expected) => ("queued", expected),
+            GrantDecision::Refused(expected) => ("refused", expected),
+        };
+        metrics::counter!("pimentocart_grants_total", "verdict" => label).increment(1);
+        // The request of a queued call is repeated; only the first one is logged.
+        let already_waiting = state.waiting_calls.contains_key(&id);
+        if !already_waiting {
+            info!("admission decided", kv: {
+            id = admission.request_id.as_str(),
+            verdict = label,
+            expected_ms = millis(expected),
+            allowed_ms = admission.first_event_ms, home = admission.is_home, tokens, held, source = admission.remote_tokens,
+            waiting, flying, running, pace_ns = estimates.pace_ns, fetch_ns = estimates.fetch_ns,
+            base_us = estimates.base_us, window = estimates.window, gap_percent = estimates.gap_percent
+            });
+        }
+        if label == "queued" {
+            let call = WaitingCall {
+                addr: from,
+                request_id: admission.request_id,
+                server: admission.server,
+            };
+            state.waiting_calls.insert(id, call);
+        }
+        drop(state);
+        let verdict = match decision {
+            GrantDecision::Granted => grants::Verdict::Granted,
+            GrantDecision::Queued(expected) => grants::Verdict::Queued(millis(expected)),
+            GrantDecision::Refused(expected) => grants::Verdict::Refused(millis(expected)),
+        };
+        self.send(from, id, verdict, held, prefer_fetch);
+    }
+
+    /// Records that an incarnation of the engine has ended.
+    fn handle_server_gone(&self, server: &str, started_ms: Option<u64>) {
+        let mut state = self.state.borrow_mut();
+        if state.incarnations.mark_refused(server, started_ms) {
+            info!("engine incarnation ended", kv: { server });
+            state.grants.engine_stopped();
+        }
+        // The engine would refuse each of these calls if it was granted later.
+        self.reject_waiting(&mut state, server, grants::Verdict::ServerGone);
+    }
+
+    /// Id of the engine's current incarnation, if known.
+    #[must_use]
+    pub fn incarnation(&self) -> Option<String> {
+        self.state
+            .borrow()
+            .incarnations
+            .current()
+            .map(str::to_owned)
+    }
+
+    /// Records that incarnation `server` of the engine is shutting down and
+    /// accepts no new calls.
+    pub fn mark_leaving(&self, server: &str) {
+        let mut state = self.state.borrow_mut();
+        if state.incarnations.mark_leaving(server) {
+            info!("engine is shutting down", kv: { server });
+            self.reject_waiting(&mut state, server, grants::Verdict::Leaving);
+        }
+    }
+
+    /// Answers all calls that wait for incarnation `server` with `verdict`.
+    fn reject_waiting(&self, state: &mut State, server: &str, verdict: grants::Verdict) {
+        let now = self.clock.now();
+        let rejected: Vec<CallId> = {
+            let waiting_calls = state.waiting_calls.iter();
+            let same_server = waiting_calls.filter(|(_, call)| call.server == server);
+            same_server.map(|(id, _)| *id).collect()
+        };
+        for id in rejected {
+            state.grants.call_ended(now, id, Duration::ZERO);
+            if let Some(call) = state.waiting_calls.remove(&id) {
+                self.send(call.addr, id, verdict, 0, false);
+            }
+        }
+    }
+
+    /// Answers how many tokens of a prompt the engine holds in its KV cache.
+    fn handle_lookup(&self, id: CallId, lookup: &grants::PrefixLookup, from: SocketAddr) {
+        let state = self.state.borrow();
+        let held = match state.incarnations.is_current(&lookup.server) {
+            true => state.cached_prefix(&lookup.prompt_parts),
+            false => 0,
+        };
+        self.send(from, id, grants::Verdict::Acknowledged, held, false);
+    }
+
+    /// Answers with the utilization of the engine, in thousandths.
+    fn handle_utilization(&self, id: CallId, from: SocketAddr) {
+        let utilization = self.state.borrow().grants.utilization(self.clock.now());
+        let verdict = grants::Verdict::Utilization((utilization * 1e3) as u32);
+        self.send(from, id, verdict, 0, false);
+    }
+
+    /// Grants the waiting calls that the engine has capacity for now.
+    fn grant_waiting(&self) {
+        let now = self.clock.now();
+        let mut state = self.state.borrow_mut();
+        let prefer_fetch = state.grants.fetch_pays();
+        for (id, held) in state.grants.grant_waiting(now) {
+            let Some(call) = state.waiting_calls.remove(&id) else {
+                continue;
+            };
+            info!("waiting call granted", kv: { id = call.request_id.as_str(), held });
+            self.send(call.addr, id, grants::Verdict::Granted, held, prefer_fetch);
+        }
+    }
+
+    fn send(
+        &self,
+        to: SocketAddr,
+        id: CallId,
+        verdict: grants::Verdict,
+        cached_tokens: u32,
+        prefer_fetch: bool,
+    ) {
+        let bytes = grants::encode(&grants::GrantResponse {
+            call_number: id.number,
+            verdict,
+            cached_tokens,
+            prefer_fetch,
+        });
+        // A response that cannot be sent counts as lost: the entry repeats its
+        // request.
+        let _ = self.socket.try_send_to(&bytes, to);
+    }
+}
+
+impl State {
+    /// Number of tokens from the prompt's start that other engines can fetch
+    /// from this one.
+    fn cached_prefix(&self, parts: &[(u64, u32)]) -> u32 {
+        if self.unreachable {
+            0
+        } else {
+            self.grants.held_tokens(parts)
+        }
+    }
+}
+
+fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
+}
