--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -8,7 +8,7 @@
 
 use base::ids::Tier;
 use base::settings::{self, HumanDuration};
-use bundle::{Bundle, Class, Pool, Targets, Workspace};
+use bundle::{Bundle, Class, EnginePool, Targets, Workspace};
 use demo::host::Host;
 use entry::settings::Known;
 use standin::{Control, Ledger, silence};
@@ -162,12 +162,14 @@
         targets: Targets {
             first_token: NEVER,
             token_gap: NEVER,
-            whole: NEVER,
+            full_answer: NEVER,
         },
         model: CLASS.to_owned(),
     };
     bundle.classes.insert(CLASS.to_owned(), class);
-    bundle.models.insert(CLASS.to_owned(), Pool::default());
+    bundle
+        .models
+        .insert(CLASS.to_owned(), EnginePool::default());
     for i in 0..workspaces {
         let token = match i {
             0 => TOKEN.to_owned(),
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -7,7 +7,7 @@
 
 use base::ids::{BundleSequence, RequestId};
 use base::settings::HumanDuration;
-use bundle::Lookup;
+use bundle::IndexedBundle;
 use serde::{Deserialize, Serialize};
 use wire::{Peer, Timeouts};
 
@@ -257,7 +257,7 @@
         let parsed: bundle::Bundle = serde_json::from_slice(&json).map_err(|e| e.to_string())?;
         let parse = began.elapsed();
         let before = cost::memory();
-        let lookup = Lookup::new(parsed);
+        let lookup = IndexedBundle::new(parsed);
         let took = parse + (began.elapsed() - parse);
         points.add(
             "bundle_change_us_by_workspace",
--- a/crates/bundle/src/accept.rs
+++ b/crates/bundle/src/accept.rs
@@ -22,14 +22,16 @@
 use crate::content::{Content, Entries};
 use crate::hash::Hash;
 use crate::keys::{self, Operators};
-use crate::record::{Link, Payload, RECORD_LIMIT, Record, Signed, operators_of};
-use crate::verdict::{Fault, Verdict};
+use crate::record::{
+    OperatorChange, Payload, RECORD_MAX_BYTES, Record, SignedHeader, content_operators,
+};
+use crate::verdict::{RecordError, Verdict};
 
 /// How many versions are remembered, to tell who beat a record.
 const HISTORY: usize = 256;
 
 /// Entries that changed, as section and name.
-pub type Touched = BTreeSet<(String, String)>;
+pub type ChangedEntries = BTreeSet<(String, String)>;
 
 /// Judges records in the log's order.
 #[derive(Debug, Clone)]
@@ -43,29 +45,29 @@
     /// Who may sign the next version.
     operators: Operators,
     /// The versions that changed who may sign, oldest first.
-    chain: Vec<Link>,
+    chain: Vec<OperatorChange>,
     /// The offset to judge next.
-    next: Offset,
+    next_offset: Offset,
     /// Where reading went on after records were missed, while it matters.
-    gap: Option<Offset>,
+    gap_start: Option<Offset>,
     /// The versions in force lately, newest last.
-    history: VecDeque<Past>,
+    history: VecDeque<PastVersion>,
     /// Parts of larger content by its digest, oldest set first.
     parts: VecDeque<(Hash, BTreeMap<u32, Entries>)>,
     /// The newest checkpoint: where it stands and what it holds.
-    newest: Option<(Offset, BundleSequence)>,
-    /// Entries that changed since [`Self::take_touched`]; none when all may
+    newest_checkpoint: Option<(Offset, BundleSequence)>,
+    /// Entries that changed since [`Self::take_changed`]; none when all may
     /// have.
-    touched: Option<Touched>,
+    changed: Option<ChangedEntries>,
 }
 
 /// The version in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Head {
     /// Its signed header.
-    pub signed: Signed,
+    pub signed: SignedHeader,
     /// Where it was accepted.
-    pub at: Offset,
+    pub accepted_offset: Offset,
 }
 
 impl Head {
@@ -78,7 +80,7 @@
 
 /// A version that is or was in force.
 #[derive(Debug, Clone)]
-struct Past {
+struct PastVersion {
     sequence: BundleSequence,
     id: Hash,
     parent: Hash,
@@ -96,12 +98,12 @@
             head: None,
             content: Content::default(),
             chain: Vec::new(),
-            next: Offset(0),
-            gap: None,
+            next_offset: Offset(0),
+            gap_start: None,
             history: VecDeque::new(),
             parts: VecDeque::new(),
-            newest: None,
-            touched: None,
+            newest_checkpoint: None,
+            changed: None,
         }
     }
 
@@ -125,8 +127,8 @@
 
     /// The entries that changed since this was last asked; none when all may
     /// have.
-    pub fn take_touched(&mut self) -> Option<Touched> {
-        self.touched.replace(Touched::new())
+    pub fn take_changed(&mut self) -> Option<ChangedEntries> {
+        self.changed.replace(ChangedEntries::new())
     }
 
     /// Who may sign the next version.
@@ -137,52 +139,52 @@
 
     /// The offset to read next.
     #[must_use]
-    pub fn next(&self) -> Offset {
-        self.next
+    pub fn next_offset(&self) -> Offset {
+        self.next_offset
     }
 
     /// Whether every record up to [`Self::next`] was judged.
     #[must_use]
-    pub fn anchored(&self) -> bool {
-        self.gap.is_none()
+    pub fn is_contiguous(&self) -> bool {
+        self.gap_start.is_none()
     }
 
     /// The newest checkpoint that was read: its offset and its version.
     #[must_use]
-    pub fn newest(&self) -> Option<(Offset, BundleSequence)> {
-        self.newest
+    pub fn newest_checkpoint(&self) -> Option<(Offset, BundleSequence)> {
+        self.newest_checkpoint
     }
 
     /// Judges the record at `offset`. After [`Verdict::Adopted`] the reader
     /// may have to go back: it reads on from [`Self::next`].
     pub fn apply(&mut self, offset: Offset, bytes: &[u8]) -> Verdict {
-        if offset < self.next {
-            return Verdict::Repeated;
+        if offset < self.next_offset {
+            return Verdict::Duplicate;
         }
-        self.expired(offset);
-        self.next = Offset(offset.0 + 1);
+        self.skip_expired(offset);
+        self.next_offset = Offset(offset.0 + 1);
 
-        if bytes.len() > RECORD_LIMIT {
-            return Verdict::Refused(Fault::TooLarge);
+        if bytes.len() > RECORD_MAX_BYTES {
+            return Verdict::Refused(RecordError::TooLarge);
         }
         match serde_json::from_slice(bytes) {
-            Ok(Record::Change { .. }) if self.gap.is_some() => Verdict::Unjudged,
-            Ok(Record::Change { signed, payload }) => self.change(offset, signed, payload),
-            Ok(Record::Checkpoint(checkpoint)) => self.checkpoint(offset, checkpoint),
+            Ok(Record::Change { .. }) if self.gap_start.is_some() => Verdict::NotEvaluated,
+            Ok(Record::Change { signed, payload }) => self.apply_change(offset, signed, payload),
+            Ok(Record::Checkpoint(checkpoint)) => self.apply_checkpoint(offset, checkpoint),
             Ok(Record::Part {
                 digest,
                 index,
                 entries,
-            }) => self.keep(digest, index, entries),
-            Err(_) => Verdict::Refused(Fault::Unreadable),
+            }) => self.buffer_part(digest, index, entries),
+            Err(_) => Verdict::Refused(RecordError::Unreadable),
         }
     }
 
     /// Notes that the log has nothing before `first` any more.
-    pub fn expired(&mut self, first: Offset) {
-        if first > self.next {
-            self.gap = Some(first);
-            self.next = first;
+    pub fn skip_expired(&mut self, first: Offset) {
+        if first > self.next_offset {
+            self.gap_start = Some(first);
+            self.next_offset = first;
         }
     }
 
@@ -193,34 +195,34 @@
     /// than the retention. Without it no reader would ever judge again. If
     /// two such readers disagree, their checkpoints settle it: the higher
     /// version wins, and of equal ones the one accepted earlier.
-    pub fn resume(&mut self, first: Offset) {
-        if self.head.is_some() && self.gap.take().is_some() {
-            self.next = first;
+    pub fn skip_gap(&mut self, first: Offset) {
+        if self.head.is_some() && self.gap_start.take().is_some() {
+            self.next_offset = first;
         }
     }
 
     /// Judges a change that a peer accepted at `at`, ahead of the log.
-    pub fn accept_early(&mut self, at: Offset, bytes: &[u8]) -> Verdict {
+    pub fn apply_from_peer(&mut self, at: Offset, bytes: &[u8]) -> Verdict {
         match serde_json::from_slice(bytes) {
-            Ok(Record::Change { signed, payload }) if bytes.len() <= RECORD_LIMIT => {
-                self.change(at, signed, payload)
+            Ok(Record::Change { signed, payload }) if bytes.len() <= RECORD_MAX_BYTES => {
+                self.apply_change(at, signed, payload)
             }
-            _ => Verdict::Refused(Fault::Unreadable),
+            _ => Verdict::Refused(RecordError::Unreadable),
         }
     }
 
     /// Notes that a peer in the same state has judged the log up to `judged`.
-    pub fn judged(&mut self, judged: Offset) {
-        if judged.0 + 1 > self.next.0 {
-            self.next = Offset(judged.0 + 1);
-            self.gap = None;
+    pub fn mark_processed(&mut self, processed: Offset) {
+        if processed.0 + 1 > self.next_offset.0 {
+            self.next_offset = Offset(processed.0 + 1);
+            self.gap_start = None;
         }
     }
 
     /// Judges a change.
-    fn change(&mut self, offset: Offset, signed: Signed, payload: Payload) -> Verdict {
+    fn apply_change(&mut self, offset: Offset, signed: SignedHeader, payload: Payload) -> Verdict {
         if let Err(e) = signed.verify(&self.operators) {
-            return Verdict::Refused(fault(e));
+            return Verdict::Refused(key_error(e));
         }
         let header = &signed.header;
         let id = signed.id();
@@ -229,39 +231,42 @@
             None => (BundleSequence(0), Hash::default()),
         };
         if header.sequence <= sequence {
-            return self.late(&signed, id);
+            return self.late_verdict(&signed, id);
         }
         if header.sequence.0 != sequence.0 + 1 || header.parent != parent {
-            return Verdict::Refused(Fault::WrongParent);
+            return Verdict::Refused(RecordError::WrongParent);
         }
-        if let Err(fault) = self.fill(header.digest, &header.operators, payload) {
+        if let Err(fault) = self.set_content(header.digest, &header.operators, payload) {
             return Verdict::Refused(fault);
         }
         let sequence = header.sequence;
-        self.advance(Head { signed, at: offset });
+        self.set_head(Head {
+            signed,
+            accepted_offset: offset,
+        });
         Verdict::Accepted(sequence)
     }
 
     /// Judges a change whose place is taken.
-    fn late(&self, signed: &Signed, id: Hash) -> Verdict {
+    fn late_verdict(&self, signed: &SignedHeader, id: Hash) -> Verdict {
         let header = &signed.header;
         let past = self.history.iter().find(|p| p.sequence == header.sequence);
         match past {
-            Some(past) if past.id == id => Verdict::Refused(Fault::Replayed),
-            Some(past) if past.parent == header.parent => Verdict::Beaten {
-                by: past.sequence,
+            Some(past) if past.id == id => Verdict::Refused(RecordError::Replayed),
+            Some(past) if past.parent == header.parent => Verdict::Conflict {
+                winner: past.sequence,
                 operator: past.operator.clone(),
             },
-            Some(_) => Verdict::Refused(Fault::WrongParent),
-            None => Verdict::Refused(Fault::Replayed),
+            Some(_) => Verdict::Refused(RecordError::WrongParent),
+            None => Verdict::Refused(RecordError::Replayed),
         }
     }
 
     /// Makes a version the one in force; its content is already in place.
-    fn advance(&mut self, head: Head) {
-        let operators = operators_of(&self.content);
+    fn set_head(&mut self, head: Head) {
+        let operators = content_operators(&self.content);
         if operators != self.operators {
-            self.chain.push(Link {
+            self.chain.push(OperatorChange {
                 signed: head.signed.clone(),
                 operators: operators.clone(),
             });
@@ -269,7 +274,7 @@
         }
 
         let header = &head.signed.header;
-        let past = Past {
+        let past = PastVersion {
             sequence: header.sequence,
             id: head.signed.id(),
             parent: header.parent,
@@ -284,9 +289,9 @@
     }
 }
 
-fn fault(error: keys::Error) -> Fault {
+fn key_error(error: keys::Error) -> RecordError {
     match error {
-        keys::Error::UnknownOperator => Fault::UnknownOperator,
-        keys::Error::BadKey | keys::Error::BadSignature => Fault::BadSignature,
+        keys::Error::UnknownOperator => RecordError::UnknownOperator,
+        keys::Error::BadKey | keys::Error::BadSignature => RecordError::BadSignature,
     }
 }
--- a/crates/bundle/src/accept/fill.rs
+++ b/crates/bundle/src/accept/fill.rs
@@ -5,73 +5,75 @@
 use super::Acceptor;
 use crate::content::{Content, Entries, Patch};
 use crate::hash::Hash;
-use crate::record::{Payload, operators_hash, operators_of};
-use crate::verdict::{Fault, Verdict};
+use crate::record::{Payload, content_operators, operators_hash};
+use crate::verdict::{RecordError, Verdict};
 
 /// How many unfinished sets of parts are kept.
-const PART_SETS: usize = 4;
+const MAX_PART_SETS: usize = 4;
 
 /// Most parts in a set, which bounds what one set can take of the memory.
-const PARTS: u32 = 128;
+const MAX_PARTS: u32 = 128;
 
 impl Acceptor {
     /// Keeps a part for the record that needs it.
-    pub(super) fn keep(&mut self, digest: Hash, index: u32, entries: Entries) -> Verdict {
-        if index >= PARTS {
-            return Verdict::Refused(Fault::BadContent);
+    pub(super) fn buffer_part(&mut self, digest: Hash, index: u32, entries: Entries) -> Verdict {
+        if index >= MAX_PARTS {
+            return Verdict::Refused(RecordError::BadContent);
         }
         if digest == self.content.digest() {
-            return Verdict::Kept;
+            return Verdict::PartBuffered;
         }
         if let Some((_, set)) = self.parts.iter_mut().find(|(d, _)| *d == digest) {
             set.insert(index, entries);
-            return Verdict::Kept;
+            return Verdict::PartBuffered;
         }
         // Sets whose last record never came must not pile up.
-        if self.parts.len() == PART_SETS {
+        if self.parts.len() == MAX_PART_SETS {
             self.parts.pop_front();
         }
         let set = BTreeMap::from([(index, entries)]);
         self.parts.push_back((digest, set));
-        Verdict::Kept
+        Verdict::PartBuffered
     }
 
     /// Takes over content if it has the signed digest, else leaves all as it
     /// was.
-    pub(super) fn fill(
+    pub(super) fn set_content(
         &mut self,
         digest: Hash,
         operators: &Hash,
         payload: Payload,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), RecordError> {
         let fits = |content: &Content| {
-            content.digest() == digest && operators_hash(&operators_of(content)) == *operators
+            content.digest() == digest && operators_hash(&content_operators(content)) == *operators
         };
         let content = match payload {
             Payload::Delta(patch) => {
                 let undo = self.content.apply(&patch);
                 if fits(&self.content) {
-                    self.touch(&patch);
+                    self.mark_changed(&patch);
                     return Ok(());
                 }
                 self.content.apply(&undo);
-                return Err(Fault::BadContent);
+                return Err(RecordError::BadContent);
             }
             Payload::Parts(_) if self.content.digest() == digest => return Ok(()),
-            Payload::Parts(count) => self.join(digest, count).ok_or(Fault::BadContent)?,
-            Payload::Whole(entries) => Content::new(&entries),
+            Payload::Parts(count) => self
+                .join_parts(digest, count)
+                .ok_or(RecordError::BadContent)?,
+            Payload::Full(entries) => Content::new(&entries),
         };
         if !fits(&content) {
-            return Err(Fault::BadContent);
+            return Err(RecordError::BadContent);
         }
         self.content = content;
-        self.touched = None;
+        self.changed = None;
         Ok(())
     }
 
     /// Remembers which entries a patch changed.
-    fn touch(&mut self, patch: &Patch) {
-        let Some(touched) = &mut self.touched else {
+    fn mark_changed(&mut self, patch: &Patch) {
+        let Some(touched) = &mut self.changed else {
             return;
         };
         for (section, named) in patch {
@@ -81,7 +83,7 @@
     }
 
     /// Joins the parts of larger content, if all are there.
-    fn join(&mut self, digest: Hash, count: u32) -> Option<Content> {
+    fn join_parts(&mut self, digest: Hash, count: u32) -> Option<Content> {
         let at = self.parts.iter().position(|(d, _)| *d == digest)?;
         let (_, set) = &self.parts[at];
         let last = set.keys().next_back().copied();
--- a/crates/bundle/src/approval.rs
+++ b/crates/bundle/src/approval.rs
@@ -34,7 +34,7 @@
 pub enum Error {
     /// The bundle is not one.
     #[snafu(display("{source}"))]
-    Shape {
+    InvalidBundle {
         /// What was found.
         source: content::Error,
     },
@@ -43,13 +43,13 @@
         "step=verify_approval: the bundle is not the one that {operator} signed \
          (hint: sign it again)"
     ))]
-    Changed {
+    BundleChanged {
         /// Who signed.
         operator: String,
     },
     /// The signature is of no use.
     #[snafu(display("{source} (operator {operator})"))]
-    Key {
+    InvalidSignature {
         /// Who signed.
         operator: String,
         /// What was found.
@@ -64,9 +64,11 @@
     ///
     /// Returns [`Error`] when the bundle is not one or the key is damaged.
     pub fn new(bundle: Value, key: &SecretKey) -> Result<Self, Error> {
-        let digest = Content::from_json(&bundle).context(ShapeSnafu)?.digest();
+        let digest = Content::from_json(&bundle)
+            .context(InvalidBundleSnafu)?
+            .digest();
         let operator = key.operator.clone();
-        let signature = key.sign(&message(digest)).context(KeySnafu {
+        let signature = key.sign(&message(digest)).context(InvalidSignatureSnafu {
             operator: &operator,
         })?;
         Ok(Self {
@@ -84,10 +86,13 @@
     /// Returns [`Error`] when it does not.
     pub fn content(&self, operators: &Operators) -> Result<Content, Error> {
         let operator = &self.operator;
-        let content = Content::from_json(&self.bundle).context(ShapeSnafu)?;
-        ensure!(content.digest() == self.digest, ChangedSnafu { operator });
+        let content = Content::from_json(&self.bundle).context(InvalidBundleSnafu)?;
+        ensure!(
+            content.digest() == self.digest,
+            BundleChangedSnafu { operator }
+        );
         verify(operators, operator, &message(self.digest), &self.signature)
-            .context(KeySnafu { operator })?;
+            .context(InvalidSignatureSnafu { operator })?;
         Ok(content)
     }
 }
--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use crate::keys;
-use crate::model::{Bundle, Class, Pool, Service, Shares, Workspace};
+use crate::model::{Bundle, Class, EnginePool, Service, Shares, Workspace};
 
 /// Highest tier that a class may have, as a number.
 const LOWEST_TIER: u8 = 7;
@@ -92,7 +92,7 @@
         Bundle {
             classes: self.section::<Class>(json, "classes"),
             workspaces: self.section::<Arc<Workspace>>(json, "workspaces"),
-            models: self.section::<Pool>(json, "models"),
+            models: self.section::<EnginePool>(json, "models"),
             services: self.section::<Service>(json, "services"),
             operators: self.section::<String>(json, "operators"),
             shares: shares
@@ -169,14 +169,17 @@
         let named = [
             ("first_token", targets.first_token),
             ("token_gap", targets.token_gap),
-            ("whole", targets.whole),
+            ("whole", targets.full_answer),
         ];
         for (name, span) in named.iter().filter(|(_, span)| span.0.is_zero()) {
             let hint = "a target is longer than 0, as in \"900ms\"";
             self.add(format!("{path}.{name}"), span.to_string(), hint);
         }
-        if targets.first_token > targets.whole {
-            let found = format!("{} with first_token {}", targets.whole, targets.first_token);
+        if targets.first_token > targets.full_answer {
+            let found = format!(
+                "{} with first_token {}",
+                targets.full_answer, targets.first_token
+            );
             let hint = "the whole answer cannot be due before its first token";
             self.add(format!("{path}.whole"), found, hint);
         }
@@ -244,9 +247,9 @@
 
     fn shares(&mut self, shares: &Shares) {
         let limits = [
-            ("guaranteed", shares.guaranteed, 0.5),
-            ("retries", shares.retries, 1.0),
-            ("ejected", shares.ejected, 0.5),
+            ("guaranteed", shares.guaranteed_share, 0.5),
+            ("retries", shares.retry_ratio, 1.0),
+            ("ejected", shares.max_ejected, 0.5),
         ];
         for (name, share, limit) in limits {
             if !(0.0..=limit).contains(&share) {
--- a/crates/bundle/src/content.rs
+++ b/crates/bundle/src/content.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use snafu::Snafu;
 
-use crate::digest::Tree;
+use crate::digest::DigestTree;
 use crate::entry::Entry;
 use crate::hash::Hash;
 use crate::model::Bundle;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Content {
     entries: BTreeMap<String, BTreeMap<String, Box<str>>>,
-    tree: Tree,
+    tree: DigestTree,
 }
 
 /// Why content could not be read.
@@ -38,13 +38,15 @@
     #[snafu(display(
         "step=read_bundle key={key}: expected an object (hint: a bundle is an object of sections, each an object of entries)"
     ))]
-    Shape {
+    #[serde(rename = "Shape")]
+    NotAnObject {
         /// The offending key.
         key: String,
     },
     /// This build cannot make sense of the content.
     #[snafu(display("step=read_bundle key={key}: {found} (hint: run bundle check)"))]
-    Meaning {
+    #[serde(rename = "Meaning")]
+    Invalid {
         /// The path of the offending key.
         key: String,
         /// What was found there.
@@ -59,10 +61,10 @@
         let mut content = Self::default();
         for (section, named) in entries {
             for (name, value) in named {
-                content.set(section, name, Some(canonical(value)));
+                content.set(section, name, Some(canonical_json(value)));
             }
         }
-        content.tree.settle();
+        content.tree.update_sums();
         content
     }
 
@@ -70,9 +72,9 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Shape`] when it is not an object of objects.
+    /// Returns [`Error::NotAnObject`] when it is not an object of objects.
     pub fn from_json(json: &Value) -> Result<Self, Error> {
-        let shape = |key: &str| Error::Shape {
+        let shape = |key: &str| Error::NotAnObject {
             key: key.to_owned(),
         };
         let sections = json.as_object().ok_or_else(|| shape("."))?;
@@ -81,16 +83,16 @@
         for (section, named) in sections {
             let named = named.as_object().ok_or_else(|| shape(section))?;
             for (name, value) in named {
-                content.set(section, name, Some(canonical(value)));
+                content.set(section, name, Some(canonical_json(value)));
             }
         }
-        content.tree.settle();
+        content.tree.update_sums();
         Ok(content)
     }
 
     /// Takes a bundle as this build writes it.
     #[must_use]
-    pub fn of(bundle: &Bundle) -> Self {
+    pub fn from_bundle(bundle: &Bundle) -> Self {
         // A bundle is an object of objects by its type.
         let json = serde_json::to_value(bundle).unwrap_or_default();
         Self::from_json(&json).unwrap_or_default()
@@ -119,14 +121,14 @@
         let mut undo = Patch::new();
         for (section, named) in patch {
             for (name, value) in named {
-                let old = self.set(section, name, value.as_ref().map(canonical));
+                let old = self.set(section, name, value.as_ref().map(canonical_json));
                 let old = old.and_then(|text| serde_json::from_str(&text).ok());
                 undo.entry(section.clone())
                     .or_default()
                     .insert(name.clone(), old);
             }
         }
-        self.tree.settle();
+        self.tree.update_sums();
         undo
     }
 
@@ -199,11 +201,11 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Meaning`] with the path of the first offence.
-    pub fn bundle(&self) -> Result<Bundle, Error> {
+    /// Returns [`Error::Invalid`] with the path of the first offence.
+    pub fn to_bundle(&self) -> Result<Bundle, Error> {
         let mut bundle = Bundle::default();
         for (section, name, _) in self.iter() {
-            bundle.set(section, name, Entry::read(self, section, name)?);
+            bundle.set(section, name, Entry::parse(self, section, name)?);
         }
         Ok(bundle)
     }
@@ -231,7 +233,7 @@
 /// Writes JSON without white space and with sorted keys, so that equal values
 /// have equal bytes.
 #[must_use]
-pub fn canonical(value: &Value) -> String {
+pub fn canonical_json(value: &Value) -> String {
     sorted(value).to_string()
 }
 
--- a/crates/bundle/src/digest.rs
+++ b/crates/bundle/src/digest.rs
@@ -13,7 +13,7 @@
 
 /// The hashes of all entries.
 #[derive(Debug, Clone)]
-pub struct Tree {
+pub struct DigestTree {
     buckets: Vec<Bucket>,
     sums: Vec<Hash>,
 }
@@ -21,7 +21,7 @@
 /// The entries whose names' hashes share the first byte.
 type Bucket = BTreeMap<Hash, Hash>;
 
-impl Default for Tree {
+impl Default for DigestTree {
     fn default() -> Self {
         Self {
             buckets: vec![Bucket::new(); BUCKETS],
@@ -30,7 +30,7 @@
     }
 }
 
-impl Tree {
+impl DigestTree {
     /// Sets or removes one entry.
     pub fn set(&mut self, section: &str, name: &str, value: Option<&str>) {
         let key = Hash::of(&[section.as_bytes(), name.as_bytes()]);
@@ -54,7 +54,7 @@
     }
 
     /// Makes the sums that changes left stale.
-    pub fn settle(&mut self) {
+    pub fn update_sums(&mut self) {
         for at in 0..BUCKETS {
             self.sums[at] = self.sum(at);
         }
--- a/crates/bundle/src/entry.rs
+++ b/crates/bundle/src/entry.rs
@@ -8,7 +8,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::content::{Content, Error};
-use crate::model::{Bundle, Class, Pool, Service, Shares, Workspace};
+use crate::model::{Bundle, Class, EnginePool, Service, Shares, Workspace};
 
 /// One entry as this build understands it.
 #[derive(Debug, Clone)]
@@ -18,7 +18,7 @@
     /// A workspace.
     Workspace(Arc<Workspace>),
     /// A pool of model engines.
-    Model(Pool),
+    Model(EnginePool),
     /// A plain service.
     Service(Service),
     /// An operator's public key.
@@ -26,7 +26,7 @@
     /// All shares, which are read together.
     Shares(Shares),
     /// No entry any more.
-    Gone,
+    Removed,
 }
 
 impl Entry {
@@ -34,13 +34,13 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Meaning`] when this build cannot make sense of it.
-    pub fn read(content: &Content, section: &str, name: &str) -> Result<Self, Error> {
+    /// Returns [`Error::Invalid`] when this build cannot make sense of it.
+    pub fn parse(content: &Content, section: &str, name: &str) -> Result<Self, Error> {
         if section == "shares" {
             return shares(content).map(Self::Shares);
         }
         let Some(text) = content.get(section, name) else {
-            return Ok(Self::Gone);
+            return Ok(Self::Removed);
         };
         let key = || format!("{section}.{name}");
         match section {
@@ -49,7 +49,7 @@
             "models" => parse(text, key).map(Self::Model),
             "services" => parse(text, key).map(Self::Service),
             "operators" => parse(text, key).map(Self::Operator),
-            _ => Err(Error::Meaning {
+            _ => Err(Error::Invalid {
                 key: section.to_owned(),
                 found: "unknown section".to_owned(),
             }),
@@ -68,7 +68,7 @@
             Entry::Service(service) => drop(self.services.insert(name, service)),
             Entry::Operator(key) => drop(self.operators.insert(name, key)),
             Entry::Shares(shares) => self.shares = shares,
-            Entry::Gone => self.remove(section, &name),
+            Entry::Removed => self.remove(section, &name),
         }
     }
 
@@ -97,7 +97,7 @@
 
 fn parse<T: DeserializeOwned>(text: &str, key: impl Fn() -> String) -> Result<T, Error> {
     let mut de = serde_json::Deserializer::from_str(text);
-    serde_path_to_error::deserialize(&mut de).map_err(|e| Error::Meaning {
+    serde_path_to_error::deserialize(&mut de).map_err(|e| Error::Invalid {
         key: match e.path().to_string().as_str() {
             "." => key(),
             inner => format!("{}.{inner}", key()),
--- a/crates/bundle/src/hash.rs
+++ b/crates/bundle/src/hash.rs
@@ -7,12 +7,12 @@
 use sha2::{Digest, Sha256};
 
 /// Bytes in a hash.
-pub const LEN: usize = 32;
+pub const HASH_LEN: usize = 32;
 
 /// A SHA-256 value.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Hash(pub [u8; LEN]);
+pub struct Hash(pub [u8; HASH_LEN]);
 
 impl Hash {
     /// Hashes several byte strings one after the other, each led by its
@@ -60,11 +60,11 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let bad = || format!("bad hash {text:?}, expected 64 lower-case hex digits");
         let hex = |c: u8| matches!(c, b'0'..=b'9' | b'a'..=b'f');
-        if text.len() != 2 * LEN || !text.bytes().all(hex) {
+        if text.len() != 2 * HASH_LEN || !text.bytes().all(hex) {
             return Err(bad());
         }
 
-        let mut bytes = [0; LEN];
+        let mut bytes = [0; HASH_LEN];
         for (i, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * i..2 * i + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| bad())?;
--- a/crates/bundle/src/lookup.rs
+++ b/crates/bundle/src/index.rs
@@ -7,7 +7,7 @@
 
 use sha2::{Digest, Sha256};
 
-use crate::accept::Touched;
+use crate::accept::ChangedEntries;
 use crate::content::{Content, Error};
 use crate::entry::Entry;
 use crate::hash::Hash;
@@ -17,16 +17,16 @@
 /// thousands of workspaces, and every request names its own by a token; going
 /// through them all would cost each request milliseconds.
 #[derive(Debug, Clone, Default)]
-pub struct Lookup {
+pub struct IndexedBundle {
     /// The bundle.
     bundle: Bundle,
     /// Workspace names by the SHA-256 of a token.
     tokens: HashMap<Hash, Arc<str>>,
     /// Whether two workspaces have the same token; `check` refuses that.
-    contested: bool,
+    duplicate_tokens: bool,
 }
 
-impl Lookup {
+impl IndexedBundle {
     /// Prepares a bundle.
     #[must_use]
     pub fn new(bundle: Bundle) -> Self {
@@ -42,17 +42,17 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Meaning`] when this build cannot make sense of one;
+    /// Returns [`Error::Invalid`] when this build cannot make sense of one;
     /// nothing has changed then.
-    pub fn update(&mut self, content: &Content, touched: &Touched) -> Result<(), Error> {
+    pub fn update(&mut self, content: &Content, touched: &ChangedEntries) -> Result<(), Error> {
         let read = touched.iter().map(|(section, name)| {
-            let entry = Entry::read(content, section, name)?;
+            let entry = Entry::parse(content, section, name)?;
             Ok((section, name, entry))
         });
         let entries: Vec<_> = read.collect::<Result<_, Error>>()?;
         for (section, name, entry) in entries {
             if section == "workspaces" {
-                self.forget(name);
+                self.unindex(name);
             }
             if let Entry::Workspace(workspace) = &entry {
                 self.index(name, workspace);
@@ -61,7 +61,7 @@
         }
         // The index knows one owner of a token; if it goes, the other one
         // stays, which only a look at all of them tells.
-        if self.contested {
+        if self.duplicate_tokens {
             self.index_all();
         }
         Ok(())
@@ -69,7 +69,7 @@
 
     fn index_all(&mut self) {
         self.tokens.clear();
-        self.contested = false;
+        self.duplicate_tokens = false;
         for (name, workspace) in self.bundle.workspaces.clone() {
             self.index(&name, &workspace);
         }
@@ -81,13 +81,13 @@
         let name: Arc<str> = name.into();
         for token in workspace.tokens.iter().filter_map(|t| t.parse().ok()) {
             let before = self.tokens.insert(token, Arc::clone(&name));
-            self.contested |= before.is_some_and(|owner| owner != name);
+            self.duplicate_tokens |= before.is_some_and(|owner| owner != name);
         }
     }
 
     /// Takes a workspace's tokens out of the index, but for those that went
     /// over to another workspace.
-    fn forget(&mut self, name: &str) {
+    fn unindex(&mut self, name: &str) {
         let Some(workspace) = self.bundle.workspaces.get(name) else {
             return;
         };
@@ -104,13 +104,13 @@
 
     /// The workspace that a bearer token stands for.
     #[must_use]
-    pub fn owner(&self, token: &str) -> Option<&str> {
+    pub fn token_workspace(&self, token: &str) -> Option<&str> {
         let hash = Hash(Sha256::digest(token.as_bytes()).into());
         self.tokens.get(&hash).map(|name| &**name)
     }
 }
 
-impl Deref for Lookup {
+impl Deref for IndexedBundle {
     type Target = Bundle;
 
     fn deref(&self) -> &Bundle {
--- a/crates/bundle/src/keys.rs
+++ b/crates/bundle/src/keys.rs
@@ -25,7 +25,8 @@
     /// The secret, in base64.
     secret: String,
     /// The public key, in base64, for the bundle's operators.
-    pub public: String,
+    #[serde(rename = "public")]
+    pub public_key: String,
 }
 
 impl fmt::Debug for SecretKey {
@@ -33,7 +34,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("SecretKey")
             .field("operator", &self.operator)
-            .field("public", &self.public)
+            .field("public", &self.public_key)
             .finish_non_exhaustive()
     }
 }
@@ -68,7 +69,7 @@
         Self {
             operator: operator.to_owned(),
             secret: STANDARD.encode(secret),
-            public: STANDARD.encode(public.as_bytes()),
+            public_key: STANDARD.encode(public.as_bytes()),
         }
     }
 
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`keys`]: operators' keys and signatures.
 //! - [`record`]: the records in the platform's log.
 //! - [`accept`] and [`verdict`]: which record is accepted.
-//! - [`lookup`]: the declaration prepared for every request.
+//! - [`index`]: the declaration prepared for every request.
 
 pub mod accept;
 pub mod approval;
@@ -20,8 +20,8 @@
 pub mod digest;
 pub mod entry;
 pub mod hash;
+pub mod index;
 pub mod keys;
-pub mod lookup;
 pub mod model;
 pub mod record;
 pub mod verdict;
@@ -30,8 +30,8 @@
 pub use approval::Approval;
 pub use content::Content;
 pub use hash::Hash;
+pub use index::{IndexedBundle, token_hash};
 pub use keys::{Operators, SecretKey};
-pub use lookup::{Lookup, token_hash};
-pub use model::{Bundle, Class, Pool, Service, Shares, Targets, Workspace};
-pub use record::{Checkpoint, Payload, Record, Signed};
-pub use verdict::{Fault, Verdict};
+pub use model::{Bundle, Class, EnginePool, Service, Shares, Targets, Workspace};
+pub use record::{Checkpoint, Payload, Record, SignedHeader};
+pub use verdict::{RecordError, Verdict};
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -20,7 +20,7 @@
     /// many of them is made without copying them.
     pub workspaces: BTreeMap<String, Arc<Workspace>>,
     /// Pools of model engines by the model's name.
-    pub models: BTreeMap<String, Pool>,
+    pub models: BTreeMap<String, EnginePool>,
     /// Plain services by name, reached under `/v1/services/{name}/`.
     pub services: BTreeMap<String, Service>,
     /// Operators who may sign the bundle after this one: name to public key
@@ -51,7 +51,8 @@
     /// Between two pieces of the answer, as a mean over the answer.
     pub token_gap: HumanDuration,
     /// Until the last piece of the answer.
-    pub whole: HumanDuration,
+    #[serde(rename = "whole")]
+    pub full_answer: HumanDuration,
 }
 
 /// One customer and what it may use.
@@ -70,7 +71,7 @@
 /// A pool of model engines that serve one model.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Pool {
+pub struct EnginePool {
     /// The version that the pool's engines should have loaded.
     #[serde(default)]
     pub version: String,
@@ -86,8 +87,8 @@
     /// The class that its calls belong to when the caller names none.
     pub class: String,
     /// Whether a call may run again when its outcome is unknown.
-    #[serde(default)]
-    pub repeatable: bool,
+    #[serde(default, rename = "repeatable")]
+    pub idempotent: bool,
 }
 
 /// The policy's shares and limits.
@@ -96,20 +97,23 @@
 pub struct Shares {
     /// Share of starts that goes to the longest waiting lower-tier work,
     /// between 0 and 0.5.
-    pub guaranteed: f64,
+    #[serde(rename = "guaranteed")]
+    pub guaranteed_share: f64,
     /// Retries allowed per grant of a class, between 0 and 1.
-    pub retries: f64,
+    #[serde(rename = "retries")]
+    pub retry_ratio: f64,
     /// Share of a pool's servers that may be set aside at once, between 0
     /// and 0.5.
-    pub ejected: f64,
+    #[serde(rename = "ejected")]
+    pub max_ejected: f64,
 }
 
 impl Default for Shares {
     fn default() -> Self {
         Self {
-            guaranteed: 0.05,
-            retries: 0.1,
-            ejected: 0.3,
+            guaranteed_share: 0.05,
+            retry_ratio: 0.1,
+            max_ejected: 0.3,
         }
     }
 }
--- a/crates/bundle/src/record.rs
+++ b/crates/bundle/src/record.rs
@@ -8,10 +8,10 @@
 use crate::keys::{self, Operators, SecretKey, verify};
 
 /// Largest record, in bytes. Larger content travels in parts.
-pub const RECORD_LIMIT: usize = 256 << 10;
+pub const RECORD_MAX_BYTES: usize = 256 << 10;
 
 /// Bytes of entries in one part, which leaves room for its other fields.
-pub const PART_LIMIT: usize = RECORD_LIMIT - (4 << 10);
+pub const PART_MAX_BYTES: usize = RECORD_MAX_BYTES - (4 << 10);
 
 /// What an operator signs: one step from a version to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
 pub struct Header {
     /// The new version's number: the parent's plus one.
     pub sequence: BundleSequence,
-    /// The parent's [`Signed::id`]; all zero for the first version.
+    /// The parent's [`SignedHeader::id`]; all zero for the first version.
     pub parent: Hash,
     /// Digest of the whole content after the step.
     pub digest: Hash,
@@ -35,7 +35,7 @@
 /// A header with its signature.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Signed {
+pub struct SignedHeader {
     /// What is signed.
     pub header: Header,
     /// The signature over the header's canonical bytes, in base64.
@@ -49,7 +49,7 @@
     /// A step that an operator publishes.
     Change {
         /// The signed step.
-        signed: Signed,
+        signed: SignedHeader,
         /// The content that it leads to.
         payload: Payload,
     },
@@ -72,7 +72,8 @@
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Payload {
     /// All entries.
-    Whole(Entries),
+    #[serde(rename = "whole")]
+    Full(Entries),
     /// What changed since the parent.
     Delta(Patch),
     /// All entries, in that many parts before this record.
@@ -84,15 +85,17 @@
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
     /// The version's signed header.
-    pub signed: Signed,
+    pub signed: SignedHeader,
     /// Where it was accepted.
-    pub at: Offset,
+    #[serde(rename = "at")]
+    pub accepted_offset: Offset,
     /// The last offset that its writer had judged: the version was in force
     /// after all records up to there.
-    pub judged: Offset,
+    #[serde(rename = "judged")]
+    pub processed: Offset,
     /// What proves that its operator may sign, from a settings' trust root
     /// on.
-    pub chain: Vec<Link>,
+    pub chain: Vec<OperatorChange>,
     /// Its content.
     pub payload: Payload,
 }
@@ -100,14 +103,14 @@
 /// A version that changed who may sign.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Link {
+pub struct OperatorChange {
     /// The version's signed header.
-    pub signed: Signed,
+    pub signed: SignedHeader,
     /// Who may sign after it.
     pub operators: Operators,
 }
 
-impl Signed {
+impl SignedHeader {
     /// Signs a header.
     ///
     /// # Errors
@@ -169,7 +172,7 @@
 
 /// The operators that content names.
 #[must_use]
-pub fn operators_of(content: &Content) -> Operators {
+pub fn content_operators(content: &Content) -> Operators {
     let key = |value| serde_json::from_str(value).unwrap_or_default();
     content
         .section("operators")
@@ -180,7 +183,7 @@
 /// Splits content into records of at most about `limit` bytes each. The
 /// record that names their count follows them in the log.
 #[must_use]
-pub fn parts(content: &Content, limit: usize) -> Vec<Record> {
+pub fn split_parts(content: &Content, limit: usize) -> Vec<Record> {
     let digest = content.digest();
     let mut parts = Vec::new();
     let mut entries = Entries::new();
--- a/crates/bundle/src/verdict.rs
+++ b/crates/bundle/src/verdict.rs
@@ -11,9 +11,9 @@
     /// A change is in force from here on.
     Accepted(BundleSequence),
     /// Another record for the same parent stands earlier in the log.
-    Beaten {
+    Conflict {
         /// The version that won.
-        by: BundleSequence,
+        winner: BundleSequence,
         /// Who signed it.
         operator: String,
     },
@@ -24,23 +24,23 @@
     Known,
     /// A checkpoint whose writer had read past a version in force here and
     /// does not know it; its writer must be told by another checkpoint.
-    Behind,
+    StaleCheckpoint,
     /// A part of larger content was kept for the record that needs it.
-    Kept,
+    PartBuffered,
     /// The reader has missed records and cannot judge before it finds a
     /// checkpoint.
-    Unjudged,
+    NotEvaluated,
     /// The offset was judged before.
-    Repeated,
+    Duplicate,
     /// The record is of no effect, whatever follows.
-    Refused(Fault),
+    Refused(RecordError),
 }
 
 /// Why a record is of no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fault {
-    /// It is larger than [`crate::record::RECORD_LIMIT`].
+pub enum RecordError {
+    /// It is larger than [`crate::record::RECORD_MAX_BYTES`].
     TooLarge,
     /// It is not a record.
     Unreadable,
@@ -81,19 +81,19 @@
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Accepted(_) => "accepted",
-            Self::Beaten { .. } => "beaten",
+            Self::Conflict { .. } => "beaten",
             Self::Adopted(_) => "adopted",
             Self::Known => "known",
-            Self::Behind => "behind",
-            Self::Kept => "kept",
-            Self::Unjudged => "unjudged",
-            Self::Repeated => "repeated",
+            Self::StaleCheckpoint => "behind",
+            Self::PartBuffered => "kept",
+            Self::NotEvaluated => "unjudged",
+            Self::Duplicate => "repeated",
             Self::Refused(fault) => fault.as_str(),
         }
     }
 }
 
-impl Fault {
+impl RecordError {
     /// The word used in labels and logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
--- a/crates/bundle/tests/accept.rs
+++ b/crates/bundle/tests/accept.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use base::ids::{BundleSequence, Offset};
-use bundle::record::{RECORD_LIMIT, parts};
-use bundle::{Acceptor, Content, Fault, Payload, Record, Signed, Verdict};
+use bundle::record::{RECORD_MAX_BYTES, split_parts};
+use bundle::{Acceptor, Content, Payload, Record, RecordError, SignedHeader, Verdict};
 use common::{Memory, awa, change, content, id, luz, mallory, operators, step, trust};
 use rstest::rstest;
 
@@ -29,8 +29,8 @@
     log.append(&two);
     log.append(&one);
 
-    let beaten = Verdict::Beaten {
-        by: BundleSequence(2),
+    let beaten = Verdict::Conflict {
+        winner: BundleSequence(2),
         operator: "luz".to_owned(),
     };
     assert_eq!(
@@ -49,7 +49,7 @@
     log.append(&change(&reader, &awa(), &content("v2", &trust())));
     log.records.push(old);
 
-    let replayed = Verdict::Refused(Fault::Replayed);
+    let replayed = Verdict::Refused(RecordError::Replayed);
     assert_eq!(
         log.read_all(&mut reader),
         [Verdict::Accepted(BundleSequence(2)), replayed]
@@ -65,7 +65,7 @@
     let to = content("bad", &trust());
     let mut signed = step(reader, &awa(), &to);
     signed.header.operator = "luz".to_owned();
-    let payload = Payload::Whole(to.entries());
+    let payload = Payload::Full(to.entries());
     Record::Change { signed, payload }.bytes()
 }
 
@@ -73,8 +73,8 @@
     let to = content("bad", &trust());
     let mut header = step(reader, &awa(), &to).header;
     header.parent = bundle::Hash::of(&[b"elsewhere"]);
-    let signed = Signed::new(header, &awa()).expect("test key");
-    let payload = Payload::Whole(to.entries());
+    let signed = SignedHeader::new(header, &awa()).expect("test key");
+    let payload = Payload::Full(to.entries());
     Record::Change { signed, payload }.bytes()
 }
 
@@ -82,14 +82,14 @@
     let to = content("bad", &trust());
     let mut header = step(reader, &awa(), &to).header;
     header.sequence.0 += 1;
-    let signed = Signed::new(header, &awa()).expect("test key");
-    let payload = Payload::Whole(to.entries());
+    let signed = SignedHeader::new(header, &awa()).expect("test key");
+    let payload = Payload::Full(to.entries());
     Record::Change { signed, payload }.bytes()
 }
 
 fn other_content(reader: &Acceptor) -> Vec<u8> {
     let signed = step(reader, &awa(), &content("v2", &trust()));
-    let payload = Payload::Whole(content("bad", &trust()).entries());
+    let payload = Payload::Full(content("bad", &trust()).entries());
     Record::Change { signed, payload }.bytes()
 }
 
@@ -106,7 +106,7 @@
 }
 
 fn large(_: &Acceptor) -> Vec<u8> {
-    vec![b' '; RECORD_LIMIT + 1]
+    vec![b' '; RECORD_MAX_BYTES + 1]
 }
 
 fn garbage(_: &Acceptor) -> Vec<u8> {
@@ -114,16 +114,16 @@
 }
 
 #[rstest]
-#[case::unknown_operator(unknown, Fault::UnknownOperator)]
-#[case::bad_signature(forged, Fault::BadSignature)]
-#[case::wrong_parent(other_parent, Fault::WrongParent)]
-#[case::skipped_number(skipped, Fault::WrongParent)]
-#[case::other_content(other_content, Fault::BadContent)]
-#[case::other_delta(other_delta, Fault::BadContent)]
-#[case::missing_parts(missing_parts, Fault::BadContent)]
-#[case::too_large(large, Fault::TooLarge)]
-#[case::unreadable(garbage, Fault::Unreadable)]
-fn apply_refused(#[case] make: fn(&Acceptor) -> Vec<u8>, #[case] fault: Fault) {
+#[case::unknown_operator(unknown, RecordError::UnknownOperator)]
+#[case::bad_signature(forged, RecordError::BadSignature)]
+#[case::wrong_parent(other_parent, RecordError::WrongParent)]
+#[case::skipped_number(skipped, RecordError::WrongParent)]
+#[case::other_content(other_content, RecordError::BadContent)]
+#[case::other_delta(other_delta, RecordError::BadContent)]
+#[case::missing_parts(missing_parts, RecordError::BadContent)]
+#[case::too_large(large, RecordError::TooLarge)]
+#[case::unreadable(garbage, RecordError::Unreadable)]
+fn apply_refused(#[case] make: fn(&Acceptor) -> Vec<u8>, #[case] fault: RecordError) {
     let (mut log, mut reader) = first_accepted();
     let (before, digest) = (id(&reader), reader.content().digest());
     log.records.push(make(&reader));
@@ -164,7 +164,7 @@
     // Without a checkpoint it takes nothing at all.
     log.first = 4;
     let mut blind = Acceptor::new(trust());
-    assert_eq!(log.read_all(&mut blind), [Verdict::Unjudged]);
+    assert_eq!(log.read_all(&mut blind), [Verdict::NotEvaluated]);
     assert_eq!(blind.head(), None);
 }
 
@@ -183,7 +183,7 @@
 
     let mut fresh = Acceptor::new(trust());
     let verdicts = log.read_all(&mut fresh);
-    assert_eq!(verdicts, [Verdict::Unjudged, Verdict::Unjudged]);
+    assert_eq!(verdicts, [Verdict::NotEvaluated, Verdict::NotEvaluated]);
 }
 
 #[test]
@@ -198,7 +198,7 @@
     log.append(&change(&reader, &awa(), &content("v3", &team)));
     assert_eq!(
         log.read_all(&mut reader),
-        [Verdict::Refused(Fault::UnknownOperator)]
+        [Verdict::Refused(RecordError::UnknownOperator)]
     );
     log.append(&change(
         &reader,
@@ -223,7 +223,7 @@
 
     // Settings that never knew any of them take nothing.
     let mut stranger = Acceptor::new(operators(&[luz()]));
-    let refused = Verdict::Refused(Fault::UnknownOperator);
+    let refused = Verdict::Refused(RecordError::UnknownOperator);
     assert_eq!(log.read_all(&mut stranger), [refused]);
 }
 
@@ -239,10 +239,10 @@
         named.insert(format!("workspace-{i}"), value);
     }
     let large = Content::new(&entries);
-    let split = parts(&large, RECORD_LIMIT - 4096);
+    let split = split_parts(&large, RECORD_MAX_BYTES - 4096);
     assert!(split.len() > 1);
     split.iter().for_each(|part| {
-        assert!(part.bytes().len() <= RECORD_LIMIT);
+        assert!(part.bytes().len() <= RECORD_MAX_BYTES);
         log.append(part);
     });
     let payload = Payload::Parts(u32::try_from(split.len()).expect("few"));
@@ -278,6 +278,6 @@
     let mut offered = reader.snapshot().expect("a head");
     offered.signed.header.sequence = BundleSequence(9);
     let mut fresh = Acceptor::new(trust());
-    assert_eq!(fresh.adopt(offered), Err(Fault::BadSignature));
-    assert_eq!(fresh.next(), Offset(0));
+    assert_eq!(fresh.adopt(offered), Err(RecordError::BadSignature));
+    assert_eq!(fresh.next_offset(), Offset(0));
 }
--- a/crates/bundle/tests/check.rs
+++ b/crates/bundle/tests/check.rs
@@ -16,7 +16,7 @@
         "workspaces": { "mairie": { "tokens": ["a".repeat(64)], "classes": ["counter"] } },
         "models": { "dossier-8b": {} },
         "services": { "messaging": { "class": "counter" } },
-        "operators": { "awa": key.public },
+        "operators": { "awa": key.public_key },
         "shares": { "guaranteed": 0.05 },
     })
 }
--- a/crates/bundle/tests/common/mod.rs
+++ b/crates/bundle/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use base::ids::{BundleSequence, Offset};
 use bundle::hash::Hash;
-use bundle::record::{Header, operators_hash, operators_of};
-use bundle::{Acceptor, Content, Operators, Payload, Record, SecretKey, Signed, Verdict};
+use bundle::record::{Header, content_operators, operators_hash};
+use bundle::{Acceptor, Content, Operators, Payload, Record, SecretKey, SignedHeader, Verdict};
 use serde_json::json;
 
 /// The operators of most tests.
@@ -22,7 +22,7 @@
 }
 
 pub(crate) fn operators(keys: &[SecretKey]) -> Operators {
-    let pair = |k: &SecretKey| (k.operator.clone(), k.public.clone());
+    let pair = |k: &SecretKey| (k.operator.clone(), k.public_key.clone());
     keys.iter().map(pair).collect()
 }
 
@@ -41,17 +41,17 @@
 }
 
 /// The step from what `reader` holds to `to`, as a delta.
-pub(crate) fn step(reader: &Acceptor, key: &SecretKey, to: &Content) -> Signed {
+pub(crate) fn step(reader: &Acceptor, key: &SecretKey, to: &Content) -> SignedHeader {
     let parent = reader.head().map(|h| h.signed.id());
     let header = Header {
         sequence: BundleSequence(reader.sequence().0 + 1),
         parent: parent.unwrap_or_default(),
         digest: to.digest(),
-        operators: operators_hash(&operators_of(to)),
+        operators: operators_hash(&content_operators(to)),
         operator: key.operator.clone(),
         restores: None,
     };
-    Signed::new(header, key).expect("test key")
+    SignedHeader::new(header, key).expect("test key")
 }
 
 pub(crate) fn change(reader: &Acceptor, key: &SecretKey, to: &Content) -> Record {
@@ -82,8 +82,8 @@
     pub(crate) fn read(&self, reader: &mut Acceptor, most: usize) -> Vec<Verdict> {
         let mut verdicts = Vec::new();
         while verdicts.len() < most {
-            reader.expired(Offset(self.first));
-            let at = reader.next().0;
+            reader.skip_expired(Offset(self.first));
+            let at = reader.next_offset().0;
             let Some(bytes) = self.records.get(at as usize) else {
                 break;
             };
--- a/crates/bundle/tests/content.rs
+++ b/crates/bundle/tests/content.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bundle::Content;
-use bundle::content::{Entries, canonical};
+use bundle::content::{Entries, canonical_json};
 use proptest::prelude::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -47,7 +47,7 @@
 #[case::list(json!(["b", "a"]), r#"["b","a"]"#)]
 #[case::numbers(json!({"n": 0.05, "m": 1}), r#"{"m":1,"n":0.05}"#)]
 fn canonical_value(#[case] value: Value, #[case] text: &str) {
-    assert_eq!(canonical(&value), text);
+    assert_eq!(canonical_json(&value), text);
 }
 
 #[rstest]
@@ -61,6 +61,6 @@
 fn bundle_meaning() {
     let unknown = json!({ "classes": {}, "workspaces": {}, "models": { "m": { "size": 1 } }, "operators": {} });
     let content = Content::from_json(&unknown).expect("object of objects");
-    let error = content.bundle().expect_err("unknown field");
+    let error = content.to_bundle().expect_err("unknown field");
     assert!(error.to_string().contains("models.m"), "{error}");
 }
--- a/crates/bundle/tests/convergence.rs
+++ b/crates/bundle/tests/convergence.rs
@@ -118,7 +118,7 @@
         // An operator's tool reads the log to the end as it finds it, so an
         // unanchored one publishes nothing.
         let reader = &self.readers[reader];
-        if !reader.anchored() {
+        if !reader.is_contiguous() {
             return;
         }
         self.made += 1;
@@ -148,7 +148,9 @@
     /// there on may expire.
     fn usable(&self) -> u64 {
         let checkpoint = |at: u64| match serde_json::from_slice(&self.log.records[at as usize]) {
-            Ok(bundle::Record::Checkpoint(c)) if c.judged < Offset(at) => Some(c.judged.0 + 1),
+            Ok(bundle::Record::Checkpoint(c)) if c.processed < Offset(at) => {
+                Some(c.processed.0 + 1)
+            }
             _ => None,
         };
         let judged = (self.log.first..self.log.end()).rev().find_map(checkpoint);
@@ -167,17 +169,17 @@
             let mut behind = false;
             for at in 0..READERS {
                 let verdicts = self.log.read_all(&mut self.readers[at]);
-                let stuck = !self.readers[at].anchored() && self.readers[at].head().is_some();
+                let stuck = !self.readers[at].is_contiguous() && self.readers[at].head().is_some();
                 if stuck {
-                    self.readers[at].resume(Offset(self.log.first));
+                    self.readers[at].skip_gap(Offset(self.log.first));
                     self.log.read_all(&mut self.readers[at]);
                 }
-                if stuck || verdicts.contains(&Verdict::Behind) {
+                if stuck || verdicts.contains(&Verdict::StaleCheckpoint) {
                     self.checkpoint(at);
                     behind = true;
                 }
             }
-            let blind = |r: &Acceptor| !r.anchored();
+            let blind = |r: &Acceptor| !r.is_contiguous();
             if !behind && !self.readers.iter().any(blind) {
                 return;
             }
--- a/crates/bundle/tests/lookup.rs
+++ b/crates/bundle/tests/index.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bundle::accept::Touched;
+use bundle::accept::ChangedEntries;
 use bundle::content::Patch;
-use bundle::{Content, Lookup, token_hash};
+use bundle::{Content, IndexedBundle, token_hash};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
@@ -35,7 +35,7 @@
         })
 }
 
-fn touched(patch: &Patch) -> Touched {
+fn touched(patch: &Patch) -> ChangedEntries {
     let names = patch
         .iter()
         .flat_map(|(section, named)| named.keys().map(|name| (section.clone(), name.clone())));
@@ -53,12 +53,12 @@
     #[test]
     fn update_any_patch(patches in prop::collection::vec(patch(), 1..8)) {
         let mut content = Content::default();
-        let mut lookup = Lookup::default();
+        let mut lookup = IndexedBundle::default();
         for patch in &patches {
             content.apply(patch);
             lookup.update(&content, &touched(patch)).expect("it can be read");
 
-            let bundle = content.bundle().expect("it can be read");
+            let bundle = content.to_bundle().expect("it can be read");
             prop_assert_eq!(&*lookup, &bundle);
             for token in 0..4u8 {
                 // Which of two owners of one token stands for it is not
@@ -67,7 +67,7 @@
                 let owns = |name: &&String| bundle.workspaces[*name].tokens.contains(&hash);
                 let owners: Vec<&String> = bundle.workspaces.keys().filter(owns).collect();
                 if let [] | [_] = owners[..] {
-                    let owner = lookup.owner(&token.to_string());
+                    let owner = lookup.token_workspace(&token.to_string());
                     prop_assert_eq!(owner, owners.first().map(|o| o.as_str()));
                 }
             }
--- a/crates/claims/examples/claim_slopes.rs
+++ b/crates/claims/examples/claim_slopes.rs
@@ -6,9 +6,9 @@
 use base::ids::{Offset, RequestId};
 use bundle::Hash;
 use claims::claims::key_hash;
-use claims::record::{Claimed, Ended, Mark, Record};
-use claims::table::Table;
-use claims::{Claim, End};
+use claims::record::{ClaimEnd, ClaimRequest, Record, TicketText};
+use claims::table::ClaimTable;
+use claims::{CallOutcome, Claim};
 
 /// Records taken in for each figure.
 const RECORDS: u64 = 2_000;
@@ -26,7 +26,7 @@
 fn measure(batch: u64) {
     let records: Vec<String> = (0..RECORDS).map(|i| record(i, batch)).collect();
     let bytes: usize = records.iter().map(String::len).sum();
-    let mut table = Table::new(600_000);
+    let mut table = ClaimTable::new(600_000);
     let start = Instant::now();
     for (i, body) in (0..).zip(&records) {
         table.apply(Offset(i), i, body);
@@ -45,15 +45,19 @@
 /// A record with claims and the ends of as many.
 fn record(i: u64, batch: u64) -> String {
     let claim = |n: u64| {
-        let ticket = Mark(RequestId(u128::from(n) << 64));
+        let ticket = TicketText(RequestId(u128::from(n) << 64));
         let key = key_hash("workspace", &n.to_string());
         let body = Hash::of(&[&n.to_be_bytes()]);
-        Claimed { key, body, ticket }
+        ClaimRequest { key, body, ticket }
     };
     let end = |n: u64| {
-        let Claimed { key, ticket, .. } = claim(n);
-        let end = End::Whole;
-        Ended { key, ticket, end }
+        let ClaimRequest { key, ticket, .. } = claim(n);
+        let outcome = CallOutcome::Completed;
+        ClaimEnd {
+            key,
+            ticket,
+            outcome,
+        }
     };
     let record = Record {
         entry: "entry-plateau-1".to_owned(),
--- a/crates/claims/src/claim.rs
+++ b/crates/claims/src/claim.rs
@@ -8,7 +8,7 @@
 use bundle::Hash;
 
 use crate::claims::Claims;
-use crate::record::End;
+use crate::record::CallOutcome;
 
 /// A key that is owned. Dropped without an end, it is released if the call
 /// never began, and left as unknown if it did.
@@ -17,20 +17,25 @@
     key: Hash,
     ticket: RequestId,
     /// The call must not begin after this.
-    until: Instant,
-    begun: Cell<bool>,
-    ended: Cell<bool>,
+    start_deadline: Instant,
+    started: Cell<bool>,
+    finished: Cell<bool>,
 }
 
 impl Claim {
-    pub(crate) fn new(claims: Rc<Claims>, key: Hash, ticket: RequestId, until: Instant) -> Self {
+    pub(crate) fn new(
+        claims: Rc<Claims>,
+        key: Hash,
+        ticket: RequestId,
+        start_deadline: Instant,
+    ) -> Self {
         Self {
             claims,
             key,
             ticket,
-            until,
-            begun: Cell::new(false),
-            ended: Cell::new(false),
+            start_deadline,
+            started: Cell::new(false),
+            finished: Cell::new(false),
         }
     }
 
@@ -41,29 +46,29 @@
     /// twice. Asked after the last wait before the grant, on the monotonic
     /// clock, with a margin for the way to the backend server, it cannot.
     #[must_use]
-    pub fn begin(&self, now: Instant) -> bool {
-        if now >= self.until {
+    pub fn try_start(&self, now: Instant) -> bool {
+        if now >= self.start_deadline {
             return false;
         }
-        self.begun.set(true);
+        self.started.set(true);
         true
     }
 
     /// Tells how the call ended.
-    pub fn end(&self, end: End) {
-        if !self.ended.replace(true) {
-            self.claims.end(self.key, self.ticket, end);
+    pub fn finish(&self, outcome: CallOutcome) {
+        if !self.finished.replace(true) {
+            self.claims.finish(self.key, self.ticket, outcome);
         }
     }
 }
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        let end = match self.begun.get() {
-            true => End::Unknown,
-            false => End::NotRun,
+        let end = match self.started.get() {
+            true => CallOutcome::Unknown,
+            false => CallOutcome::NotRun,
         };
-        self.end(end);
+        self.finish(end);
     }
 }
 
--- a/crates/claims/src/claims.rs
+++ b/crates/claims/src/claims.rs
@@ -16,8 +16,8 @@
 
 use crate::STREAM;
 use crate::claim::Claim;
-use crate::record::{Claimed, End, Ended, Mark, Record};
-use crate::table::{Owner, Table};
+use crate::record::{CallOutcome, ClaimEnd, ClaimRequest, Record, TicketText};
+use crate::table::{ClaimTable, KeyOwner};
 
 /// Most records in one read.
 const PAGE: usize = 500;
@@ -55,11 +55,11 @@
     /// Where the platform's log listens.
     pub log: SocketAddr,
     /// The entry's name.
-    pub entry: String,
+    pub entry_name: String,
     /// How long a key is owned.
-    pub window: HumanDuration,
+    pub claim_window: HumanDuration,
     /// Least time between two appends; claims that come meanwhile share one.
-    pub gap: HumanDuration,
+    pub append_interval: HumanDuration,
 }
 
 /// Claims keys for one entry.
@@ -67,46 +67,46 @@
     log: Log,
     settings: Settings,
     clock: Rc<dyn Clock>,
-    table: RefCell<Table>,
-    pending: RefCell<Vec<Pending>>,
-    ends: RefCell<Vec<Ended>>,
+    table: RefCell<ClaimTable>,
+    pending: RefCell<Vec<PendingClaim>>,
+    ends: RefCell<Vec<ClaimEnd>>,
     /// Whether the log was read to its end since the last failure.
-    level: Cell<bool>,
+    caught_up: Cell<bool>,
     wake: Notify,
 }
 
 /// Why a key was not claimed. The call has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Denied {
+pub struct ClaimDenied {
     /// Why.
     pub reason: Refusal,
     /// What is known of the call that owns the key.
-    pub end: Option<End>,
+    pub outcome: Option<CallOutcome>,
     /// When the key will be free, if that is known.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// A claim that waits for the log.
-struct Pending {
-    claimed: Claimed,
+struct PendingClaim {
+    claimed: ClaimRequest,
     /// When the wait began, before the claim can have been appended.
-    since: Instant,
-    reply: oneshot::Sender<Result<Claim, Denied>>,
+    queued_at: Instant,
+    reply: oneshot::Sender<Result<Claim, ClaimDenied>>,
 }
 
 impl Claims {
     /// Starts to follow and to append claims.
     #[must_use]
     pub fn start(settings: Settings, clock: Rc<dyn Clock>) -> Rc<Self> {
-        let window_ms = u64::try_from(settings.window.0.as_millis()).unwrap_or(u64::MAX);
+        let window_ms = u64::try_from(settings.claim_window.0.as_millis()).unwrap_or(u64::MAX);
         let claims = Rc::new(Self {
             log: Log::new(settings.log),
             settings,
             clock,
-            table: RefCell::new(Table::new(window_ms)),
+            table: RefCell::new(ClaimTable::new(window_ms)),
             pending: RefCell::default(),
             ends: RefCell::default(),
-            level: Cell::new(false),
+            caught_up: Cell::new(false),
             wake: Notify::new(),
         });
         actix_rt::spawn(run(Rc::clone(&claims)));
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Denied`] when the key is not this call's. The call has not
+    /// Returns [`ClaimDenied`] when the key is not this call's. The call has not
     /// run then.
     pub async fn claim(
         &self,
@@ -125,27 +125,27 @@
         key: &str,
         body: Hash,
         ticket: RequestId,
-    ) -> Result<Claim, Denied> {
+    ) -> Result<Claim, ClaimDenied> {
         let key = key_hash(workspace, key);
         // Known to be taken already: no need to append. The owner may have
         // released the key since this entry last read the log.
-        if let Some(denied) = self.held(&key, body) {
-            if denied.end.is_some() || self.read(None).await.is_err() {
+        if let Some(denied) = self.known_denial(&key, body) {
+            if denied.outcome.is_some() || self.read(None).await.is_err() {
                 return Err(denied);
             }
-            if let Some(denied) = self.held(&key, body) {
+            if let Some(denied) = self.known_denial(&key, body) {
                 return Err(denied);
             }
         }
 
         let (reply, answer) = oneshot::channel();
-        self.pending.borrow_mut().push(Pending {
-            claimed: Claimed {
+        self.pending.borrow_mut().push(PendingClaim {
+            claimed: ClaimRequest {
                 key,
                 body,
-                ticket: Mark(ticket),
+                ticket: TicketText(ticket),
             },
-            since: self.clock.now(),
+            queued_at: self.clock.now(),
             reply,
         });
         self.wake.notify_one();
@@ -153,18 +153,18 @@
             Ok(Ok(outcome)) => outcome,
             // The claim may be appended yet; nobody takes it up, so it is
             // released then.
-            Ok(Err(_)) | Err(_) => Err(down()),
+            Ok(Err(_)) | Err(_) => Err(log_unavailable()),
         }
     }
 
     /// Tells how a call with a key ended.
-    pub(crate) fn end(&self, key: Hash, ticket: RequestId, end: End) {
+    pub(crate) fn finish(&self, key: Hash, ticket: RequestId, outcome: CallOutcome) {
         let mut ends = self.ends.borrow_mut();
         if ends.len() < ENDS {
-            ends.push(Ended {
+            ends.push(ClaimEnd {
                 key,
-                ticket: Mark(ticket),
-                end,
+                ticket: TicketText(ticket),
+                outcome,
             });
         }
         drop(ends);
@@ -172,51 +172,51 @@
     }
 
     /// Whether a key is known to be owned by another call.
-    fn held(&self, key: &Hash, body: Hash) -> Option<Denied> {
+    fn known_denial(&self, key: &Hash, body: Hash) -> Option<ClaimDenied> {
         // Claims lapse by the log's clock alone. By this host's clock, were
         // it ahead, a key would seem free here while its call still runs.
         let table = self.table.borrow();
-        table.owner(key).map(|owner| self.taken(owner, body))
+        table.owner(key).map(|owner| self.denial(owner, body))
     }
 
-    fn taken(&self, owner: &Owner, body: Hash) -> Denied {
+    fn denial(&self, owner: &KeyOwner, body: Hash) -> ClaimDenied {
         if owner.body != body {
-            return Denied {
+            return ClaimDenied {
                 reason: Refusal::KeyReused,
-                end: None,
-                after: None,
+                outcome: None,
+                retry_after: None,
             };
         }
         // More may be known soon of a call that goes on; one that ended keeps
         // its key until the claim lapses.
-        let left = owner.until_ms.saturating_sub(self.clock.wall_ms());
-        let after = match owner.end {
+        let left = owner.expires_ms.saturating_sub(self.clock.wall_ms());
+        let after = match owner.outcome {
             None => IN_PROGRESS,
             Some(_) => Duration::from_millis(left),
         };
-        Denied {
+        ClaimDenied {
             reason: Refusal::KeyInUse,
-            end: owner.end,
-            after: Some(after),
+            outcome: owner.outcome,
+            retry_after: Some(after),
         }
     }
 
     /// Reads the log to `to`, or to its end.
     async fn read(&self, to: Option<Offset>) -> Result<(), Error> {
         loop {
-            let from = self.table.borrow().next();
+            let from = self.table.borrow().next_offset();
             if to.is_some_and(|to| from > to) {
                 return Ok(());
             }
             let page = self.log.read(STREAM, from, PAGE, Duration::ZERO).await?;
             let mut table = self.table.borrow_mut();
-            table.expired(page.first);
-            table.limit(page.retention_ms);
+            table.skip_expired(page.first);
+            table.limit_window(page.retention_ms);
             for entry in &page.records {
                 table.apply(entry.offset, entry.time_ms, &entry.body);
             }
-            table.lapse(page.now_ms);
-            if table.next() >= page.end {
+            table.expire_claims(page.now_ms);
+            if table.next_offset() >= page.end {
                 return Ok(());
             }
         }
@@ -233,7 +233,7 @@
         }
 
         let record = Record {
-            entry: self.settings.entry.clone(),
+            entry: self.settings.entry_name.clone(),
             ends,
             claims: batch.iter().map(|p| p.claimed.clone()).collect(),
         };
@@ -241,8 +241,8 @@
             Ok(()) => self.resolve(batch),
             Err(e) => {
                 debug!("claims not appended", kv: { error = e.to_string().as_str() });
-                self.level.set(false);
-                self.fail(batch, record.ends);
+                self.caught_up.set(false);
+                self.deny_batch(batch, record.ends);
             }
         }
     }
@@ -259,24 +259,27 @@
     }
 
     /// Tells those who wait whether the key is theirs.
-    fn resolve(self: &Rc<Self>, batch: Vec<Pending>) {
-        for Pending {
+    fn resolve(self: &Rc<Self>, batch: Vec<PendingClaim>) {
+        for PendingClaim {
             claimed,
-            since,
+            queued_at,
             reply,
         } in batch
         {
             let ticket = claimed.ticket.0;
             let table = self.table.borrow();
             let window = table.window();
-            let until = since + window.saturating_sub(MARGIN.min(window / 4));
+            let start_deadline = queued_at + window.saturating_sub(MARGIN.min(window / 4));
             let outcome = match table.owner(&claimed.key) {
-                Some(owner) if owner.ticket == ticket => {
-                    Ok(Claim::new(Rc::clone(self), claimed.key, ticket, until))
-                }
-                Some(owner) => Err(self.taken(owner, claimed.body)),
+                Some(owner) if owner.ticket == ticket => Ok(Claim::new(
+                    Rc::clone(self),
+                    claimed.key,
+                    ticket,
+                    start_deadline,
+                )),
+                Some(owner) => Err(self.denial(owner, claimed.body)),
                 // Lapsed while the log was slow.
-                None => Err(down()),
+                None => Err(log_unavailable()),
             };
             drop(table);
             let label = outcome.as_ref().err().map_or("won", |d| d.reason.as_str());
@@ -288,18 +291,18 @@
 
     /// Refuses those who wait. Their claims may stand in the log all the
     /// same, so they are released once it answers again.
-    fn fail(&self, batch: Vec<Pending>, ends: Vec<Ended>) {
+    fn deny_batch(&self, batch: Vec<PendingClaim>, ends: Vec<ClaimEnd>) {
         let mut kept = self.ends.borrow_mut();
         kept.extend(ends);
-        for Pending { claimed, reply, .. } in batch {
-            kept.push(Ended {
+        for PendingClaim { claimed, reply, .. } in batch {
+            kept.push(ClaimEnd {
                 key: claimed.key,
                 ticket: claimed.ticket,
-                end: End::NotRun,
+                outcome: CallOutcome::NotRun,
             });
             metrics::counter!("pimentocart_claims_total", "outcome" => Refusal::LogUnavailable.as_str())
                 .increment(1);
-            let _ = reply.send(Err(down()));
+            let _ = reply.send(Err(log_unavailable()));
         }
         kept.truncate(ENDS);
     }
@@ -311,11 +314,11 @@
     Hash::of(&[workspace.as_bytes(), key.as_bytes()])
 }
 
-fn down() -> Denied {
-    Denied {
+fn log_unavailable() -> ClaimDenied {
+    ClaimDenied {
         reason: Refusal::LogUnavailable,
-        end: None,
-        after: Some(Duration::from_secs(1)),
+        outcome: None,
+        retry_after: Some(Duration::from_secs(1)),
     }
 }
 
@@ -333,17 +336,17 @@
         if Rc::strong_count(&claims) == 1 {
             return;
         }
-        if !claims.level.get() && claims.read(None).await.is_err() {
+        if !claims.caught_up.get() && claims.read(None).await.is_err() {
             let batch = std::mem::take(&mut *claims.pending.borrow_mut());
-            claims.fail(batch, Vec::new());
+            claims.deny_batch(batch, Vec::new());
             tokio::time::sleep(PAUSE).await;
             continue;
         }
-        claims.level.set(true);
+        claims.caught_up.set(true);
 
         // Claims that come while the last append is young share the next.
         let since = claims.clock.now().saturating_duration_since(last);
-        tokio::time::sleep(claims.settings.gap.0.saturating_sub(since)).await;
+        tokio::time::sleep(claims.settings.append_interval.0.saturating_sub(since)).await;
         last = claims.clock.now();
         claims.flush().await;
     }
@@ -365,7 +368,7 @@
             let until = ends_due.unwrap_or(idle);
             if tokio::time::timeout_at(until, woken).await.is_err() {
                 if ends_due.is_none() {
-                    self.level.set(false);
+                    self.caught_up.set(false);
                 }
                 return;
             }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -16,8 +16,8 @@
 pub mod table;
 
 pub use claim::Claim;
-pub use claims::{Claims, Denied, Settings};
-pub use record::End;
+pub use claims::{ClaimDenied, Claims, Settings};
+pub use record::CallOutcome;
 
 /// The stream that carries the claims.
 pub const STREAM: &str = "claims";
--- a/crates/claims/src/record.rs
+++ b/crates/claims/src/record.rs
@@ -13,44 +13,46 @@
     /// How earlier claims of this entry ended; they count before the claims
     /// of the same record.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub ends: Vec<Ended>,
+    pub ends: Vec<ClaimEnd>,
     /// New claims.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub claims: Vec<Claimed>,
+    pub claims: Vec<ClaimRequest>,
 }
 
 /// A claim of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Claimed {
+pub struct ClaimRequest {
     /// Hash of the workspace and its key.
     pub key: Hash,
     /// Hash of what the call asks for.
     pub body: Hash,
     /// The call.
-    pub ticket: Mark,
+    pub ticket: TicketText,
 }
 
 /// How a claim ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ended {
+pub struct ClaimEnd {
     /// Hash of the workspace and its key.
     pub key: Hash,
     /// The call that owned it.
-    pub ticket: Mark,
+    pub ticket: TicketText,
     /// How it ended.
-    pub end: End,
+    #[serde(rename = "end")]
+    pub outcome: CallOutcome,
 }
 
 /// How a call with a key ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum CallOutcome {
     /// It did not run and never will; the key is free again.
     NotRun,
     /// Its whole answer was made.
-    Whole,
+    #[serde(rename = "whole")]
+    Completed,
     /// It may have run.
     Unknown,
 }
@@ -58,15 +60,15 @@
 /// A ticket as text: JSON numbers end at 64 bits in many readers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Mark(pub RequestId);
+pub struct TicketText(pub RequestId);
 
-impl From<Mark> for String {
-    fn from(mark: Mark) -> Self {
+impl From<TicketText> for String {
+    fn from(mark: TicketText) -> Self {
         mark.0.to_string()
     }
 }
 
-impl TryFrom<String> for Mark {
+impl TryFrom<String> for TicketText {
     type Error = std::num::ParseIntError;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
--- a/crates/claims/tests/failures.rs
+++ b/crates/claims/tests/failures.rs
@@ -11,7 +11,7 @@
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
 use bundle::Hash;
-use claims::{Claim, Claims, Denied, End, STREAM, Settings};
+use claims::{CallOutcome, Claim, ClaimDenied, Claims, STREAM, Settings};
 use clients::log::Log;
 use standin::Control;
 use standin::log::Faults;
@@ -43,16 +43,21 @@
 }
 
 impl World {
-    fn entry(&self, name: &str, window: HumanDuration) -> Rc<Claims> {
-        self.entry_with(name, window, Rc::new(SystemClock))
+    fn entry(&self, name: &str, claim_window: HumanDuration) -> Rc<Claims> {
+        self.entry_with(name, claim_window, Rc::new(SystemClock))
     }
 
-    fn entry_with(&self, name: &str, window: HumanDuration, clock: Rc<dyn Clock>) -> Rc<Claims> {
+    fn entry_with(
+        &self,
+        name: &str,
+        claim_window: HumanDuration,
+        clock: Rc<dyn Clock>,
+    ) -> Rc<Claims> {
         let settings = Settings {
             log: self.addr,
-            entry: name.to_owned(),
-            window,
-            gap: HumanDuration::ms(1),
+            entry_name: name.to_owned(),
+            claim_window,
+            append_interval: HumanDuration::ms(1),
         };
         Claims::start(settings, clock)
     }
@@ -69,7 +74,7 @@
     Hash::of(&[text.as_bytes()])
 }
 
-async fn claim(entry: &Claims, key: &str) -> Result<Claim, Denied> {
+async fn claim(entry: &Claims, key: &str) -> Result<Claim, ClaimDenied> {
     entry
         .claim("mairie", key, hash("letter"), RequestId::random())
         .await
@@ -99,7 +104,7 @@
             let (a, b) = tokio::join!(claim(&one, &key), claim(&two, &key));
             assert_eq!(u8::from(a.is_ok()) + u8::from(b.is_ok()), 1, "one owner");
             let denied = a.as_ref().err().or(b.as_ref().err()).expect("one loser");
-            assert_eq!((denied.reason, denied.end), (Refusal::KeyInUse, None));
+            assert_eq!((denied.reason, denied.outcome), (Refusal::KeyInUse, None));
         }
     });
 }
@@ -191,14 +196,14 @@
         let one = world.entry_with("one", window, Rc::new(clock.clone()));
         let claimed = claim_until(&one, "letter").await;
         let early = claim_until(&one, "other").await;
-        assert!(early.begin(clock.now()));
+        assert!(early.try_start(clock.now()));
 
         clock.advance(window.0);
         let two = world.entry("two", window);
         let owned = claim_until(&two, "letter").await;
-        assert!(owned.begin(SystemClock.now()));
+        assert!(owned.try_start(SystemClock.now()));
         assert!(
-            !claimed.begin(clock.now()),
+            !claimed.try_start(clock.now()),
             "the paused entry must not begin"
         );
         drop(claimed);
@@ -217,13 +222,13 @@
     run(async |world| {
         let one = world.entry("one", HumanDuration::secs(60));
         let claimed = claim_until(&one, "letter").await;
-        assert!(claimed.begin(SystemClock.now()));
+        assert!(claimed.try_start(SystemClock.now()));
         std::mem::forget(claimed);
 
         let fresh = world.entry("one", HumanDuration::secs(60));
         let denied = claim(&fresh, "letter").await.expect_err("taken");
-        assert_eq!((denied.reason, denied.end), (Refusal::KeyInUse, None));
-        assert!(denied.after.is_some());
+        assert_eq!((denied.reason, denied.outcome), (Refusal::KeyInUse, None));
+        assert!(denied.retry_after.is_some());
     });
 }
 
@@ -235,13 +240,13 @@
         let one = world.entry("one", HumanDuration::secs(60));
         let two = world.entry("two", HumanDuration::secs(60));
         let ran = claim_until(&one, "ran").await;
-        assert!(ran.begin(SystemClock.now()));
-        ran.end(End::Whole);
+        assert!(ran.try_start(SystemClock.now()));
+        ran.finish(CallOutcome::Completed);
         drop(claim_until(&one, "not-run").await);
 
         let _owned = claim_until(&two, "not-run").await;
         let denied = claim(&two, "ran").await.expect_err("taken");
-        assert_eq!(denied.end, Some(End::Whole));
+        assert_eq!(denied.outcome, Some(CallOutcome::Completed));
     });
 }
 
--- a/crates/cli/src/commands/bundle.rs
+++ b/crates/cli/src/commands/bundle.rs
@@ -8,10 +8,10 @@
 use bpaf::Bpaf;
 use bundle::approval::Approval;
 use bundle::check::check;
-use bundle::record::operators_of;
+use bundle::record::content_operators;
 use bundle::{Content, SecretKey};
 use clients::log::Log;
-use follow::{Outcome as Told, Publisher, Settings};
+use follow::{PublishOutcome as Told, Publisher, Settings};
 use serde_json::Value;
 
 use crate::{BAD_INPUT, Outcome};
@@ -182,7 +182,7 @@
     let Some(mut publisher) = read(settings).await? else {
         return Ok(unknown());
     };
-    let Ok(content) = publisher.content(to).await else {
+    let Ok(content) = publisher.version_content(to).await else {
         return Ok(unknown());
     };
     let missing = format!(
@@ -202,12 +202,12 @@
             .map_or(String::new(), |n| format!(" restores={n}"));
         eprintln!(
             "version={} offset={} operator={}{restores}",
-            version.sequence, version.at, version.operator
+            version.sequence, version.accepted_offset, version.operator
         );
     }
 
     let sequence = version.unwrap_or(publisher.acceptor().sequence());
-    let Ok(content) = publisher.content(sequence).await else {
+    let Ok(content) = publisher.version_content(sequence).await else {
         return Ok(unknown());
     };
     let content = content.ok_or_else(|| format!("step=show: the log has no version {sequence}"))?;
@@ -215,7 +215,7 @@
     // the version in force may.
     eprintln!(
         "signers={}",
-        operators_of(&content)
+        content_operators(&content)
             .into_keys()
             .collect::<Vec<_>>()
             .join(",")
@@ -228,7 +228,7 @@
 async fn read(settings: &Path) -> Result<Option<Publisher>, Box<dyn std::error::Error>> {
     let settings: Settings = settings::load(settings)?;
     let mut publisher = Publisher::new(Log::new(settings.log), settings.trust);
-    match publisher.read().await {
+    match publisher.read_to_end().await {
         Ok(()) => Ok(Some(publisher)),
         Err(e) => {
             eprintln!("pimentocart: {e}");
@@ -243,8 +243,8 @@
             println!("accepted as {sequence}");
             ExitCode::SUCCESS
         }
-        Told::Beaten { by, operator } => {
-            println!("beaten by version {by} of {operator}");
+        Told::Conflict { winner, operator } => {
+            println!("beaten by version {winner} of {operator}");
             ExitCode::from(NOT_ACCEPTED)
         }
         Told::Refused(verdict) => {
--- a/crates/cli/src/commands/keys.rs
+++ b/crates/cli/src/commands/keys.rs
@@ -49,7 +49,7 @@
             .open(&out);
         let mut file = file.map_err(|e| format!("step=write_key file={}: {e}", out.display()))?;
         writeln!(file, "{}", serde_json::to_string_pretty(&key)?)?;
-        println!("{}", serde_json::json!({ operator: key.public }));
+        println!("{}", serde_json::json!({ operator: key.public_key }));
         Ok(ExitCode::SUCCESS)
     }
 }
--- a/crates/demo/src/changes.rs
+++ b/crates/demo/src/changes.rs
@@ -7,7 +7,7 @@
 use base::ids::BundleSequence;
 use bundle::{Bundle, Content};
 use clients::log::Log;
-use follow::{Outcome, Publisher};
+use follow::{PublishOutcome, Publisher};
 use serde::Deserialize;
 
 use crate::rollout::Rollout;
@@ -51,7 +51,7 @@
             }
         };
         let won = outcomes.iter().find_map(|outcome| match outcome {
-            Outcome::Accepted(sequence) => Some(*sequence),
+            PublishOutcome::Accepted(sequence) => Some(*sequence),
             _ => None,
         });
         let Some(sequence) = won else {
@@ -101,29 +101,29 @@
     bundle
 }
 
-async fn publish(rollout: &Rollout, operator: usize, bundle: &Bundle) -> Outcome {
+async fn publish(rollout: &Rollout, operator: usize, bundle: &Bundle) -> PublishOutcome {
     let mut bundle = bundle.clone();
     bundle.operators.extend(rollout.operators());
-    let content = Content::of(&bundle);
+    let content = Content::from_bundle(&bundle);
     attempt(
         async |publisher| {
             let published = publisher.publish(&rollout.keys[operator], &content, None);
-            published.await.unwrap_or(Outcome::Unknown)
+            published.await.unwrap_or(PublishOutcome::Unknown)
         },
         rollout,
     )
     .await
 }
 
-async fn rollback(rollout: &Rollout) -> Outcome {
+async fn rollback(rollout: &Rollout) -> PublishOutcome {
     attempt(
         async |publisher| {
             let first = BundleSequence(1);
-            let Ok(Some(content)) = publisher.content(first).await else {
-                return Outcome::Unknown;
+            let Ok(Some(content)) = publisher.version_content(first).await else {
+                return PublishOutcome::Unknown;
             };
             let published = publisher.publish(&rollout.keys[0], &content, Some(first));
-            published.await.unwrap_or(Outcome::Unknown)
+            published.await.unwrap_or(PublishOutcome::Unknown)
         },
         rollout,
     )
@@ -133,14 +133,14 @@
 /// Tries for as long as the outcome is unknown, as an operator who is told to
 /// look again does.
 async fn attempt(
-    mut publish: impl AsyncFnMut(&mut Publisher) -> Outcome,
+    mut publish: impl AsyncFnMut(&mut Publisher) -> PublishOutcome,
     rollout: &Rollout,
-) -> Outcome {
+) -> PublishOutcome {
     let began = Instant::now();
     let mut publisher = Publisher::new(Log::new(rollout.log), rollout.operators());
-    let mut outcome = Outcome::Unknown;
-    while outcome == Outcome::Unknown && began.elapsed() < TRY_FOR {
-        if publisher.read().await.is_ok() {
+    let mut outcome = PublishOutcome::Unknown;
+    while outcome == PublishOutcome::Unknown && began.elapsed() < TRY_FOR {
+        if publisher.read_to_end().await.is_ok() {
             outcome = publish(&mut publisher).await;
         }
         tokio::time::sleep(PAUSE).await;
--- a/crates/demo/src/plan.rs
+++ b/crates/demo/src/plan.rs
@@ -4,7 +4,7 @@
 
 use base::ids::Tier;
 use base::settings::HumanDuration;
-use bundle::{Bundle, Class, Pool, Service, Targets, Workspace};
+use bundle::{Bundle, Class, EnginePool, Service, Targets, Workspace};
 use load::Mix;
 use load::arrivals::{Burst, Flow, Kind, Sender};
 
@@ -37,7 +37,7 @@
     let targets = Targets {
         first_token: HumanDuration::ms(CALL_MS),
         token_gap: HumanDuration::ms(CALL_MS),
-        whole: HumanDuration::ms(CALL_MS),
+        full_answer: HumanDuration::ms(CALL_MS),
     };
     let calls = Class {
         tier: Tier(1),
@@ -49,7 +49,7 @@
     let classes: BTreeSet<_> = bundle.classes.keys().cloned().collect();
     for i in 0..WORKSPACES {
         let workspace = Workspace {
-            tokens: BTreeSet::from([bundle::lookup::token_hash(&token(i))]),
+            tokens: BTreeSet::from([bundle::token_hash(&token(i))]),
             classes: classes.clone(),
             weight: 1,
         };
@@ -59,10 +59,10 @@
     }
 
     let model = fleet.model().to_owned();
-    bundle.models.insert(model, Pool::default());
+    bundle.models.insert(model, EnginePool::default());
     let service = Service {
         class: fleet.call_class().to_owned(),
-        repeatable: false,
+        idempotent: false,
     };
     bundle.services.insert(fleet.service().to_owned(), service);
     bundle
@@ -98,7 +98,7 @@
     let targets = Targets {
         first_token: HumanDuration::ms(size.first_ms),
         token_gap: HumanDuration::ms(size.gap_ms),
-        whole: HumanDuration::ms(size.whole_ms),
+        full_answer: HumanDuration::ms(size.whole_ms),
     };
     Class {
         tier: Tier(size.tier),
--- a/crates/demo/src/rollout.rs
+++ b/crates/demo/src/rollout.rs
@@ -5,7 +5,7 @@
 
 use bundle::{Bundle, Content, Operators, SecretKey};
 use clients::log::Log;
-use follow::{Outcome, Publisher};
+use follow::{PublishOutcome, Publisher};
 use spdlog::{debug, error};
 use standin::Control;
 use standin::log::{Faults, Settings};
@@ -68,7 +68,7 @@
     /// Tries to publish until the log, which may only just start, takes it.
     async fn published(&self, bundle: &Bundle) {
         for _ in 0..TRIES {
-            if matches!(self.publish(bundle).await, Outcome::Accepted(_)) {
+            if matches!(self.publish(bundle).await, PublishOutcome::Accepted(_)) {
                 return;
             }
             tokio::time::sleep(PAUSE).await;
@@ -78,23 +78,23 @@
 
     /// Publishes a bundle, signed by the first operator. The demo's operators
     /// are added to those that it names.
-    pub async fn publish(&self, bundle: &Bundle) -> Outcome {
+    pub async fn publish(&self, bundle: &Bundle) -> PublishOutcome {
         let mut bundle = bundle.clone();
         bundle.operators.extend(self.operators());
         let mut publisher = Publisher::new(Log::new(self.log), self.operators());
-        if let Err(e) = publisher.read().await {
+        if let Err(e) = publisher.read_to_end().await {
             debug!("log unreadable", kv: { error = e.to_string().as_str() });
-            return Outcome::Unknown;
+            return PublishOutcome::Unknown;
         }
-        let content = Content::of(&bundle);
+        let content = Content::from_bundle(&bundle);
         let published = publisher.publish(&self.keys[0], &content, None).await;
-        published.unwrap_or(Outcome::Unknown)
+        published.unwrap_or(PublishOutcome::Unknown)
     }
 
     /// The operators who may sign.
     #[must_use]
     pub fn operators(&self) -> Operators {
-        let pair = |k: &SecretKey| (k.operator.clone(), k.public.clone());
+        let pair = |k: &SecretKey| (k.operator.clone(), k.public_key.clone());
         self.keys.iter().map(pair).collect()
     }
 }
--- a/crates/demo/tests/rollout/common.rs
+++ b/crates/demo/tests/rollout/common.rs
@@ -12,7 +12,7 @@
 use bundle::Bundle;
 use demo::host::Host;
 use demo::rollout::Rollout;
-use follow::Outcome;
+use follow::PublishOutcome;
 use serde_json::{Value, json};
 use standin::Ledger;
 
@@ -109,7 +109,7 @@
         let published = Cell::new(0);
         until("the log takes the bundle", || {
             let told = actix_rt::System::new().block_on(self.rollout.publish(&bundle));
-            if let Outcome::Accepted(sequence) = told {
+            if let PublishOutcome::Accepted(sequence) = told {
                 published.set(sequence.0);
             }
             published.get() > 0
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -144,7 +144,7 @@
         }
         match run.start(request).await {
             Outcome::Running => {
-                let share = state.shares().retries;
+                let share = state.shares().retry_ratio;
                 state.budget.borrow_mut().earn(&request.class, share);
                 counters::grant(request.promise.tier);
                 return Ok(run);
@@ -211,7 +211,7 @@
     let waited = now.saturating_duration_since(request.arrived);
     let targets = &request.promise.targets;
     if tries.begun && !request.stream {
-        return targets.whole.0.saturating_sub(waited);
+        return targets.full_answer.0.saturating_sub(waited);
     }
     targets.first_token.0.saturating_sub(waited)
 }
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -21,7 +21,7 @@
 use bundle::Hash;
 use bytes::Bytes;
 use claims::claims::key_hash;
-use claims::{Claim, Denied, End};
+use claims::{CallOutcome, Claim, ClaimDenied};
 use futures_util::stream;
 use tokio::sync::Notify;
 use wire::BackendRequest;
@@ -95,7 +95,7 @@
         Ok(response) => Ok(first.answer(response, claim)),
         Err(refused) => {
             if let Some(claim) = claim {
-                claim.end(end_of(refused.ran));
+                claim.finish(end_of(refused.ran));
             }
             first.refuse(&refused);
             Err(refused)
@@ -122,10 +122,10 @@
 }
 
 /// What a caller is told whose key is not its own.
-fn refusal(denied: Denied) -> Refused {
-    let (ran, hint) = match (denied.reason, denied.end) {
+fn refusal(denied: ClaimDenied) -> Refused {
+    let (ran, hint) = match (denied.reason, denied.outcome) {
         (Refusal::KeyReused, _) => (Executed::No, "the key was used with another request"),
-        (Refusal::KeyInUse, Some(End::Whole)) => {
+        (Refusal::KeyInUse, Some(CallOutcome::Completed)) => {
             (Executed::Unknown, "the first call ran to its end")
         }
         (Refusal::KeyInUse, _) => (Executed::Unknown, "another entry took a call with this key"),
@@ -137,7 +137,7 @@
     Refused {
         reason: denied.reason,
         ran,
-        after: denied.after.map(|a| a.max(Duration::from_secs(1))),
+        after: denied.retry_after.map(|a| a.max(Duration::from_secs(1))),
         hint: hint.to_owned(),
     }
 }
@@ -165,10 +165,10 @@
     }
 }
 
-fn end_of(ran: Executed) -> End {
+fn end_of(ran: Executed) -> CallOutcome {
     match ran {
-        Executed::No => End::NotRun,
-        Executed::Unknown | Executed::Partial => End::Unknown,
+        Executed::No => CallOutcome::NotRun,
+        Executed::Unknown | Executed::Partial => CallOutcome::Unknown,
     }
 }
 
@@ -264,7 +264,11 @@
         let streamed = self.call.streamed();
         let whole = !streamed || self.call.body.borrow().ends_with(DONE);
         if let Some(claim) = &self.claim {
-            claim.end(if whole { End::Whole } else { End::Unknown });
+            claim.finish(if whole {
+                CallOutcome::Completed
+            } else {
+                CallOutcome::Unknown
+            });
         }
         // A stream that broke off has told its caller so itself.
         self.call.finish(Ok(()));
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -13,7 +13,7 @@
 use actix_web::http::header::CONTENT_TYPE;
 use base::ids::RequestId;
 use base::reason::Refusal;
-use bundle::{Class, Lookup};
+use bundle::{Class, IndexedBundle};
 use bytes::Bytes;
 use claims::Claim;
 use wire::{BackendRequest, ReserveRequest};
@@ -77,7 +77,7 @@
         http: &HttpRequest,
         raw: Bytes,
         chat: bool,
-        bundle: &Lookup,
+        bundle: &IndexedBundle,
         now: Instant,
     ) -> Result<Self, Refused> {
         let workspace = rights::workspace(http, bundle)?;
@@ -118,7 +118,7 @@
         http: &HttpRequest,
         body: Bytes,
         (name, path): (&str, &str),
-        bundle: &Lookup,
+        bundle: &IndexedBundle,
         now: Instant,
     ) -> Result<Self, Refused> {
         let workspace = rights::workspace(http, bundle)?;
@@ -145,7 +145,7 @@
             target: name.to_owned(),
             arrived: now,
             stream: false,
-            repeatable: key.is_none() && service.repeatable && repeatable(http)?,
+            repeatable: key.is_none() && service.idempotent && repeatable(http)?,
             key,
             claim: None,
             preempted: 0,
@@ -164,7 +164,7 @@
     /// Whether the request may be started at `now`; always so without a key.
     #[must_use]
     pub fn may_start(&self, now: Instant) -> bool {
-        self.claim.as_ref().is_none_or(|claim| claim.begin(now))
+        self.claim.as_ref().is_none_or(|claim| claim.try_start(now))
     }
 
     /// The request as sidecars are asked for a slot.
@@ -181,7 +181,7 @@
             weight: self.weight,
             tier: self.promise.tier,
             ttft_budget_us: left(self.promise.targets.first_token.0),
-            total_budget_us: left(self.promise.targets.whole.0),
+            total_budget_us: left(self.promise.targets.full_answer.0),
             prompt_tokens: self.prompt,
             max_tokens: self.max_tokens,
             prefix_hash: self.prefix,
--- a/crates/entry/src/request/rights.rs
+++ b/crates/entry/src/request/rights.rs
@@ -3,7 +3,7 @@
 use actix_web::HttpRequest;
 use actix_web::http::header::AUTHORIZATION;
 use base::reason::Refusal;
-use bundle::{Bundle, Class, Lookup, Service};
+use bundle::{Bundle, Class, IndexedBundle, Service};
 
 use crate::refuse::Refused;
 
@@ -18,13 +18,13 @@
 /// # Errors
 ///
 /// Returns [`Refusal::BadToken`].
-pub fn workspace<'a>(http: &HttpRequest, bundle: &'a Lookup) -> Result<&'a str, Refused> {
+pub fn workspace<'a>(http: &HttpRequest, bundle: &'a IndexedBundle) -> Result<&'a str, Refused> {
     let header = http
         .headers()
         .get(AUTHORIZATION)
         .and_then(|v| v.to_str().ok());
     let token = header.and_then(|v| v.strip_prefix("Bearer "));
-    let owner = token.and_then(|t| bundle.owner(t));
+    let owner = token.and_then(|t| bundle.token_workspace(t));
     owner.ok_or_else(|| {
         let hint = "send a workspace's token as \"Authorization: Bearer TOKEN\"";
         Refused::not_run(Refusal::BadToken, hint)
--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/spread.rs
@@ -14,8 +14,8 @@
 use base::clock::Clock;
 use base::ids::BundleSequence;
 use base::reason::Refusal;
-use bundle::{Bundle, Lookup};
-use follow::{Follower, Held, Take};
+use bundle::{Bundle, IndexedBundle};
+use follow::{ApplyTransfer, BundleState, Follower};
 use policy::placement::ServerIndex;
 use spdlog::debug;
 use wire::CallHeader;
@@ -39,7 +39,7 @@
 /// The bundle in force and how it is kept level with the sidecars'.
 pub struct Spread {
     /// The bundle in force.
-    pub held: Rc<Held>,
+    pub held: Rc<BundleState>,
     /// Who may change it; none when the bundle came from a file.
     follower: Option<Addr<Follower>>,
     /// The latest version that any sidecar told of.
@@ -52,18 +52,18 @@
     /// Goes by one bundle for ever.
     #[must_use]
     pub fn fixed(bundle: Bundle) -> Self {
-        Self::new(Held::fixed(bundle), None)
+        Self::new(BundleState::fixed(bundle), None)
     }
 
     /// Follows the log.
     #[must_use]
     pub fn follow(settings: follow::Settings, clock: Rc<dyn Clock>) -> Self {
-        let held = Held::new(settings.trust.clone());
+        let held = BundleState::new(settings.trust.clone());
         let follower = Follower::new(settings, Rc::clone(&held), clock);
         Self::new(held, Some(follower.start()))
     }
 
-    fn new(held: Rc<Held>, follower: Option<Addr<Follower>>) -> Self {
+    fn new(held: Rc<BundleState>, follower: Option<Addr<Follower>>) -> Self {
         Self {
             held,
             follower,
@@ -78,7 +78,7 @@
         let Some(follower) = &self.follower else {
             return;
         };
-        let behind = self.held.behind(told);
+        let behind = self.held.is_behind(told);
         if !behind && told >= self.held.sequence() {
             return;
         }
@@ -117,10 +117,10 @@
     /// # Errors
     ///
     /// Returns the refusal to answer with when no bundle is in force.
-    pub async fn current(&self) -> Result<Rc<Lookup>, Refused> {
+    pub async fn current(&self) -> Result<Rc<IndexedBundle>, Refused> {
         let ahead = self.ahead.get();
-        if self.held.behind(ahead) {
-            let reached = tokio::time::timeout(CATCH_UP, self.held.reached(ahead)).await;
+        if self.held.is_behind(ahead) {
+            let reached = tokio::time::timeout(CATCH_UP, self.held.wait_for_version(ahead)).await;
             if reached.is_err() {
                 self.ahead.set(BundleSequence(0));
             }
@@ -140,9 +140,9 @@
         return;
     };
     let held = Rc::clone(&state.spread.held);
-    while held.in_force().is_none() {
+    while held.active_version().is_none() {
         tokio::time::sleep(ASK).await;
-        if held.reachable() {
+        if held.log_reachable() {
             continue;
         }
         let mut servers = state.servers();
@@ -155,13 +155,13 @@
 }
 
 /// Gets a later version from a sidecar.
-async fn fetch(held: &Held, server: &Server, follower: &Addr<Follower>) {
+async fn fetch(held: &BundleState, server: &Server, follower: &Addr<Follower>) {
     let sequence = held.sequence();
     match server.peer.fetch_bundle(CallHeader { sequence }).await {
         Ok(reply) => {
             if let Some(bytes) = reply.body {
                 // The follower counts and logs what it refuses.
-                let _ = follower.send(Take(bytes)).await;
+                let _ = follower.send(ApplyTransfer(bytes)).await;
             }
         }
         Err(e) => debug!("fetch failed", kv: { error = e.to_string().as_str() }),
@@ -169,9 +169,9 @@
 }
 
 /// Gives a sidecar at version `told` what it lacks.
-async fn offer(held: &Held, server: &Server, told: BundleSequence) {
+async fn offer(held: &BundleState, server: &Server, told: BundleSequence) {
     let sequence = held.sequence();
-    let Some(bytes) = held.transfer(told) else {
+    let Some(bytes) = held.transfer_since(told) else {
         return;
     };
     if let Err(e) = server
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -181,7 +181,7 @@
         answer: Result<Reply<T>, Error>,
     ) -> Result<Reply<T>, Error> {
         let now = self.clock.now();
-        let share = self.shares().ejected;
+        let share = self.shares().max_ejected;
         let mut placement = self.placement.borrow_mut();
         if let Ok(reply) = &answer {
             server.heard.set(Some((now, reply.incarnation)));
@@ -203,7 +203,7 @@
     /// Notes how a run ended at a sidecar's backend server.
     pub fn ran(&self, server: &Server, whole: bool) {
         let now = self.clock.now();
-        let share = self.shares().ejected;
+        let share = self.shares().max_ejected;
         let mut placement = self.placement.borrow_mut();
         if whole {
             return placement.record_good(now, server.index, Success::RunCompleted);
@@ -232,9 +232,9 @@
     let follow = settings.follow.as_ref()?;
     let settings = claims::Settings {
         log: follow.log,
-        entry: settings.name.clone(),
-        window: settings.keys.window,
-        gap: settings.keys.gap,
+        entry_name: settings.name.clone(),
+        claim_window: settings.keys.window,
+        append_interval: settings.keys.gap,
     };
     Some(Claims::start(settings, Rc::clone(clock)))
 }
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -69,7 +69,7 @@
 
     fn ready(&self) -> bool {
         let known = !self.servers().is_empty();
-        known && !self.draining.get() && self.spread.held.in_force().is_some()
+        known && !self.draining.get() && self.spread.held.active_version().is_some()
     }
 }
 
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -348,7 +348,7 @@
     let targets = Targets {
         first_token: HumanDuration::secs(10),
         token_gap: HumanDuration::ms(43),
-        whole: HumanDuration::secs(20),
+        full_answer: HumanDuration::secs(20),
     };
     Request {
         ticket: RequestId::random(),
--- a/crates/follow/examples/bundle_slopes.rs
+++ b/crates/follow/examples/bundle_slopes.rs
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 
 use base::ids::{BundleSequence, Offset};
-use bundle::record::{Header, operators_hash, operators_of};
+use bundle::record::{Header, content_operators, operators_hash};
 use bundle::{
-    Acceptor, Bundle, Class, Content, Operators, Payload, Pool, Record, SecretKey, Signed, Targets,
-    Workspace,
+    Acceptor, Bundle, Class, Content, EnginePool, Operators, Payload, Record, SecretKey,
+    SignedHeader, Targets, Workspace,
 };
-use follow::Held;
+use follow::BundleState;
 
 /// Changes judged for each figure.
 const CHANGES: u32 = 200;
@@ -21,7 +21,7 @@
 
 fn main() {
     let key = SecretKey::from_secret("awa", &[1; 32]);
-    let trust = Operators::from([(key.operator.clone(), key.public.clone())]);
+    let trust = Operators::from([(key.operator.clone(), key.public_key.clone())]);
     for size in SIZES {
         measure(size, &key, &trust);
     }
@@ -30,13 +30,13 @@
 /// Measures one size and prints one line.
 fn measure(size: usize, key: &SecretKey, trust: &Operators) {
     let mut bundle = sample(size, trust);
-    let content = Content::of(&bundle);
+    let content = Content::from_bundle(&bundle);
     let mut writer = Acceptor::new(trust.clone());
-    let first = change(&writer, key, &content, Payload::Whole(content.entries()));
+    let first = change(&writer, key, &content, Payload::Full(content.entries()));
     accept(&mut writer, &first);
-    let held = Held::new(trust.clone());
+    let held = BundleState::new(trust.clone());
     if let Some(state) = writer.snapshot() {
-        held.load(state);
+        held.load_checkpoint(state);
     }
 
     let (mut bytes, mut judge, mut force) = (0, Duration::ZERO, Duration::ZERO);
@@ -49,7 +49,7 @@
         content.apply(&patch);
         let record = change(&writer, key, &content, Payload::Delta(patch));
         let body = String::from_utf8(record.bytes()).unwrap_or_default();
-        let at = writer.next();
+        let at = writer.next_offset();
         bytes += body.len();
 
         let start = Instant::now();
@@ -57,7 +57,7 @@
         judge += start.elapsed();
 
         let start = Instant::now();
-        held.step(at, &body);
+        held.apply_and_activate(at, &body);
         force += start.elapsed();
     }
 
@@ -66,7 +66,7 @@
     let write = start.elapsed();
     let whole: usize = records.iter().map(|r| r.bytes().len()).sum();
     let mut fresh = Acceptor::new(trust.clone());
-    let at = writer.next();
+    let at = writer.next_offset();
     let start = Instant::now();
     for (i, record) in (0..).zip(&records) {
         black_box(fresh.apply(Offset(at.0 + i), &record.bytes()));
@@ -93,7 +93,7 @@
         let targets = Targets {
             first_token: base::settings::HumanDuration::ms(990),
             token_gap: base::settings::HumanDuration::ms(43),
-            whole: base::settings::HumanDuration::secs(60),
+            full_answer: base::settings::HumanDuration::secs(60),
         };
         let class = Class {
             tier: base::ids::Tier(i % 3),
@@ -101,7 +101,7 @@
             model: model.clone(),
         };
         bundle.classes.insert(format!("class-{i}"), class);
-        bundle.models.insert(model, Pool::default());
+        bundle.models.insert(model, EnginePool::default());
     }
     for i in 0..size {
         let tokens = [0, 1].map(|n| bundle::token_hash(&format!("token-{i}-{n}")));
@@ -129,11 +129,11 @@
         sequence: BundleSequence(reader.sequence().0 + 1),
         parent: reader.head().map(|h| h.signed.id()).unwrap_or_default(),
         digest: to.digest(),
-        operators: operators_hash(&operators_of(to)),
+        operators: operators_hash(&content_operators(to)),
         operator: key.operator.clone(),
         restores: None,
     };
-    let signed = Signed::new(header, key).unwrap_or_else(|e| panic!("{e}"));
+    let signed = SignedHeader::new(header, key).unwrap_or_else(|e| panic!("{e}"));
     Record::Change { signed, payload }
 }
 
@@ -144,8 +144,8 @@
     };
     let checkpoint = bundle::Checkpoint {
         signed: signed.clone(),
-        at: Offset(0),
-        judged: Offset(0),
+        accepted_offset: Offset(0),
+        processed: Offset(0),
         chain: Vec::new(),
         payload: payload.clone(),
     };
--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -6,13 +6,13 @@
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, Handler, Message, WrapFuture};
 use base::clock::Clock;
 use base::ids::{BundleSequence, Offset};
-use bundle::{Fault, Verdict};
+use bundle::{RecordError, Verdict};
 use bytes::Bytes;
 use clients::log::{Error, Log, Page};
 use spdlog::{debug, info, warn};
 
-use crate::held::Held;
 use crate::settings::Settings;
+use crate::state::BundleState;
 use crate::{STREAM, transfer};
 
 /// Most records in one read.
@@ -30,7 +30,7 @@
 pub struct Follower {
     log: Log,
     settings: Settings,
-    held: Rc<Held>,
+    held: Rc<BundleState>,
     clock: Rc<dyn Clock>,
     /// The pause after the next failure.
     backoff: Duration,
@@ -38,26 +38,26 @@
     caught_up: bool,
     /// When the newest checkpoint, or the version in force, was appended, in
     /// the log's milliseconds.
-    covered_ms: u64,
+    checkpoint_ms: u64,
     /// When the version in force was appended, in the log's milliseconds.
     head_ms: u64,
     /// When to append a checkpoint, unless another daemon was first.
-    due: Option<Instant>,
+    checkpoint_due: Option<Instant>,
     /// Whether a checkpoint in the log misses the version in force.
-    contradicted: bool,
+    checkpoint_stale: bool,
     /// When to pass over a gap that nobody closes.
-    pass: Option<Instant>,
+    gap_deadline: Option<Instant>,
 }
 
-/// Hands the follower what a peer sent; see [`Held::transfer`].
+/// Hands the follower what a peer sent; see [`BundleState::transfer_since`].
 #[derive(Debug, Message)]
 #[rtype(result = "Result<BundleSequence, transfer::Error>")]
-pub struct Take(pub Bytes);
+pub struct ApplyTransfer(pub Bytes);
 
 impl Follower {
     /// Makes a follower that fills `held`.
     #[must_use]
-    pub fn new(settings: Settings, held: Rc<Held>, clock: Rc<dyn Clock>) -> Self {
+    pub fn new(settings: Settings, held: Rc<BundleState>, clock: Rc<dyn Clock>) -> Self {
         Self {
             log: Log::new(settings.log),
             settings,
@@ -65,18 +65,18 @@
             clock,
             backoff: FIRST_BACKOFF,
             caught_up: false,
-            covered_ms: 0,
+            checkpoint_ms: 0,
             head_ms: 0,
-            due: None,
-            contradicted: false,
-            pass: None,
+            checkpoint_due: None,
+            checkpoint_stale: false,
+            gap_deadline: None,
         }
     }
 
     /// Starts one read; its answer starts the next.
     fn read(&mut self, ctx: &mut Context<Self>) {
         let log = self.log.clone();
-        let from = self.held.with(|a| a.next());
+        let from = self.held.with_acceptor(|a| a.next_offset());
         let wait = self.wait();
         let read = async move { log.read(STREAM, from, PAGE, wait).await };
         let then = read.into_actor(self).map(|page, actor, ctx| match page {
@@ -89,9 +89,14 @@
     /// How long the next read may be held: not past what is due.
     fn wait(&self) -> Duration {
         let now = self.clock.now();
-        let due = [self.due, self.pass].into_iter().flatten().min();
+        let due = [self.checkpoint_due, self.gap_deadline]
+            .into_iter()
+            .flatten()
+            .min();
         let left = due.map(|at| at.saturating_duration_since(now));
-        left.map_or(self.settings.wait.0, |l| l.min(self.settings.wait.0))
+        left.map_or(self.settings.poll_timeout.0, |l| {
+            l.min(self.settings.poll_timeout.0)
+        })
     }
 
     /// Pauses after a failed read, longer each time, so that an outage costs
@@ -100,7 +105,7 @@
         debug!("log read failed", kv: { error = error.to_string().as_str() });
         self.held.set_reachable(false);
         let pause = self.backoff.mul_f64(rand::random_range(0.5..1.0));
-        self.backoff = (self.backoff * 2).min(self.settings.backoff.0);
+        self.backoff = (self.backoff * 2).min(self.settings.max_backoff.0);
         ctx.run_later(pause, Self::read);
     }
 
@@ -108,10 +113,10 @@
     fn take_page(&mut self, page: &Page, ctx: &mut Context<Self>) {
         self.held.set_reachable(true);
         self.backoff = FIRST_BACKOFF;
-        self.held.with(|a| a.expired(page.first));
+        self.held.with_acceptor(|a| a.skip_expired(page.first));
         for entry in &page.records {
-            let verdict = self.held.judge(entry.offset, &entry.body);
-            self.note(&verdict, entry.time_ms);
+            let verdict = self.held.apply_record(entry.offset, &entry.body);
+            self.record_verdict(&verdict, entry.time_ms);
             // The reader has to go back to what the checkpoint's writer had
             // judged; the rest of the page is read again.
             if matches!(verdict, Verdict::Adopted(_)) {
@@ -121,53 +126,53 @@
 
         // Before the end is read for the first time, a later record may beat
         // what was found so far.
-        let next = self.held.with(|a| a.next());
+        let next = self.held.with_acceptor(|a| a.next_offset());
         if next >= page.end {
             self.caught_up = true;
         }
-        if self.caught_up && self.held.settle() {
+        if self.caught_up && self.held.activate_head() {
             self.report_lag();
         }
         if next >= page.end {
             self.close_gap(page);
             self.plan_checkpoint(page);
         }
-        if self.due.is_some_and(|at| at <= self.clock.now()) {
+        if self.checkpoint_due.is_some_and(|at| at <= self.clock.now()) {
             return self.append_checkpoint(ctx);
         }
         self.read(ctx);
     }
 
     /// Counts and logs what became of a record.
-    fn note(&mut self, verdict: &Verdict, time_ms: u64) {
+    fn record_verdict(&mut self, verdict: &Verdict, time_ms: u64) {
         metrics::counter!("pimentocart_bundle_records_total", "verdict" => verdict.as_str())
             .increment(1);
         match verdict {
             Verdict::Accepted(sequence) => {
                 info!("bundle accepted", kv: { sequence = sequence.0 });
                 self.head_ms = time_ms;
-                if self.held.with(|a| a.newest()).is_none() {
-                    self.covered_ms = time_ms;
+                if self.held.with_acceptor(|a| a.newest_checkpoint()).is_none() {
+                    self.checkpoint_ms = time_ms;
                 }
-                self.contradicted = false;
+                self.checkpoint_stale = false;
             }
             Verdict::Adopted(sequence) => {
                 info!("bundle adopted", kv: { sequence = sequence.0 });
                 self.head_ms = time_ms;
-                self.covered_ms = time_ms;
-                self.contradicted = false;
+                self.checkpoint_ms = time_ms;
+                self.checkpoint_stale = false;
             }
             Verdict::Known => {
-                self.covered_ms = time_ms;
-                self.contradicted = false;
+                self.checkpoint_ms = time_ms;
+                self.checkpoint_stale = false;
             }
-            Verdict::Behind => self.contradicted = true,
+            Verdict::StaleCheckpoint => self.checkpoint_stale = true,
             // Ordinary: an append whose reply was lost, tried again.
-            Verdict::Refused(Fault::Replayed) => debug!("bundle record replayed"),
-            Verdict::Beaten { .. } | Verdict::Refused(_) => {
+            Verdict::Refused(RecordError::Replayed) => debug!("bundle record replayed"),
+            Verdict::Conflict { .. } | Verdict::Refused(_) => {
                 warn!("bundle record refused", kv: { verdict = verdict.as_str() });
             }
-            Verdict::Kept | Verdict::Unjudged | Verdict::Repeated => {}
+            Verdict::PartBuffered | Verdict::NotEvaluated | Verdict::Duplicate => {}
         }
     }
 
@@ -180,20 +185,22 @@
 
     /// Passes over a gap that nobody's checkpoint closes.
     fn close_gap(&mut self, page: &Page) {
-        let stuck = self.held.with(|a| !a.anchored() && a.head().is_some());
+        let stuck = self
+            .held
+            .with_acceptor(|a| !a.is_contiguous() && a.head().is_some());
         if !stuck {
-            self.pass = None;
+            self.gap_deadline = None;
             return;
         }
         let now = self.clock.now();
         let pass = *self
-            .pass
-            .get_or_insert_with(|| now + self.settings.delay.0 * GAP_DELAYS);
+            .gap_deadline
+            .get_or_insert_with(|| now + self.settings.checkpoint_delay.0 * GAP_DELAYS);
         if pass <= now {
             warn!("bundle stream has a gap", kv: { first = page.first.0 });
-            self.held.with(|a| a.resume(page.first));
-            self.contradicted = true;
-            self.pass = None;
+            self.held.with_acceptor(|a| a.skip_gap(page.first));
+            self.checkpoint_stale = true;
+            self.gap_deadline = None;
         }
     }
 
@@ -202,26 +209,29 @@
     /// No daemon leads. Each waits a random time; the first one's record
     /// tells the others that theirs is no longer needed.
     fn plan_checkpoint(&mut self, page: &Page) {
-        let (usable, newest) = self
-            .held
-            .with(|a| (a.anchored() && a.head().is_some(), a.newest()));
+        let (usable, newest) = self.held.with_acceptor(|a| {
+            (
+                a.is_contiguous() && a.head().is_some(),
+                a.newest_checkpoint(),
+            )
+        });
         let retained = newest.is_some_and(|(at, _)| at >= page.first) || page.first == Offset(0);
-        let age = page.now_ms.saturating_sub(self.covered_ms);
+        let age = page.now_ms.saturating_sub(self.checkpoint_ms);
         let old = page.retention_ms > 0 && age > page.retention_ms / 2;
-        let needed = usable && (self.contradicted || old || !retained);
+        let needed = usable && (self.checkpoint_stale || old || !retained);
 
         if !needed {
-            self.due = None;
-        } else if self.due.is_none() {
-            let delay = self.settings.delay.0.mul_f64(rand::random());
-            self.due = Some(self.clock.now() + delay);
+            self.checkpoint_due = None;
+        } else if self.checkpoint_due.is_none() {
+            let delay = self.settings.checkpoint_delay.0.mul_f64(rand::random());
+            self.checkpoint_due = Some(self.clock.now() + delay);
         }
     }
 
     /// Appends a checkpoint and reads on.
     fn append_checkpoint(&mut self, ctx: &mut Context<Self>) {
-        self.due = None;
-        let records = self.held.with(|a| a.checkpoint_records());
+        self.checkpoint_due = None;
+        let records = self.held.with_acceptor(|a| a.checkpoint_records());
         let log = self.log.clone();
         let append = async move {
             for record in records {
@@ -254,11 +264,15 @@
     }
 }
 
-impl Handler<Take> for Follower {
+impl Handler<ApplyTransfer> for Follower {
     type Result = Result<BundleSequence, transfer::Error>;
 
-    fn handle(&mut self, Take(bytes): Take, _: &mut Self::Context) -> Self::Result {
-        let taken = self.held.take(&bytes);
+    fn handle(
+        &mut self,
+        ApplyTransfer(bytes): ApplyTransfer,
+        _: &mut Self::Context,
+    ) -> Self::Result {
+        let taken = self.held.apply_transfer(&bytes);
         let outcome = if taken.is_ok() { "ok" } else { "refused" };
         metrics::counter!("pimentocart_bundle_transfers_total", "outcome" => outcome).increment(1);
         if let Err(e) = &taken {
--- a/crates/follow/src/publish.rs
+++ b/crates/follow/src/publish.rs
@@ -6,8 +6,12 @@
 use std::time::Duration;
 
 use base::ids::{BundleSequence, Offset};
-use bundle::record::{Header, PART_LIMIT, RECORD_LIMIT, operators_hash, operators_of, parts};
-use bundle::{Acceptor, Content, Hash, Operators, Payload, Record, SecretKey, Signed, Verdict};
+use bundle::record::{
+    Header, PART_MAX_BYTES, RECORD_MAX_BYTES, content_operators, operators_hash, split_parts,
+};
+use bundle::{
+    Acceptor, Content, Hash, Operators, Payload, Record, SecretKey, SignedHeader, Verdict,
+};
 use clients::log::{Error, Log, Page};
 
 use crate::STREAM;
@@ -21,16 +25,16 @@
     trust: Operators,
     acceptor: Acceptor,
     /// The versions that were read, oldest first.
-    versions: Vec<Version>,
+    versions: Vec<AcceptedVersion>,
 }
 
 /// One accepted version.
 #[derive(Debug, Clone)]
-pub struct Version {
+pub struct AcceptedVersion {
     /// Its number.
     pub sequence: BundleSequence,
     /// Where it was accepted.
-    pub at: Offset,
+    pub accepted_offset: Offset,
     /// Who signed it.
     pub operator: String,
     /// The earlier version whose content it restores, if any.
@@ -39,13 +43,13 @@
 
 /// What became of a publication. Nothing here is a guess.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum PublishOutcome {
     /// It is the version with this number.
     Accepted(BundleSequence),
     /// Another version won.
-    Beaten {
+    Conflict {
         /// The version that won.
-        by: BundleSequence,
+        winner: BundleSequence,
         /// Who signed it.
         operator: String,
     },
@@ -75,7 +79,7 @@
 
     /// The versions that were read, oldest first.
     #[must_use]
-    pub fn versions(&self) -> &[Version] {
+    pub fn versions(&self) -> &[AcceptedVersion] {
         &self.versions
     }
 
@@ -84,7 +88,7 @@
     /// # Errors
     ///
     /// Returns [`Error`] when the log does not answer.
-    pub async fn read(&mut self) -> Result<(), Error> {
+    pub async fn read_to_end(&mut self) -> Result<(), Error> {
         loop {
             let page = self.page().await?;
             for entry in &page.records {
@@ -93,7 +97,7 @@
                     break;
                 }
             }
-            if self.acceptor.next() >= page.end {
+            if self.acceptor.next_offset() >= page.end {
                 return Ok(());
             }
         }
@@ -105,7 +109,10 @@
     /// # Errors
     ///
     /// Returns [`Error`] when the log does not answer.
-    pub async fn content(&self, sequence: BundleSequence) -> Result<Option<Content>, Error> {
+    pub async fn version_content(
+        &self,
+        sequence: BundleSequence,
+    ) -> Result<Option<Content>, Error> {
         if sequence == self.acceptor.sequence() {
             return Ok(Some(self.acceptor.content().clone()));
         }
@@ -121,7 +128,7 @@
                     break;
                 }
             }
-            if past.acceptor.next() >= page.end {
+            if past.acceptor.next_offset() >= page.end {
                 return Ok(None);
             }
         }
@@ -140,24 +147,24 @@
         key: &SecretKey,
         content: &Content,
         restores: Option<BundleSequence>,
-    ) -> Result<Outcome, bundle::keys::Error> {
+    ) -> Result<PublishOutcome, bundle::keys::Error> {
         // What follows on nothing, no reader could judge.
-        if !self.acceptor.anchored() {
-            return Ok(Outcome::Unknown);
+        if !self.acceptor.is_contiguous() {
+            return Ok(PublishOutcome::Unknown);
         }
         // As after an earlier try whose reply was lost.
         let held = self.acceptor.content().digest() == content.digest();
         if held && self.acceptor.head().is_some() {
-            return Ok(Outcome::Accepted(self.acceptor.sequence()));
+            return Ok(PublishOutcome::Accepted(self.acceptor.sequence()));
         }
         let records = self.records(key, content, restores)?;
         for record in &records {
             if self.append(record).await.is_err() {
-                return Ok(Outcome::Unknown);
+                return Ok(PublishOutcome::Unknown);
             }
         }
         let Some(Record::Change { signed, .. }) = records.last() else {
-            return Ok(Outcome::Unknown);
+            return Ok(PublishOutcome::Unknown);
         };
         Ok(self.outcome(signed.id(), signed.header.sequence).await)
     }
@@ -174,20 +181,20 @@
             sequence: BundleSequence(self.acceptor.sequence().0 + 1),
             parent: parent.unwrap_or_default(),
             digest: content.digest(),
-            operators: operators_hash(&operators_of(content)),
+            operators: operators_hash(&content_operators(content)),
             operator: key.operator.clone(),
             restores,
         };
-        let signed = Signed::new(header, key)?;
+        let signed = SignedHeader::new(header, key)?;
 
         let delta = Record::Change {
             signed: signed.clone(),
             payload: Payload::Delta(self.acceptor.content().patch_to(content)),
         };
-        if delta.bytes().len() <= RECORD_LIMIT {
+        if delta.bytes().len() <= RECORD_MAX_BYTES {
             return Ok(vec![delta]);
         }
-        let mut records = parts(content, PART_LIMIT);
+        let mut records = split_parts(content, PART_MAX_BYTES);
         let count = u32::try_from(records.len()).unwrap_or(u32::MAX);
         let payload = Payload::Parts(count);
         records.push(Record::Change { signed, payload });
@@ -200,10 +207,10 @@
     }
 
     /// Reads on until the record was judged.
-    async fn outcome(&mut self, id: Hash, sequence: BundleSequence) -> Outcome {
+    async fn outcome(&mut self, id: Hash, sequence: BundleSequence) -> PublishOutcome {
         loop {
             let Ok(page) = self.page().await else {
-                return Outcome::Unknown;
+                return PublishOutcome::Unknown;
             };
             for entry in &page.records {
                 let verdict = self.judge(entry.offset, &entry.body);
@@ -211,28 +218,30 @@
                     continue;
                 }
                 match verdict {
-                    Verdict::Accepted(sequence) => return Outcome::Accepted(sequence),
-                    Verdict::Beaten { by, operator } => return Outcome::Beaten { by, operator },
+                    Verdict::Accepted(sequence) => return PublishOutcome::Accepted(sequence),
+                    Verdict::Conflict { winner, operator } => {
+                        return PublishOutcome::Conflict { winner, operator };
+                    }
                     // Read already, by an earlier try with the same content.
-                    _ if self.holds(id) => return Outcome::Accepted(sequence),
-                    Verdict::Unjudged | Verdict::Repeated => return Outcome::Unknown,
-                    verdict => return Outcome::Refused(verdict),
+                    _ if self.is_head(id) => return PublishOutcome::Accepted(sequence),
+                    Verdict::NotEvaluated | Verdict::Duplicate => return PublishOutcome::Unknown,
+                    verdict => return PublishOutcome::Refused(verdict),
                 }
             }
-            if self.acceptor.next() >= page.end {
-                return Outcome::Unknown;
+            if self.acceptor.next_offset() >= page.end {
+                return PublishOutcome::Unknown;
             }
         }
     }
 
-    fn holds(&self, id: Hash) -> bool {
+    fn is_head(&self, id: Hash) -> bool {
         self.acceptor.head().is_some_and(|h| h.signed.id() == id)
     }
 
     async fn page(&mut self) -> Result<Page, Error> {
-        let from = self.acceptor.next();
+        let from = self.acceptor.next_offset();
         let page = self.log.read(STREAM, from, PAGE, Duration::ZERO).await?;
-        self.acceptor.expired(page.first);
+        self.acceptor.skip_expired(page.first);
         Ok(page)
     }
 
@@ -240,9 +249,9 @@
         let verdict = self.acceptor.apply(at, body.as_bytes());
         let new = matches!(verdict, Verdict::Accepted(_) | Verdict::Adopted(_));
         if let Some(head) = self.acceptor.head().filter(|_| new) {
-            self.versions.push(Version {
+            self.versions.push(AcceptedVersion {
                 sequence: head.sequence(),
-                at: head.at,
+                accepted_offset: head.accepted_offset,
                 operator: head.signed.header.operator.clone(),
                 restores: head.signed.header.restores,
             });
--- a/crates/follow/src/settings.rs
+++ b/crates/follow/src/settings.rs
@@ -16,15 +16,15 @@
     /// base64. Later ones are named by the bundle itself.
     pub trust: Operators,
     /// How long one read is held while there is nothing new.
-    #[serde(default = "default_wait")]
-    pub wait: HumanDuration,
+    #[serde(default = "default_wait", rename = "wait")]
+    pub poll_timeout: HumanDuration,
     /// Longest pause between two tries while the log is down.
-    #[serde(default = "default_backoff")]
-    pub backoff: HumanDuration,
+    #[serde(default = "default_backoff", rename = "backoff")]
+    pub max_backoff: HumanDuration,
     /// Longest random delay before a checkpoint is appended, so that not all
     /// daemons append one at once.
-    #[serde(default = "default_delay")]
-    pub delay: HumanDuration,
+    #[serde(default = "default_delay", rename = "delay")]
+    pub checkpoint_delay: HumanDuration,
 }
 
 impl Settings {
@@ -34,9 +34,9 @@
         Self {
             log,
             trust,
-            wait: default_wait(),
-            backoff: default_backoff(),
-            delay: default_delay(),
+            poll_timeout: default_wait(),
+            max_backoff: default_backoff(),
+            checkpoint_delay: default_delay(),
         }
     }
 }
--- a/crates/follow/src/held.rs
+++ b/crates/follow/src/state.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 
 use base::ids::{BundleSequence, Offset};
-use bundle::accept::Touched;
+use bundle::accept::ChangedEntries;
 use bundle::content;
-use bundle::{Acceptor, Bundle, Content, Hash, Lookup, Operators, Verdict};
+use bundle::{Acceptor, Bundle, Content, Hash, IndexedBundle, Operators, Verdict};
 use bytes::Bytes;
 use spdlog::{error, info};
 use tokio::sync::Notify;
@@ -18,49 +18,49 @@
 const TAIL_LIMIT: usize = 1 << 20;
 
 /// What one daemon holds of the bundle's stream.
-pub struct Held {
+pub struct BundleState {
     acceptor: RefCell<Acceptor>,
     /// What requests go by; those in progress keep the one they began with.
-    current: RefCell<Option<Rc<InForce>>>,
+    active: RefCell<Option<Rc<ActiveVersion>>>,
     /// Changes accepted lately, each with its offset, oldest first.
-    tail: RefCell<VecDeque<Change>>,
+    recent_changes: RefCell<VecDeque<Change>>,
     /// The version that was last made, or could not be made, to go by.
-    tried: Cell<Option<Hash>>,
+    last_tried: Cell<Option<Hash>>,
     /// Whether the version in force is the last one that was tried, so that
     /// a change of it leads to the next.
-    exact: Cell<bool>,
+    incremental: Cell<bool>,
     /// Whether the log's last call was answered.
-    reachable: Cell<bool>,
+    log_reachable: Cell<bool>,
     changed: Notify,
 }
 
 /// A version of the bundle that requests go by.
 #[derive(Debug, Clone)]
-pub struct InForce {
+pub struct ActiveVersion {
     /// Its number.
     pub sequence: BundleSequence,
     /// What it declares.
-    pub bundle: Rc<Lookup>,
+    pub bundle: Rc<IndexedBundle>,
 }
 
 /// A change as it stands in the log.
 struct Change {
     sequence: BundleSequence,
-    at: Offset,
+    accepted_offset: Offset,
     body: String,
 }
 
-impl Held {
+impl BundleState {
     /// Holds nothing yet; `trust` may sign the first version.
     #[must_use]
     pub fn new(trust: Operators) -> Rc<Self> {
         Rc::new(Self {
             acceptor: RefCell::new(Acceptor::new(trust)),
-            current: RefCell::default(),
-            tail: RefCell::default(),
-            tried: Cell::new(None),
-            exact: Cell::new(false),
-            reachable: Cell::new(false),
+            active: RefCell::default(),
+            recent_changes: RefCell::default(),
+            last_tried: Cell::new(None),
+            incremental: Cell::new(false),
+            log_reachable: Cell::new(false),
             changed: Notify::new(),
         })
     }
@@ -69,44 +69,44 @@
     #[must_use]
     pub fn fixed(bundle: Bundle) -> Rc<Self> {
         let held = Self::new(Operators::new());
-        *held.current.borrow_mut() = Some(Rc::new(InForce {
+        *held.active.borrow_mut() = Some(Rc::new(ActiveVersion {
             sequence: BundleSequence(0),
-            bundle: Rc::new(Lookup::new(bundle)),
+            bundle: Rc::new(IndexedBundle::new(bundle)),
         }));
         held
     }
 
     /// The version in force, if any.
     #[must_use]
-    pub fn in_force(&self) -> Option<Rc<InForce>> {
-        self.current.borrow().clone()
+    pub fn active_version(&self) -> Option<Rc<ActiveVersion>> {
+        self.active.borrow().clone()
     }
 
     /// The bundle in force, if any.
     #[must_use]
-    pub fn bundle(&self) -> Option<Rc<Lookup>> {
-        let current = self.current.borrow();
+    pub fn bundle(&self) -> Option<Rc<IndexedBundle>> {
+        let current = self.active.borrow();
         current.as_ref().map(|c| Rc::clone(&c.bundle))
     }
 
     /// The number of the version in force; 0 when there is none.
     #[must_use]
     pub fn sequence(&self) -> BundleSequence {
-        let current = self.current.borrow();
+        let current = self.active.borrow();
         current.as_ref().map_or(BundleSequence(0), |c| c.sequence)
     }
 
     /// Whether the log answered its last call.
     #[must_use]
-    pub fn reachable(&self) -> bool {
-        self.reachable.get()
+    pub fn log_reachable(&self) -> bool {
+        self.log_reachable.get()
     }
 
     /// Waits until a version is in force.
-    pub async fn ready(&self) {
+    pub async fn wait_ready(&self) {
         loop {
             let changed = self.changed.notified();
-            if self.current.borrow().is_some() {
+            if self.active.borrow().is_some() {
                 return;
             }
             changed.await;
@@ -117,15 +117,15 @@
     /// that was accepted and not understood here counts as known, since
     /// waiting for it would not help.
     #[must_use]
-    pub fn behind(&self, sequence: BundleSequence) -> bool {
+    pub fn is_behind(&self, sequence: BundleSequence) -> bool {
         sequence > self.sequence() && sequence > self.acceptor.borrow().sequence()
     }
 
     /// Waits until this daemon is no longer behind `sequence`.
-    pub async fn reached(&self, sequence: BundleSequence) {
+    pub async fn wait_for_version(&self, sequence: BundleSequence) {
         loop {
             let changed = self.changed.notified();
-            if !self.behind(sequence) {
+            if !self.is_behind(sequence) {
                 return;
             }
             changed.await;
@@ -135,22 +135,22 @@
     /// What a daemon at version `since` needs to get to the one in force;
     /// `None` when there is nothing newer here.
     #[must_use]
-    pub fn transfer(&self, since: BundleSequence) -> Option<Bytes> {
+    pub fn transfer_since(&self, since: BundleSequence) -> Option<Bytes> {
         if since >= self.sequence() {
             return None;
         }
         let acceptor = self.acceptor.borrow();
-        let judged = Offset(acceptor.next().0.checked_sub(1)?);
-        let tail = self.tail.borrow();
+        let processed = Offset(acceptor.next_offset().0.checked_sub(1)?);
+        let tail = self.recent_changes.borrow();
         let start = tail.iter().position(|c| c.sequence.0 == since.0 + 1);
 
         let transfer = match start {
             Some(start) => Transfer::Changes {
                 changes: tail
                     .range(start..)
-                    .map(|c| (c.at, c.body.clone()))
+                    .map(|c| (c.accepted_offset, c.body.clone()))
                     .collect(),
-                judged,
+                processed,
             },
             None => Transfer::Checkpoint(Box::new(acceptor.snapshot()?)),
         };
@@ -158,40 +158,40 @@
     }
 
     /// Takes over a checkpoint that is known to hold, for measurements.
-    pub fn load(&self, checkpoint: bundle::Checkpoint) -> bool {
-        let adopted = self.with(|a| a.adopt(checkpoint));
-        adopted.is_ok_and(|adopted| adopted && self.settle())
+    pub fn load_checkpoint(&self, checkpoint: bundle::Checkpoint) -> bool {
+        let adopted = self.with_acceptor(|a| a.adopt(checkpoint));
+        adopted.is_ok_and(|adopted| adopted && self.activate_head())
     }
 
     /// Judges one record and puts what it leads to in force, for
     /// measurements.
-    pub fn step(&self, at: Offset, body: &str) -> bool {
-        self.judge(at, body);
-        self.settle()
+    pub fn apply_and_activate(&self, offset: Offset, body: &str) -> bool {
+        self.apply_record(offset, body);
+        self.activate_head()
     }
 
     /// Lets the acceptor work on something and returns what it made of it.
     /// Nothing becomes the version in force before [`Self::settle`].
-    pub(crate) fn with<T>(&self, work: impl FnOnce(&mut Acceptor) -> T) -> T {
+    pub(crate) fn with_acceptor<T>(&self, work: impl FnOnce(&mut Acceptor) -> T) -> T {
         work(&mut self.acceptor.borrow_mut())
     }
 
     /// Judges one record of the log.
-    pub(crate) fn judge(&self, at: Offset, body: &str) -> Verdict {
-        let verdict = self.with(|a| a.apply(at, body.as_bytes()));
-        self.remember(&verdict, at, body);
+    pub(crate) fn apply_record(&self, offset: Offset, body: &str) -> Verdict {
+        let verdict = self.with_acceptor(|a| a.apply(offset, body.as_bytes()));
+        self.record_change(&verdict, offset, body);
         verdict
     }
 
     /// Judges a change that a peer has read from the log.
-    pub(crate) fn judge_early(&self, at: Offset, body: &str) -> Verdict {
-        let verdict = self.with(|a| a.accept_early(at, body.as_bytes()));
-        self.remember(&verdict, at, body);
+    pub(crate) fn apply_from_peer(&self, offset: Offset, body: &str) -> Verdict {
+        let verdict = self.with_acceptor(|a| a.apply_from_peer(offset, body.as_bytes()));
+        self.record_change(&verdict, offset, body);
         verdict
     }
 
     pub(crate) fn set_reachable(&self, reachable: bool) {
-        if self.reachable.replace(reachable) != reachable {
+        if self.log_reachable.replace(reachable) != reachable {
             info!("log reachable", kv: { reachable = reachable });
         }
         metrics::gauge!("pimentocart_log_reachable").set(f64::from(u8::from(reachable)));
@@ -203,23 +203,23 @@
     /// Acceptance does not ask whether this build understands the content:
     /// daemons of two builds would otherwise accept different versions. One
     /// that does not understand a version goes on with the one before.
-    pub(crate) fn settle(&self) -> bool {
+    pub(crate) fn activate_head(&self) -> bool {
         let mut acceptor = self.acceptor.borrow_mut();
         let Some(head) = acceptor.head().cloned() else {
             return false;
         };
         let (sequence, id) = (head.sequence(), head.signed.id());
-        if self.tried.replace(Some(id)) == Some(id) {
+        if self.last_tried.replace(Some(id)) == Some(id) {
             return false;
         }
 
-        let touched = acceptor.take_touched().filter(|_| self.exact.get());
-        let made = self.make(acceptor.content(), touched.as_ref());
-        self.exact.set(made.is_ok());
+        let touched = acceptor.take_changed().filter(|_| self.incremental.get());
+        let made = self.build_index(acceptor.content(), touched.as_ref());
+        self.incremental.set(made.is_ok());
         match made {
             Ok(bundle) => {
                 let bundle = Rc::new(bundle);
-                *self.current.borrow_mut() = Some(Rc::new(InForce { sequence, bundle }));
+                *self.active.borrow_mut() = Some(Rc::new(ActiveVersion { sequence, bundle }));
             }
             Err(e) => {
                 error!("bundle not understood", kv: { sequence = sequence.0, error = e.to_string().as_str() });
@@ -232,12 +232,12 @@
         true
     }
 
-    fn remember(&self, verdict: &Verdict, at: Offset, body: &str) {
-        let mut tail = self.tail.borrow_mut();
+    fn record_change(&self, verdict: &Verdict, accepted_offset: Offset, body: &str) {
+        let mut tail = self.recent_changes.borrow_mut();
         match verdict {
             Verdict::Accepted(sequence) => tail.push_back(Change {
                 sequence: *sequence,
-                at,
+                accepted_offset,
                 body: body.to_owned(),
             }),
             // A version came without the change that led to it.
@@ -253,19 +253,23 @@
 
     /// Makes what requests go by: from the version in force if only the
     /// `touched` entries differ, else anew.
-    fn make(&self, content: &Content, touched: Option<&Touched>) -> Result<Lookup, content::Error> {
-        let current = self.current.borrow();
+    fn build_index(
+        &self,
+        content: &Content,
+        touched: Option<&ChangedEntries>,
+    ) -> Result<IndexedBundle, content::Error> {
+        let current = self.active.borrow();
         if let (Some(current), Some(touched)) = (current.as_ref(), touched) {
-            let mut next = Lookup::clone(&current.bundle);
+            let mut next = IndexedBundle::clone(&current.bundle);
             next.update(content, touched)?;
             return Ok(next);
         }
-        content.bundle().map(Lookup::new)
+        content.to_bundle().map(IndexedBundle::new)
     }
 
     /// Forgets the changes kept for others, after a version came without the
     /// change that led to it.
-    pub(crate) fn forget_tail(&self) {
-        self.tail.borrow_mut().clear();
+    pub(crate) fn clear_changes(&self) {
+        self.recent_changes.borrow_mut().clear();
     }
 }
--- a/crates/follow/src/transfer.rs
+++ b/crates/follow/src/transfer.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
-use crate::held::Held;
+use crate::state::BundleState;
 
 /// What one daemon sends to another that is behind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -21,7 +21,8 @@
         /// Each change's offset and record, in order.
         changes: Vec<(Offset, String)>,
         /// The last offset that the sender has judged.
-        judged: Offset,
+        #[serde(rename = "judged")]
+        processed: Offset,
     },
     /// The whole state.
     Checkpoint(Box<Checkpoint>),
@@ -52,44 +53,44 @@
     }
 }
 
-impl Held {
+impl BundleState {
     /// Takes over what a peer sent, if it is newer and holds.
     ///
     /// # Errors
     ///
     /// Returns [`Error`] when it does not hold; what was held stays then.
-    pub(crate) fn take(&self, bytes: &[u8]) -> Result<BundleSequence, Error> {
+    pub(crate) fn apply_transfer(&self, bytes: &[u8]) -> Result<BundleSequence, Error> {
         match serde_json::from_slice(bytes).context(UnreadableSnafu)? {
-            Transfer::Changes { changes, judged } => self.take_changes(&changes, judged)?,
+            Transfer::Changes { changes, processed } => self.apply_changes(&changes, processed)?,
             Transfer::Checkpoint(checkpoint) => {
-                let adopted = self.with(|a| a.adopt(*checkpoint));
+                let adopted = self.with_acceptor(|a| a.adopt(*checkpoint));
                 let adopted = adopted.map_err(|fault| Error::Refused {
                     verdict: Verdict::Refused(fault),
                 })?;
                 if adopted {
-                    self.forget_tail();
+                    self.clear_changes();
                 }
             }
         }
-        self.settle();
+        self.activate_head();
         Ok(self.sequence())
     }
 
-    fn take_changes(&self, changes: &[(Offset, String)], judged: Offset) -> Result<(), Error> {
+    fn apply_changes(&self, changes: &[(Offset, String)], processed: Offset) -> Result<(), Error> {
         for (at, body) in changes {
-            match self.judge_early(*at, body) {
+            match self.apply_from_peer(*at, body) {
                 Verdict::Accepted(_) => {}
                 // The log was faster than the peer.
-                Verdict::Refused(bundle::Fault::Replayed) => {}
+                Verdict::Refused(bundle::RecordError::Replayed) => {}
                 verdict => return RefusedSnafu { verdict }.fail(),
             }
         }
         // Only a reader whose last version is the sender's last one has the
         // sender's state, so only it may pass over what the sender judged.
         let last = changes.last().map(|(at, _)| *at);
-        self.with(|a| {
-            if a.head().map(|h| h.at) == last {
-                a.judged(judged);
+        self.with_acceptor(|a| {
+            if a.head().map(|h| h.accepted_offset) == last {
+                a.mark_processed(processed);
             }
         });
         Ok(())
--- a/crates/follow/tests/failures/common.rs
+++ b/crates/follow/tests/failures/common.rs
@@ -13,7 +13,7 @@
 use base::stop::StopSignal;
 use bundle::{Content, Operators, SecretKey};
 use clients::log::{Log, Page};
-use follow::{Follower, Held, Publisher, STREAM, Settings};
+use follow::{BundleState, Follower, Publisher, STREAM, Settings};
 use serde_json::json;
 use standin::Control;
 use standin::log::Faults;
@@ -32,7 +32,7 @@
 
 /// One daemon's follower.
 pub(crate) struct Daemon {
-    pub(crate) held: Rc<Held>,
+    pub(crate) held: Rc<BundleState>,
     pub(crate) follower: Addr<Follower>,
 }
 
@@ -57,10 +57,10 @@
     /// Starts a daemon that follows the log.
     pub(crate) fn daemon(&self) -> Daemon {
         let mut settings = Settings::new(self.addr, trust());
-        settings.wait = HumanDuration::ms(50);
-        settings.backoff = HumanDuration::ms(50);
-        settings.delay = HumanDuration::ms(50);
-        let held = Held::new(trust());
+        settings.poll_timeout = HumanDuration::ms(50);
+        settings.max_backoff = HumanDuration::ms(50);
+        settings.checkpoint_delay = HumanDuration::ms(50);
+        let held = BundleState::new(trust());
         let follower = Follower::new(settings, Rc::clone(&held), Rc::new(SystemClock)).start();
         Daemon { held, follower }
     }
@@ -68,7 +68,7 @@
     /// An operator's tool that has read the log.
     pub(crate) async fn publisher(&self) -> Publisher {
         let mut publisher = Publisher::new(self.log.clone(), trust());
-        publisher.read().await.expect("the log answers");
+        publisher.read_to_end().await.expect("the log answers");
         publisher
     }
 
@@ -94,7 +94,7 @@
 pub(crate) fn trust() -> Operators {
     [awa(), luz()]
         .into_iter()
-        .map(|k| (k.operator, k.public))
+        .map(|k| (k.operator, k.public_key))
         .collect()
 }
 
--- a/crates/follow/tests/failures/daemons.rs
+++ b/crates/follow/tests/failures/daemons.rs
@@ -2,7 +2,7 @@
 
 use base::ids::{BundleSequence, Offset};
 use base::settings::HumanDuration;
-use follow::{Outcome, STREAM, Take};
+use follow::{ApplyTransfer, PublishOutcome, STREAM};
 
 use crate::common::{Daemon, World, awa, content, goes_by, luz, run, until, until_log};
 
@@ -12,14 +12,14 @@
     for n in from..=to {
         let mark = format!("v{n}");
         let told = publisher.publish(&awa(), &content(&mark), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(n))));
+        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(n))));
     }
 }
 
 /// Hands what one daemon holds to another, as calls between them do.
 async fn hand_over(from: &Daemon, to: &Daemon) {
-    if let Some(bytes) = from.held.transfer(to.held.sequence()) {
-        let taken = to.follower.send(Take(bytes)).await;
+    if let Some(bytes) = from.held.transfer_since(to.held.sequence()) {
+        let taken = to.follower.send(ApplyTransfer(bytes)).await;
         taken
             .expect("the follower lives")
             .expect("the transfer holds");
@@ -47,8 +47,8 @@
         for _ in 0..2 {
             tokio::time::sleep(std::time::Duration::from_millis(30)).await;
             world.down(true);
-            until("the outage is seen", || !daemon.held.reachable()).await;
-            assert!(daemon.held.in_force().is_none() || goes_by(&daemon, "v7"));
+            until("the outage is seen", || !daemon.held.log_reachable()).await;
+            assert!(daemon.held.active_version().is_none() || goes_by(&daemon, "v7"));
             world.down(false);
         }
         until("version 7 is in force", || goes_by(&daemon, "v7")).await;
@@ -70,8 +70,8 @@
 
         let mut replaced = world.daemon();
         for _ in 0..2 {
-            until("the outage is seen", || !replaced.held.reachable()).await;
-            assert!(replaced.held.in_force().is_none());
+            until("the outage is seen", || !replaced.held.log_reachable()).await;
+            assert!(replaced.held.active_version().is_none());
             hand_over(&peer, &replaced).await;
             assert!(goes_by(&replaced, "v2"));
             replaced = world.daemon();
@@ -95,17 +95,23 @@
         publish(&world, 1, 1).await;
         let old = world.daemon();
         until("the old peer goes by 1", || goes_by(&old, "v1")).await;
-        let first = old.held.transfer(BundleSequence(0)).expect("a version");
+        let first = old
+            .held
+            .transfer_since(BundleSequence(0))
+            .expect("a version");
         publish(&world, 2, 3).await;
         let new = world.daemon();
         until("the new peer goes by 3", || goes_by(&new, "v3")).await;
-        let third = new.held.transfer(BundleSequence(0)).expect("a version");
+        let third = new
+            .held
+            .transfer_since(BundleSequence(0))
+            .expect("a version");
         world.down(true);
 
         for order in [[&first, &third], [&third, &first]] {
             let fresh = world.daemon();
             for bytes in order {
-                let taken = fresh.follower.send(Take(bytes.clone())).await;
+                let taken = fresh.follower.send(ApplyTransfer(bytes.clone())).await;
                 let _ = taken.expect("the follower lives");
             }
             assert!(goes_by(&fresh, "v3"));
@@ -122,10 +128,13 @@
         publish(&world, 1, 1).await;
         let daemon = world.daemon();
         until("version 1 is in force", || goes_by(&daemon, "v1")).await;
-        let offered = daemon.held.transfer(BundleSequence(0)).expect("a version");
+        let offered = daemon
+            .held
+            .transfer_since(BundleSequence(0))
+            .expect("a version");
         let text = String::from_utf8(offered.to_vec()).expect("JSON");
         let text = text.replace("\\\"sequence\\\":1", "\\\"sequence\\\":2");
-        let taken = daemon.follower.send(Take(text.into())).await;
+        let taken = daemon.follower.send(ApplyTransfer(text.into())).await;
         assert!(taken.expect("the follower lives").is_err());
         assert_eq!(daemon.held.sequence(), BundleSequence(1));
     });
@@ -141,9 +150,9 @@
         publish(&world, 1, 1).await;
         let (mut one, mut two) = (world.publisher().await, world.publisher().await);
         let told = one.publish(&luz(), &content("luz"), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(2))));
+        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(2))));
         let told = two.publish(&awa(), &content("awa"), None).await;
-        assert!(matches!(told, Ok(Outcome::Beaten { .. })));
+        assert!(matches!(told, Ok(PublishOutcome::Conflict { .. })));
         let beaten = world.page().await.records[2].clone();
         assert_eq!(beaten.offset, Offset(2));
 
@@ -161,7 +170,7 @@
 
         let fresh = world.daemon();
         until("the fresh daemon has a bundle", || {
-            fresh.held.in_force().is_some()
+            fresh.held.active_version().is_some()
         })
         .await;
         assert!(goes_by(&fresh, "luz"));
@@ -211,9 +220,9 @@
         let later = bundle::Content::from_json(&json).expect("an object of objects");
         let mut publisher = world.publisher().await;
         let told = publisher.publish(&awa(), &later, None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(2))));
+        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(2))));
         let told = publisher.publish(&awa(), &content("v3"), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(3))));
+        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(3))));
         until("version 3 is in force", || goes_by(&daemon, "v3")).await;
     });
 }
--- a/crates/follow/tests/failures/publishing.rs
+++ b/crates/follow/tests/failures/publishing.rs
@@ -1,7 +1,7 @@
 //! What an operator is told.
 
 use base::ids::{BundleSequence, Offset};
-use follow::{Outcome, STREAM};
+use follow::{PublishOutcome, STREAM};
 
 use crate::common::{awa, content, goes_by, luz, run, until};
 
@@ -14,7 +14,7 @@
         let mut publisher = world.publisher().await;
         world.faults.change(|f| f.lose = 1);
         let told = publisher.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(1))));
+        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(1))));
         assert_eq!(world.page().await.end, Offset(1));
     });
 }
@@ -36,13 +36,13 @@
             faults.change(|f| f.down = true);
         });
         let told = publisher.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(Outcome::Unknown));
+        assert_eq!(told, Ok(PublishOutcome::Unknown));
 
         world.down(false);
         for _ in 0..2 {
             let mut again = world.publisher().await;
             let told = again.publish(&awa(), &content("v1"), None).await;
-            assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(1))));
+            assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(1))));
         }
         assert_eq!(world.page().await.end, Offset(1));
     });
@@ -59,19 +59,19 @@
         let daemon = world.daemon();
         let mut first = world.publisher().await;
         let told = first.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(1))));
+        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(1))));
 
-        for (sequence, winner, loser) in [(2, awa(), luz()), (3, luz(), awa())] {
+        for (sequence, winner_key, loser_key) in [(2, awa(), luz()), (3, luz(), awa())] {
             let (mut one, mut two) = (world.publisher().await, world.publisher().await);
             world.faults.change(|f| f.lose = 1);
-            let mark = format!("{}-{sequence}", winner.operator);
-            let told = one.publish(&winner, &content(&mark), None).await;
-            assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(sequence))));
+            let mark = format!("{}-{sequence}", winner_key.operator);
+            let told = one.publish(&winner_key, &content(&mark), None).await;
+            assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(sequence))));
 
-            let told = two.publish(&loser, &content("lost"), None).await;
-            let by = BundleSequence(sequence);
-            let operator = winner.operator.clone();
-            assert_eq!(told, Ok(Outcome::Beaten { by, operator }));
+            let told = two.publish(&loser_key, &content("lost"), None).await;
+            let winner = BundleSequence(sequence);
+            let operator = winner_key.operator.clone();
+            assert_eq!(told, Ok(PublishOutcome::Conflict { winner, operator }));
             until("the winner is in force", || goes_by(&daemon, &mark)).await;
         }
         assert_eq!(daemon.held.sequence(), BundleSequence(3));
@@ -87,17 +87,17 @@
         let mut publisher = world.publisher().await;
         for mark in ["v1", "v2"] {
             let told = publisher.publish(&awa(), &content(mark), None).await;
-            assert!(matches!(told, Ok(Outcome::Accepted(_))));
+            assert!(matches!(told, Ok(PublishOutcome::Accepted(_))));
         }
         let old = publisher
-            .content(BundleSequence(1))
+            .version_content(BundleSequence(1))
             .await
             .expect("the log answers");
         let old = old.expect("the log still has version 1");
         let told = publisher
             .publish(&luz(), &old, Some(BundleSequence(1)))
             .await;
-        assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(3))));
+        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(3))));
 
         until("version 3 is in force", || {
             daemon.held.sequence() == BundleSequence(3)
@@ -115,7 +115,7 @@
         let mut publisher = world.publisher().await;
         world.down(true);
         let told = publisher.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(Outcome::Unknown));
+        assert_eq!(told, Ok(PublishOutcome::Unknown));
         world.down(false);
         let found = world
             .log
--- a/crates/scenario/tests/run/records.rs
+++ b/crates/scenario/tests/run/records.rs
@@ -6,10 +6,12 @@
 
 use base::clock::{Clock, ManualClock};
 use base::ids::{BundleSequence, Offset, RequestId};
-use bundle::record::{Header, operators_hash, operators_of};
-use bundle::{Acceptor, Content, Hash, Operators, Payload, Record, SecretKey, Signed, Verdict};
-use claims::record::{Claimed, Mark};
-use claims::table::Table;
+use bundle::record::{Header, content_operators, operators_hash};
+use bundle::{
+    Acceptor, Content, Hash, Operators, Payload, Record, SecretKey, SignedHeader, Verdict,
+};
+use claims::record::{ClaimRequest, TicketText};
+use claims::table::ClaimTable;
 use serde_json::json;
 
 use crate::Said;
@@ -28,7 +30,7 @@
     made: BTreeMap<String, Record>,
     readers: BTreeMap<String, Acceptor>,
     claims: Vec<(u64, String)>,
-    tables: BTreeMap<String, Table>,
+    tables: BTreeMap<String, ClaimTable>,
 }
 
 impl Records {
@@ -68,12 +70,12 @@
             sequence: BundleSequence(reader.sequence().0 + 1),
             parent: parent.unwrap_or_default(),
             digest: content.digest(),
-            operators: operators_hash(&operators_of(&content)),
+            operators: operators_hash(&content_operators(&content)),
             operator: key.operator.clone(),
             restores: None,
         };
         let record = Record::Change {
-            signed: Signed::new(header, &key)?,
+            signed: SignedHeader::new(header, &key)?,
             payload: Payload::Delta(reader.content().patch_to(&content)),
         };
         self.made.insert(words.at(0)?.to_owned(), record);
@@ -98,8 +100,8 @@
         for name in words.plain() {
             let reader = self.readers.get_mut(name).ok_or("no such reader")?;
             loop {
-                reader.expired(Offset(self.first));
-                let at = reader.next();
+                reader.skip_expired(Offset(self.first));
+                let at = reader.next_offset();
                 let Some(bytes) = self.log.get(at.0 as usize) else {
                     break;
                 };
@@ -170,10 +172,10 @@
         let ticket = RequestId(self.claims.len() as u128 + 1);
         let record = claims::record::Record {
             entry: entry.to_owned(),
-            claims: vec![Claimed {
+            claims: vec![ClaimRequest {
                 key: Hash::of(&[key.as_bytes()]),
                 body: Hash::of(&[body.as_bytes()]),
-                ticket: Mark(ticket),
+                ticket: TicketText(ticket),
             }],
             ..claims::record::Record::default()
         };
@@ -183,7 +185,7 @@
         let table = self
             .tables
             .entry(entry.to_owned())
-            .or_insert_with(|| Table::new(WINDOW_MS));
+            .or_insert_with(|| ClaimTable::new(WINDOW_MS));
         for (at, (time_ms, text)) in self.claims.iter().enumerate() {
             table.apply(Offset(at as u64), *time_ms, text);
         }
@@ -210,7 +212,9 @@
 fn shown(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Accepted(sequence) => format!("accepted as {sequence}"),
-        Verdict::Beaten { by, operator } => format!("beaten by version {by} of {operator}"),
+        Verdict::Conflict { winner, operator } => {
+            format!("beaten by version {winner} of {operator}")
+        }
         Verdict::Adopted(sequence) => format!("adopted {sequence}"),
         Verdict::Refused(fault) => format!("refused {}", fault.as_str()),
         other => other.as_str().to_owned(),
@@ -224,7 +228,7 @@
 }
 
 fn trust() -> Operators {
-    let pair = |name: &str| (name.to_owned(), key(name).public);
+    let pair = |name: &str| (name.to_owned(), key(name).public_key);
     ["awa", "luz"].into_iter().map(pair).collect()
 }
 
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -101,7 +101,7 @@
     }
 
     async fn fetch_bundle(self, _: Context, stamp: CallHeader) -> Reply<Option<bytes::Bytes>> {
-        let transfer = self.state.spread.held.transfer(stamp.sequence);
+        let transfer = self.state.spread.held.transfer_since(stamp.sequence);
         self.state.reply(transfer)
     }
 
--- a/crates/sidecar/src/spread.rs
+++ b/crates/sidecar/src/spread.rs
@@ -8,7 +8,7 @@
 use base::ids::BundleSequence;
 use base::reason::Refusal;
 use bytes::Bytes;
-use follow::{Follower, Held, Take};
+use follow::{ApplyTransfer, BundleState, Follower};
 
 /// How long a call waits for the version that its sender goes by.
 const CATCH_UP: Duration = Duration::from_millis(500);
@@ -16,7 +16,7 @@
 /// The bundle in force and who changes it.
 pub struct Spread {
     /// The bundle in force.
-    pub held: Rc<Held>,
+    pub held: Rc<BundleState>,
     /// Who may change it; none without a log.
     follower: Option<Addr<Follower>>,
 }
@@ -38,7 +38,7 @@
     #[must_use]
     pub fn new(settings: Option<&follow::Settings>, clock: Rc<dyn Clock>) -> Self {
         let trust = settings.map(|s| s.trust.clone()).unwrap_or_default();
-        let held = Held::new(trust);
+        let held = BundleState::new(trust);
         let start =
             |s: &follow::Settings| Follower::new(s.clone(), Rc::clone(&held), clock).start();
         let follower = settings.map(start);
@@ -48,7 +48,7 @@
     /// Whether there is a bundle to go by, or none is needed.
     #[must_use]
     pub fn ready(&self) -> bool {
-        self.follower.is_none() || self.held.in_force().is_some()
+        self.follower.is_none() || self.held.active_version().is_some()
     }
 
     /// Levels with a sender that goes by version `told`, within `hold`.
@@ -61,14 +61,14 @@
         if self.follower.is_none() {
             return Level::Decide;
         }
-        if self.held.behind(told) {
+        if self.held.is_behind(told) {
             if hold.is_zero() {
                 return Level::Behind;
             }
             let wait = hold.min(CATCH_UP);
-            let _ = tokio::time::timeout(wait, self.held.reached(told)).await;
+            let _ = tokio::time::timeout(wait, self.held.wait_for_version(told)).await;
         }
-        match self.held.in_force() {
+        match self.held.active_version() {
             Some(_) => Level::Decide,
             None => Level::Refuse(Refusal::NoBundle),
         }
@@ -79,6 +79,6 @@
         let Some(follower) = &self.follower else {
             return false;
         };
-        matches!(follower.send(Take(transfer)).await, Ok(Ok(_)))
+        matches!(follower.send(ApplyTransfer(transfer)).await, Ok(Ok(_)))
     }
 }
--- a/crates/sidecar/src/state/upkeep.rs
+++ b/crates/sidecar/src/state/upkeep.rs
@@ -23,7 +23,7 @@
         self.tombs.borrow_mut().expire(now);
         // The bundle goes before the settings, which only count without one.
         if let Some(bundle) = self.spread.held.bundle() {
-            let share = bundle.shares.guaranteed;
+            let share = bundle.shares.guaranteed_share;
             self.queue.borrow_mut().set_guaranteed_share(share);
         }
 
