--- a/crates/scenario/tests/run/server.rs
+++ b/crates/scenario/tests/run/server.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use serde_json::json;
 use sidecar::Settings;
-use sidecar::state::{Entry, State};
+use sidecar::state::{Request, State};
 use wire::{
     BackendRequest, Chunk, PullOutcome, ReserveOutcome, ReserveRequest, ResponseEnd, StartOutcome,
     StartRequest,
@@ -52,7 +52,7 @@
 
 /// A request that runs at an engine.
 struct Run {
-    entry: Rc<Entry>,
+    entry: Rc<Request>,
     call: usize,
     /// Tokens still to make.
     left: u32,
@@ -313,13 +313,13 @@
             server.runs.retain_mut(|run| {
                 while run.next <= now && run.left > 0 && !run.entry.stop.is_triggered() {
                     let data = Bytes::from_static(b"word ");
-                    state.push(&run.entry, Chunk { tokens: 1, data });
+                    state.push_chunk(&run.entry, Chunk { tokens: 1, data });
                     run.left -= 1;
                     run.made += 1;
                     run.next += step;
                 }
                 let end = match (run.left, run.entry.stop.is_triggered()) {
-                    (_, true) => state.stopped(&run.entry),
+                    (_, true) => state.stopped_end(&run.entry),
                     (0, _) => ResponseEnd::Complete {
                         chunk_count: run.made,
                         status: 200,
@@ -434,8 +434,8 @@
             let Some(entry) = state.find(ticket) else {
                 continue;
             };
-            state.renew(&entry, POLL_MS);
-            let made = state.made(&entry);
+            state.renew_lease(&entry, POLL_MS);
+            let made = state.chunk_count(&entry);
             let _: PullOutcome = state.pull(&entry, made);
         }
     }
--- a/crates/sidecar/src/caches.rs
+++ b/crates/sidecar/src/cache_events.rs
@@ -9,38 +9,38 @@
 use policy::caches::{BlockChange, CacheMap};
 use spdlog::debug;
 
-use crate::state::{Client, State};
+use crate::state::{BackendClient, State};
 
 /// How often the events are fetched. They come late anyway.
-const EVERY: Duration = Duration::from_secs(1);
+const FETCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Follows the events until `stop` is asked. A plain service has none.
 pub async fn follow(state: Rc<State>, stop: StopSignal) {
-    let Client::Engine(engine) = &state.backend else {
+    let BackendClient::Engine(engine) = &state.backend else {
         return;
     };
     while !stop.is_triggered() {
         fetch(&state, engine).await;
         tokio::select! {
-            () = tokio::time::sleep(EVERY) => {}
+            () = tokio::time::sleep(FETCH_INTERVAL) => {}
             () = stop.wait() => {}
         }
     }
 }
 
 async fn fetch(state: &State, engine: &Engine) {
-    let from = state.caches.borrow().next_event();
+    let from = state.prefix_cache.borrow().next_event();
     match engine.cache_events(from).await {
-        Ok(events) => take(&mut state.caches.borrow_mut(), &events),
+        Ok(events) => apply_events(&mut state.prefix_cache.borrow_mut(), &events),
         // What is known may be wrong by the time the engine is back.
         Err(e) => {
             debug!("no cache events", kv: { error = e.to_string().as_str() });
-            state.caches.borrow_mut().reset();
+            state.prefix_cache.borrow_mut().reset();
         }
     }
 }
 
-fn take(map: &mut CacheMap, events: &CacheEvents) {
+fn apply_events(map: &mut CacheMap, events: &CacheEvents) {
     // The numbers began anew: the engine restarted with an empty cache.
     if events.next < map.next_event() {
         map.reset();
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -4,22 +4,22 @@
 //! - [`settings`]: what the operators set.
 //! - [`state`]: the tickets and their states.
 //! - [`service`]: the inner protocol's calls.
-//! - [`spread`]: the bundle that the sidecar goes by.
+//! - [`bundle_sync`]: the bundle that the sidecar goes by.
 //! - [`status`]: what operators are shown.
 //! - `health`: whether the backend server answers.
-//! - `meter`: what is counted.
+//! - `metrics`: what is counted.
 //! - [`orders`]: ordering the engine to load what the bundle wants.
-//! - [`caches`]: following the engine's cache events.
+//! - [`cache_events`]: following the engine's cache events.
 //! - [`run`]: running one ticket at the backend server.
 
-pub mod caches;
+pub mod bundle_sync;
+pub mod cache_events;
 mod health;
-mod meter;
+mod metrics;
 pub mod orders;
 pub mod run;
 pub mod service;
 pub mod settings;
-pub mod spread;
 pub mod state;
 pub mod status;
 
@@ -37,7 +37,7 @@
 use state::State;
 
 /// How often held slots and waiting requests are checked for their time.
-const SWEEP: Duration = Duration::from_millis(10);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Runs a sidecar until `stop` is asked and everything in progress has ended.
 ///
@@ -62,10 +62,10 @@
     }
     actix_rt::spawn(sweep(Rc::clone(&state), end.clone()));
     if let Some(orders) = state.settings.orders.clone() {
-        orders::Ordering::new(Rc::clone(&state), orders).start();
+        orders::ReconcileLoop::new(Rc::clone(&state), orders).start();
     }
     actix_rt::spawn(health::watch(Rc::clone(&state), end.clone()));
-    actix_rt::spawn(caches::follow(Rc::clone(&state), end.clone()));
+    actix_rt::spawn(cache_events::follow(Rc::clone(&state), end.clone()));
     // Entries may have to dial anew during a drain to get their answers, so
     // connections are taken until the very end.
     let service = service::Service::new(Rc::clone(&state));
@@ -73,8 +73,8 @@
 
     stop.wait().await;
     info!("sidecar drains", kv: { name = state.settings.name.as_str() });
-    let drained = state.drain(state.settings.drain_limit.0).await;
-    meter::drained(drained);
+    let drained = state.drain(state.settings.drain_timeout.0).await;
+    metrics::drained(drained);
     info!("sidecar drained", kv: { name = state.settings.name.as_str() });
     end.trigger();
     Ok(())
@@ -83,6 +83,6 @@
 async fn sweep(state: Rc<State>, end: StopSignal) {
     while !end.is_triggered() {
         state.sweep();
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
     }
 }
--- a/crates/sidecar/src/meter.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -6,9 +6,9 @@
 use metrics::{counter, gauge};
 use policy::queue::QueueStatus;
 
-use crate::orders::Round;
-use crate::run::Fault;
-use crate::state::Drained;
+use crate::orders::ReconcileOutcome;
+use crate::run::StreamFault;
+use crate::state::DrainOutcome;
 
 /// Requests that the queue refused.
 const REFUSALS: &str = "pimentocart_queue_refusals_total";
@@ -57,43 +57,43 @@
 }
 
 /// Shows how the queue stands; `kept` is the number of slots kept free.
-pub(crate) fn standing(standing: &QueueStatus, kept: usize) {
-    gauge!("pimentocart_queue_waiting").set(standing.waiting as f64);
-    gauge!("pimentocart_queue_busy").set(standing.busy as f64);
-    gauge!("pimentocart_queue_wait_seconds").set(standing.wait_us as f64 / 1e6);
-    gauge!("pimentocart_queue_headroom").set(kept as f64);
+pub(crate) fn queue_status(status: &QueueStatus, reserved: usize) {
+    gauge!("pimentocart_queue_waiting").set(status.waiting as f64);
+    gauge!("pimentocart_queue_busy").set(status.busy as f64);
+    gauge!("pimentocart_queue_wait_seconds").set(status.wait_us as f64 / 1e6);
+    gauge!("pimentocart_queue_headroom").set(reserved as f64);
 }
 
 /// Counts a drain.
-pub(crate) fn drained(drained: Drained) {
+pub(crate) fn drained(drained: DrainOutcome) {
     let outcome = match drained {
-        Drained::Whole => "whole",
-        Drained::CutOff => "cut_off",
+        DrainOutcome::Completed => "whole",
+        DrainOutcome::TimedOut => "cut_off",
     };
     counter!("pimentocart_drains_total", "outcome" => outcome).increment(1);
 }
 
 /// Counts an attempt to resume an engine's stream, by its cause.
-pub(crate) fn resume(fault: Fault) {
+pub(crate) fn resume_attempt(fault: StreamFault) {
     counter!("pimentocart_engine_resumes_total", "cause" => fault.as_str()).increment(1);
 }
 
 /// Counts a token that came a second time and was dropped.
-pub(crate) fn duplicate() {
+pub(crate) fn duplicate_token() {
     counter!("pimentocart_engine_duplicates_total").increment(1);
 }
 
 /// Counts a time at which the backend server could not be reached any more.
-pub(crate) fn failure() {
+pub(crate) fn backend_failure() {
     counter!("pimentocart_backend_failures_total").increment(1);
 }
 
 /// Counts a round of orders by what it came to.
-pub(crate) fn order(round: Round) {
+pub(crate) fn reconciled(round: ReconcileOutcome) {
     counter!("pimentocart_orders_total", "outcome" => round.as_str()).increment(1);
 }
 
 /// Counts a wait for the weight store's permit.
-pub(crate) fn weight_wait() {
+pub(crate) fn permit_wait() {
     counter!("pimentocart_weight_waits_total").increment(1);
 }
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -18,14 +18,14 @@
 use serde::{Deserialize, Serialize};
 use spdlog::{info, warn};
 
-use crate::meter;
+use crate::metrics;
 use crate::state::State;
 
 /// The shortest random wait for a permit of the weight store, as doubled.
-const PERMIT_FIRST: Duration = Duration::from_millis(250);
+const PERMIT_BACKOFF_BASE: Duration = Duration::from_millis(250);
 
 /// Claims read from the log in one call.
-const PAGE: usize = 256;
+const CLAIMS_PER_PAGE: usize = 256;
 
 /// How the engine is ordered to load what the bundle wants.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,8 +36,8 @@
     /// Where the platform serves its log.
     pub log: SocketAddr,
     /// Where the weight store gives permits, if it asks for any.
-    #[serde(default)]
-    pub weights: Option<SocketAddr>,
+    #[serde(rename = "weights", default)]
+    pub weight_store: Option<SocketAddr>,
     /// The engine's name, equal for all sidecars that ever stand beside it.
     pub server: String,
     /// The model that the engine serves, as the bundle names it.
@@ -46,50 +46,50 @@
     #[serde(default = "default_lease")]
     pub lease: HumanDuration,
     /// How often what is loaded is compared with the bundle.
-    #[serde(default = "default_every")]
-    pub every: HumanDuration,
+    #[serde(rename = "every", default = "default_check_interval")]
+    pub check_interval: HumanDuration,
     /// The longest wait for a permit before what is loaded is compared anew.
-    #[serde(default = "default_wait")]
-    pub wait: HumanDuration,
+    #[serde(rename = "wait", default = "default_permit_timeout")]
+    pub permit_timeout: HumanDuration,
 }
 
 fn default_lease() -> HumanDuration {
     HumanDuration::secs(15)
 }
 
-fn default_every() -> HumanDuration {
+fn default_check_interval() -> HumanDuration {
     HumanDuration::secs(1)
 }
 
-fn default_wait() -> HumanDuration {
+fn default_permit_timeout() -> HumanDuration {
     HumanDuration::secs(60)
 }
 
 /// Gives one engine its orders, at most one sidecar at a time.
-pub struct Keeper {
+pub struct LoadReconciler {
     settings: Settings,
     /// This life of this sidecar, as claims name it.
     holder: String,
     clock: Rc<dyn Clock>,
     log: Log,
     engine: Orders,
-    weights: Option<Weights>,
+    weight_store: Option<Weights>,
     lease: Option<Lease>,
     /// The highest fencing number that was seen in the log.
-    highest: Offset,
+    highest_token: Offset,
 }
 
 /// What a round came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Round {
+pub enum ReconcileOutcome {
     /// Nothing is to be done, or the engine is at it.
     Idle,
     /// An order was given.
-    Given,
+    OrderSent,
     /// Another sidecar holds the lease.
     NotHolder,
     /// The lease lapsed before the order.
-    Lapsed,
+    LeaseExpired,
     /// The weight store gave no permit in time.
     NoPermit,
     /// The log, or the engine, did not answer.
@@ -100,19 +100,19 @@
 
 /// A claim as it stands in the log.
 #[derive(Debug, Serialize, Deserialize)]
-struct Body {
+struct ClaimBody {
     holder: String,
     ttl_ms: u64,
 }
 
 /// A claim that was read from the log.
-struct Record {
+struct ClaimRecord {
     offset: Offset,
     time_ms: u64,
-    body: Body,
+    body: ClaimBody,
 }
 
-impl Record {
+impl ClaimRecord {
     /// Reads a record; one that is no claim is passed over.
     fn parse(entry: &log::Entry) -> Option<Self> {
         Some(Self {
@@ -132,7 +132,7 @@
     }
 }
 
-impl Keeper {
+impl LoadReconciler {
     /// Makes the keeper of one engine. `holder` names this life of the
     /// sidecar, so that a new life never takes an old one's lease for its own.
     #[must_use]
@@ -140,19 +140,19 @@
         Self {
             log: Log::new(settings.log),
             engine: Orders::new(settings.addr),
-            weights: settings.weights.map(Weights::new),
+            weight_store: settings.weight_store.map(Weights::new),
             settings,
             holder,
             clock,
             lease: None,
-            highest: Offset::default(),
+            highest_token: Offset::default(),
         }
     }
 
     /// Takes one step towards what is `wanted`.
-    pub async fn round(&mut self, wanted: &LoadedModel) -> Round {
+    pub async fn reconcile(&mut self, wanted: &LoadedModel) -> ReconcileOutcome {
         let Ok(standing) = self.engine.standing().await else {
-            return Round::Failed;
+            return ReconcileOutcome::Failed;
         };
         let is = LoadedModel {
             version: standing.version,
@@ -160,22 +160,22 @@
         };
         let step = loading::next_step(wanted, &is).filter(|_| !standing.loading);
         let Some(step) = step else {
-            return Round::Idle;
+            return ReconcileOutcome::Idle;
         };
 
         // The lease goes first, or a sidecar that may not order anything
         // would take a permit from one that may.
-        if let Err(round) = self.hold().await {
+        if let Err(round) = self.ensure_lease().await {
             return round;
         }
-        if !self.permit(&step).await {
-            return Round::NoPermit;
+        if !self.acquire_permit(&step).await {
+            return ReconcileOutcome::NoPermit;
         }
         // The wait may have outlasted the lease.
-        if let Err(round) = self.hold().await {
+        if let Err(round) = self.ensure_lease().await {
             return round;
         }
-        self.give(&order(step)).await
+        self.send_order(&to_order(step)).await
     }
 
     /// Gives an order, if the lease still holds at this moment.
@@ -183,32 +183,32 @@
     /// Some engines take an order whatever its number. For these the check
     /// here is all that keeps a holder that was paused from undoing what its
     /// successor ordered, so nothing may be waited for between the two.
-    async fn give(&mut self, order: &Order) -> Round {
+    async fn send_order(&mut self, order: &Order) -> ReconcileOutcome {
         let fence = self.lease.and_then(|l| l.fencing_token(self.clock.now()));
-        let Some(fence) = fence.filter(|fence| *fence >= self.highest) else {
-            return Round::Lapsed;
+        let Some(fence) = fence.filter(|fence| *fence >= self.highest_token) else {
+            return ReconcileOutcome::LeaseExpired;
         };
         match self.engine.give(order, fence).await {
             Ok(()) => {
                 let order = format!("{order:?}");
                 info!("order given", kv: { server = self.settings.server.as_str(), fence = fence.0, order = order.as_str() });
-                Round::Given
+                ReconcileOutcome::OrderSent
             }
             Err(e) => {
                 warn!("order failed", kv: { server = self.settings.server.as_str(), error = e.to_string().as_str() });
                 match e {
                     clients::orders::Error::Old { .. } | clients::orders::Error::Refused { .. } => {
-                        Round::Refused
+                        ReconcileOutcome::Refused
                     }
                     // Whether it was taken shows in what the engine has.
-                    _ => Round::Failed,
+                    _ => ReconcileOutcome::Failed,
                 }
             }
         }
     }
 
     /// Makes sure of the lease, claiming it anew if it is about to lapse.
-    async fn hold(&mut self) -> Result<(), Round> {
+    async fn ensure_lease(&mut self) -> Result<(), ReconcileOutcome> {
         let now = self.clock.now();
         if self
             .lease
@@ -216,23 +216,26 @@
         {
             return Ok(());
         }
-        self.lease = self.claim().await.map_err(|_| Round::Failed)?;
-        self.lease.map(|_| ()).ok_or(Round::NotHolder)
+        self.lease = self
+            .claim_lease()
+            .await
+            .map_err(|_| ReconcileOutcome::Failed)?;
+        self.lease.map(|_| ()).ok_or(ReconcileOutcome::NotHolder)
     }
 
     /// Claims the lease in the log and reads whose it is.
-    async fn claim(&mut self) -> Result<Option<Lease>, log::Error> {
+    async fn claim_lease(&mut self) -> Result<Option<Lease>, log::Error> {
         let stream = format!("orders-{}", self.settings.server);
         // A claim while another's lease lasts is in vain, and the log takes
         // only so many appends.
-        let (now_ms, claims) = self.read(&stream).await?;
+        let (now_ms, claims) = self.read_claims(&stream).await?;
         let taken = |held: &LeaseClaim| held.holder != self.holder && held.expires_ms() > now_ms;
-        if current_claim(claims.iter().map(Record::claim)).is_some_and(|held| taken(&held)) {
+        if current_claim(claims.iter().map(ClaimRecord::claim)).is_some_and(|held| taken(&held)) {
             return Ok(None);
         }
 
         let ttl = self.settings.lease.0;
-        let body = Body {
+        let body = ClaimBody {
             holder: self.holder.clone(),
             ttl_ms: u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX),
         };
@@ -241,26 +244,29 @@
         let sent = self.clock.now();
         self.log.append(&stream, &id, &body).await?;
 
-        let (_, claims) = self.read(&stream).await?;
-        let Some(held) = current_claim(claims.iter().map(Record::claim)) else {
+        let (_, claims) = self.read_claims(&stream).await?;
+        let Some(held) = current_claim(claims.iter().map(ClaimRecord::claim)) else {
             return Ok(None);
         };
-        self.highest = self.highest.max(held.offset);
+        self.highest_token = self.highest_token.max(held.offset);
         let mine = held.holder == self.holder;
         Ok(mine.then(|| Lease::new(held.offset, sent, ttl)))
     }
 
     /// All claims that the log still has, and its time.
-    async fn read(&self, stream: &str) -> Result<(u64, Vec<Record>), log::Error> {
+    async fn read_claims(&self, stream: &str) -> Result<(u64, Vec<ClaimRecord>), log::Error> {
         let mut claims = Vec::new();
         let mut from = Offset::default();
         loop {
-            let page = self.log.read(stream, from, PAGE, Duration::ZERO).await?;
+            let page = self
+                .log
+                .read(stream, from, CLAIMS_PER_PAGE, Duration::ZERO)
+                .await?;
             let Some(last) = page.records.last() else {
                 return Ok((page.now_ms, claims));
             };
             from = Offset(last.offset.0 + 1);
-            claims.extend(page.records.iter().filter_map(Record::parse));
+            claims.extend(page.records.iter().filter_map(ClaimRecord::parse));
             if from >= page.end {
                 return Ok((page.now_ms, claims));
             }
@@ -268,9 +274,9 @@
     }
 
     /// Waits for the weight store's permit, where a step needs one.
-    async fn permit(&self, step: &LoadStep) -> bool {
+    async fn acquire_permit(&self, step: &LoadStep) -> bool {
         let (Some(weights), LoadStep::LoadVersion(what) | LoadStep::LoadAdapter(what)) =
-            (&self.weights, step)
+            (&self.weight_store, step)
         else {
             return true;
         };
@@ -283,9 +289,9 @@
                 Permit::Down => Duration::ZERO,
             };
             attempt += 1;
-            meter::weight_wait();
-            let wait = backoff::delay(attempt, PERMIT_FIRST, after, rand::random());
-            if self.clock.now() + wait > began + self.settings.wait.0 {
+            metrics::permit_wait();
+            let wait = backoff::delay(attempt, PERMIT_BACKOFF_BASE, after, rand::random());
+            if self.clock.now() + wait > began + self.settings.permit_timeout.0 {
                 return false;
             }
             tokio::time::sleep(wait).await;
@@ -293,7 +299,7 @@
     }
 }
 
-fn order(step: LoadStep) -> Order {
+fn to_order(step: LoadStep) -> Order {
     match step {
         LoadStep::LoadVersion(version) => Order::LoadVersion(version),
         LoadStep::LoadAdapter(adapter) => Order::LoadAdapter(adapter),
@@ -301,15 +307,15 @@
     }
 }
 
-impl Round {
+impl ReconcileOutcome {
     /// The word used in labels.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Idle => "idle",
-            Self::Given => "given",
+            Self::OrderSent => "given",
             Self::NotHolder => "not_holder",
-            Self::Lapsed => "lapsed",
+            Self::LeaseExpired => "lapsed",
             Self::NoPermit => "no_permit",
             Self::Failed => "failed",
             Self::Refused => "refused",
@@ -318,12 +324,12 @@
 }
 
 /// Keeps the engine at what the bundle in force wants.
-pub struct Ordering {
+pub struct ReconcileLoop {
     state: Rc<State>,
     settings: Settings,
 }
 
-impl Ordering {
+impl ReconcileLoop {
     /// Makes the actor for the engine that `settings` name.
     #[must_use]
     pub fn new(state: Rc<State>, settings: Settings) -> Self {
@@ -331,20 +337,23 @@
     }
 }
 
-impl Actor for Ordering {
+impl Actor for ReconcileLoop {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
         let (state, settings) = (Rc::clone(&self.state), self.settings.clone());
         let holder = format!("{}-{}", state.settings.name, state.incarnation);
         let clock = Rc::clone(&state.clock);
-        let mut keeper = Keeper::new(settings.clone(), holder, clock);
+        let mut keeper = LoadReconciler::new(settings.clone(), holder, clock);
         let rounds = async move {
             loop {
-                if let Some(wanted) = wanted(&state, &settings.model) {
-                    meter::order(keeper.round(&wanted).await);
+                if let Some(wanted) = desired_model(&state, &settings.model) {
+                    metrics::reconciled(keeper.reconcile(&wanted).await);
                 }
-                let every = settings.every.0.mul_f64(rand::random_range(0.75..1.25));
+                let every = settings
+                    .check_interval
+                    .0
+                    .mul_f64(rand::random_range(0.75..1.25));
                 tokio::time::sleep(every).await;
             }
         };
@@ -354,11 +363,11 @@
 
 /// What the bundle in force wants the engine to have. Nothing while the
 /// sidecar drains: its successor goes on.
-fn wanted(state: &State, model: &str) -> Option<LoadedModel> {
+fn desired_model(state: &State, model: &str) -> Option<LoadedModel> {
     if state.load().draining {
         return None;
     }
-    let bundle = state.spread.held.bundle()?;
+    let bundle = state.bundle_sync.active.bundle()?;
     let pool = bundle.models.get(model)?;
     Some(LoadedModel {
         version: pool.version.clone(),
--- a/crates/sidecar/src/run/engine.rs
+++ b/crates/sidecar/src/run/engine.rs
@@ -12,9 +12,9 @@
 use spdlog::warn;
 use wire::{Chunk, ResponseEnd};
 
-use crate::settings::Streams;
-use crate::state::{Entry, State, broken};
-use crate::{health, meter};
+use crate::settings::StreamSettings;
+use crate::state::{Request, State, interrupted};
+use crate::{health, metrics};
 
 use super::failed;
 
@@ -23,25 +23,25 @@
 
 /// Silence bounds for the header of a new run. Given up too early, the run may
 /// begin after the engine was asked whether it knows it.
-const HEADER_BOUNDS: u32 = 3;
+const HEADER_TIMEOUT_FACTOR: u32 = 3;
 
 /// Pause before the second attempt to resume; it doubles with each further.
-const PAUSE: Duration = Duration::from_millis(25);
+const RETRY_DELAY: Duration = Duration::from_millis(25);
 
 /// Runs a completion to its end and passes its tokens on.
 pub(super) async fn complete(
     state: &State,
-    entry: &Entry,
+    entry: &Request,
     engine: &Engine,
     body: Bytes,
 ) -> ResponseEnd {
-    let mut run = Run {
+    let mut run = EngineRun {
         state,
         entry,
         engine,
-        limits: state.settings.streams,
-        next: 0,
-        moved: state.clock.now(),
+        settings: state.settings.streams,
+        next_seq: 0,
+        last_token_at: state.clock.now(),
         attempts: 0,
     };
     tokio::select! {
@@ -49,28 +49,28 @@
         () = entry.stop.wait() => {
             // What the engine still makes for it would be wasted.
             let _ = engine.cancel(entry.ticket).await;
-            state.stopped(entry)
+            state.stopped_end(entry)
         }
     }
 }
 
 /// One completion at an engine.
-struct Run<'a> {
+struct EngineRun<'a> {
     state: &'a State,
-    entry: &'a Entry,
+    entry: &'a Request,
     engine: &'a Engine,
-    limits: Streams,
+    settings: StreamSettings,
     /// The number of the next token.
-    next: u32,
+    next_seq: u32,
     /// When the last token came.
-    moved: Instant,
+    last_token_at: Instant,
     /// Attempts to resume since then.
     attempts: u32,
 }
 
 /// Why a stream stopped before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fault {
+pub(crate) enum StreamFault {
     /// Nothing came for the silence bound. The engine may only be slow;
     /// resuming then costs it a connection and nothing else.
     Silent,
@@ -82,7 +82,7 @@
     Unreachable,
 }
 
-impl Fault {
+impl StreamFault {
     /// The word used in labels and logs.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
@@ -94,12 +94,15 @@
     }
 }
 
-impl Run<'_> {
+impl EngineRun<'_> {
     async fn run(&mut self, body: Bytes) -> ResponseEnd {
         let (ticket, tier) = (self.entry.ticket, self.entry.tier);
         let begun = self.engine.run(ticket, tier, body);
-        let mut fault = match tokio::time::timeout(self.limits.silence.0 * HEADER_BOUNDS, begun)
-            .await
+        let mut fault = match tokio::time::timeout(
+            self.settings.idle_timeout.0 * HEADER_TIMEOUT_FACTOR,
+            begun,
+        )
+        .await
         {
             Ok(Ok(events)) => match self.take(events).await {
                 Ok(end) => return end,
@@ -107,50 +110,50 @@
             },
             Ok(Err(e)) if e.not_run() => {
                 warn!("run failed", kv: { ticket = ticket.to_string().as_str(), error = e.to_string().as_str() });
-                health::note(self.state, &e);
+                health::record_error(self.state, &e);
                 return failed(&e);
             }
             // The request may have arrived; its stream shows.
-            Ok(Err(_)) => Fault::Broken,
-            Err(_) => Fault::Silent,
+            Ok(Err(_)) => StreamFault::Broken,
+            Err(_) => StreamFault::Silent,
         };
 
-        while self.goes_on(fault) {
-            tokio::time::sleep(self.pause()).await;
-            meter::resume(fault);
-            let resumed = self.engine.resume(ticket, self.next);
-            fault = match tokio::time::timeout(self.limits.silence.0, resumed).await {
+        while self.should_retry(fault) {
+            tokio::time::sleep(self.retry_delay()).await;
+            metrics::resume_attempt(fault);
+            let resumed = self.engine.resume(ticket, self.next_seq);
+            fault = match tokio::time::timeout(self.settings.idle_timeout.0, resumed).await {
                 Ok(Ok(events)) => match self.take(events).await {
                     Ok(end) => return end,
                     Err(fault) => fault,
                 },
                 Ok(Err(Error::Refused { status, .. })) if status == NOT_FOUND => {
-                    warn!("stream unknown", kv: { ticket = ticket.to_string().as_str(), next = self.next });
-                    return self.lost();
+                    warn!("stream unknown", kv: { ticket = ticket.to_string().as_str(), next = self.next_seq });
+                    return self.lost_end();
                 }
-                Ok(Err(Error::Connect { .. })) => Fault::Unreachable,
-                Ok(Err(_)) => Fault::Broken,
-                Err(_) => Fault::Silent,
+                Ok(Err(Error::Connect { .. })) => StreamFault::Unreachable,
+                Ok(Err(_)) => StreamFault::Broken,
+                Err(_) => StreamFault::Silent,
             };
         }
-        self.give_up(fault).await
+        self.abandon(fault).await
     }
 
     /// Passes events on until the end or a fault.
     async fn take(
         &mut self,
         events: impl Stream<Item = Result<Event, Error>>,
-    ) -> Result<ResponseEnd, Fault> {
+    ) -> Result<ResponseEnd, StreamFault> {
         let mut events = pin!(events);
         loop {
-            let event = tokio::time::timeout(self.limits.silence.0, events.next()).await;
+            let event = tokio::time::timeout(self.settings.idle_timeout.0, events.next()).await;
             match event {
-                Ok(Some(Ok(Event::Token { seq, text }))) => self.token(seq, text)?,
+                Ok(Some(Ok(Event::Token { seq, text }))) => self.relay_token(seq, text)?,
                 Ok(Some(Ok(Event::End {
                     count,
                     finish,
                     cached,
-                }))) if count == self.next => {
+                }))) if count == self.next_seq => {
                     return Ok(ResponseEnd::Complete {
                         chunk_count: count,
                         status: 200,
@@ -158,9 +161,9 @@
                         cached_tokens: cached,
                     });
                 }
-                Ok(Some(Ok(Event::End { .. }))) => return Err(Fault::Gap),
-                Ok(Some(Err(_)) | None) => return Err(Fault::Broken),
-                Err(_) => return Err(Fault::Silent),
+                Ok(Some(Ok(Event::End { .. }))) => return Err(StreamFault::Gap),
+                Ok(Some(Err(_)) | None) => return Err(StreamFault::Broken),
+                Err(_) => return Err(StreamFault::Silent),
             }
         }
     }
@@ -170,58 +173,58 @@
     /// A token that came before a fault may come again after resuming, and
     /// its caller would read it twice. One that is missing would leave a hole
     /// in an answer that looks whole. The numbers tell both.
-    fn token(&mut self, seq: u32, text: String) -> Result<(), Fault> {
-        match seq.cmp(&self.next) {
-            Ordering::Less => meter::duplicate(),
-            Ordering::Greater => return Err(Fault::Gap),
+    fn relay_token(&mut self, seq: u32, text: String) -> Result<(), StreamFault> {
+        match seq.cmp(&self.next_seq) {
+            Ordering::Less => metrics::duplicate_token(),
+            Ordering::Greater => return Err(StreamFault::Gap),
             Ordering::Equal => {
-                self.next += 1;
-                self.moved = self.state.clock.now();
+                self.next_seq += 1;
+                self.last_token_at = self.state.clock.now();
                 self.attempts = 0;
                 let data = Bytes::from(text);
-                self.state.push(self.entry, Chunk { tokens: 1, data });
+                self.state.push_chunk(self.entry, Chunk { tokens: 1, data });
             }
         }
         Ok(())
     }
 
     /// Whether to try to resume once more.
-    fn goes_on(&mut self, fault: Fault) -> bool {
-        let still = self.state.clock.now() - self.moved;
+    fn should_retry(&mut self, fault: StreamFault) -> bool {
+        let still = self.state.clock.now() - self.last_token_at;
         self.attempts += 1;
         match fault {
             // Slow and silent look alike; only time tells.
-            Fault::Silent => still < self.limits.patience.0,
-            Fault::Broken | Fault::Gap | Fault::Unreachable => {
-                self.attempts <= self.limits.attempts && still < self.limits.patience.0
+            StreamFault::Silent => still < self.settings.stall_timeout.0,
+            StreamFault::Broken | StreamFault::Gap | StreamFault::Unreachable => {
+                self.attempts <= self.settings.max_attempts && still < self.settings.stall_timeout.0
             }
         }
     }
 
-    fn pause(&self) -> Duration {
+    fn retry_delay(&self) -> Duration {
         match self.attempts {
             0 | 1 => Duration::ZERO,
-            n => PAUSE * 2_u32.saturating_pow(n.min(6) - 2),
+            n => RETRY_DELAY * 2_u32.saturating_pow(n.min(6) - 2),
         }
     }
 
-    async fn give_up(&self, fault: Fault) -> ResponseEnd {
+    async fn abandon(&self, fault: StreamFault) -> ResponseEnd {
         let ticket = self.entry.ticket.to_string();
-        warn!("stream given up", kv: { ticket = ticket.as_str(), next = self.next, fault = fault.as_str() });
+        warn!("stream given up", kv: { ticket = ticket.as_str(), next = self.next_seq, fault = fault.as_str() });
         // The engine may go on with it for nobody.
         if let Err(e) = self.engine.cancel(self.entry.ticket).await {
-            health::note(self.state, &e);
+            health::record_error(self.state, &e);
         }
-        self.lost()
+        self.lost_end()
     }
 
     /// The end of an answer that cannot be had any more. What the engine did
     /// with it is not known, beyond the tokens that came.
-    fn lost(&self) -> ResponseEnd {
-        let ran = match self.next {
+    fn lost_end(&self) -> ResponseEnd {
+        let ran = match self.next_seq {
             0 => Executed::Unknown,
             _ => Executed::Partial,
         };
-        broken(Refusal::BackendFailed, ran)
+        interrupted(Refusal::BackendFailed, ran)
     }
 }
--- a/crates/sidecar/src/run/mod.rs
+++ b/crates/sidecar/src/run/mod.rs
@@ -4,7 +4,7 @@
 
 mod engine;
 
-pub(crate) use engine::Fault;
+pub(crate) use engine::StreamFault;
 
 use std::rc::Rc;
 
@@ -15,16 +15,16 @@
 use wire::{BackendRequest, Chunk, ResponseEnd};
 
 use crate::health;
-use crate::state::{Client, Entry, State, broken};
+use crate::state::{BackendClient, Request, State, interrupted};
 
 /// Runs one ticket to its end.
-pub async fn run(state: Rc<State>, entry: Rc<Entry>, work: BackendRequest) {
+pub async fn run(state: Rc<State>, entry: Rc<Request>, work: BackendRequest) {
     let end = match (&state.backend, work) {
-        (Client::Engine(engine), BackendRequest::Completion { body, .. }) => {
+        (BackendClient::Engine(engine), BackendRequest::Completion { body, .. }) => {
             engine::complete(&state, &entry, engine, body).await
         }
         (
-            Client::Plain(plain),
+            BackendClient::Plain(plain),
             BackendRequest::Call {
                 method,
                 path,
@@ -32,7 +32,7 @@
                 body,
             },
         ) => call(&state, &entry, plain, (&method, &path, &content_type), body).await,
-        _ => broken(Refusal::UnknownTarget, Executed::No),
+        _ => interrupted(Refusal::UnknownTarget, Executed::No),
     };
     state.finish(&entry, end);
 }
@@ -40,7 +40,7 @@
 /// Makes a call of a plain service.
 async fn call(
     state: &State,
-    entry: &Entry,
+    entry: &Request,
     plain: &Plain,
     (method, path, content_type): (&str, &str, &str),
     body: Bytes,
@@ -50,7 +50,7 @@
         .await
     {
         Ok(answer) => {
-            state.push(
+            state.push_chunk(
                 entry,
                 Chunk {
                     tokens: 0,
@@ -65,7 +65,7 @@
             }
         }
         Err(e) => {
-            health::note(state, &e);
+            health::record_error(state, &e);
             failed(&e)
         }
     }
@@ -82,12 +82,12 @@
             ..
         }
     ) {
-        return broken(Refusal::BadRequest, Executed::No);
+        return interrupted(Refusal::BadRequest, Executed::No);
     }
     let ran = if error.not_run() {
         Executed::No
     } else {
         Executed::Unknown
     };
-    broken(Refusal::BackendFailed, ran)
+    interrupted(Refusal::BackendFailed, ran)
 }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -10,11 +10,11 @@
     Sidecar, StartOutcome, StartRequest,
 };
 
-use crate::spread::Level;
-use crate::state::{HOLD_LIMIT, State};
+use crate::bundle_sync::SyncOutcome;
+use crate::state::{MAX_CALL_WAIT, State};
 
 /// When an entry may ask again a sidecar that has no bundle, in milliseconds.
-const NO_BUNDLE_MS: u32 = 1000;
+const NO_BUNDLE_RETRY_MS: u32 = 1000;
 
 /// Answers the calls of all connections.
 #[derive(Clone)]
@@ -37,14 +37,19 @@
         stamp: CallHeader,
         ask: ReserveRequest,
     ) -> Reply<ReserveOutcome> {
-        let level = self.state.spread.level(stamp.sequence, hold(ask.wait_ms));
+        let level = self
+            .state
+            .bundle_sync
+            .sync_to(stamp.sequence, hold(ask.wait_ms));
         match level.await {
-            Level::Decide => {}
-            Level::Behind => return self.state.reply(ReserveOutcome::Waiting { estimate_us: 0 }),
-            Level::Refuse(reason) => {
+            SyncOutcome::Proceed => {}
+            SyncOutcome::Behind => {
+                return self.state.reply(ReserveOutcome::Waiting { estimate_us: 0 });
+            }
+            SyncOutcome::Refuse(reason) => {
                 return self.state.reply(ReserveOutcome::Refused {
                     reason,
-                    retry_after_ms: NO_BUNDLE_MS,
+                    retry_after_ms: NO_BUNDLE_RETRY_MS,
                 });
             }
         }
@@ -53,12 +58,12 @@
         if let (Some(entry), ReserveOutcome::Waiting { .. }) = (entry, stands) {
             let changed = entry.changed.notified();
             let _ = tokio::time::timeout(hold(ask.wait_ms), changed).await;
-            stands = self.state.stands(&entry, ask.prompt_tokens);
+            stands = self.state.reservation_status(&entry, ask.prompt_tokens);
         }
         if let ReserveOutcome::Ready { cached_tokens, .. } = &mut stands {
             *cached_tokens = self
                 .state
-                .caches
+                .prefix_cache
                 .borrow()
                 .cached_tokens(ask.prefix_hash)
                 .min(ask.prompt_tokens);
@@ -80,7 +85,7 @@
         let Some(entry) = self.state.find(ask.ticket) else {
             return self.state.reply(PullOutcome::Unknown);
         };
-        self.state.renew(&entry, ask.wait_ms);
+        self.state.renew_lease(&entry, ask.wait_ms);
         let mut pulled = self.state.pull(&entry, ask.from);
         if matches!(&pulled, PullOutcome::Chunks { chunks, end: None, .. } if chunks.is_empty()) {
             let changed = entry.changed.notified();
@@ -101,16 +106,16 @@
     }
 
     async fn fetch_bundle(self, _: Context, stamp: CallHeader) -> Reply<Option<bytes::Bytes>> {
-        let transfer = self.state.spread.held.transfer(stamp.sequence);
+        let transfer = self.state.bundle_sync.active.transfer(stamp.sequence);
         self.state.reply(transfer)
     }
 
     async fn offer_bundle(self, _: Context, _: CallHeader, transfer: bytes::Bytes) -> Reply<bool> {
-        let taken = self.state.spread.take(transfer).await;
+        let taken = self.state.bundle_sync.accept_transfer(transfer).await;
         self.state.reply(taken)
     }
 }
 
 fn hold(wait_ms: u32) -> Duration {
-    Duration::from_millis(u64::from(wait_ms)).min(HOLD_LIMIT)
+    Duration::from_millis(u64::from(wait_ms)).min(MAX_CALL_WAIT)
 }
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 
 /// Shortest hold: a start must be able to arrive within it.
-const HOLD_LEAST: HumanDuration = HumanDuration::ms(10);
+const MIN_HOLD_TIMEOUT: HumanDuration = HumanDuration::ms(10);
 
 /// Shortest lease: an entry must be able to replace a silent connection.
-const LEASE_LEAST: HumanDuration = HumanDuration::secs(1);
+const MIN_LEASE: HumanDuration = HumanDuration::secs(1);
 
 /// Fewest bytes kept: some hundred tokens for each of many slots.
-const KEPT_LEAST: usize = 64 << 10;
+const MIN_RETENTION_BYTES: usize = 64 << 10;
 
 /// Settings of one sidecar.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -36,15 +36,15 @@
     /// The backend server that the sidecar stands beside.
     pub backend: Backend,
     /// How long a slot is held for a ticket that is ready.
-    #[serde(default = "default_hold")]
-    pub hold: HumanDuration,
+    #[serde(rename = "hold", default = "default_hold_timeout")]
+    pub hold_timeout: HumanDuration,
     /// How long an ended answer is kept for entries that still pull it.
-    #[serde(default = "default_keep")]
-    pub keep: HumanDuration,
+    #[serde(rename = "keep", default = "default_retention")]
+    pub retention: HumanDuration,
     /// How long requests in progress may take when the sidecar stops; what is
     /// left then is ended.
-    #[serde(default = "default_drain")]
-    pub drain_limit: HumanDuration,
+    #[serde(rename = "drain_limit", default = "default_drain_timeout")]
+    pub drain_timeout: HumanDuration,
     /// An entry that asked nothing about a ticket for so long is gone: its
     /// request is not started, and its run is stopped.
     #[serde(default = "default_lease")]
@@ -54,10 +54,10 @@
     pub orders: Option<crate::orders::Settings>,
     /// When an engine's stream is resumed, and when it is given up.
     #[serde(default)]
-    pub streams: Streams,
+    pub streams: StreamSettings,
     /// Bytes of answers that are kept for entries that still pull them.
-    #[serde(default = "default_kept")]
-    pub kept_bytes: usize,
+    #[serde(rename = "kept_bytes", default = "default_retention_bytes")]
+    pub retention_bytes: usize,
     /// How the queue decides.
     #[serde(default)]
     pub queue: QueueSettings,
@@ -73,7 +73,7 @@
     ///
     /// Returns the first impossible value with its key and a hint.
     pub fn check(&self) -> Result<(), Error> {
-        let (slots, hold) = (self.backend.slots(), self.hold);
+        let (slots, hold) = (self.backend.slots(), self.hold_timeout);
         check(
             "name",
             &self.name,
@@ -89,19 +89,19 @@
         check(
             "hold",
             hold,
-            hold >= HOLD_LEAST,
+            hold >= MIN_HOLD_TIMEOUT,
             "hold a slot for at least 10ms",
         )?;
         check(
             "lease",
             self.lease,
-            self.lease >= LEASE_LEAST,
+            self.lease >= MIN_LEASE,
             "leave entries at least 1s to dial anew",
         )?;
         check(
             "kept_bytes",
-            self.kept_bytes,
-            self.kept_bytes >= KEPT_LEAST,
+            self.retention_bytes,
+            self.retention_bytes >= MIN_RETENTION_BYTES,
             "keep at least 65536 bytes of answers",
         )?;
         self.check_queue()?;
@@ -147,22 +147,25 @@
 /// When an engine's stream is resumed, and when it is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Streams {
+pub struct StreamSettings {
     /// A stream that brings nothing for so long is resumed over a new
     /// connection.
-    pub silence: HumanDuration,
+    #[serde(rename = "silence")]
+    pub idle_timeout: HumanDuration,
     /// Attempts to resume after a broken connection until one brings a token.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// A stream that brings no token for so long is given up.
-    pub patience: HumanDuration,
+    #[serde(rename = "patience")]
+    pub stall_timeout: HumanDuration,
 }
 
-impl Default for Streams {
+impl Default for StreamSettings {
     fn default() -> Self {
         Self {
-            silence: HumanDuration::secs(1),
-            attempts: 5,
-            patience: HumanDuration::secs(30),
+            idle_timeout: HumanDuration::secs(1),
+            max_attempts: 5,
+            stall_timeout: HumanDuration::secs(30),
         }
     }
 }
@@ -199,15 +202,15 @@
     }
 }
 
-fn default_hold() -> HumanDuration {
+fn default_hold_timeout() -> HumanDuration {
     HumanDuration::ms(250)
 }
 
-fn default_keep() -> HumanDuration {
+fn default_retention() -> HumanDuration {
     HumanDuration::secs(10)
 }
 
-fn default_drain() -> HumanDuration {
+fn default_drain_timeout() -> HumanDuration {
     HumanDuration::secs(600)
 }
 
@@ -215,6 +218,6 @@
     HumanDuration::secs(5)
 }
 
-fn default_kept() -> usize {
+fn default_retention_bytes() -> usize {
     16 << 20
 }
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -7,12 +7,12 @@
 //! - `upkeep`: handing slots out, and what falls due with time.
 //! - `tombs`: tickets that left without having started.
 
-mod answer;
 mod delivery;
 mod drain;
-mod ticket;
-mod tombs;
-mod upkeep;
+mod maintenance;
+mod request;
+mod response;
+mod tombstones;
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -34,17 +34,17 @@
     StartRequest,
 };
 
+use crate::bundle_sync::BundleSync;
 use crate::settings::{Backend, Settings};
-use crate::spread::Spread;
-use crate::{meter, run};
-use answer::Answer;
-pub use drain::Drained;
-pub use ticket::Entry;
-use ticket::{Left, Phase};
-use tombs::Tombs;
+use crate::{metrics, run};
+pub use drain::DrainOutcome;
+pub use request::Request;
+use request::{Phase, Removal};
+use response::ResponseBuffer;
+use tombstones::Tombstones;
 
 /// Longest time that a call is held, whatever it asks for.
-pub const HOLD_LIMIT: Duration = Duration::from_secs(5);
+pub const MAX_CALL_WAIT: Duration = Duration::from_secs(5);
 
 /// Everything that a sidecar knows.
 pub struct State {
@@ -55,37 +55,37 @@
     /// This life of the sidecar.
     pub incarnation: Incarnation,
     /// The bundle in force.
-    pub spread: Spread,
+    pub bundle_sync: BundleSync,
     /// The backend server.
-    pub backend: Client,
+    pub backend: BackendClient,
     /// What its prefix cache is believed to hold.
-    pub caches: RefCell<CacheMap>,
+    pub prefix_cache: RefCell<CacheMap>,
     /// Who waits for a slot, holds one or runs.
     queue: RefCell<Queue>,
     /// Tickets that wait, hold a slot or started.
-    tickets: RefCell<HashMap<RequestId, Rc<Entry>>>,
+    tickets: RefCell<HashMap<RequestId, Rc<Request>>>,
     /// Tickets that left without having started.
-    tombs: RefCell<Tombs>,
+    tombstones: RefCell<Tombstones>,
     /// When to look at a ticket again: holds that lapse, answers to forget.
     timers: RefCell<BinaryHeap<Reverse<(Instant, RequestId)>>>,
     /// Tickets whose answers ended, the first to end first.
     ended: RefCell<VecDeque<RequestId>>,
     /// Bytes of all kept answers.
-    kept: Cell<usize>,
+    retained_bytes: Cell<usize>,
     /// Ended answers whose entry has not got the end yet.
-    untold: Cell<usize>,
+    undelivered_ends: Cell<usize>,
     /// When an entry was last handed an answer's end.
-    told_at: Cell<Option<Instant>>,
+    last_delivery: Cell<Option<Instant>>,
     /// Whether no new requests are taken.
     draining: Cell<bool>,
     /// Whether the backend server cannot be reached.
     failed: Cell<bool>,
     /// Wakes who probes the backend server.
-    pub(crate) failure: Notify,
+    pub(crate) backend_failure: Notify,
 }
 
 /// The client of the backend server.
-pub enum Client {
+pub enum BackendClient {
     /// A model engine.
     Engine(Engine),
     /// A plain service.
@@ -97,35 +97,37 @@
     #[must_use]
     pub fn new(settings: Settings, clock: Rc<dyn Clock>) -> Rc<Self> {
         let backend = match &settings.backend {
-            Backend::Engine { addr, .. } => Client::Engine(Engine::new(*addr)),
-            Backend::Plain { addr, timeout, .. } => Client::Plain(Plain::new(*addr, timeout.0)),
+            Backend::Engine { addr, .. } => BackendClient::Engine(Engine::new(*addr)),
+            Backend::Plain { addr, timeout, .. } => {
+                BackendClient::Plain(Plain::new(*addr, timeout.0))
+            }
         };
         let queue = Queue::new(settings.queue, settings.backend.slots(), clock.now());
         Rc::new(Self {
             queue: RefCell::new(queue),
-            spread: Spread::new(settings.follow.as_ref(), Rc::clone(&clock)),
+            bundle_sync: BundleSync::new(settings.follow.as_ref(), Rc::clone(&clock)),
             settings,
             clock,
             incarnation: Incarnation::random(),
             backend,
-            caches: RefCell::default(),
+            prefix_cache: RefCell::default(),
             tickets: RefCell::default(),
-            tombs: RefCell::default(),
+            tombstones: RefCell::default(),
             timers: RefCell::default(),
             ended: RefCell::default(),
-            kept: Cell::new(0),
-            untold: Cell::new(0),
-            told_at: Cell::new(None),
+            retained_bytes: Cell::new(0),
+            undelivered_ends: Cell::new(0),
+            last_delivery: Cell::new(None),
             draining: Cell::new(false),
             failed: Cell::new(false),
-            failure: Notify::new(),
+            backend_failure: Notify::new(),
         })
     }
 
     /// Wraps an answer with what every answer tells.
     pub fn reply<T>(&self, body: T) -> Reply<T> {
         Reply {
-            sequence: self.spread.held.sequence(),
+            sequence: self.bundle_sync.active.sequence(),
             incarnation: self.incarnation,
             load: self.load(),
             body,
@@ -136,54 +138,54 @@
     pub fn load(&self) -> ServerLoad {
         let standing = self.queue.borrow().status(self.clock.now());
         ServerLoad {
-            running: number(standing.busy as u64),
-            slots: number(standing.slots as u64),
-            waiting: number(standing.waiting as u64),
-            token_us: number(standing.token_us),
-            ttft_us: number(standing.first_us),
-            wait_us: number(standing.wait_us),
-            draining: self.closed().is_some(),
+            running: saturating_u32(standing.busy as u64),
+            slots: saturating_u32(standing.slots as u64),
+            waiting: saturating_u32(standing.waiting as u64),
+            token_us: saturating_u32(standing.token_us),
+            ttft_us: saturating_u32(standing.first_us),
+            wait_us: saturating_u32(standing.wait_us),
+            draining: self.closed_reason().is_some(),
         }
     }
 
     /// Finds a ticket that waits, holds a slot or started.
-    pub fn find(&self, ticket: RequestId) -> Option<Rc<Entry>> {
+    pub fn find(&self, ticket: RequestId) -> Option<Rc<Request>> {
         self.tickets.borrow().get(&ticket).cloned()
     }
 
     /// Queues a request that is not known yet, and tells where it stands; the
     /// entry is there while that may change.
-    pub fn reserve(&self, ask: &ReserveRequest) -> (Option<Rc<Entry>>, ReserveOutcome) {
+    pub fn reserve(&self, ask: &ReserveRequest) -> (Option<Rc<Request>>, ReserveOutcome) {
         if let Some(entry) = self.find(ask.ticket) {
-            self.renew(&entry, ask.wait_ms);
-            let stands = self.stands(&entry, ask.prompt_tokens);
+            self.renew_lease(&entry, ask.wait_ms);
+            let stands = self.reservation_status(&entry, ask.prompt_tokens);
             return (Some(entry), stands);
         }
         let now = self.clock.now();
-        if let Some(left) = self.left(now, ask.ticket) {
-            return (None, refused(left));
+        if let Some(left) = self.earlier_rejection(now, ask.ticket) {
+            return (None, refused_outcome(left));
         }
 
-        let lease = now + self.lease(ask.wait_ms);
-        let entry = Rc::new(Entry::new(ask.ticket, ask.tier, lease));
-        let offered = match self.closed() {
+        let lease = now + self.lease_duration(ask.wait_ms);
+        let entry = Rc::new(Request::new(ask.ticket, ask.tier, lease));
+        let offered = match self.closed_reason() {
             Some(verdict) => Admission::Refused(verdict),
-            None => self.queue.borrow_mut().offer(now, queue_ask(ask, now)),
+            None => self.queue.borrow_mut().offer(now, queue_request(ask, now)),
         };
         if let Admission::Refused(verdict) = offered {
-            self.leave(now, &entry, Left::Refused(verdict));
-            return (None, refused(verdict));
+            self.remove_unstarted(now, &entry, Removal::Refused(verdict));
+            return (None, refused_outcome(verdict));
         }
 
         let known = Rc::clone(&entry);
         self.tickets.borrow_mut().insert(ask.ticket, known);
-        self.advance();
-        let stands = self.stands(&entry, ask.prompt_tokens);
+        self.grant_slots();
+        let stands = self.reservation_status(&entry, ask.prompt_tokens);
         (Some(entry), stands)
     }
 
     /// Where a ticket stands, as an answer to `reserve`.
-    pub fn stands(&self, entry: &Entry, prompt: u32) -> ReserveOutcome {
+    pub fn reservation_status(&self, entry: &Request, prompt: u32) -> ReserveOutcome {
         let now = self.clock.now();
         match &*entry.phase.borrow() {
             Phase::Queued => {
@@ -196,16 +198,16 @@
                 let queue = self.queue.borrow();
                 ReserveOutcome::Ready {
                     lease_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
-                    ttft_us: number(queue.expected_first_us(prompt)),
-                    token_us: number(queue.status(now).token_us),
+                    ttft_us: saturating_u32(queue.expected_first_us(prompt)),
+                    token_us: saturating_u32(queue.status(now).token_us),
                     cached_tokens: 0,
                 }
             }
             Phase::Started(_) => ReserveOutcome::AlreadyStarted,
-            Phase::Gone(Left::Refused(verdict)) => refused(*verdict),
-            Phase::Gone(Left::Cancelled) => refused(gone()),
+            Phase::Removed(Removal::Refused(verdict)) => refused_outcome(*verdict),
+            Phase::Removed(Removal::Cancelled) => refused_outcome(caller_gone()),
             // Asking again queues it anew.
-            Phase::Gone(Left::Lapsed) => ReserveOutcome::Waiting { estimate_us: 0 },
+            Phase::Removed(Removal::Expired) => ReserveOutcome::Waiting { estimate_us: 0 },
         }
     }
 
@@ -217,9 +219,9 @@
             return StartOutcome::OtherIncarnation;
         }
         let Some(entry) = self.find(order.ticket) else {
-            let left = self.tombs.borrow().get(order.ticket);
+            let left = self.tombstones.borrow().get(order.ticket);
             return match left {
-                Some((Left::Cancelled, _)) => StartOutcome::Cancelled,
+                Some((Removal::Cancelled, _)) => StartOutcome::Cancelled,
                 // A slot that lapsed may be another's by now. Its entry asks
                 // again, here or elsewhere; nothing has run.
                 _ => StartOutcome::ReservationExpired,
@@ -228,15 +230,15 @@
 
         let guaranteed = match &*entry.phase.borrow() {
             Phase::Started(_) => return StartOutcome::Running,
-            Phase::Queued | Phase::Gone(_) => return StartOutcome::ReservationExpired,
+            Phase::Queued | Phase::Removed(_) => return StartOutcome::ReservationExpired,
             Phase::Held { guaranteed, .. } => *guaranteed,
         };
         let now = self.clock.now();
         self.queue.borrow_mut().start(now, order.ticket);
-        entry.set(Phase::Started(Answer::default()));
-        self.renew(&entry, 0);
-        self.remind(entry.lease.get(), order.ticket);
-        meter::started(entry.tier, guaranteed);
+        entry.set_phase(Phase::Started(ResponseBuffer::default()));
+        self.renew_lease(&entry, 0);
+        self.schedule_check(entry.lease.get(), order.ticket);
+        metrics::started(entry.tier, guaranteed);
 
         actix_rt::spawn(run::run(Rc::clone(self), entry, order.work));
         StartOutcome::Running
@@ -247,65 +249,73 @@
         let now = self.clock.now();
         let Some(entry) = self.find(ticket) else {
             // Its reserve or start may still be on the way.
-            self.tombs.borrow_mut().insert(now, ticket, Left::Cancelled);
+            self.tombstones
+                .borrow_mut()
+                .insert(now, ticket, Removal::Cancelled);
             return CancelOutcome::NeverStarted;
         };
         match &*entry.phase.borrow() {
-            Phase::Started(Answer { end: Some(_), .. }) => return CancelOutcome::Ended,
+            Phase::Started(ResponseBuffer { end: Some(_), .. }) => return CancelOutcome::Ended,
             Phase::Started(_) => {
-                entry.halt(Refusal::CallerGone);
+                entry.request_stop(Refusal::CallerGone);
                 return CancelOutcome::Started;
             }
-            Phase::Queued | Phase::Held { .. } | Phase::Gone(_) => {}
+            Phase::Queued | Phase::Held { .. } | Phase::Removed(_) => {}
         }
 
         self.queue.borrow_mut().cancel(now, ticket, false);
-        self.leave(now, &entry, Left::Cancelled);
-        self.advance();
+        self.remove_unstarted(now, &entry, Removal::Cancelled);
+        self.grant_slots();
         CancelOutcome::NeverStarted
     }
 
     /// Whether nothing waits or runs and every answer has been handed out.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let queue = self.queue.borrow();
-        queue.busy() == 0 && queue.waiting() == 0 && self.untold.get() == 0
+        queue.busy() == 0 && queue.waiting() == 0 && self.undelivered_ends.get() == 0
     }
 
     /// Tickets, tombstones and bytes that are kept, for measuring memory.
-    pub fn sizes(&self) -> (usize, usize, usize) {
+    pub fn tracked_sizes(&self) -> (usize, usize, usize) {
         let tickets = self.tickets.borrow().len();
-        (tickets, self.tombs.borrow().len(), self.kept.get())
+        (
+            tickets,
+            self.tombstones.borrow().len(),
+            self.retained_bytes.get(),
+        )
     }
 
     /// Why a ticket that left is not queued again; `None` when it may be.
-    fn left(&self, now: Instant, ticket: RequestId) -> Option<Rejection> {
-        let (left, at) = self.tombs.borrow().get(ticket)?;
+    fn earlier_rejection(&self, now: Instant, ticket: RequestId) -> Option<Rejection> {
+        let (left, at) = self.tombstones.borrow().get(ticket)?;
         match left {
-            Left::Cancelled => return Some(gone()),
+            Removal::Cancelled => return Some(caller_gone()),
             // A draining sidecar refuses for good; another refusal stands
             // until the time that it told.
-            Left::Refused(verdict) if verdict.reason == Refusal::Draining => return Some(verdict),
-            Left::Refused(verdict) if now < at + verdict.retry_after => return Some(verdict),
-            Left::Refused(_) | Left::Lapsed => {}
+            Removal::Refused(verdict) if verdict.reason == Refusal::Draining => {
+                return Some(verdict);
+            }
+            Removal::Refused(verdict) if now < at + verdict.retry_after => return Some(verdict),
+            Removal::Refused(_) | Removal::Expired => {}
         }
-        self.tombs.borrow_mut().remove(ticket);
+        self.tombstones.borrow_mut().remove(ticket);
         None
     }
 
     /// Lets a ticket go that never started.
-    fn leave(&self, now: Instant, entry: &Entry, left: Left) {
+    fn remove_unstarted(&self, now: Instant, entry: &Request, left: Removal) {
         match left {
-            Left::Refused(verdict) => meter::refused(entry.tier, verdict.reason),
-            Left::Lapsed => meter::lapsed(entry.tier),
-            Left::Cancelled => {}
+            Removal::Refused(verdict) => metrics::refused(entry.tier, verdict.reason),
+            Removal::Expired => metrics::lapsed(entry.tier),
+            Removal::Cancelled => {}
         }
         self.tickets.borrow_mut().remove(&entry.ticket);
-        self.tombs.borrow_mut().insert(now, entry.ticket, left);
-        entry.set(Phase::Gone(left));
+        self.tombstones.borrow_mut().insert(now, entry.ticket, left);
+        entry.set_phase(Phase::Removed(left));
     }
 }
 
-fn queue_ask(ask: &ReserveRequest, now: Instant) -> QueueRequest {
+fn queue_request(ask: &ReserveRequest, now: Instant) -> QueueRequest {
     QueueRequest {
         ticket: ask.ticket,
         class: Rc::from(ask.class.as_str()),
@@ -322,14 +332,14 @@
 }
 
 /// What a cancelled ticket is told.
-fn gone() -> Rejection {
+fn caller_gone() -> Rejection {
     Rejection {
         reason: Refusal::CallerGone,
         retry_after: Duration::ZERO,
     }
 }
 
-fn refused(verdict: Rejection) -> ReserveOutcome {
+fn refused_outcome(verdict: Rejection) -> ReserveOutcome {
     ReserveOutcome::Refused {
         reason: verdict.reason,
         retry_after_ms: u32::try_from(verdict.retry_after.as_millis()).unwrap_or(u32::MAX),
@@ -338,10 +348,10 @@
 
 /// An end of an answer that is not whole.
 #[must_use]
-pub fn broken(reason: Refusal, ran: Executed) -> ResponseEnd {
+pub fn interrupted(reason: Refusal, ran: Executed) -> ResponseEnd {
     ResponseEnd::Interrupted { reason, ran }
 }
 
-fn number(n: u64) -> u32 {
+fn saturating_u32(n: u64) -> u32 {
     u32::try_from(n).unwrap_or(u32::MAX)
 }
--- a/crates/sidecar/src/state/delivery.rs
+++ b/crates/sidecar/src/state/delivery.rs
@@ -4,12 +4,12 @@
 use base::reason::{Executed, Refusal};
 use wire::{Chunk, PullOutcome, ResponseEnd};
 
-use super::ticket::{Entry, Left, Phase};
-use super::{State, broken};
+use super::request::{Phase, Removal, Request};
+use super::{State, interrupted};
 
 impl State {
     /// Takes pieces from `from` on, and forgets those before.
-    pub fn pull(&self, entry: &Entry, from: u32) -> PullOutcome {
+    pub fn pull(&self, entry: &Request, from: u32) -> PullOutcome {
         let mut phase = entry.phase.borrow_mut();
         let Phase::Started(answer) = &mut *phase else {
             return PullOutcome::Unknown;
@@ -17,7 +17,7 @@
 
         // A run that is being preempted runs again elsewhere. Were a piece of
         // it handed out now, its caller would get two beginnings.
-        if entry.why.get() == Some(Refusal::Preempted) && answer.end.is_none() {
+        if entry.stop_reason.get() == Some(Refusal::Preempted) && answer.end.is_none() {
             return PullOutcome::Chunks {
                 first: from,
                 chunks: Vec::new(),
@@ -25,13 +25,14 @@
             };
         }
 
-        let (bytes, told) = (answer.bytes(), answer.told);
+        let (bytes, told) = (answer.retained_bytes(), answer.end_delivered);
         answer.acknowledge(from);
-        self.kept.set(self.kept.get() + answer.bytes() - bytes);
+        self.retained_bytes
+            .set(self.retained_bytes.get() + answer.retained_bytes() - bytes);
         let (first, chunks, end) = answer.batch();
-        if answer.told && !told {
-            self.untold.set(self.untold.get() - 1);
-            self.told_at.set(Some(self.clock.now()));
+        if answer.end_delivered && !told {
+            self.undelivered_ends.set(self.undelivered_ends.get() - 1);
+            self.last_delivery.set(Some(self.clock.now()));
         }
         let delivered = answer.delivered;
         drop(phase);
@@ -43,7 +44,7 @@
     }
 
     /// Adds a piece to an answer.
-    pub fn push(&self, entry: &Entry, piece: Chunk) {
+    pub fn push_chunk(&self, entry: &Request, piece: Chunk) {
         let (now, tokens) = (self.clock.now(), piece.tokens);
         self.queue
             .borrow_mut()
@@ -53,36 +54,37 @@
         let Phase::Started(answer) = &mut *phase else {
             return;
         };
-        self.kept.set(self.kept.get() + piece.data.len());
-        answer.push(piece);
+        self.retained_bytes
+            .set(self.retained_bytes.get() + piece.data.len());
+        answer.push_chunk(piece);
         // An entry that is gone pulls nothing, and its answer would grow for
         // as long as the backend server makes it. One piece always fits.
-        let share = self.settings.kept_bytes / self.settings.backend.slots().max(1);
-        let over = answer.several() && answer.bytes() > share;
+        let share = self.settings.retention_bytes / self.settings.backend.slots().max(1);
+        let over = answer.has_multiple() && answer.retained_bytes() > share;
         drop(phase);
 
         if over {
-            entry.halt(Refusal::Truncated);
+            entry.request_stop(Refusal::Truncated);
         }
         entry.changed.notify_waiters();
     }
 
     /// How many pieces an answer has so far.
-    pub fn made(&self, entry: &Entry) -> u32 {
+    pub fn chunk_count(&self, entry: &Request) -> u32 {
         match &*entry.phase.borrow() {
-            Phase::Started(answer) => answer.made(),
+            Phase::Started(answer) => answer.chunk_count(),
             _ => 0,
         }
     }
 
     /// The end of a run that was asked to stop.
     #[must_use]
-    pub fn stopped(&self, entry: &Entry) -> ResponseEnd {
-        broken(entry.stopped(), Executed::Partial)
+    pub fn stopped_end(&self, entry: &Request) -> ResponseEnd {
+        interrupted(entry.stop_reason(), Executed::Partial)
     }
 
     /// Ends an answer and gives its slot back.
-    pub fn finish(&self, entry: &Entry, end: ResponseEnd) {
+    pub fn finish(&self, entry: &Request, end: ResponseEnd) {
         let now = self.clock.now();
         let whole = matches!(end, ResponseEnd::Complete { .. });
         self.queue.borrow_mut().finish(now, entry.ticket, whole);
@@ -96,53 +98,54 @@
                     ..
                 }
             ) {
-                self.kept.set(self.kept.get() - answer.bytes());
+                self.retained_bytes
+                    .set(self.retained_bytes.get() - answer.retained_bytes());
                 answer.clear();
             }
             answer.end = Some((end, now));
-            answer.told = entry.why.get() == Some(Refusal::CallerGone);
-            if !answer.told {
-                self.untold.set(self.untold.get() + 1);
+            answer.end_delivered = entry.stop_reason.get() == Some(Refusal::CallerGone);
+            if !answer.end_delivered {
+                self.undelivered_ends.set(self.undelivered_ends.get() + 1);
             }
             self.ended.borrow_mut().push_back(entry.ticket);
-            self.remind(now + self.settings.keep.0, entry.ticket);
+            self.schedule_check(now + self.settings.retention.0, entry.ticket);
         }
         entry.changed.notify_waiters();
-        self.drop_kept();
-        self.advance();
+        self.enforce_retention();
+        self.grant_slots();
     }
 
     /// Drops ended answers while more bytes are kept than the settings allow:
     /// those whose entry has had the end first, and the oldest of them.
-    fn drop_kept(&self) {
-        while self.kept.get() > self.settings.kept_bytes {
+    fn enforce_retention(&self) {
+        while self.retained_bytes.get() > self.settings.retention_bytes {
             let mut ended = self.ended.borrow_mut();
             // The newest stays, however large it is: it has just ended, and
             // its entry is about to pull it.
             if ended.len() <= 1 {
                 return;
             }
-            let told = ended.iter().position(|t| self.told(*t));
+            let told = ended.iter().position(|t| self.end_delivered(*t));
             let Some(ticket) = ended.remove(told.unwrap_or(0)) else {
                 return;
             };
             drop(ended);
-            self.forget(ticket);
+            self.drop_response(ticket);
         }
     }
 
-    fn told(&self, ticket: RequestId) -> bool {
+    fn end_delivered(&self, ticket: RequestId) -> bool {
         let Some(entry) = self.find(ticket) else {
             return true;
         };
         match &*entry.phase.borrow() {
-            Phase::Started(answer) => answer.told,
+            Phase::Started(answer) => answer.end_delivered,
             _ => false,
         }
     }
 
     /// Drops tickets that are forgotten from the list of those that ended.
-    pub(super) fn trim(&self) {
+    pub(super) fn trim_ended(&self) {
         let mut ended = self.ended.borrow_mut();
         while ended.front().is_some_and(|t| self.find(*t).is_none()) {
             ended.pop_front();
@@ -150,7 +153,7 @@
     }
 
     /// Forgets an answer that ended. Whoever still waits for it finds it gone.
-    pub(super) fn forget(&self, ticket: RequestId) {
+    pub(super) fn drop_response(&self, ticket: RequestId) {
         let Some(entry) = self.find(ticket) else {
             return;
         };
@@ -161,11 +164,12 @@
         if answer.end.is_none() {
             return;
         }
-        self.kept.set(self.kept.get() - answer.bytes());
-        if !answer.told {
-            self.untold.set(self.untold.get() - 1);
+        self.retained_bytes
+            .set(self.retained_bytes.get() - answer.retained_bytes());
+        if !answer.end_delivered {
+            self.undelivered_ends.set(self.undelivered_ends.get() - 1);
         }
-        *phase = Phase::Gone(Left::Lapsed);
+        *phase = Phase::Removed(Removal::Expired);
         drop(phase);
         self.tickets.borrow_mut().remove(&ticket);
     }
--- a/crates/sidecar/src/state/drain.rs
+++ b/crates/sidecar/src/state/drain.rs
@@ -6,19 +6,19 @@
 use policy::queue::Rejection;
 
 use super::State;
-use super::answer::Answer;
-use super::ticket::{Left, Phase};
+use super::request::{Phase, Removal};
+use super::response::ResponseBuffer;
 
 /// How often draining looks whether all has ended.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long an answer's end stays to be pulled again. The reply that carried
 /// it may be lost with its connection; an entry notices that within its
 /// call's bound and margin, dials anew and asks again.
-const GRACE: Duration = Duration::from_millis(1500);
+const REPULL_GRACE: Duration = Duration::from_millis(1500);
 
 /// How long runs may take to stop after the cut-off.
-const CUTOFF_LIMIT: Duration = Duration::from_secs(2);
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a draining sidecar tells newcomers; another one takes them at once.
 const DRAINING: Rejection = Rejection {
@@ -34,11 +34,11 @@
 
 /// How a drain ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Drained {
+pub enum DrainOutcome {
     /// Everything in progress ended by itself.
-    Whole,
+    Completed,
     /// The limit passed, and what was left was stopped.
-    CutOff,
+    TimedOut,
 }
 
 impl State {
@@ -48,33 +48,36 @@
     /// Requests that wait are refused at once, so that they get a slot
     /// elsewhere in time; slots that are held may still be started, since
     /// their entries count on them.
-    pub async fn drain(&self, limit: Duration) -> Drained {
+    pub async fn drain(&self, limit: Duration) -> DrainOutcome {
         self.draining.set(true);
         self.refuse_waiting(DRAINING);
-        if tokio::time::timeout(limit, self.quiet()).await.is_ok() {
-            return Drained::Whole;
+        if tokio::time::timeout(limit, self.wait_drained())
+            .await
+            .is_ok()
+        {
+            return DrainOutcome::Completed;
         }
 
         self.stop_runs();
-        let _ = tokio::time::timeout(CUTOFF_LIMIT, self.quiet()).await;
-        Drained::CutOff
+        let _ = tokio::time::timeout(STOP_TIMEOUT, self.wait_drained()).await;
+        DrainOutcome::TimedOut
     }
 
     /// Takes nothing new until the backend server is back.
-    pub(crate) fn fail(&self) {
+    pub(crate) fn mark_failed(&self) {
         if !self.failed.replace(true) {
             self.refuse_waiting(FAILED);
-            self.failure.notify_one();
+            self.backend_failure.notify_one();
         }
     }
 
     /// Takes requests again.
-    pub(crate) fn recover(&self) {
+    pub(crate) fn mark_recovered(&self) {
         self.failed.set(false);
     }
 
     /// Why nothing new is taken, if so.
-    pub(super) fn closed(&self) -> Option<Rejection> {
+    pub(super) fn closed_reason(&self) -> Option<Rejection> {
         if self.draining.get() {
             return Some(DRAINING);
         }
@@ -91,27 +94,28 @@
 
         for entry in waiting {
             self.queue.borrow_mut().cancel(now, entry.ticket, false);
-            self.leave(now, &entry, Left::Refused(verdict));
+            self.remove_unstarted(now, &entry, Removal::Refused(verdict));
         }
     }
 
     fn stop_runs(&self) {
-        let running = |phase: &Phase| matches!(phase, Phase::Started(Answer { end: None, .. }));
+        let running =
+            |phase: &Phase| matches!(phase, Phase::Started(ResponseBuffer { end: None, .. }));
         for entry in self.tickets.borrow().values() {
             if running(&entry.phase.borrow()) {
-                entry.halt(Refusal::Draining);
+                entry.request_stop(Refusal::Draining);
             }
         }
     }
 
     /// Waits until nothing is in progress and the last answers have arrived.
-    async fn quiet(&self) {
+    async fn wait_drained(&self) {
         let arrived = || {
-            let told = self.told_at.get();
-            told.is_none_or(|at| self.clock.now().saturating_duration_since(at) >= GRACE)
+            let told = self.last_delivery.get();
+            told.is_none_or(|at| self.clock.now().saturating_duration_since(at) >= REPULL_GRACE)
         };
-        while !(self.idle() && arrived()) {
-            tokio::time::sleep(POLL).await;
+        while !(self.is_idle() && arrived()) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/sidecar/src/state/ticket.rs
+++ b/crates/sidecar/src/state/request.rs
@@ -9,10 +9,10 @@
 use policy::queue::Rejection;
 use tokio::sync::Notify;
 
-use super::answer::Answer;
+use super::response::ResponseBuffer;
 
 /// One ticket that waits, holds a slot or started.
-pub struct Entry {
+pub struct Request {
     /// The request.
     pub ticket: RequestId,
     /// Its tier.
@@ -26,7 +26,7 @@
     /// Asks its run to stop.
     pub stop: StopSignal,
     /// Why its run was asked to stop.
-    pub(super) why: Cell<Option<Refusal>>,
+    pub(super) stop_reason: Cell<Option<Refusal>>,
 }
 
 /// Where a ticket stands.
@@ -41,23 +41,23 @@
         guaranteed: bool,
     },
     /// It started; its answer is being made or kept.
-    Started(Answer),
+    Started(ResponseBuffer),
     /// It is gone; the tombstone says more.
-    Gone(Left),
+    Removed(Removal),
 }
 
 /// How a ticket left without having started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Left {
+pub(super) enum Removal {
     /// Its hold ran out; it may ask again.
-    Lapsed,
+    Expired,
     /// The queue refused it.
     Refused(Rejection),
     /// It was cancelled and never starts in this life.
     Cancelled,
 }
 
-impl Entry {
+impl Request {
     pub(super) fn new(ticket: RequestId, tier: Tier, lease: Instant) -> Self {
         Self {
             ticket,
@@ -66,26 +66,26 @@
             lease: Cell::new(lease),
             changed: Notify::new(),
             stop: StopSignal::new(),
-            why: Cell::new(None),
+            stop_reason: Cell::new(None),
         }
     }
 
     /// Asks the run to stop; the first reason stands.
-    pub(super) fn halt(&self, why: Refusal) {
-        if self.why.get().is_none() {
-            self.why.set(Some(why));
+    pub(super) fn request_stop(&self, why: Refusal) {
+        if self.stop_reason.get().is_none() {
+            self.stop_reason.set(Some(why));
         }
         self.stop.trigger();
     }
 
     /// Why the run was asked to stop.
     #[must_use]
-    pub fn stopped(&self) -> Refusal {
-        self.why.get().unwrap_or(Refusal::CallerGone)
+    pub fn stop_reason(&self) -> Refusal {
+        self.stop_reason.get().unwrap_or(Refusal::CallerGone)
     }
 
     /// Moves on to another phase and wakes who waits for it.
-    pub(super) fn set(&self, phase: Phase) {
+    pub(super) fn set_phase(&self, phase: Phase) {
         *self.phase.borrow_mut() = phase;
         self.changed.notify_waiters();
     }
--- a/crates/sidecar/src/state/answer.rs
+++ b/crates/sidecar/src/state/response.rs
@@ -7,54 +7,54 @@
 
 /// Bytes handed out by one pull. A pull that is repeated gets the same pieces
 /// again, so this bounds what each repetition costs.
-const BATCH: usize = 1 << 20;
+const MAX_BATCH_BYTES: usize = 1 << 20;
 
 /// An answer in the making.
 #[derive(Default)]
-pub(super) struct Answer {
+pub(super) struct ResponseBuffer {
     /// The number of the first piece that is still kept.
-    first: u32,
+    first_kept: u32,
     /// The pieces that are kept.
-    pieces: VecDeque<Chunk>,
+    chunks: VecDeque<Chunk>,
     /// Their size.
-    bytes: usize,
+    retained_bytes: usize,
     /// How the answer ended, and when.
     pub(super) end: Option<(ResponseEnd, Instant)>,
     /// Whether any piece was handed out.
     pub(super) delivered: bool,
     /// Whether the end was handed out, or nobody waits for it.
-    pub(super) told: bool,
+    pub(super) end_delivered: bool,
 }
 
-impl Answer {
+impl ResponseBuffer {
     /// Adds a piece.
-    pub(super) fn push(&mut self, piece: Chunk) {
-        self.bytes += piece.data.len();
-        self.pieces.push_back(piece);
+    pub(super) fn push_chunk(&mut self, piece: Chunk) {
+        self.retained_bytes += piece.data.len();
+        self.chunks.push_back(piece);
     }
 
     /// Bytes kept.
-    pub(super) fn bytes(&self) -> usize {
-        self.bytes
+    pub(super) fn retained_bytes(&self) -> usize {
+        self.retained_bytes
     }
 
     /// Pieces made so far.
-    pub(super) fn made(&self) -> u32 {
-        self.first + u32::try_from(self.pieces.len()).unwrap_or(u32::MAX)
+    pub(super) fn chunk_count(&self) -> u32 {
+        self.first_kept + u32::try_from(self.chunks.len()).unwrap_or(u32::MAX)
     }
 
     /// Whether more than one piece is kept.
-    pub(super) fn several(&self) -> bool {
-        self.pieces.len() > 1
+    pub(super) fn has_multiple(&self) -> bool {
+        self.chunks.len() > 1
     }
 
     /// Forgets the pieces before number `from`, which its entry has.
     pub(super) fn acknowledge(&mut self, from: u32) {
-        while self.first < from
-            && let Some(piece) = self.pieces.pop_front()
+        while self.first_kept < from
+            && let Some(piece) = self.chunks.pop_front()
         {
-            self.bytes -= piece.data.len();
-            self.first += 1;
+            self.retained_bytes -= piece.data.len();
+            self.first_kept += 1;
         }
     }
 
@@ -65,21 +65,21 @@
         let fits = |piece: &&Chunk| {
             let first = size == 0;
             size += piece.data.len().max(1);
-            first || size <= BATCH
+            first || size <= MAX_BATCH_BYTES
         };
-        let pieces: Vec<Chunk> = self.pieces.iter().take_while(fits).cloned().collect();
+        let pieces: Vec<Chunk> = self.chunks.iter().take_while(fits).cloned().collect();
         self.delivered |= !pieces.is_empty();
 
-        let all = pieces.len() == self.pieces.len();
+        let all = pieces.len() == self.chunks.len();
         let end = self.end.as_ref().filter(|_| all);
         let end = end.map(|(end, _)| end.clone());
-        self.told |= end.is_some();
-        (self.first, pieces, end)
+        self.end_delivered |= end.is_some();
+        (self.first_kept, pieces, end)
     }
 
     /// Forgets every piece of an answer of which nothing was handed out.
     pub(super) fn clear(&mut self) {
-        self.pieces.clear();
-        self.bytes = 0;
+        self.chunks.clear();
+        self.retained_bytes = 0;
     }
 }
--- a/crates/sidecar/src/state/tombs.rs
+++ b/crates/sidecar/src/state/tombstones.rs
@@ -5,13 +5,13 @@
 
 use base::ids::RequestId;
 
-use super::ticket::Left;
+use super::request::Removal;
 
 /// How long they stay known.
-const KEEP: Duration = Duration::from_secs(60);
+const TOMBSTONE_TTL: Duration = Duration::from_secs(60);
 
 /// Most that stay known; about 100 bytes each.
-const MOST: usize = 65_536;
+const MAX_TOMBSTONES: usize = 65_536;
 
 /// Tickets that left without having started, for a while.
 ///
@@ -20,22 +20,22 @@
 /// number or time the loss is one hold that lapses: nothing can run, as a
 /// start needs a hold and the entry that cancelled sends no other start.
 #[derive(Default)]
-pub(super) struct Tombs {
-    by_ticket: HashMap<RequestId, (Left, Instant)>,
+pub(super) struct Tombstones {
+    by_ticket: HashMap<RequestId, (Removal, Instant)>,
     by_age: VecDeque<(Instant, RequestId)>,
 }
 
-impl Tombs {
-    pub(super) fn insert(&mut self, now: Instant, ticket: RequestId, left: Left) {
+impl Tombstones {
+    pub(super) fn insert(&mut self, now: Instant, ticket: RequestId, left: Removal) {
         self.by_ticket.insert(ticket, (left, now));
         self.by_age.push_back((now, ticket));
-        while self.by_age.len() > MOST {
-            self.forget();
+        while self.by_age.len() > MAX_TOMBSTONES {
+            self.drop_oldest();
         }
     }
 
     /// How a ticket left, and when.
-    pub(super) fn get(&self, ticket: RequestId) -> Option<(Left, Instant)> {
+    pub(super) fn get(&self, ticket: RequestId) -> Option<(Removal, Instant)> {
         self.by_ticket.get(&ticket).copied()
     }
 
@@ -46,9 +46,9 @@
 
     /// Forgets those that left long ago.
     pub(super) fn expire(&mut self, now: Instant) {
-        let old = |at: Instant| now.saturating_duration_since(at) >= KEEP;
+        let old = |at: Instant| now.saturating_duration_since(at) >= TOMBSTONE_TTL;
         while self.by_age.front().is_some_and(|(at, _)| old(*at)) {
-            self.forget();
+            self.drop_oldest();
         }
     }
 
@@ -56,7 +56,7 @@
         self.by_age.len()
     }
 
-    fn forget(&mut self) {
+    fn drop_oldest(&mut self) {
         let Some((at, ticket)) = self.by_age.pop_front() else {
             return;
         };
--- a/crates/sidecar/src/status.rs
+++ b/crates/sidecar/src/status.rs
@@ -43,6 +43,6 @@
     }
 
     fn ready(&self) -> bool {
-        !self.load().draining && self.spread.ready()
+        !self.load().draining && self.bundle_sync.ready()
     }
 }
--- a/crates/sidecar/tests/orders.rs
+++ b/crates/sidecar/tests/orders.rs
@@ -13,7 +13,7 @@
 use clients::orders::{Error, Order, Orders};
 use policy::loading::LoadedModel;
 use rstest::rstest;
-use sidecar::orders::{Keeper, Round, Settings};
+use sidecar::orders::{LoadReconciler, ReconcileOutcome, Settings};
 use standin::log::Faults as LogFaults;
 use standin::weights::Store;
 use standin::{Control, orders, weights};
@@ -81,32 +81,32 @@
         platform
     }
 
-    fn keeper(&self, holder: &str) -> Keeper {
+    fn keeper(&self, holder: &str) -> LoadReconciler {
         self.keeper_with(holder, Some(self.store), LEASE)
     }
 
     /// A keeper that needs no permits and whose lease outlasts the test.
-    fn keeper_without(&self, holder: &str) -> Keeper {
+    fn keeper_without(&self, holder: &str) -> LoadReconciler {
         self.keeper_with(holder, None, HumanDuration::secs(600))
     }
 
     fn keeper_with(
         &self,
         holder: &str,
-        weights: Option<SocketAddr>,
+        weight_store: Option<SocketAddr>,
         lease: HumanDuration,
-    ) -> Keeper {
+    ) -> LoadReconciler {
         let settings = Settings {
             addr: self.engine,
             log: self.log,
-            weights,
+            weight_store,
             server: "engine-0".to_owned(),
             model: "dossier-8b".to_owned(),
             lease,
-            every: HumanDuration::ms(10),
-            wait: HumanDuration::secs(10),
+            check_interval: HumanDuration::ms(10),
+            permit_timeout: HumanDuration::secs(10),
         };
-        Keeper::new(settings, holder.to_owned(), Rc::new(SystemClock))
+        LoadReconciler::new(settings, holder.to_owned(), Rc::new(SystemClock))
     }
 
     fn versions(&self) -> Vec<String> {
@@ -130,9 +130,9 @@
 }
 
 /// Takes rounds until one comes to `wanted`.
-async fn rounds(keeper: &mut Keeper, version: &str, wanted: Round) {
+async fn rounds(keeper: &mut LoadReconciler, version: &str, wanted: ReconcileOutcome) {
     let began = Instant::now();
-    while keeper.round(&loaded(version)).await != wanted {
+    while keeper.reconcile(&loaded(version)).await != wanted {
         assert!(began.elapsed() < PATIENCE, "no round comes to {wanted:?}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -142,8 +142,8 @@
 async fn round_loads_and_rests() {
     let platform = Platform::start(true, HumanDuration::ms(1));
     let mut keeper = platform.keeper("a");
-    rounds(&mut keeper, "v1", Round::Given).await;
-    rounds(&mut keeper, "v1", Round::Idle).await;
+    rounds(&mut keeper, "v1", ReconcileOutcome::OrderSent).await;
+    rounds(&mut keeper, "v1", ReconcileOutcome::Idle).await;
     assert_eq!(platform.versions(), ["v1"]);
     assert_eq!(platform.weights.given(), ["v1"]);
 }
@@ -155,9 +155,12 @@
 async fn round_after_lapse() {
     let platform = Platform::start(true, HumanDuration::ms(1));
     let (mut old, mut new) = (platform.keeper("old"), platform.keeper("new"));
-    rounds(&mut old, "v1", Round::Given).await;
-    assert_eq!(new.round(&loaded("v2")).await, Round::NotHolder);
-    rounds(&mut new, "v2", Round::Given).await;
+    rounds(&mut old, "v1", ReconcileOutcome::OrderSent).await;
+    assert_eq!(
+        new.reconcile(&loaded("v2")).await,
+        ReconcileOutcome::NotHolder
+    );
+    rounds(&mut new, "v2", ReconcileOutcome::OrderSent).await;
     assert_eq!(platform.versions(), ["v1", "v2"]);
 
     // Numbers only grow.
@@ -176,15 +179,15 @@
 async fn round_outlasts_lease(#[case] checks: bool) {
     let platform = Platform::start(checks, HumanDuration::ms(1));
     let (mut old, mut new) = (platform.keeper("old"), platform.keeper_without("new"));
-    rounds(&mut old, "v0", Round::Given).await;
-    rounds(&mut old, "v0", Round::Idle).await;
+    rounds(&mut old, "v0", ReconcileOutcome::OrderSent).await;
+    rounds(&mut old, "v0", ReconcileOutcome::Idle).await;
 
     platform.weights.control.change(|f| f.outage = true);
-    let paused = actix_rt::spawn(async move { old.round(&loaded("v1")).await });
-    rounds(&mut new, "v2", Round::Given).await;
+    let paused = actix_rt::spawn(async move { old.reconcile(&loaded("v1")).await });
+    rounds(&mut new, "v2", ReconcileOutcome::OrderSent).await;
     platform.weights.control.change(|f| f.outage = false);
 
-    assert_eq!(paused.await.unwrap(), Round::NotHolder);
+    assert_eq!(paused.await.unwrap(), ReconcileOutcome::NotHolder);
     assert_eq!(platform.versions(), ["v0", "v2"]);
 }
 
@@ -198,7 +201,7 @@
 async fn give_old_number(#[case] checks: bool) {
     let platform = Platform::start(checks, HumanDuration::ms(1));
     let mut keeper = platform.keeper("a");
-    rounds(&mut keeper, "v1", Round::Given).await;
+    rounds(&mut keeper, "v1", ReconcileOutcome::OrderSent).await;
 
     let client = Orders::new(platform.engine);
     let order = |v: &str| Order::LoadVersion(v.to_owned());
@@ -216,15 +219,18 @@
 async fn round_log_down() {
     let platform = Platform::start(true, HumanDuration::ms(1));
     let mut keeper = platform.keeper("a");
-    rounds(&mut keeper, "v1", Round::Given).await;
-    rounds(&mut keeper, "v1", Round::Idle).await;
+    rounds(&mut keeper, "v1", ReconcileOutcome::OrderSent).await;
+    rounds(&mut keeper, "v1", ReconcileOutcome::Idle).await;
 
     platform.faults.change(|f| f.down = true);
     tokio::time::sleep(LEASE.0).await;
-    assert_eq!(keeper.round(&loaded("v2")).await, Round::Failed);
+    assert_eq!(
+        keeper.reconcile(&loaded("v2")).await,
+        ReconcileOutcome::Failed
+    );
     assert_eq!(platform.versions(), ["v1"]);
     platform.faults.change(|f| f.down = false);
-    rounds(&mut keeper, "v2", Round::Given).await;
+    rounds(&mut keeper, "v2", ReconcileOutcome::OrderSent).await;
 }
 
 // A new version is rolled out: eight sidecars ask the weight store at once,
@@ -241,7 +247,7 @@
     let keepers = engines.iter().enumerate().map(|(i, platform)| {
         let mut keeper =
             platform.keeper_with(&format!("k{i}"), Some(store), HumanDuration::secs(600));
-        actix_rt::spawn(async move { rounds(&mut keeper, "v1", Round::Given).await })
+        actix_rt::spawn(async move { rounds(&mut keeper, "v1", ReconcileOutcome::OrderSent).await })
     });
     let keepers: Vec<_> = keepers.collect();
     tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/sidecar/tests/state.rs
+++ b/crates/sidecar/tests/state.rs
@@ -14,8 +14,8 @@
 use policy::queue::QueueSettings;
 use rstest::rstest;
 use sidecar::Settings;
-use sidecar::settings::{Backend, Streams};
-use sidecar::state::{Entry, State, broken};
+use sidecar::settings::{Backend, StreamSettings};
+use sidecar::state::{Request, State, interrupted};
 use wire::{
     BackendRequest, CancelOutcome, Chunk, PullOutcome, ReserveOutcome, ReserveRequest, ResponseEnd,
     StartOutcome, StartRequest,
@@ -40,14 +40,14 @@
             addr: ([127, 0, 0, 1], 2).into(),
             slots: 1,
         },
-        hold: HumanDuration(HOLD),
-        keep: HumanDuration(KEEP),
+        hold_timeout: HumanDuration(HOLD),
+        retention: HumanDuration(KEEP),
         lease: HumanDuration(LEASE),
-        drain_limit: HumanDuration(LEASE),
+        drain_timeout: HumanDuration(LEASE),
         orders: None,
-        streams: Streams::default(),
+        streams: StreamSettings::default(),
         follow: None,
-        kept_bytes: 64 << 10,
+        retention_bytes: 64 << 10,
         queue: QueueSettings {
             limit: 1,
             ..QueueSettings::default()
@@ -95,7 +95,7 @@
 }
 
 /// Reserves and starts a ticket.
-fn running(state: &Rc<State>, ask: &ReserveRequest) -> Rc<Entry> {
+fn running(state: &Rc<State>, ask: &ReserveRequest) -> Rc<Request> {
     assert!(matches!(reserve(state, ask), ReserveOutcome::Ready { .. }));
     assert_eq!(start(state, ask.ticket.0), StartOutcome::Running);
     state.find(ask.ticket).expect("it runs")
@@ -118,7 +118,7 @@
 }
 
 /// Number of the first piece, how many there are, and whether they end.
-fn pulled(state: &State, entry: &Entry, from: u32) -> (u32, usize, bool) {
+fn pulled(state: &State, entry: &Request, from: u32) -> (u32, usize, bool) {
     match state.pull(entry, from) {
         PullOutcome::Chunks { first, chunks, end } => (first, chunks.len(), end.is_some()),
         PullOutcome::Unknown => panic!("unknown"),
@@ -195,14 +195,14 @@
     for ticket in 0..70_000 {
         state.cancel(RequestId(ticket));
     }
-    assert_eq!(state.sizes().1, 65_536);
+    assert_eq!(state.tracked_sizes().1, 65_536);
     assert_eq!(start(&state, 69_999), StartOutcome::Cancelled);
     // The oldest is forgotten; without a hold it cannot start all the same.
     assert_eq!(start(&state, 0), StartOutcome::ReservationExpired);
 
     clock.advance(Duration::from_secs(60));
     state.sweep();
-    assert_eq!(state.sizes(), (0, 0, 0));
+    assert_eq!(state.tracked_sizes(), (0, 0, 0));
 }
 
 // The queue is full and a caller of the lowest tier is refused as shed, with
@@ -239,7 +239,7 @@
     reserve(&state, &ask(3, 0));
     state.sweep();
 
-    let stands = state.stands(&entry.expect("it waits"), 10);
+    let stands = state.reservation_status(&entry.expect("it waits"), 10);
     assert!(matches!(
         stands,
         ReserveOutcome::Refused {
@@ -268,7 +268,7 @@
     let (state, _clock) = sidecar();
     let entry = running(&state, &ask(1, 0));
     for _ in 0..3 {
-        state.push(&entry, piece(10));
+        state.push_chunk(&entry, piece(10));
     }
     assert_eq!(pulled(&state, &entry, 0), (0, 3, false));
     assert_eq!(pulled(&state, &entry, 0), (0, 3, false));
@@ -276,7 +276,7 @@
     state.finish(&entry, whole(3));
     assert_eq!(pulled(&state, &entry, 3), (3, 0, true));
     assert_eq!(pulled(&state, &entry, 3), (3, 0, true));
-    assert_eq!(state.sizes().2, 0);
+    assert_eq!(state.tracked_sizes().2, 0);
 }
 
 // A large answer waits when its entry comes back after a silence. It is handed
@@ -286,8 +286,8 @@
 async fn pull_batches() {
     let (state, _clock) = sidecar();
     let entry = running(&state, &ask(1, 0));
-    state.push(&entry, piece(700 << 10));
-    state.push(&entry, piece(700 << 10));
+    state.push_chunk(&entry, piece(700 << 10));
+    state.push_chunk(&entry, piece(700 << 10));
     state.finish(&entry, whole(2));
     // It is larger than all that may be kept, but it has only just ended.
     assert_eq!(pulled(&state, &entry, 0), (0, 1, false));
@@ -301,14 +301,14 @@
     let (state, _clock) = sidecar();
     let entry = running(&state, &ask(1, 0));
     for _ in 0..8 {
-        state.push(&entry, piece(8 << 10));
+        state.push_chunk(&entry, piece(8 << 10));
     }
     assert!(!entry.stop.is_triggered());
-    state.push(&entry, piece(8 << 10));
+    state.push_chunk(&entry, piece(8 << 10));
     assert!(entry.stop.is_triggered());
     assert_eq!(
-        state.stopped(&entry),
-        broken(Refusal::Truncated, Executed::Partial)
+        state.stopped_end(&entry),
+        interrupted(Refusal::Truncated, Executed::Partial)
     );
 }
 
@@ -319,7 +319,7 @@
     let (state, _clock) = sidecar();
     for ticket in 1..=3 {
         let entry = running(&state, &ask(ticket, 0));
-        state.push(&entry, piece(30 << 10));
+        state.push_chunk(&entry, piece(30 << 10));
         state.finish(&entry, whole(1));
         if ticket == 2 {
             pulled(&state, &entry, 0);
@@ -329,7 +329,7 @@
         .map(|t| state.find(RequestId(t)).is_some())
         .collect();
     assert_eq!(kept, [true, false, true]);
-    assert_eq!(state.sizes().2, 60 << 10);
+    assert_eq!(state.tracked_sizes().2, 60 << 10);
 }
 
 // A pull is held when the answer it is about is dropped for want of memory.
@@ -338,14 +338,14 @@
 async fn pull_dropped() {
     let (state, _clock) = sidecar();
     let first = running(&state, &ask(1, 0));
-    state.push(&first, piece(60 << 10));
+    state.push_chunk(&first, piece(60 << 10));
     state.finish(&first, whole(1));
     let second = running(&state, &ask(2, 0));
-    state.push(&second, piece(60 << 10));
+    state.push_chunk(&second, piece(60 << 10));
     state.finish(&second, whole(1));
 
     assert_eq!(state.pull(&first, 1), PullOutcome::Unknown);
-    assert_eq!(state.sizes(), (1, 0, 60 << 10));
+    assert_eq!(state.tracked_sizes(), (1, 0, 60 << 10));
 }
 
 // Answers end and are pulled; after a while nothing of them is left.
@@ -354,14 +354,14 @@
     let (state, clock) = sidecar();
     for ticket in 1..=20 {
         let entry = running(&state, &ask(ticket, 0));
-        state.push(&entry, piece(100));
+        state.push_chunk(&entry, piece(100));
         state.finish(&entry, whole(1));
     }
-    assert_eq!(state.sizes(), (20, 0, 2000));
+    assert_eq!(state.tracked_sizes(), (20, 0, 2000));
     clock.advance(KEEP);
     state.sweep();
-    assert_eq!(state.sizes(), (0, 0, 0));
-    assert!(state.idle());
+    assert_eq!(state.tracked_sizes(), (0, 0, 0));
+    assert!(state.is_idle());
 }
 
 // A lower-tier run has the only slot when a caller of the top tier is about to
@@ -374,7 +374,7 @@
     let mut top = ask(2, 0);
     top.ttft_budget_us = 50_000;
     reserve(&state, &top);
-    state.push(&lower, piece(10));
+    state.push_chunk(&lower, piece(10));
     clock.advance(Duration::from_millis(29));
     state.sweep();
     assert!(!lower.stop.is_triggered());
@@ -383,9 +383,9 @@
     assert!(lower.stop.is_triggered());
 
     assert_eq!(pulled(&state, &lower, 0), (0, 0, false));
-    state.push(&lower, piece(10));
-    let end = state.stopped(&lower);
-    assert_eq!(end, broken(Refusal::Preempted, Executed::Partial));
+    state.push_chunk(&lower, piece(10));
+    let end = state.stopped_end(&lower);
+    assert_eq!(end, interrupted(Refusal::Preempted, Executed::Partial));
     state.finish(&lower, end);
     assert_eq!(pulled(&state, &lower, 0), (0, 0, true));
     assert_eq!(start(&state, 2), StartOutcome::Running);
@@ -397,11 +397,11 @@
 async fn idle_after_end_is_pulled() {
     let (state, _clock) = sidecar();
     let entry = running(&state, &ask(1, 0));
-    assert!(!state.idle());
+    assert!(!state.is_idle());
     state.finish(&entry, whole(0));
-    assert!(!state.idle());
+    assert!(!state.is_idle());
     pulled(&state, &entry, 0);
-    assert!(state.idle());
+    assert!(state.is_idle());
 }
 
 // Holds are cancelled, lapse and start in every order; the slot is always
