--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -1,11 +1,11 @@
-//! The tickets of a sidecar and their states.
+//! The requests of a sidecar, by ticket, and their phases.
 //!
-//! - `ticket`: one ticket and where it stands.
-//! - `answer`: an answer in the making.
-//! - `drain`: stopping without cutting anything off.
-//! - `delivery`: taking answers in and handing them out.
-//! - `upkeep`: handing slots out, and what falls due with time.
-//! - `tombs`: tickets that left without having started.
+//! - `request`: one request and its phase.
+//! - `response`: the buffered response of a request.
+//! - `drain`: graceful shutdown.
+//! - `delivery`: buffering chunks and delivering them to entries.
+//! - `maintenance`: granting slots and handling timeouts.
+//! - `tombstones`: tickets that were removed before they started.
 
 mod delivery;
 mod drain;
@@ -43,44 +43,45 @@
 use response::ResponseBuffer;
 use tombstones::Tombstones;
 
-/// Longest time that a call is held, whatever it asks for.
+/// Upper bound on the long-poll wait of a call, whatever the caller requests.
 pub const MAX_CALL_WAIT: Duration = Duration::from_secs(5);
 
-/// Everything that a sidecar knows.
+/// The state of one sidecar, shared by its tasks.
 pub struct State {
-    /// What the operators set.
+    /// The sidecar's settings.
     pub settings: Settings,
-    /// Where the time comes from.
+    /// The source of the current time.
     pub clock: Rc<dyn Clock>,
-    /// This life of the sidecar.
+    /// Identifies this process; a restart gets another one.
     pub incarnation: Incarnation,
-    /// The bundle in force.
+    /// The bundle in force and its updates.
     pub bundle_sync: BundleSync,
-    /// The backend server.
+    /// The client of the backend server.
     pub backend: BackendClient,
-    /// What its prefix cache is believed to hold.
+    /// The blocks in the engine's prefix cache, as far as its events tell.
     pub prefix_cache: RefCell<CacheMap>,
-    /// Who waits for a slot, holds one or runs.
+    /// The requests that wait for a slot, hold one or run.
     queue: RefCell<Queue>,
-    /// Tickets that wait, hold a slot or started.
+    /// Requests that wait, hold a slot or have started.
     tickets: RefCell<HashMap<RequestId, Rc<Request>>>,
-    /// Tickets that left without having started.
+    /// Tickets that were removed before they started.
     tombstones: RefCell<Tombstones>,
-    /// When to look at a ticket again: holds that lapse, answers to forget.
+    /// When to check a ticket again: expiring holds and leases, and responses
+    /// whose retention ends.
     timers: RefCell<BinaryHeap<Reverse<(Instant, RequestId)>>>,
-    /// Tickets whose answers ended, the first to end first.
+    /// Tickets whose responses ended, in the order in which they ended.
     ended: RefCell<VecDeque<RequestId>>,
-    /// Bytes of all kept answers.
+    /// Total size of all buffered responses, in bytes.
     retained_bytes: Cell<usize>,
-    /// Ended answers whose entry has not got the end yet.
+    /// Number of ended responses whose end has not been delivered yet.
     undelivered_ends: Cell<usize>,
-    /// When an entry was last handed an answer's end.
+    /// When the end of a response was last delivered.
     last_delivery: Cell<Option<Instant>>,
-    /// Whether no new requests are taken.
+    /// Whether the sidecar drains and refuses new requests.
     draining: Cell<bool>,
-    /// Whether the backend server cannot be reached.
+    /// Whether the backend server is considered unreachable.
     failed: Cell<bool>,
-    /// Wakes who probes the backend server.
+    /// Wakes the health monitor when the backend server becomes unreachable.
     pub(crate) backend_failure: Notify,
 }
 
@@ -93,7 +94,7 @@
 }
 
 impl State {
-    /// Makes the state of a sidecar that just started.
+    /// Creates the state of a newly started sidecar.
     #[must_use]
     pub fn new(settings: Settings, clock: Rc<dyn Clock>) -> Rc<Self> {
         let backend = match &settings.backend {
@@ -124,7 +125,8 @@
         })
     }
 
-    /// Wraps an answer with what every answer tells.
+    /// Wraps a reply body with the bundle sequence, incarnation and load that
+    /// every reply carries.
     pub fn reply<T>(&self, body: T) -> Reply<T> {
         Reply {
             sequence: self.bundle_sync.active.sequence(),
@@ -134,148 +136,157 @@
         }
     }
 
-    /// How busy the backend server is.
+    /// The current load of the backend server.
     pub fn load(&self) -> ServerLoad {
-        let standing = self.queue.borrow().status(self.clock.now());
+        let status = self.queue.borrow().status(self.clock.now());
         ServerLoad {
-            running: saturating_u32(standing.busy as u64),
-            slots: saturating_u32(standing.slots as u64),
-            waiting: saturating_u32(standing.waiting as u64),
-            token_us: saturating_u32(standing.token_us),
-            ttft_us: saturating_u32(standing.first_us),
-            wait_us: saturating_u32(standing.wait_us),
+            running: saturating_u32(status.busy as u64),
+            slots: saturating_u32(status.slots as u64),
+            waiting: saturating_u32(status.waiting as u64),
+            token_us: saturating_u32(status.token_us),
+            ttft_us: saturating_u32(status.first_us),
+            wait_us: saturating_u32(status.wait_us),
             draining: self.closed_reason().is_some(),
         }
     }
 
-    /// Finds a ticket that waits, holds a slot or started.
+    /// Finds a request that waits, holds a slot or has started.
     pub fn find(&self, ticket: RequestId) -> Option<Rc<Request>> {
         self.tickets.borrow().get(&ticket).cloned()
     }
 
-    /// Queues a request that is not known yet, and tells where it stands; the
-    /// entry is there while that may change.
-    pub fn reserve(&self, ask: &ReserveRequest) -> (Option<Rc<Request>>, ReserveOutcome) {
-        if let Some(entry) = self.find(ask.ticket) {
-            self.renew_lease(&entry, ask.wait_ms);
-            let stands = self.reservation_status(&entry, ask.prompt_tokens);
-            return (Some(entry), stands);
+    /// Queues a request unless it is already tracked, and returns its status.
+    /// The request itself is returned unless it was refused.
+    pub fn reserve(&self, reservation: &ReserveRequest) -> (Option<Rc<Request>>, ReserveOutcome) {
+        if let Some(request) = self.find(reservation.ticket) {
+            self.renew_lease(&request, reservation.wait_ms);
+            let status = self.reservation_status(&request, reservation.prompt_tokens);
+            return (Some(request), status);
         }
         let now = self.clock.now();
-        if let Some(left) = self.earlier_rejection(now, ask.ticket) {
-            return (None, refused_outcome(left));
+        if let Some(rejection) = self.earlier_rejection(now, reservation.ticket) {
+            return (None, refused_outcome(rejection));
         }
 
-        let lease = now + self.lease_duration(ask.wait_ms);
-        let entry = Rc::new(Request::new(ask.ticket, ask.tier, lease));
-        let offered = match self.closed_reason() {
-            Some(verdict) => Admission::Refused(verdict),
-            None => self.queue.borrow_mut().offer(now, queue_request(ask, now)),
+        let lease = now + self.lease_duration(reservation.wait_ms);
+        let request = Rc::new(Request::new(reservation.ticket, reservation.tier, lease));
+        let admission = match self.closed_reason() {
+            Some(rejection) => Admission::Refused(rejection),
+            None => self
+                .queue
+                .borrow_mut()
+                .offer(now, queue_request(reservation, now)),
         };
-        if let Admission::Refused(verdict) = offered {
-            self.remove_unstarted(now, &entry, Removal::Refused(verdict));
-            return (None, refused_outcome(verdict));
+        if let Admission::Refused(rejection) = admission {
+            self.remove_unstarted(now, &request, Removal::Refused(rejection));
+            return (None, refused_outcome(rejection));
         }
 
-        let known = Rc::clone(&entry);
-        self.tickets.borrow_mut().insert(ask.ticket, known);
+        let tracked = Rc::clone(&request);
+        self.tickets
+            .borrow_mut()
+            .insert(reservation.ticket, tracked);
         self.grant_slots();
-        let stands = self.reservation_status(&entry, ask.prompt_tokens);
-        (Some(entry), stands)
+        let status = self.reservation_status(&request, reservation.prompt_tokens);
+        (Some(request), status)
     }
 
-    /// Where a ticket stands, as an answer to `reserve`.
-    pub fn reservation_status(&self, entry: &Request, prompt: u32) -> ReserveOutcome {
+    /// The status of a request, as the outcome of `reserve`.
+    pub fn reservation_status(&self, request: &Request, prompt_tokens: u32) -> ReserveOutcome {
         let now = self.clock.now();
-        match &*entry.phase.borrow() {
+        match &*request.phase.borrow() {
             Phase::Queued => {
-                let estimate = self.queue.borrow().estimated_wait(now, entry.ticket);
+                let estimate = self.queue.borrow().estimated_wait(now, request.ticket);
                 let estimate_us = u64::try_from(estimate.as_micros()).unwrap_or(u64::MAX);
                 ReserveOutcome::Waiting { estimate_us }
             }
             Phase::Held { until, .. } => {
-                let left = until.saturating_duration_since(now);
+                let remaining = until.saturating_duration_since(now);
                 let queue = self.queue.borrow();
                 ReserveOutcome::Ready {
-                    lease_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
-                    ttft_us: saturating_u32(queue.expected_first_us(prompt)),
+                    lease_ms: u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX),
+                    ttft_us: saturating_u32(queue.expected_first_us(prompt_tokens)),
                     token_us: saturating_u32(queue.status(now).token_us),
                     cached_tokens: 0,
                 }
             }
             Phase::Started(_) => ReserveOutcome::AlreadyStarted,
-            Phase::Removed(Removal::Refused(verdict)) => refused_outcome(*verdict),
+            Phase::Removed(Removal::Refused(rejection)) => refused_outcome(*rejection),
             Phase::Removed(Removal::Cancelled) => refused_outcome(caller_gone()),
-            // Asking again queues it anew.
+            // The next `reserve` call queues it again.
             Phase::Removed(Removal::Expired) => ReserveOutcome::Waiting { estimate_us: 0 },
         }
     }
 
-    /// Starts a ticket that holds a slot.
-    pub fn start(self: &Rc<Self>, order: StartRequest) -> StartOutcome {
-        // A start meant for an earlier life could run a request a second
-        // time: what that life did with it is not known here.
-        if order.incarnation != self.incarnation {
+    /// Starts a request that holds a slot.
+    pub fn start(self: &Rc<Self>, start: StartRequest) -> StartOutcome {
+        // A start meant for an earlier incarnation could run a request a second
+        // time, since this process does not know whether it already ran there.
+        if start.incarnation != self.incarnation {
             return StartOutcome::OtherIncarnation;
         }
-        let Some(entry) = self.find(order.ticket) else {
-            let left = self.tombstones.borrow().get(order.ticket);
-            return match left {
+        let Some(request) = self.find(start.ticket) else {
+            let tombstone = self.tombstones.borrow().get(start.ticket);
+            return match tombstone {
                 Some((Removal::Cancelled, _)) => StartOutcome::Cancelled,
-                // A slot that lapsed may be another's by now. Its entry asks
-                // again, here or elsewhere; nothing has run.
+                // The slot of an expired hold may have been granted to another
+                // request. Nothing has run, so the entry can reserve again, here
+                // or at another server.
                 _ => StartOutcome::ReservationExpired,
             };
         };
 
-        let guaranteed = match &*entry.phase.borrow() {
+        let guaranteed = match &*request.phase.borrow() {
             Phase::Started(_) => return StartOutcome::Running,
             Phase::Queued | Phase::Removed(_) => return StartOutcome::ReservationExpired,
             Phase::Held { guaranteed, .. } => *guaranteed,
         };
         let now = self.clock.now();
-        self.queue.borrow_mut().start(now, order.ticket);
-        entry.set_phase(Phase::Started(ResponseBuffer::default()));
-        self.renew_lease(&entry, 0);
-        self.schedule_check(entry.lease.get(), order.ticket);
-        metrics::started(entry.tier, guaranteed);
+        self.queue.borrow_mut().start(now, start.ticket);
+        request.set_phase(Phase::Started(ResponseBuffer::default()));
+        self.renew_lease(&request, 0);
+        self.schedule_check(request.lease.get(), start.ticket);
+        metrics::started(request.tier, guaranteed);
 
-        actix_rt::spawn(run::run(Rc::clone(self), entry, order.work));
+        actix_rt::spawn(run::run(Rc::clone(self), request, start.work));
         StartOutcome::Running
     }
 
-    /// Ends a ticket whatever its state. One that never started never will.
+    /// Cancels a request in any phase. One that has not started will never
+    /// start.
     pub fn cancel(&self, ticket: RequestId) -> CancelOutcome {
         let now = self.clock.now();
-        let Some(entry) = self.find(ticket) else {
-            // Its reserve or start may still be on the way.
+        let Some(request) = self.find(ticket) else {
+            // Its `reserve` or `start` call may arrive after the cancel.
             self.tombstones
                 .borrow_mut()
                 .insert(now, ticket, Removal::Cancelled);
             return CancelOutcome::NeverStarted;
         };
-        match &*entry.phase.borrow() {
+        match &*request.phase.borrow() {
             Phase::Started(ResponseBuffer { end: Some(_), .. }) => return CancelOutcome::Ended,
             Phase::Started(_) => {
-                entry.request_stop(Refusal::CallerGone);
+                request.request_stop(Refusal::CallerGone);
                 return CancelOutcome::Started;
             }
             Phase::Queued | Phase::Held { .. } | Phase::Removed(_) => {}
         }
 
         self.queue.borrow_mut().cancel(now, ticket, false);
-        self.remove_unstarted(now, &entry, Removal::Cancelled);
+        self.remove_unstarted(now, &request, Removal::Cancelled);
         self.grant_slots();
         CancelOutcome::NeverStarted
     }
 
-    /// Whether nothing waits or runs and every answer has been handed out.
+    /// Whether nothing waits or runs and the end of every response has been
+    /// delivered.
     pub fn is_idle(&self) -> bool {
         let queue = self.queue.borrow();
         queue.busy() == 0 && queue.waiting() == 0 && self.undelivered_ends.get() == 0
     }
 
-    /// Tickets, tombstones and bytes that are kept, for measuring memory.
+    /// The number of tracked requests, the number of tombstones, and the size
+    /// of all buffered responses in bytes, for measuring memory.
     pub fn tracked_sizes(&self) -> (usize, usize, usize) {
         let tickets = self.tickets.borrow().len();
         (
@@ -285,53 +296,58 @@
         )
     }
 
-    /// Why a ticket that left is not queued again; `None` when it may be.
+    /// The rejection that still applies to a removed ticket; `None` when it may
+    /// be queued again.
     fn earlier_rejection(&self, now: Instant, ticket: RequestId) -> Option<Rejection> {
-        let (left, at) = self.tombstones.borrow().get(ticket)?;
-        match left {
+        let (removal, removed_at) = self.tombstones.borrow().get(ticket)?;
+        match removal {
             Removal::Cancelled => return Some(caller_gone()),
-            // A draining sidecar refuses for good; another refusal stands
-            // until the time that it told.
-            Removal::Refused(verdict) if verdict.reason == Refusal::Draining => {
-                return Some(verdict);
+            // A rejection for draining is final; any other applies until its
+            // `retry_after` has passed.
+            Removal::Refused(rejection) if rejection.reason == Refusal::Draining => {
+                return Some(rejection);
+            }
+            Removal::Refused(rejection) if now < removed_at + rejection.retry_after => {
+                return Some(rejection);
             }
-            Removal::Refused(verdict) if now < at + verdict.retry_after => return Some(verdict),
             Removal::Refused(_) | Removal::Expired => {}
         }
         self.tombstones.borrow_mut().remove(ticket);
         None
     }
 
-    /// Lets a ticket go that never started.
-    fn remove_unstarted(&self, now: Instant, entry: &Request, left: Removal) {
-        match left {
-            Removal::Refused(verdict) => metrics::refused(entry.tier, verdict.reason),
-            Removal::Expired => metrics::lapsed(entry.tier),
+    /// Removes a request that has not started and leaves a tombstone.
+    fn remove_unstarted(&self, now: Instant, request: &Request, removal: Removal) {
+        match removal {
+            Removal::Refused(rejection) => metrics::refused(request.tier, rejection.reason),
+            Removal::Expired => metrics::lapsed(request.tier),
             Removal::Cancelled => {}
         }
-        self.tickets.borrow_mut().remove(&entry.ticket);
-        self.tombstones.borrow_mut().insert(now, entry.ticket, left);
-        entry.set_phase(Phase::Removed(left));
+        self.tickets.borrow_mut().remove(&request.ticket);
+        self.tombstones
+            .borrow_mut()
+            .insert(now, request.ticket, removal);
+        request.set_phase(Phase::Removed(removal));
     }
 }
 
-fn queue_request(ask: &ReserveRequest, now: Instant) -> QueueRequest {
+fn queue_request(reservation: &ReserveRequest, now: Instant) -> QueueRequest {
     QueueRequest {
-        ticket: ask.ticket,
-        class: Rc::from(ask.class.as_str()),
-        workspace: Rc::from(ask.workspace.as_str()),
-        weight: ask.weight,
-        tier: ask.tier,
-        first_deadline: now + Duration::from_micros(ask.ttft_budget_us),
-        answer_deadline: now + Duration::from_micros(ask.total_budget_us),
-        prompt_tokens: ask.prompt_tokens,
-        max_tokens: ask.max_tokens,
-        repeatable: ask.repeatable,
-        preemptions: ask.preemptions,
+        ticket: reservation.ticket,
+        class: Rc::from(reservation.class.as_str()),
+        workspace: Rc::from(reservation.workspace.as_str()),
+        weight: reservation.weight,
+        tier: reservation.tier,
+        first_deadline: now + Duration::from_micros(reservation.ttft_budget_us),
+        answer_deadline: now + Duration::from_micros(reservation.total_budget_us),
+        prompt_tokens: reservation.prompt_tokens,
+        max_tokens: reservation.max_tokens,
+        repeatable: reservation.repeatable,
+        preemptions: reservation.preemptions,
     }
 }
 
-/// What a cancelled ticket is told.
+/// The rejection of a cancelled ticket.
 fn caller_gone() -> Rejection {
     Rejection {
         reason: Refusal::CallerGone,
@@ -339,19 +355,19 @@
     }
 }
 
-fn refused_outcome(verdict: Rejection) -> ReserveOutcome {
+fn refused_outcome(rejection: Rejection) -> ReserveOutcome {
     ReserveOutcome::Refused {
-        reason: verdict.reason,
-        retry_after_ms: u32::try_from(verdict.retry_after.as_millis()).unwrap_or(u32::MAX),
+        reason: rejection.reason,
+        retry_after_ms: u32::try_from(rejection.retry_after.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
-/// An end of an answer that is not whole.
+/// The end of an incomplete response.
 #[must_use]
 pub fn interrupted(reason: Refusal, ran: Executed) -> ResponseEnd {
     ResponseEnd::Interrupted { reason, ran }
 }
 
-fn saturating_u32(n: u64) -> u32 {
-    u32::try_from(n).unwrap_or(u32::MAX)
+fn saturating_u32(value: u64) -> u32 {
+    u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/crates/sidecar/src/state/request.rs
+++ b/crates/sidecar/src/state/request.rs
@@ -1,4 +1,4 @@
-//! One ticket and where it stands.
+//! One request and its phase.
 
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
@@ -11,49 +11,51 @@
 
 use super::response::ResponseBuffer;
 
-/// One ticket that waits, holds a slot or started.
+/// A request that waits, holds a slot or has started.
 pub struct Request {
-    /// The request.
+    /// Identifies the request.
     pub ticket: RequestId,
-    /// Its tier.
+    /// The tier of the request; tier 0 has the highest priority.
     pub tier: Tier,
-    /// Where it stands.
+    /// The current phase.
     pub(super) phase: RefCell<Phase>,
-    /// Until when its entry counts as there, without asking again.
+    /// When its entry is presumed gone unless it makes another call.
     pub(super) lease: Cell<Instant>,
-    /// Wakes who waits for a change.
+    /// Notified when the phase or the response changes.
     pub changed: Notify,
-    /// Asks its run to stop.
+    /// Triggered to stop the run.
     pub stop: StopSignal,
-    /// Why its run was asked to stop.
+    /// Why the run was asked to stop; the first reason is kept.
     pub(super) stop_reason: Cell<Option<Refusal>>,
 }
 
-/// Where a ticket stands.
+/// The phase of a request.
 pub(super) enum Phase {
-    /// It waits for a slot.
+    /// Waiting for a slot.
     Queued,
-    /// A slot is held for it.
+    /// A slot is held for the request.
     Held {
-        /// Until when.
+        /// When the hold expires.
         until: Instant,
-        /// Whether it was let go before a higher tier.
+        /// Whether the slot came from the guaranteed share, ahead of a higher
+        /// tier.
         guaranteed: bool,
     },
-    /// It started; its answer is being made or kept.
+    /// Running, or ended with its response still buffered.
     Started(ResponseBuffer),
-    /// It is gone; the tombstone says more.
+    /// Removed from the tracked requests.
     Removed(Removal),
 }
 
-/// How a ticket left without having started.
+/// Why a request was removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Removal {
-    /// Its hold ran out; it may ask again.
+    /// Its hold or lease expired before it started, or the retention of its
+    /// response ended. A request that has not started may reserve again.
     Expired,
-    /// The queue refused it.
+    /// The request was refused.
     Refused(Rejection),
-    /// It was cancelled and never starts in this life.
+    /// The request was cancelled and never starts in this incarnation.
     Cancelled,
 }
 
@@ -70,21 +72,21 @@
         }
     }
 
-    /// Asks the run to stop; the first reason stands.
-    pub(super) fn request_stop(&self, why: Refusal) {
+    /// Asks the run to stop; the first reason is kept.
+    pub(super) fn request_stop(&self, reason: Refusal) {
         if self.stop_reason.get().is_none() {
-            self.stop_reason.set(Some(why));
+            self.stop_reason.set(Some(reason));
         }
         self.stop.trigger();
     }
 
-    /// Why the run was asked to stop.
+    /// Why the run was asked to stop; [`Refusal::CallerGone`] by default.
     #[must_use]
     pub fn stop_reason(&self) -> Refusal {
         self.stop_reason.get().unwrap_or(Refusal::CallerGone)
     }
 
-    /// Moves on to another phase and wakes who waits for it.
+    /// Sets the phase and wakes the waiting calls.
     pub(super) fn set_phase(&self, phase: Phase) {
         *self.phase.borrow_mut() = phase;
         self.changed.notify_waiters();
