--- a/crates/sidecar/src/state/delivery.rs
+++ b/crates/sidecar/src/state/delivery.rs
@@ -1,4 +1,5 @@
-//! Answers in the making: taken from the backend server, kept, handed out.
+//! Buffers the chunks that the backend server produces and delivers them to
+//! the entries.
 
 use base::ids::RequestId;
 use base::reason::{Executed, Refusal};
@@ -8,16 +9,17 @@
 use super::{State, interrupted};
 
 impl State {
-    /// Takes pieces from `from` on, and forgets those before.
-    pub fn pull(&self, entry: &Request, from: u32) -> PullOutcome {
-        let mut phase = entry.phase.borrow_mut();
-        let Phase::Started(answer) = &mut *phase else {
+    /// Returns the buffered chunks from number `from` on and drops the earlier
+    /// ones, which are thereby acknowledged.
+    pub fn pull(&self, request: &Request, from: u32) -> PullOutcome {
+        let mut phase = request.phase.borrow_mut();
+        let Phase::Started(response) = &mut *phase else {
             return PullOutcome::Unknown;
         };
 
-        // A run that is being preempted runs again elsewhere. Were a piece of
-        // it handed out now, its caller would get two beginnings.
-        if entry.stop_reason.get() == Some(Refusal::Preempted) && answer.end.is_none() {
+        // A preempted request runs again elsewhere. If a chunk of this run were
+        // delivered now, the caller would receive the beginning twice.
+        if request.stop_reason.get() == Some(Refusal::Preempted) && response.end.is_none() {
             return PullOutcome::Chunks {
                 first: from,
                 chunks: Vec::new(),
@@ -25,72 +27,74 @@
             };
         }
 
-        let (bytes, told) = (answer.retained_bytes(), answer.end_delivered);
-        answer.acknowledge(from);
+        let (size_before, was_delivered) = (response.retained_bytes(), response.end_delivered);
+        response.acknowledge(from);
         self.retained_bytes
-            .set(self.retained_bytes.get() + answer.retained_bytes() - bytes);
-        let (first, chunks, end) = answer.batch();
-        if answer.end_delivered && !told {
+            .set(self.retained_bytes.get() + response.retained_bytes() - size_before);
+        let (first, chunks, end) = response.batch();
+        if response.end_delivered && !was_delivered {
             self.undelivered_ends.set(self.undelivered_ends.get() - 1);
             self.last_delivery.set(Some(self.clock.now()));
         }
-        let delivered = answer.delivered;
+        let delivered = response.delivered;
         drop(phase);
 
         if delivered {
-            self.queue.borrow_mut().mark_delivered(entry.ticket);
+            self.queue.borrow_mut().mark_delivered(request.ticket);
         }
         PullOutcome::Chunks { first, chunks, end }
     }
 
-    /// Adds a piece to an answer.
-    pub fn push_chunk(&self, entry: &Request, piece: Chunk) {
-        let (now, tokens) = (self.clock.now(), piece.tokens);
+    /// Appends a chunk to a response.
+    pub fn push_chunk(&self, request: &Request, chunk: Chunk) {
+        let (now, tokens) = (self.clock.now(), chunk.tokens);
         self.queue
             .borrow_mut()
-            .record_piece(now, entry.ticket, tokens);
+            .record_piece(now, request.ticket, tokens);
 
-        let mut phase = entry.phase.borrow_mut();
-        let Phase::Started(answer) = &mut *phase else {
+        let mut phase = request.phase.borrow_mut();
+        let Phase::Started(response) = &mut *phase else {
             return;
         };
         self.retained_bytes
-            .set(self.retained_bytes.get() + piece.data.len());
-        answer.push_chunk(piece);
-        // An entry that is gone pulls nothing, and its answer would grow for
-        // as long as the backend server makes it. One piece always fits.
-        let share = self.settings.retention_bytes / self.settings.backend.slots().max(1);
-        let over = answer.has_multiple() && answer.retained_bytes() > share;
+            .set(self.retained_bytes.get() + chunk.data.len());
+        response.push_chunk(chunk);
+        // If the entry is gone, nothing is pulled and the response would grow
+        // until the backend server ends it. A single chunk is always allowed.
+        let limit = self.settings.retention_bytes / self.settings.backend.slots().max(1);
+        let over_limit = response.has_multiple() && response.retained_bytes() > limit;
         drop(phase);
 
-        if over {
-            entry.request_stop(Refusal::Truncated);
+        if over_limit {
+            request.request_stop(Refusal::Truncated);
         }
-        entry.changed.notify_waiters();
+        request.changed.notify_waiters();
     }
 
-    /// How many pieces an answer has so far.
-    pub fn chunk_count(&self, entry: &Request) -> u32 {
-        match &*entry.phase.borrow() {
-            Phase::Started(answer) => answer.chunk_count(),
+    /// The number of chunks that a response has so far.
+    pub fn chunk_count(&self, request: &Request) -> u32 {
+        match &*request.phase.borrow() {
+            Phase::Started(response) => response.chunk_count(),
             _ => 0,
         }
     }
 
-    /// The end of a run that was asked to stop.
+    /// The response end of a run that was asked to stop.
     #[must_use]
-    pub fn stopped_end(&self, entry: &Request) -> ResponseEnd {
-        interrupted(entry.stop_reason(), Executed::Partial)
+    pub fn stopped_end(&self, request: &Request) -> ResponseEnd {
+        interrupted(request.stop_reason(), Executed::Partial)
     }
 
-    /// Ends an answer and gives its slot back.
-    pub fn finish(&self, entry: &Request, end: ResponseEnd) {
+    /// Ends a response and releases its slot.
+    pub fn finish(&self, request: &Request, end: ResponseEnd) {
         let now = self.clock.now();
-        let whole = matches!(end, ResponseEnd::Complete { .. });
-        self.queue.borrow_mut().finish(now, entry.ticket, whole);
+        let complete = matches!(end, ResponseEnd::Complete { .. });
+        self.queue
+            .borrow_mut()
+            .finish(now, request.ticket, complete);
 
-        if let Phase::Started(answer) = &mut *entry.phase.borrow_mut() {
-            // The caller gets the other run's pieces and none of this one's.
+        if let Phase::Started(response) = &mut *request.phase.borrow_mut() {
+            // The caller receives the chunks of the next run only.
             if matches!(
                 &end,
                 ResponseEnd::Interrupted {
@@ -99,34 +103,35 @@
                 }
             ) {
                 self.retained_bytes
-                    .set(self.retained_bytes.get() - answer.retained_bytes());
-                answer.clear();
+                    .set(self.retained_bytes.get() - response.retained_bytes());
+                response.clear();
             }
-            answer.end = Some((end, now));
-            answer.end_delivered = entry.stop_reason.get() == Some(Refusal::CallerGone);
-            if !answer.end_delivered {
+            response.end = Some((end, now));
+            response.end_delivered = request.stop_reason.get() == Some(Refusal::CallerGone);
+            if !response.end_delivered {
                 self.undelivered_ends.set(self.undelivered_ends.get() + 1);
             }
-            self.ended.borrow_mut().push_back(entry.ticket);
-            self.schedule_check(now + self.settings.retention.0, entry.ticket);
+            self.ended.borrow_mut().push_back(request.ticket);
+            self.schedule_check(now + self.settings.retention.0, request.ticket);
         }
-        entry.changed.notify_waiters();
+        request.changed.notify_waiters();
         self.enforce_retention();
         self.grant_slots();
     }
 
-    /// Drops ended answers while more bytes are kept than the settings allow:
-    /// those whose entry has had the end first, and the oldest of them.
+    /// Drops ended responses until the buffered bytes are within the settings'
+    /// limit. Responses whose end was delivered go first, and of these the one
+    /// that ended earliest.
     fn enforce_retention(&self) {
         while self.retained_bytes.get() > self.settings.retention_bytes {
             let mut ended = self.ended.borrow_mut();
-            // The newest stays, however large it is: it has just ended, and
-            // its entry is about to pull it.
+            // The response that ended last stays, whatever its size, since its
+            // entry is about to pull it.
             if ended.len() <= 1 {
                 return;
             }
-            let told = ended.iter().position(|t| self.end_delivered(*t));
-            let Some(ticket) = ended.remove(told.unwrap_or(0)) else {
+            let position = ended.iter().position(|t| self.end_delivered(*t));
+            let Some(ticket) = ended.remove(position.unwrap_or(0)) else {
                 return;
             };
             drop(ended);
@@ -135,16 +140,16 @@
     }
 
     fn end_delivered(&self, ticket: RequestId) -> bool {
-        let Some(entry) = self.find(ticket) else {
+        let Some(request) = self.find(ticket) else {
             return true;
         };
-        match &*entry.phase.borrow() {
-            Phase::Started(answer) => answer.end_delivered,
+        match &*request.phase.borrow() {
+            Phase::Started(response) => response.end_delivered,
             _ => false,
         }
     }
 
-    /// Drops tickets that are forgotten from the list of those that ended.
+    /// Removes dropped tickets from the front of the list of ended ones.
     pub(super) fn trim_ended(&self) {
         let mut ended = self.ended.borrow_mut();
         while ended.front().is_some_and(|t| self.find(*t).is_none()) {
@@ -152,21 +157,22 @@
         }
     }
 
-    /// Forgets an answer that ended. Whoever still waits for it finds it gone.
+    /// Drops an ended response. A pull that still waits for it gets
+    /// [`PullOutcome::Unknown`].
     pub(super) fn drop_response(&self, ticket: RequestId) {
-        let Some(entry) = self.find(ticket) else {
+        let Some(request) = self.find(ticket) else {
             return;
         };
-        let mut phase = entry.phase.borrow_mut();
-        let Phase::Started(answer) = &*phase else {
+        let mut phase = request.phase.borrow_mut();
+        let Phase::Started(response) = &*phase else {
             return;
         };
-        if answer.end.is_none() {
+        if response.end.is_none() {
             return;
         }
         self.retained_bytes
-            .set(self.retained_bytes.get() - answer.retained_bytes());
-        if !answer.end_delivered {
+            .set(self.retained_bytes.get() - response.retained_bytes());
+        if !response.end_delivered {
             self.undelivered_ends.set(self.undelivered_ends.get() - 1);
         }
         *phase = Phase::Removed(Removal::Expired);
--- a/crates/sidecar/src/state/drain.rs
+++ b/crates/sidecar/src/state/drain.rs
@@ -1,4 +1,5 @@
-//! Stopping without cutting anything off. See docs/operators/drain.md.
+//! Graceful shutdown: refuses new requests and lets those in progress finish.
+//! See docs/operators/drain.md.
 
 use std::time::Duration;
 
@@ -9,24 +10,26 @@
 use super::request::{Phase, Removal};
 use super::response::ResponseBuffer;
 
-/// How often draining looks whether all has ended.
+/// How often a drain checks whether all requests have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long an answer's end stays to be pulled again. The reply that carried
-/// it may be lost with its connection; an entry notices that within its
-/// call's bound and margin, dials anew and asks again.
+/// How long the sidecar stays up after it delivered the end of a response, so
+/// that the end can be pulled again. The reply may be lost with its connection;
+/// the entry notices that within the call's timeout and margin, reconnects and
+/// repeats the pull.
 const REPULL_GRACE: Duration = Duration::from_millis(1500);
 
-/// How long runs may take to stop after the cut-off.
+/// Time allowed for runs to stop after the drain timed out.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a draining sidecar tells newcomers; another one takes them at once.
+/// The rejection of new requests during a drain. There is no delay before a
+/// retry, since another server can take the request at once.
 const DRAINING: Rejection = Rejection {
     reason: Refusal::Draining,
     retry_after: Duration::ZERO,
 };
 
-/// What newcomers are told while the backend server cannot be reached.
+/// The rejection of new requests while the backend server is unreachable.
 const FAILED: Rejection = Rejection {
     reason: Refusal::BackendFailed,
     retry_after: Duration::from_secs(1),
@@ -35,23 +38,23 @@
 /// How a drain ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainOutcome {
-    /// Everything in progress ended by itself.
+    /// All requests in progress ended within the timeout.
     Completed,
-    /// The limit passed, and what was left was stopped.
+    /// The timeout expired, and the remaining runs were stopped.
     TimedOut,
 }
 
 impl State {
-    /// Takes nothing new and waits until everything in progress has ended and
-    /// its entries have had it, for `limit` at the most.
+    /// Refuses new requests and waits until all requests in progress have ended
+    /// and their responses are delivered, for at most `timeout`.
     ///
-    /// Requests that wait are refused at once, so that they get a slot
-    /// elsewhere in time; slots that are held may still be started, since
-    /// their entries count on them.
-    pub async fn drain(&self, limit: Duration) -> DrainOutcome {
+    /// Waiting requests are refused at once, so that they get a slot elsewhere
+    /// in time. Requests that hold a slot may still start, since their entries
+    /// rely on it.
+    pub async fn drain(&self, timeout: Duration) -> DrainOutcome {
         self.draining.set(true);
         self.refuse_waiting(DRAINING);
-        if tokio::time::timeout(limit, self.wait_drained())
+        if tokio::time::timeout(timeout, self.wait_drained())
             .await
             .is_ok()
         {
@@ -63,7 +66,8 @@
         DrainOutcome::TimedOut
     }
 
-    /// Takes nothing new until the backend server is back.
+    /// Marks the backend server as unreachable: refuses new and waiting requests
+    /// until it recovers.
     pub(crate) fn mark_failed(&self) {
         if !self.failed.replace(true) {
             self.refuse_waiting(FAILED);
@@ -71,12 +75,12 @@
         }
     }
 
-    /// Takes requests again.
+    /// Marks the backend server as reachable again.
     pub(crate) fn mark_recovered(&self) {
         self.failed.set(false);
     }
 
-    /// Why nothing new is taken, if so.
+    /// The rejection of new requests, if the sidecar accepts none.
     pub(super) fn closed_reason(&self) -> Option<Rejection> {
         if self.draining.get() {
             return Some(DRAINING);
@@ -84,37 +88,39 @@
         self.failed.get().then_some(FAILED)
     }
 
-    fn refuse_waiting(&self, verdict: Rejection) {
+    fn refuse_waiting(&self, rejection: Rejection) {
         let now = self.clock.now();
         let tickets = self.tickets.borrow();
-        let waiting = |phase: &Phase| matches!(phase, Phase::Queued);
-        let waiting = tickets.values().filter(|e| waiting(&e.phase.borrow()));
+        let is_queued = |phase: &Phase| matches!(phase, Phase::Queued);
+        let waiting = tickets.values().filter(|r| is_queued(&r.phase.borrow()));
         let waiting: Vec<_> = waiting.cloned().collect();
         drop(tickets);
 
-        for entry in waiting {
-            self.queue.borrow_mut().cancel(now, entry.ticket, false);
-            self.remove_unstarted(now, &entry, Removal::Refused(verdict));
+        for request in waiting {
+            self.queue.borrow_mut().cancel(now, request.ticket, false);
+            self.remove_unstarted(now, &request, Removal::Refused(rejection));
         }
     }
 
     fn stop_runs(&self) {
-        let running =
+        let is_running =
             |phase: &Phase| matches!(phase, Phase::Started(ResponseBuffer { end: None, .. }));
-        for entry in self.tickets.borrow().values() {
-            if running(&entry.phase.borrow()) {
-                entry.request_stop(Refusal::Draining);
+        for request in self.tickets.borrow().values() {
+            if is_running(&request.phase.borrow()) {
+                request.request_stop(Refusal::Draining);
             }
         }
     }
 
-    /// Waits until nothing is in progress and the last answers have arrived.
+    /// Waits until no request is in progress and the grace period after the last
+    /// delivered end has passed.
     async fn wait_drained(&self) {
-        let arrived = || {
-            let told = self.last_delivery.get();
-            told.is_none_or(|at| self.clock.now().saturating_duration_since(at) >= REPULL_GRACE)
+        let grace_passed = || {
+            let last_delivery = self.last_delivery.get();
+            last_delivery
+                .is_none_or(|at| self.clock.now().saturating_duration_since(at) >= REPULL_GRACE)
         };
-        while !(self.is_idle() && arrived()) {
+        while !(self.is_idle() && grace_passed()) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
--- a/crates/sidecar/src/state/maintenance.rs
+++ b/crates/sidecar/src/state/maintenance.rs
@@ -1,4 +1,5 @@
-//! Handing slots out, and what falls due with time.
+//! Grants slots to waiting requests and handles expired holds, leases and
+//! responses.
 
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
@@ -12,25 +13,28 @@
 use crate::metrics;
 
 impl State {
-    /// Takes back slots held too long, gives up requests that cannot meet
-    /// their targets and forgets tickets that ended long ago. What it costs
-    /// goes by what is due and not by what is known.
+    /// Releases expired holds, refuses requests that cannot meet their targets
+    /// and drops responses whose retention ended. Its cost grows with the number
+    /// of due timers and not with the number of tracked requests.
     pub fn sweep(&self) {
         let now = self.clock.now();
         while let Some(ticket) = self.pop_due(now) {
             self.check_due(now, ticket);
         }
         self.tombstones.borrow_mut().expire(now);
-        // The bundle goes before the settings, which only count without one.
+        // The bundle's share overrides the one in the settings, which applies
+        // only while there is no bundle.
         if let Some(bundle) = self.bundle_sync.active.bundle() {
-            let share = bundle.shares.guaranteed;
-            self.queue.borrow_mut().set_guaranteed_share(share);
+            let guaranteed_share = bundle.shares.guaranteed;
+            self.queue
+                .borrow_mut()
+                .set_guaranteed_share(guaranteed_share);
         }
 
-        let given_up = self.queue.borrow_mut().review(now);
-        for (ticket, verdict) in given_up {
-            if let Some(entry) = self.find(ticket) {
-                self.remove_unstarted(now, &entry, Removal::Refused(verdict));
+        let rejected = self.queue.borrow_mut().review(now);
+        for (ticket, rejection) in rejected {
+            if let Some(request) = self.find(ticket) {
+                self.remove_unstarted(now, &request, Removal::Refused(rejection));
             }
         }
         self.grant_slots();
@@ -39,8 +43,8 @@
         metrics::queue_status(&queue.status(now), queue.reserved_slots(now));
     }
 
-    /// Hands free slots to those who wait, and takes one from a lower tier
-    /// where the top tier would wait too long.
+    /// Grants free slots to waiting requests, and preempts a run of a lower tier
+    /// when a top-tier request would wait too long.
     pub(super) fn grant_slots(&self) {
         let now = self.clock.now();
         loop {
@@ -48,88 +52,92 @@
             let Some(granted) = next else {
                 break;
             };
-            let Some(entry) = self.find(granted.ticket) else {
+            let Some(request) = self.find(granted.ticket) else {
                 self.queue.borrow_mut().cancel(now, granted.ticket, true);
                 continue;
             };
-            // The slot would be held in vain while others wait for one.
-            if entry.lease.get() <= now {
+            // The entry is gone: it would not start the request, and the slot
+            // would be blocked for others until the hold expires.
+            if request.lease.get() <= now {
                 self.queue.borrow_mut().cancel(now, granted.ticket, true);
-                self.remove_unstarted(now, &entry, Removal::Expired);
+                self.remove_unstarted(now, &request, Removal::Expired);
                 continue;
             }
             let until = now + self.settings.hold_timeout.0;
             let guaranteed = granted.guaranteed;
-            entry.set_phase(Phase::Held { until, guaranteed });
+            request.set_phase(Phase::Held { until, guaranteed });
             self.schedule_check(until, granted.ticket);
         }
 
         let victim = self.queue.borrow_mut().preempt(now);
-        if let Some(entry) = victim.and_then(|ticket| self.find(ticket)) {
-            metrics::preempted(entry.tier);
-            entry.request_stop(Refusal::Preempted);
+        if let Some(request) = victim.and_then(|ticket| self.find(ticket)) {
+            metrics::preempted(request.tier);
+            request.request_stop(Refusal::Preempted);
         }
     }
 
-    /// Looks at a ticket whose time may have come.
+    /// Handles a due timer: an expired hold, a run whose lease may have expired,
+    /// or a response whose retention ended. A timer may be out of date.
     fn check_due(&self, now: Instant, ticket: RequestId) {
-        let Some(entry) = self.find(ticket) else {
+        let Some(request) = self.find(ticket) else {
             return;
         };
-        let (lapsed, ended) = match &*entry.phase.borrow() {
+        let (hold_expired, retention_ended) = match &*request.phase.borrow() {
             Phase::Held { until, .. } => (*until <= now, false),
             Phase::Started(ResponseBuffer { end: None, .. }) => {
-                self.check_lease(now, &entry);
+                self.check_lease(now, &request);
                 return;
             }
             Phase::Started(ResponseBuffer {
-                end: Some((_, at)), ..
-            }) => (false, *at + self.settings.retention.0 <= now),
+                end: Some((_, ended_at)),
+                ..
+            }) => (false, *ended_at + self.settings.retention.0 <= now),
             Phase::Queued | Phase::Removed(_) => (false, false),
         };
-        if lapsed {
+        if hold_expired {
             self.queue.borrow_mut().cancel(now, ticket, true);
-            self.remove_unstarted(now, &entry, Removal::Expired);
+            self.remove_unstarted(now, &request, Removal::Expired);
         }
-        if ended {
+        if retention_ended {
             self.drop_response(ticket);
             self.trim_ended();
         }
     }
 
-    /// Stops a run whose entry is gone. An entry that crashed pulls nothing
-    /// and cancels nothing; its answers would be made to their ends for
-    /// nobody. One that lives asks again well within its lease.
-    fn check_lease(&self, now: Instant, entry: &Request) {
-        let lease = entry.lease.get();
+    /// Stops a run whose lease has expired. A crashed entry neither pulls nor
+    /// cancels, and its responses would be generated to the end for nobody. An
+    /// entry that is alive makes its next call well within the lease.
+    fn check_lease(&self, now: Instant, request: &Request) {
+        let lease = request.lease.get();
         if lease > now {
-            self.schedule_check(lease, entry.ticket);
+            self.schedule_check(lease, request.ticket);
             return;
         }
-        metrics::abandoned(entry.tier);
-        entry.request_stop(Refusal::CallerGone);
+        metrics::abandoned(request.tier);
+        request.request_stop(Refusal::CallerGone);
     }
 
-    /// Notes that a ticket's entry asked, with a call that may be held for
-    /// `wait_ms`.
-    pub fn renew_lease(&self, entry: &Request, wait_ms: u32) {
-        entry
+    /// Renews the lease of a request on a call from its entry that may wait for
+    /// `wait_ms` milliseconds.
+    pub fn renew_lease(&self, request: &Request, wait_ms: u32) {
+        request
             .lease
             .set(self.clock.now() + self.lease_duration(wait_ms));
     }
 
-    /// How long an entry counts as there after a call held for `wait_ms`.
+    /// Duration of the lease from the start of a call that may wait for
+    /// `wait_ms` milliseconds.
     pub(super) fn lease_duration(&self, wait_ms: u32) -> Duration {
-        let held = Duration::from_millis(u64::from(wait_ms)).min(MAX_CALL_WAIT);
-        held + self.settings.lease.0
+        let call_wait = Duration::from_millis(u64::from(wait_ms)).min(MAX_CALL_WAIT);
+        call_wait + self.settings.lease.0
     }
 
-    /// Has a ticket looked at again at a time.
+    /// Sets a timer that checks a ticket at `at`.
     pub(super) fn schedule_check(&self, at: Instant, ticket: RequestId) {
         self.timers.borrow_mut().push(Reverse((at, ticket)));
     }
 
-    /// The next ticket whose time has come.
+    /// Removes the earliest timer that is due and returns its ticket.
     fn pop_due(&self, now: Instant) -> Option<RequestId> {
         let mut timers = self.timers.borrow_mut();
         let Reverse((at, _)) = timers.peek()?;
--- a/crates/sidecar/src/state/tombstones.rs
+++ b/crates/sidecar/src/state/tombstones.rs
@@ -1,4 +1,4 @@
-//! Tickets that left without having started.
+//! Tombstones of tickets that were removed before they started.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -7,18 +7,19 @@
 
 use super::request::Removal;
 
-/// How long they stay known.
+/// How long a tombstone is kept.
 const TOMBSTONE_TTL: Duration = Duration::from_secs(60);
 
-/// Most that stay known; about 100 bytes each.
+/// The maximum number of tombstones; each takes about 100 bytes.
 const MAX_TOMBSTONES: usize = 65_536;
 
-/// Tickets that left without having started, for a while.
+/// Tickets that were recently removed before they started.
 ///
-/// A reserve that was delayed on its way could queue a ticket again after its
-/// cancel, and take a slot for nobody. Tombstones prevent that. Beyond their
-/// number or time the loss is one hold that lapses: nothing can run, as a
-/// start needs a hold and the entry that cancelled sends no other start.
+/// Without tombstones a delayed `reserve` could queue a ticket again after its
+/// `cancel` and take a slot that nobody uses. When a tombstone was dropped for
+/// its age or for the limit, the cost is one hold that expires: nothing can
+/// run, since a start needs a hold and the entry that cancelled sends no
+/// further start.
 #[derive(Default)]
 pub(super) struct Tombstones {
     by_ticket: HashMap<RequestId, (Removal, Instant)>,
@@ -26,25 +27,25 @@
 }
 
 impl Tombstones {
-    pub(super) fn insert(&mut self, now: Instant, ticket: RequestId, left: Removal) {
-        self.by_ticket.insert(ticket, (left, now));
+    pub(super) fn insert(&mut self, now: Instant, ticket: RequestId, removal: Removal) {
+        self.by_ticket.insert(ticket, (removal, now));
         self.by_age.push_back((now, ticket));
         while self.by_age.len() > MAX_TOMBSTONES {
             self.drop_oldest();
         }
     }
 
-    /// How a ticket left, and when.
+    /// Why and when a ticket was removed.
     pub(super) fn get(&self, ticket: RequestId) -> Option<(Removal, Instant)> {
         self.by_ticket.get(&ticket).copied()
     }
 
-    /// Lets a ticket come back.
+    /// Removes a tombstone, so that its ticket may be queued again.
     pub(super) fn remove(&mut self, ticket: RequestId) {
         self.by_ticket.remove(&ticket);
     }
 
-    /// Forgets those that left long ago.
+    /// Drops the tombstones that have reached their maximum age.
     pub(super) fn expire(&mut self, now: Instant) {
         let old = |at: Instant| now.saturating_duration_since(at) >= TOMBSTONE_TTL;
         while self.by_age.front().is_some_and(|(at, _)| old(*at)) {
@@ -60,7 +61,7 @@
         let Some((at, ticket)) = self.by_age.pop_front() else {
             return;
         };
-        // It may have come back and left again since.
+        // The ticket may have been queued and removed again since.
         if self.by_ticket.get(&ticket).is_some_and(|(_, t)| *t == at) {
             self.by_ticket.remove(&ticket);
         }
