--- a/crates/sidecar/src/bundle_sync.rs
+++ b/crates/sidecar/src/bundle_sync.rs
@@ -1,4 +1,4 @@
-//! The bundle that the sidecar goes by, and handing it on.
+//! Keeps the sidecar's bundle up to date and passes it on to entries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,31 +10,32 @@
 use bytes::Bytes;
 use follow::{Follower, Held, Take};
 
-/// How long a call waits for the version that its sender goes by.
+/// Upper bound on how long a call waits for the bundle sequence of its sender.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The bundle in force and who changes it.
+/// The bundle in force and its updates.
 pub struct BundleSync {
     /// The bundle in force.
     pub active: Rc<Held>,
-    /// Who may change it; none without a log.
+    /// The actor that updates the bundle; `None` without a log.
     follower: Option<Addr<Follower>>,
 }
 
-/// Whether the sidecar may decide on a call.
+/// Whether the sidecar may process a call, given its sender's bundle sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SyncOutcome {
-    /// It knows what the sender knows, or waited in vain for it.
+    /// It may: its bundle is at least as new as the sender's, or it did not
+    /// receive the newer one in time.
     Proceed,
-    /// It is behind; its answer tells the sender so, who then hands the
-    /// version over.
+    /// Its bundle is older. The sender sees that from the sequence in the reply
+    /// and then offers its own bundle.
     Behind,
-    /// It has nothing to decide by.
+    /// It has no bundle at all.
     Refuse(Refusal),
 }
 
 impl BundleSync {
-    /// Follows the log, if the settings name one.
+    /// Starts to follow the log, if there are settings for it.
     #[must_use]
     pub fn new(settings: Option<&follow::Settings>, clock: Rc<dyn Clock>) -> Self {
         let trust = settings.map(|s| s.trust.clone()).unwrap_or_default();
@@ -45,28 +46,29 @@
         Self { active, follower }
     }
 
-    /// Whether there is a bundle to go by, or none is needed.
+    /// Whether a bundle is in force, or none is required.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.follower.is_none() || self.active.in_force().is_some()
     }
 
-    /// Levels with a sender that goes by version `told`, within `hold`.
+    /// Waits for at most `max_wait` until the bundle has reached the sender's
+    /// `sequence`.
     ///
-    /// A sidecar that is behind must not decide by what it has: the answer to
-    /// the first call, which may not be held, only tells the sender. The wait
-    /// of the next one is bounded, because the sender may not be able to hand
-    /// the version over.
-    pub async fn sync_to(&self, told: BundleSequence, hold: Duration) -> SyncOutcome {
+    /// A sidecar must not process a call with an older bundle than the sender's.
+    /// The first call may not wait; its reply only shows the sender that the
+    /// sidecar is behind. The wait of the next call is bounded, because the
+    /// sender may be unable to transfer its bundle.
+    pub async fn sync_to(&self, sequence: BundleSequence, max_wait: Duration) -> SyncOutcome {
         if self.follower.is_none() {
             return SyncOutcome::Proceed;
         }
-        if self.active.behind(told) {
-            if hold.is_zero() {
+        if self.active.behind(sequence) {
+            if max_wait.is_zero() {
                 return SyncOutcome::Behind;
             }
-            let wait = hold.min(CATCH_UP_TIMEOUT);
-            let _ = tokio::time::timeout(wait, self.active.reached(told)).await;
+            let wait = max_wait.min(CATCH_UP_TIMEOUT);
+            let _ = tokio::time::timeout(wait, self.active.reached(sequence)).await;
         }
         match self.active.in_force() {
             Some(_) => SyncOutcome::Proceed,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Takes over what an entry offers.
+    /// Applies a bundle transfer from an entry; returns whether it was accepted.
     pub async fn accept_transfer(&self, transfer: Bytes) -> bool {
         let Some(follower) = &self.follower else {
             return false;
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,4 +1,4 @@
-//! The inner protocol's calls, answered from the state.
+//! Implements the RPC interface between entries and the sidecar.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,17 +13,18 @@
 use crate::bundle_sync::SyncOutcome;
 use crate::state::{MAX_CALL_WAIT, State};
 
-/// When an entry may ask again a sidecar that has no bundle, in milliseconds.
+/// Retry delay, in milliseconds, for calls that are refused because the sidecar
+/// has no bundle.
 const NO_BUNDLE_RETRY_MS: u32 = 1000;
 
-/// Answers the calls of all connections.
+/// Serves the calls of all connections.
 #[derive(Clone)]
 pub struct Service {
     state: Rc<State>,
 }
 
 impl Service {
-    /// Makes a service over `state`.
+    /// Creates a service on `state`.
     #[must_use]
     pub fn new(state: Rc<State>) -> Self {
         Self { state }
@@ -34,14 +35,14 @@
     async fn reserve(
         self,
         _: Context,
-        stamp: CallHeader,
-        ask: ReserveRequest,
+        header: CallHeader,
+        request: ReserveRequest,
     ) -> Reply<ReserveOutcome> {
-        let level = self
+        let sync = self
             .state
             .bundle_sync
-            .sync_to(stamp.sequence, hold(ask.wait_ms));
-        match level.await {
+            .sync_to(header.sequence, bounded_wait(request.wait_ms));
+        match sync.await {
             SyncOutcome::Proceed => {}
             SyncOutcome::Behind => {
                 return self.state.reply(ReserveOutcome::Waiting { estimate_us: 0 });
@@ -54,68 +55,75 @@
             }
         }
 
-        let (entry, mut stands) = self.state.reserve(&ask);
-        if let (Some(entry), ReserveOutcome::Waiting { .. }) = (entry, stands) {
-            let changed = entry.changed.notified();
-            let _ = tokio::time::timeout(hold(ask.wait_ms), changed).await;
-            stands = self.state.reservation_status(&entry, ask.prompt_tokens);
+        let (tracked, mut status) = self.state.reserve(&request);
+        if let (Some(tracked), ReserveOutcome::Waiting { .. }) = (tracked, status) {
+            let changed = tracked.changed.notified();
+            let _ = tokio::time::timeout(bounded_wait(request.wait_ms), changed).await;
+            status = self
+                .state
+                .reservation_status(&tracked, request.prompt_tokens);
         }
-        if let ReserveOutcome::Ready { cached_tokens, .. } = &mut stands {
+        if let ReserveOutcome::Ready { cached_tokens, .. } = &mut status {
             *cached_tokens = self
                 .state
                 .prefix_cache
                 .borrow()
-                .cached_tokens(ask.prefix_hash)
-                .min(ask.prompt_tokens);
+                .cached_tokens(request.prefix_hash)
+                .min(request.prompt_tokens);
         }
-        self.state.reply(stands)
+        self.state.reply(status)
     }
 
     async fn start(
         self,
         _: Context,
-        _stamp: CallHeader,
-        order: StartRequest,
+        _header: CallHeader,
+        request: StartRequest,
     ) -> Reply<StartOutcome> {
-        let started = self.state.start(order);
-        self.state.reply(started)
+        let outcome = self.state.start(request);
+        self.state.reply(outcome)
     }
 
-    async fn pull(self, _: Context, _stamp: CallHeader, ask: PullRequest) -> Reply<PullOutcome> {
-        let Some(entry) = self.state.find(ask.ticket) else {
+    async fn pull(
+        self,
+        _: Context,
+        _header: CallHeader,
+        request: PullRequest,
+    ) -> Reply<PullOutcome> {
+        let Some(tracked) = self.state.find(request.ticket) else {
             return self.state.reply(PullOutcome::Unknown);
         };
-        self.state.renew_lease(&entry, ask.wait_ms);
-        let mut pulled = self.state.pull(&entry, ask.from);
-        if matches!(&pulled, PullOutcome::Chunks { chunks, end: None, .. } if chunks.is_empty()) {
-            let changed = entry.changed.notified();
-            let _ = tokio::time::timeout(hold(ask.wait_ms), changed).await;
-            pulled = self.state.pull(&entry, ask.from);
+        self.state.renew_lease(&tracked, request.wait_ms);
+        let mut outcome = self.state.pull(&tracked, request.from);
+        if matches!(&outcome, PullOutcome::Chunks { chunks, end: None, .. } if chunks.is_empty()) {
+            let changed = tracked.changed.notified();
+            let _ = tokio::time::timeout(bounded_wait(request.wait_ms), changed).await;
+            outcome = self.state.pull(&tracked, request.from);
         }
-        self.state.reply(pulled)
+        self.state.reply(outcome)
     }
 
     async fn cancel(
         self,
         _: Context,
-        _stamp: CallHeader,
+        _header: CallHeader,
         ticket: RequestId,
     ) -> Reply<CancelOutcome> {
-        let cancelled = self.state.cancel(ticket);
-        self.state.reply(cancelled)
+        let outcome = self.state.cancel(ticket);
+        self.state.reply(outcome)
     }
 
-    async fn fetch_bundle(self, _: Context, stamp: CallHeader) -> Reply<Option<bytes::Bytes>> {
-        let transfer = self.state.bundle_sync.active.transfer(stamp.sequence);
+    async fn fetch_bundle(self, _: Context, header: CallHeader) -> Reply<Option<bytes::Bytes>> {
+        let transfer = self.state.bundle_sync.active.transfer(header.sequence);
         self.state.reply(transfer)
     }
 
     async fn offer_bundle(self, _: Context, _: CallHeader, transfer: bytes::Bytes) -> Reply<bool> {
-        let taken = self.state.bundle_sync.accept_transfer(transfer).await;
-        self.state.reply(taken)
+        let accepted = self.state.bundle_sync.accept_transfer(transfer).await;
+        self.state.reply(accepted)
     }
 }
 
-fn hold(wait_ms: u32) -> Duration {
+fn bounded_wait(wait_ms: u32) -> Duration {
     Duration::from_millis(u64::from(wait_ms)).min(MAX_CALL_WAIT)
 }
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the operators set for a sidecar.
+//! The settings of a sidecar.
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,15 @@
 use policy::queue::QueueSettings;
 use serde::{Deserialize, Serialize};
 
-/// Shortest hold: a start must be able to arrive within it.
+/// Minimum hold timeout: the `start` call must be able to arrive within it.
 const MIN_HOLD_TIMEOUT: HumanDuration = HumanDuration::ms(10);
 
-/// Shortest lease: an entry must be able to replace a silent connection.
+/// Minimum lease: an entry must be able to replace an unresponsive connection
+/// within it.
 const MIN_LEASE: HumanDuration = HumanDuration::secs(1);
 
-/// Fewest bytes kept: some hundred tokens for each of many slots.
+/// Minimum limit on buffered responses: a few hundred tokens for each of many
+/// slots.
 const MIN_RETENTION_BYTES: usize = 64 << 10;
 
 /// Settings of one sidecar.
@@ -22,69 +24,70 @@
 pub struct Settings {
     /// The sidecar's name, unique in the deployment.
     pub name: String,
-    /// The availability zone that the host stands in.
+    /// The availability zone of the host.
     pub zone: String,
-    /// Where entries reach the sidecar.
+    /// The listen address for entries.
     pub listen: SocketAddr,
-    /// Where operators reach health, status and metrics, if at all.
+    /// The listen address for health checks, status and metrics, if any.
     #[serde(default)]
     pub operators: Option<SocketAddr>,
-    /// The platform's log and who may sign the first bundle. Without it the
-    /// sidecar goes by no bundle.
+    /// The platform's log and the operators who may sign the first bundle. If it
+    /// is missing, the sidecar uses no bundle.
     #[serde(default)]
     pub follow: Option<follow::Settings>,
-    /// The backend server that the sidecar stands beside.
+    /// The sidecar's backend server.
     pub backend: Backend,
-    /// How long a slot is held for a ticket that is ready.
+    /// How long a granted slot is held for a request until it starts.
     #[serde(rename = "hold", default = "default_hold_timeout")]
     pub hold_timeout: HumanDuration,
-    /// How long an ended answer is kept for entries that still pull it.
+    /// How long an ended response is kept for entries that still pull it.
     #[serde(rename = "keep", default = "default_retention")]
     pub retention: HumanDuration,
-    /// How long requests in progress may take when the sidecar stops; what is
-    /// left then is ended.
+    /// How long requests in progress may take when the sidecar shuts down; after
+    /// that the remaining runs are stopped.
     #[serde(rename = "drain_limit", default = "default_drain_timeout")]
     pub drain_timeout: HumanDuration,
-    /// An entry that asked nothing about a ticket for so long is gone: its
-    /// request is not started, and its run is stopped.
+    /// An entry that makes no call about a request for this long is presumed
+    /// gone: the request is not started, or its run is stopped.
     #[serde(default = "default_lease")]
     pub lease: HumanDuration,
-    /// How the engine is ordered to load what the bundle wants, if at all.
+    /// How the engine is ordered to load the model and adapters that the bundle
+    /// specifies, if at all.
     #[serde(default)]
     pub orders: Option<crate::orders::Settings>,
-    /// When an engine's stream is resumed, and when it is given up.
+    /// Timeouts and retries for the engine's streams.
     #[serde(default)]
     pub streams: StreamSettings,
-    /// Bytes of answers that are kept for entries that still pull them.
+    /// Upper bound on the buffered responses, in bytes.
     #[serde(rename = "kept_bytes", default = "default_retention_bytes")]
     pub retention_bytes: usize,
-    /// How the queue decides.
+    /// The settings of the queue.
     #[serde(default)]
     pub queue: QueueSettings,
-    /// How much is logged.
+    /// The minimum level of logged events.
     #[serde(default)]
     pub log_level: Level,
 }
 
 impl Settings {
-    /// Checks what no single value shows.
+    /// Checks the ranges and the consistency of the values.
     ///
     /// # Errors
     ///
-    /// Returns the first impossible value with its key and a hint.
+    /// Returns the first invalid value with its key and a hint.
     pub fn check(&self) -> Result<(), Error> {
         let (slots, hold) = (self.backend.slots(), self.hold_timeout);
         check(
             "name",
             &self.name,
             !self.name.is_empty(),
-            "give the sidecar a name",
+            "set a non-empty name",
         )?;
         check(
             "backend.slots",
             slots,
             slots > 0,
-            "allow at least one request at once",
+            "allow at least one concurrent request",
         )?;
         check(
             "hold",
@@ -96,66 +99,67 @@
             "lease",
             self.lease,
             self.lease >= MIN_LEASE,
-            "leave entries at least 1s to dial anew",
+            "leave entries at least 1s to reconnect",
         )?;
         check(
             "kept_bytes",
             self.retention_bytes,
             self.retention_bytes >= MIN_RETENTION_BYTES,
-            "keep at least 65536 bytes of answers",
+            "allow at least 65536 bytes of buffered responses",
         )?;
         self.check_queue()?;
         check(
             "operators",
             self.listen,
             self.operators != Some(self.listen),
-            "operators need an address apart from the entries'",
+            "operators need a different address than entries",
         )
     }
 }
 
 impl Settings {
     fn check_queue(&self) -> Result<(), Error> {
-        let rules = &self.queue;
+        let queue = &self.queue;
         check(
             "queue.limit",
-            rules.limit,
-            rules.limit > 0,
-            "let at least one request wait",
+            queue.limit,
+            queue.limit > 0,
+            "allow at least one waiting request",
         )?;
         check(
             "queue.guaranteed",
-            rules.guaranteed,
-            (0.0..=0.5).contains(&rules.guaranteed),
-            "give a share between 0 and 0.5",
+            queue.guaranteed,
+            (0.0..=0.5).contains(&queue.guaranteed),
+            "use a share between 0 and 0.5",
         )?;
         check(
             "queue.confidence",
-            rules.confidence,
-            rules.confidence > 0.0 && rules.confidence < 1.0,
-            "give a probability between 0 and 1, as in 0.8",
+            queue.confidence,
+            queue.confidence > 0.0 && queue.confidence < 1.0,
+            "use a probability between 0 and 1, such as 0.8",
         )?;
         check(
             "queue.headroom",
-            rules.headroom,
-            (0.0..=1.0).contains(&rules.headroom),
-            "give a share of the slots between 0 and 1",
+            queue.headroom,
+            (0.0..=1.0).contains(&queue.headroom),
+            "use a share of the slots between 0 and 1",
         )
     }
 }
 
-/// When an engine's stream is resumed, and when it is given up.
+/// Timeouts and retries for the engine's streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StreamSettings {
-    /// A stream that brings nothing for so long is resumed over a new
+    /// A stream that receives no data for this long is resumed over a new
     /// connection.
     #[serde(rename = "silence")]
     pub idle_timeout: HumanDuration,
-    /// Attempts to resume after a broken connection until one brings a token.
+    /// Maximum number of consecutive attempts to resume a broken stream without
+    /// receiving a token.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// A stream that brings no token for so long is given up.
+    /// A stream that receives no token for this long is abandoned.
     #[serde(rename = "patience")]
     pub stall_timeout: HumanDuration,
 }
@@ -170,30 +174,30 @@
     }
 }
 
-/// The kind of a backend server, and where it listens.
+/// The kind and address of a backend server.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Backend {
     /// A model engine.
     Engine {
-        /// Where the engine listens.
+        /// The address of the engine.
         addr: SocketAddr,
-        /// Requests that the engine runs at once.
+        /// The number of requests that the engine runs concurrently.
         slots: usize,
     },
     /// A plain service.
     Plain {
-        /// Where the service listens.
+        /// The address of the service.
         addr: SocketAddr,
-        /// Calls that the service takes at once.
+        /// The number of calls that the service accepts concurrently.
         slots: usize,
-        /// Longest time for one call.
+        /// The timeout of one call.
         timeout: HumanDuration,
     },
 }
 
 impl Backend {
-    /// Requests that the backend server runs at once.
+    /// The number of requests that the backend server runs concurrently.
     #[must_use]
     pub fn slots(&self) -> usize {
         match self {
