--- a/crates/sidecar/src/cache_events.rs
+++ b/crates/sidecar/src/cache_events.rs
@@ -1,5 +1,5 @@
-//! Following the engine's cache events, so that offers tell which prompts
-//! would find their prefix cached. Nothing of it is sent to anyone unasked.
+//! Follows the engine's cache events, so that the replies to `reserve` state how
+//! much of a prompt is in the prefix cache. It is sent in these replies only.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,10 +11,12 @@
 
 use crate::state::{BackendClient, State};
 
-/// How often the events are fetched. They come late anyway.
+/// The interval between fetches. It may be long, since the engine publishes the
+/// events late anyway.
 const FETCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Follows the events until `stop` is asked. A plain service has none.
+/// Follows the events until `stop` is triggered. Returns at once for a plain
+/// service, which has none.
 pub async fn follow(state: Rc<State>, stop: StopSignal) {
     let BackendClient::Engine(engine) = &state.backend else {
         return;
@@ -32,16 +34,17 @@
     let from = state.prefix_cache.borrow().next_event();
     match engine.cache_events(from).await {
         Ok(events) => apply_events(&mut state.prefix_cache.borrow_mut(), &events),
-        // What is known may be wrong by the time the engine is back.
+        // The cache may have changed by the time the engine answers again.
         Err(e) => {
-            debug!("no cache events", kv: { error = e.to_string().as_str() });
+            debug!("fetching cache events failed", kv: { error = e.to_string().as_str() });
             state.prefix_cache.borrow_mut().reset();
         }
     }
 }
 
 fn apply_events(map: &mut CacheMap, events: &CacheEvents) {
-    // The numbers began anew: the engine restarted with an empty cache.
+    // The sequence numbers started over: the engine restarted with an empty
+    // cache.
     if events.next < map.next_event() {
         map.reset();
     }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,16 +1,16 @@
-//! The daemon beside one backend server: the one place that orders work for
-//! it, starts it, counts it and drains it.
+//! The daemon that runs beside one backend server. All requests to the server
+//! pass through it: it queues them, starts them, counts them and drains them.
 //!
-//! - [`settings`]: what the operators set.
-//! - [`state`]: the tickets and their states.
-//! - [`service`]: the inner protocol's calls.
-//! - [`bundle_sync`]: the bundle that the sidecar goes by.
-//! - [`status`]: what operators are shown.
-//! - `health`: whether the backend server answers.
-//! - `metrics`: what is counted.
-//! - [`orders`]: ordering the engine to load what the bundle wants.
-//! - [`cache_events`]: following the engine's cache events.
-//! - [`run`]: running one ticket at the backend server.
+//! - [`settings`]: the settings of a sidecar.
+//! - [`state`]: the requests, by ticket, and their phases.
+//! - [`service`]: the RPC interface for entries.
+//! - [`bundle_sync`]: keeps the bundle up to date.
+//! - [`status`]: the status report for operators.
+//! - `health`: monitors whether the backend server is reachable.
+//! - `metrics`: the sidecar's metrics.
+//! - [`orders`]: orders the engine to load the bundle's model and adapters.
+//! - [`cache_events`]: follows the engine's cache events.
+//! - [`run`]: runs one request at the backend server.
 
 pub mod bundle_sync;
 pub mod cache_events;
@@ -36,15 +36,14 @@
 pub use settings::Settings;
 use state::State;
 
-/// How often held slots and waiting requests are checked for their time.
+/// How often expired holds and leases and waiting requests are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Runs a sidecar until `stop` is asked and everything in progress has ended.
+/// Runs a sidecar until `stop` is triggered and the drain has ended.
 ///
 /// # Errors
 ///
-/// Returns the error when the settings are impossible or the sidecar cannot
-/// listen.
+/// Returns an error if the settings are invalid or the sidecar cannot listen.
 pub async fn run(settings: Settings, stop: StopSignal) -> io::Result<()> {
     settings.check().map_err(io::Error::other)?;
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
@@ -53,8 +52,8 @@
     info!("sidecar ready", kv: { name = settings.name.as_str(), listen = settings.listen.to_string().as_str() });
 
     let state = State::new(settings, clock);
-    // The operators' address goes on until the process ends, so that a drain
-    // can be watched.
+    // The operators' address is served until the process ends, so that a drain
+    // can be observed.
     let end = StopSignal::new();
     if let Some(addr) = operators {
         let listener = listen("operators", addr).await?;
@@ -64,17 +63,17 @@
     if let Some(orders) = state.settings.orders.clone() {
         orders::ReconcileLoop::new(Rc::clone(&state), orders).start();
     }
-    actix_rt::spawn(health::watch(Rc::clone(&state), end.clone()));
+    actix_rt::spawn(health::monitor(Rc::clone(&state), end.clone()));
     actix_rt::spawn(cache_events::follow(Rc::clone(&state), end.clone()));
-    // Entries may have to dial anew during a drain to get their answers, so
-    // connections are taken until the very end.
+    // Entries may have to reconnect during a drain to get their responses, so
+    // connections are accepted until the process ends.
     let service = service::Service::new(Rc::clone(&state));
     actix_rt::spawn(wire::serve::serve(listener, service, end.clone()));
 
     stop.wait().await;
-    info!("sidecar drains", kv: { name = state.settings.name.as_str() });
-    let drained = state.drain(state.settings.drain_timeout.0).await;
-    metrics::drained(drained);
+    info!("sidecar draining", kv: { name = state.settings.name.as_str() });
+    let outcome = state.drain(state.settings.drain_timeout.0).await;
+    metrics::drained(outcome);
     info!("sidecar drained", kv: { name = state.settings.name.as_str() });
     end.trigger();
     Ok(())
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -1,5 +1,5 @@
-//! Ordering the engine to load what the bundle wants. See
-//! docs/DECISIONS/0403-orders-and-fencing.md.
+//! Orders the engine to load the model version and adapters that the bundle
+//! specifies. See docs/DECISIONS/0403-orders-and-fencing.md.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,34 +21,36 @@
 use crate::metrics;
 use crate::state::State;
 
-/// The shortest random wait for a permit of the weight store, as doubled.
+/// Base of the exponential backoff between requests for a weight store permit.
 const PERMIT_BACKOFF_BASE: Duration = Duration::from_millis(250);
 
-/// Claims read from the log in one call.
+/// Maximum number of records read from the log in one call.
 const CLAIMS_PER_PAGE: usize = 256;
 
-/// How the engine is ordered to load what the bundle wants.
+/// How the engine is ordered to load the model and adapters that the bundle
+/// specifies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where the engine takes orders.
+    /// The address at which the engine accepts orders.
     pub addr: SocketAddr,
-    /// Where the platform serves its log.
+    /// The address of the platform's log.
     pub log: SocketAddr,
-    /// Where the weight store gives permits, if it asks for any.
+    /// The address of the weight store, if loading requires its permits.
     #[serde(rename = "weights", default)]
     pub weight_store: Option<SocketAddr>,
-    /// The engine's name, equal for all sidecars that ever stand beside it.
+    /// The engine's name; all sidecars that ever run for this engine use the same.
     pub server: String,
-    /// The model that the engine serves, as the bundle names it.
+    /// The model that the engine serves, by its name in the bundle.
     pub model: String,
-    /// How long a lease on the engine lasts.
+    /// The duration of a lease on the engine.
     #[serde(default = "default_lease")]
     pub lease: HumanDuration,
-    /// How often what is loaded is compared with the bundle.
+    /// The mean interval between comparisons of the engine with the bundle.
     #[serde(rename = "every", default = "default_check_interval")]
     pub check_interval: HumanDuration,
-    /// The longest wait for a permit before what is loaded is compared anew.
+    /// How long to wait for a permit before comparing the engine with the bundle
+    /// again.
     #[serde(rename = "wait", default = "default_permit_timeout")]
     pub permit_timeout: HumanDuration,
 }
@@ -65,47 +67,48 @@
     HumanDuration::secs(60)
 }
 
-/// Gives one engine its orders, at most one sidecar at a time.
+/// Brings one engine to the desired state by orders. A lease ensures that only
+/// one sidecar at a time gives orders to an engine.
 pub struct LoadReconciler {
     settings: Settings,
-    /// This life of this sidecar, as claims name it.
+    /// Identifies this sidecar process in claims.
     holder: String,
     clock: Rc<dyn Clock>,
     log: Log,
     engine: Orders,
     weight_store: Option<Weights>,
     lease: Option<Lease>,
-    /// The highest fencing number that was seen in the log.
+    /// The highest fencing token that was seen in the log.
     highest_token: Offset,
 }
 
-/// What a round came to.
+/// The outcome of one reconciliation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReconcileOutcome {
-    /// Nothing is to be done, or the engine is at it.
+    /// There is nothing to do, or the engine is still loading.
     Idle,
-    /// An order was given.
+    /// The engine accepted an order.
     OrderSent,
     /// Another sidecar holds the lease.
     NotHolder,
-    /// The lease lapsed before the order.
+    /// The lease expired before the order was sent.
     LeaseExpired,
-    /// The weight store gave no permit in time.
+    /// The weight store granted no permit in time.
     NoPermit,
-    /// The log, or the engine, did not answer.
+    /// A request to the log or to the engine failed.
     Failed,
-    /// The engine refused the order or its number.
+    /// The engine refused the order or its fencing token.
     Refused,
 }
 
-/// A claim as it stands in the log.
+/// The body of a claim in the log.
 #[derive(Debug, Serialize, Deserialize)]
 struct ClaimBody {
     holder: String,
     ttl_ms: u64,
 }
 
-/// A claim that was read from the log.
+/// A claim record that was read from the log.
 struct ClaimRecord {
     offset: Offset,
     time_ms: u64,
@@ -113,12 +116,12 @@
 }
 
 impl ClaimRecord {
-    /// Reads a record; one that is no claim is passed over.
-    fn parse(entry: &log::Entry) -> Option<Self> {
+    /// Parses a log record; returns `None` if it is not a claim.
+    fn parse(log_entry: &log::Entry) -> Option<Self> {
         Some(Self {
-            offset: entry.offset,
-            time_ms: entry.time_ms,
-            body: serde_json::from_str(&entry.body).ok()?,
+            offset: log_entry.offset,
+            time_ms: log_entry.time_ms,
+            body: serde_json::from_str(&log_entry.body).ok()?,
         })
     }
 
@@ -133,8 +136,9 @@
 }
 
 impl LoadReconciler {
-    /// Makes the keeper of one engine. `holder` names this life of the
-    /// sidecar, so that a new life never takes an old one's lease for its own.
+    /// Creates the reconciler of one engine. `holder` identifies this process, so
+    /// that a restarted sidecar never mistakes the lease of its previous
+    /// incarnation for its own.
     #[must_use]
     pub fn new(settings: Settings, holder: String, clock: Rc<dyn Clock>) -> Self {
         Self {
@@ -149,49 +153,49 @@
         }
     }
 
-    /// Takes one step towards what is `wanted`.
-    pub async fn reconcile(&mut self, wanted: &LoadedModel) -> ReconcileOutcome {
-        let Ok(standing) = self.engine.standing().await else {
+    /// Orders the next step from the engine's current state to the `desired` one.
+    pub async fn reconcile(&mut self, desired: &LoadedModel) -> ReconcileOutcome {
+        let Ok(status) = self.engine.standing().await else {
             return ReconcileOutcome::Failed;
         };
-        let is = LoadedModel {
-            version: standing.version,
-            adapters: standing.adapters,
+        let current = LoadedModel {
+            version: status.version,
+            adapters: status.adapters,
         };
-        let step = loading::next_step(wanted, &is).filter(|_| !standing.loading);
+        let step = loading::next_step(desired, &current).filter(|_| !status.loading);
         let Some(step) = step else {
             return ReconcileOutcome::Idle;
         };
 
-        // The lease goes first, or a sidecar that may not order anything
-        // would take a permit from one that may.
-        if let Err(round) = self.ensure_lease().await {
-            return round;
+        // The lease comes before the permit. Otherwise a sidecar that may not
+        // give orders could use up the permit of the one that may.
+        if let Err(outcome) = self.ensure_lease().await {
+            return outcome;
         }
         if !self.acquire_permit(&step).await {
             return ReconcileOutcome::NoPermit;
         }
-        // The wait may have outlasted the lease.
-        if let Err(round) = self.ensure_lease().await {
-            return round;
+        // The lease may have expired during the wait for the permit.
+        if let Err(outcome) = self.ensure_lease().await {
+            return outcome;
         }
         self.send_order(&to_order(step)).await
     }
 
-    /// Gives an order, if the lease still holds at this moment.
+    /// Sends an order if the lease is still valid.
     ///
-    /// Some engines take an order whatever its number. For these the check
-    /// here is all that keeps a holder that was paused from undoing what its
-    /// successor ordered, so nothing may be waited for between the two.
+    /// Some engines ignore fencing tokens. With these, only this check prevents a
+    /// holder that was paused from undoing its successor's orders, so there must
+    /// be no wait between the check and the order.
     async fn send_order(&mut self, order: &Order) -> ReconcileOutcome {
-        let fence = self.lease.and_then(|l| l.fencing_token(self.clock.now()));
-        let Some(fence) = fence.filter(|fence| *fence >= self.highest_token) else {
+        let fencing_token = self.lease.and_then(|l| l.fencing_token(self.clock.now()));
+        let Some(fencing_token) = fencing_token.filter(|token| *token >= self.highest_token) else {
             return ReconcileOutcome::LeaseExpired;
         };
-        match self.engine.give(order, fence).await {
+        match self.engine.give(order, fencing_token).await {
             Ok(()) => {
                 let order = format!("{order:?}");
-                info!("order given", kv: { server = self.settings.server.as_str(), fence = fence.0, order = order.as_str() });
+                info!("order sent to engine", kv: { server = self.settings.server.as_str(), fence = fencing_token.0, order = order.as_str() });
                 ReconcileOutcome::OrderSent
             }
             Err(e) => {
@@ -200,14 +204,15 @@
                     clients::orders::Error::Old { .. } | clients::orders::Error::Refused { .. } => {
                         ReconcileOutcome::Refused
                     }
-                    // Whether it was taken shows in what the engine has.
+                    // The order may have been accepted; the engine's state
+                    // shows that at the next reconciliation.
                     _ => ReconcileOutcome::Failed,
                 }
             }
         }
     }
 
-    /// Makes sure of the lease, claiming it anew if it is about to lapse.
+    /// Ensures that this process holds the lease, and renews it when it is due.
     async fn ensure_lease(&mut self) -> Result<(), ReconcileOutcome> {
         let now = self.clock.now();
         if self
@@ -223,14 +228,17 @@
         self.lease.map(|_| ()).ok_or(ReconcileOutcome::NotHolder)
     }
 
-    /// Claims the lease in the log and reads whose it is.
+    /// Claims the lease in the log, then reads the log to see who holds it.
     async fn claim_lease(&mut self) -> Result<Option<Lease>, log::Error> {
         let stream = format!("orders-{}", self.settings.server);
-        // A claim while another's lease lasts is in vain, and the log takes
-        // only so many appends.
+        // A claim has no effect while another holder's lease is valid, and
+        // appends to the log are limited.
         let (now_ms, claims) = self.read_claims(&stream).await?;
-        let taken = |held: &LeaseClaim| held.holder != self.holder && held.expires_ms() > now_ms;
-        if current_claim(claims.iter().map(ClaimRecord::claim)).is_some_and(|held| taken(&held)) {
+        let held_by_other =
+            |held: &LeaseClaim| held.holder != self.holder && held.expires_ms() > now_ms;
+        if current_claim(claims.iter().map(ClaimRecord::claim))
+            .is_some_and(|held| held_by_other(&held))
+        {
             return Ok(None);
         }
 
@@ -241,7 +249,7 @@
         };
         let body = serde_json::to_string(&body).unwrap_or_default();
         let id = format!("{:032x}", rand::random::<u128>());
-        let sent = self.clock.now();
+        let sent_at = self.clock.now();
         self.log.append(&stream, &id, &body).await?;
 
         let (_, claims) = self.read_claims(&stream).await?;
@@ -249,11 +257,11 @@
             return Ok(None);
         };
         self.highest_token = self.highest_token.max(held.offset);
-        let mine = held.holder == self.holder;
-        Ok(mine.then(|| Lease::new(held.offset, sent, ttl)))
+        let is_own = held.holder == self.holder;
+        Ok(is_own.then(|| Lease::new(held.offset, sent_at, ttl)))
     }
 
-    /// All claims that the log still has, and its time.
+    /// The log's current time in milliseconds and all claims it still has.
     async fn read_claims(&self, stream: &str) -> Result<(u64, Vec<ClaimRecord>), log::Error> {
         let mut claims = Vec::new();
         let mut from = Offset::default();
@@ -273,25 +281,26 @@
         }
     }
 
-    /// Waits for the weight store's permit, where a step needs one.
+    /// Waits for the weight store's permit, if the step needs one; returns whether
+    /// the step may proceed.
     async fn acquire_permit(&self, step: &LoadStep) -> bool {
-        let (Some(weights), LoadStep::LoadVersion(what) | LoadStep::LoadAdapter(what)) =
+        let (Some(weights), LoadStep::LoadVersion(name) | LoadStep::LoadAdapter(name)) =
             (&self.weight_store, step)
         else {
             return true;
         };
-        let began = self.clock.now();
+        let started_at = self.clock.now();
         let mut attempt = 0;
         loop {
-            let after = match weights.permit(what).await {
+            let retry_after = match weights.permit(name).await {
                 Permit::Granted => return true,
-                Permit::Later(after) => after,
+                Permit::Later(retry_after) => retry_after,
                 Permit::Down => Duration::ZERO,
             };
             attempt += 1;
             metrics::permit_wait();
-            let wait = backoff::delay(attempt, PERMIT_BACKOFF_BASE, after, rand::random());
-            if self.clock.now() + wait > began + self.settings.permit_timeout.0 {
+            let wait = backoff::delay(attempt, PERMIT_BACKOFF_BASE, retry_after, rand::random());
+            if self.clock.now() + wait > started_at + self.settings.permit_timeout.0 {
                 return false;
             }
             tokio::time::sleep(wait).await;
@@ -308,7 +317,7 @@
 }
 
 impl ReconcileOutcome {
-    /// The word used in labels.
+    /// The value of the `outcome` label in metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -323,14 +332,14 @@
     }
 }
 
-/// Keeps the engine at what the bundle in force wants.
+/// The actor that repeatedly reconciles the engine with the bundle in force.
 pub struct ReconcileLoop {
     state: Rc<State>,
     settings: Settings,
 }
 
 impl ReconcileLoop {
-    /// Makes the actor for the engine that `settings` name.
+    /// Creates the actor for the engine in `settings`.
     #[must_use]
     pub fn new(state: Rc<State>, settings: Settings) -> Self {
         Self { state, settings }
@@ -344,25 +353,25 @@
         let (state, settings) = (Rc::clone(&self.state), self.settings.clone());
         let holder = format!("{}-{}", state.settings.name, state.incarnation);
         let clock = Rc::clone(&state.clock);
-        let mut keeper = LoadReconciler::new(settings.clone(), holder, clock);
-        let rounds = async move {
+        let mut reconciler = LoadReconciler::new(settings.clone(), holder, clock);
+        let reconcile_loop = async move {
             loop {
-                if let Some(wanted) = desired_model(&state, &settings.model) {
-                    metrics::reconciled(keeper.reconcile(&wanted).await);
+                if let Some(desired) = desired_model(&state, &settings.model) {
+                    metrics::reconciled(reconciler.reconcile(&desired).await);
                 }
-                let every = settings
+                let delay = settings
                     .check_interval
                     .0
                     .mul_f64(rand::random_range(0.75..1.25));
-                tokio::time::sleep(every).await;
+                tokio::time::sleep(delay).await;
             }
         };
-        ctx.spawn(rounds.into_actor(self));
+        ctx.spawn(reconcile_loop.into_actor(self));
     }
 }
 
-/// What the bundle in force wants the engine to have. Nothing while the
-/// sidecar drains: its successor goes on.
+/// The model version and adapters that the bundle in force specifies for the
+/// engine. `None` while the sidecar drains, since its successor takes over.
 fn desired_model(state: &State, model: &str) -> Option<LoadedModel> {
     if state.load().draining {
         return None;
--- a/crates/sidecar/src/run/engine.rs
+++ b/crates/sidecar/src/run/engine.rs
@@ -1,4 +1,4 @@
-//! Running a completion at a model engine, whose stream is resumed when its
+//! Runs a completion at a model engine and resumes its stream when the
 //! connection breaks or goes silent. See docs/DECISIONS/0404-silence.md.
 
 use std::cmp::Ordering;
@@ -18,26 +18,28 @@
 
 use super::failed;
 
-/// The engine's answer when it does not know a stream.
+/// The engine's response status when it does not know a stream.
 const NOT_FOUND: u16 = 404;
 
-/// Silence bounds for the header of a new run. Given up too early, the run may
-/// begin after the engine was asked whether it knows it.
+/// Timeout for the response header of a new run, as a multiple of the idle
+/// timeout. If it is too short, the run may begin only after the engine was
+/// asked to resume it and answered that it does not know the stream.
 const HEADER_TIMEOUT_FACTOR: u32 = 3;
 
-/// Pause before the second attempt to resume; it doubles with each further.
+/// Delay before the second attempt to resume; it doubles with each further
+/// attempt, up to 16 times this value.
 const RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// Runs a completion to its end and passes its tokens on.
+/// Runs a completion to its end and relays its tokens.
 pub(super) async fn complete(
     state: &State,
-    entry: &Request,
+    request: &Request,
     engine: &Engine,
     body: Bytes,
 ) -> ResponseEnd {
     let mut run = EngineRun {
         state,
-        entry,
+        request,
         engine,
         settings: state.settings.streams,
         next_seq: 0,
@@ -46,10 +48,10 @@
     };
     tokio::select! {
         end = run.run(body) => end,
-        () = entry.stop.wait() => {
-            // What the engine still makes for it would be wasted.
-            let _ = engine.cancel(entry.ticket).await;
-            state.stopped_end(entry)
+        () = request.stop.wait() => {
+            // Further tokens would be wasted.
+            let _ = engine.cancel(request.ticket).await;
+            state.stopped_end(request)
         }
     }
 }
@@ -57,22 +59,22 @@
 /// One completion at an engine.
 struct EngineRun<'a> {
     state: &'a State,
-    entry: &'a Request,
+    request: &'a Request,
     engine: &'a Engine,
     settings: StreamSettings,
-    /// The number of the next token.
+    /// The sequence number of the next token.
     next_seq: u32,
-    /// When the last token came.
+    /// When the last token was received, or when the run began.
     last_token_at: Instant,
-    /// Attempts to resume since then.
+    /// Number of faults since then.
     attempts: u32,
 }
 
 /// Why a stream stopped before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StreamFault {
-    /// Nothing came for the silence bound. The engine may only be slow;
-    /// resuming then costs it a connection and nothing else.
+    /// Nothing was received within the idle timeout. The engine may only be
+    /// slow; resuming then costs no more than a new connection.
     Silent,
     /// The connection broke.
     Broken,
@@ -83,7 +85,7 @@
 }
 
 impl StreamFault {
-    /// The word used in labels and logs.
+    /// The value used in metric labels and log events.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Silent => "silent",
@@ -96,11 +98,11 @@
 
 impl EngineRun<'_> {
     async fn run(&mut self, body: Bytes) -> ResponseEnd {
-        let (ticket, tier) = (self.entry.ticket, self.entry.tier);
-        let begun = self.engine.run(ticket, tier, body);
+        let (ticket, tier) = (self.request.ticket, self.request.tier);
+        let response = self.engine.run(ticket, tier, body);
         let mut fault = match tokio::time::timeout(
             self.settings.idle_timeout.0 * HEADER_TIMEOUT_FACTOR,
-            begun,
+            response,
         )
         .await
         {
@@ -113,7 +115,7 @@
                 health::record_error(self.state, &e);
                 return failed(&e);
             }
-            // The request may have arrived; its stream shows.
+            // The request may have arrived; resuming its stream tells.
             Ok(Err(_)) => StreamFault::Broken,
             Err(_) => StreamFault::Silent,
         };
@@ -121,14 +123,14 @@
         while self.should_retry(fault) {
             tokio::time::sleep(self.retry_delay()).await;
             metrics::resume_attempt(fault);
-            let resumed = self.engine.resume(ticket, self.next_seq);
-            fault = match tokio::time::timeout(self.settings.idle_timeout.0, resumed).await {
+            let response = self.engine.resume(ticket, self.next_seq);
+            fault = match tokio::time::timeout(self.settings.idle_timeout.0, response).await {
                 Ok(Ok(events)) => match self.take(events).await {
                     Ok(end) => return end,
                     Err(fault) => fault,
                 },
                 Ok(Err(Error::Refused { status, .. })) if status == NOT_FOUND => {
-                    warn!("stream unknown", kv: { ticket = ticket.to_string().as_str(), next = self.next_seq });
+                    warn!("stream unknown to engine", kv: { ticket = ticket.to_string().as_str(), next = self.next_seq });
                     return self.lost_end();
                 }
                 Ok(Err(Error::Connect { .. })) => StreamFault::Unreachable,
@@ -139,7 +141,7 @@
         self.abandon(fault).await
     }
 
-    /// Passes events on until the end or a fault.
+    /// Relays events until the end of the response or a fault.
     async fn take(
         &mut self,
         events: impl Stream<Item = Result<Event, Error>>,
@@ -168,11 +170,11 @@
         }
     }
 
-    /// Passes one token on, if it is the next.
+    /// Relays a token if it is the next in sequence.
     ///
-    /// A token that came before a fault may come again after resuming, and
-    /// its caller would read it twice. One that is missing would leave a hole
-    /// in an answer that looks whole. The numbers tell both.
+    /// A token that was received before a fault may be repeated after resuming,
+    /// and a lost token would leave a gap in a response that looks complete. The
+    /// sequence numbers reveal both.
     fn relay_token(&mut self, seq: u32, text: String) -> Result<(), StreamFault> {
         match seq.cmp(&self.next_seq) {
             Ordering::Less => metrics::duplicate_token(),
@@ -182,21 +184,24 @@
                 self.last_token_at = self.state.clock.now();
                 self.attempts = 0;
                 let data = Bytes::from(text);
-                self.state.push_chunk(self.entry, Chunk { tokens: 1, data });
+                self.state
+                    .push_chunk(self.request, Chunk { tokens: 1, data });
             }
         }
         Ok(())
     }
 
-    /// Whether to try to resume once more.
+    /// Counts a fault and decides whether to resume the stream once more.
     fn should_retry(&mut self, fault: StreamFault) -> bool {
-        let still = self.state.clock.now() - self.last_token_at;
+        let since_last_token = self.state.clock.now() - self.last_token_at;
         self.attempts += 1;
         match fault {
-            // Slow and silent look alike; only time tells.
-            StreamFault::Silent => still < self.settings.stall_timeout.0,
+            // A slow engine cannot be told from a silent one, so only the stall
+            // timeout ends the attempts.
+            StreamFault::Silent => since_last_token < self.settings.stall_timeout.0,
             StreamFault::Broken | StreamFault::Gap | StreamFault::Unreachable => {
-                self.attempts <= self.settings.max_attempts && still < self.settings.stall_timeout.0
+                self.attempts <= self.settings.max_attempts
+                    && since_last_token < self.settings.stall_timeout.0
             }
         }
     }
@@ -209,17 +214,17 @@
     }
 
     async fn abandon(&self, fault: StreamFault) -> ResponseEnd {
-        let ticket = self.entry.ticket.to_string();
-        warn!("stream given up", kv: { ticket = ticket.as_str(), next = self.next_seq, fault = fault.as_str() });
-        // The engine may go on with it for nobody.
-        if let Err(e) = self.engine.cancel(self.entry.ticket).await {
+        let ticket = self.request.ticket.to_string();
+        warn!("stream abandoned", kv: { ticket = ticket.as_str(), next = self.next_seq, fault = fault.as_str() });
+        // The engine may still be generating tokens that nobody will receive.
+        if let Err(e) = self.engine.cancel(self.request.ticket).await {
             health::record_error(self.state, &e);
         }
         self.lost_end()
     }
 
-    /// The end of an answer that cannot be had any more. What the engine did
-    /// with it is not known, beyond the tokens that came.
+    /// The end of a response whose stream is lost. Beyond the received tokens it
+    /// is unknown how far the engine ran the request.
     fn lost_end(&self) -> ResponseEnd {
         let ran = match self.next_seq {
             0 => Executed::Unknown,
--- a/crates/sidecar/src/run/mod.rs
+++ b/crates/sidecar/src/run/mod.rs
@@ -1,6 +1,6 @@
-//! Running one ticket at the backend server.
+//! Runs one request at the backend server.
 //!
-//! - `engine`: at a model engine, whose streams are resumed.
+//! - `engine`: runs a completion at a model engine and resumes its stream.
 
 mod engine;
 
@@ -17,11 +17,11 @@
 use crate::health;
 use crate::state::{BackendClient, Request, State, interrupted};
 
-/// Runs one ticket to its end.
-pub async fn run(state: Rc<State>, entry: Rc<Request>, work: BackendRequest) {
+/// Runs one request to its end.
+pub async fn run(state: Rc<State>, request: Rc<Request>, work: BackendRequest) {
     let end = match (&state.backend, work) {
         (BackendClient::Engine(engine), BackendRequest::Completion { body, .. }) => {
-            engine::complete(&state, &entry, engine, body).await
+            engine::complete(&state, &request, engine, body).await
         }
         (
             BackendClient::Plain(plain),
@@ -31,36 +31,45 @@
                 content_type,
                 body,
             },
-        ) => call(&state, &entry, plain, (&method, &path, &content_type), body).await,
+        ) => {
+            call(
+                &state,
+                &request,
+                plain,
+                (&method, &path, &content_type),
+                body,
+            )
+            .await
+        }
         _ => interrupted(Refusal::UnknownTarget, Executed::No),
     };
-    state.finish(&entry, end);
+    state.finish(&request, end);
 }
 
-/// Makes a call of a plain service.
+/// Makes one call to a plain service.
 async fn call(
     state: &State,
-    entry: &Request,
+    request: &Request,
     plain: &Plain,
     (method, path, content_type): (&str, &str, &str),
     body: Bytes,
 ) -> ResponseEnd {
     match plain
-        .call(entry.ticket, method, path, content_type, body)
+        .call(request.ticket, method, path, content_type, body)
         .await
     {
-        Ok(answer) => {
+        Ok(response) => {
             state.push_chunk(
-                entry,
+                request,
                 Chunk {
                     tokens: 0,
-                    data: answer.body,
+                    data: response.body,
                 },
             );
             ResponseEnd::Complete {
                 chunk_count: 1,
-                status: answer.status,
-                finish_reason: answer.content_type,
+                status: response.status,
+                finish_reason: response.content_type,
                 cached_tokens: 0,
             }
         }
@@ -71,10 +80,10 @@
     }
 }
 
-/// The end of a request that the backend server did not take.
+/// The end of a request whose call to the backend server failed.
 fn failed(error: &Error) -> ResponseEnd {
-    // A body that one engine finds faulty is faulty for all: told as the
-    // engine's failure, it would be tried at each of them in turn.
+    // A body that one engine rejects as invalid is invalid for all. Reported as
+    // a failure of the engine, it would be retried at each of them in turn.
     if matches!(
         error,
         Error::Refused {
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -320,7 +320,7 @@
     fn remove_unstarted(&self, now: Instant, request: &Request, removal: Removal) {
         match removal {
             Removal::Refused(rejection) => metrics::refused(request.tier, rejection.reason),
-            Removal::Expired => metrics::lapsed(request.tier),
+            Removal::Expired => metrics::expired(request.tier),
             Removal::Cancelled => {}
         }
         self.tickets.borrow_mut().remove(&request.ticket);
--- a/crates/sidecar/src/status.rs
+++ b/crates/sidecar/src/status.rs
@@ -1,4 +1,4 @@
-//! What a sidecar shows its operators.
+//! The status report of a sidecar.
 
 use base::admin::DaemonStatus;
 use base::ids::{BundleSequence, Incarnation};
@@ -7,22 +7,22 @@
 
 use crate::state::State;
 
-/// A sidecar's own view.
+/// The status that a sidecar reports to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
     /// Always `sidecar`.
     pub role: &'static str,
     /// The sidecar's name.
     pub name: String,
-    /// The availability zone that the host stands in.
+    /// The availability zone of the host.
     pub zone: String,
-    /// Whether new requests are taken.
+    /// Whether the sidecar accepts new requests.
     pub ready: bool,
-    /// The bundle in force.
+    /// The sequence number of the bundle in force.
     pub sequence: BundleSequence,
-    /// This life of the sidecar.
+    /// Identifies this process; a restart gets another one.
     pub incarnation: Incarnation,
-    /// How busy the backend server is.
+    /// The current load of the backend server.
     pub load: ServerLoad,
 }
 
