--- a/crates/sidecar/tests/state.rs
+++ b/crates/sidecar/tests/state.rs
@@ -1,6 +1,5 @@
-//! The sidecar's tickets, by a clock that moves only when told to. Nothing
-//! here waits, so runs that were started never get a turn: the tests play the
-//! backend server's part.
+//! Tests the sidecar's state with a manual clock. The tests never await, so the
+//! spawned runs are never polled; the tests act as the backend server instead.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,11 +24,11 @@
 
 const KEEP: Duration = Duration::from_secs(10);
 
-/// Longer than any case takes, so that entries count as there.
+/// Longer than any test case, so that no lease expires.
 const LEASE: Duration = Duration::from_secs(3600);
 
-/// A sidecar with one slot and room for one waiting request.
-fn sidecar() -> (Rc<State>, ManualClock) {
+/// Creates a sidecar with one slot and a queue for one waiting request.
+fn new_sidecar() -> (Rc<State>, ManualClock) {
     let clock = ManualClock::new();
     let settings = Settings {
         name: "sidecar".to_owned(),
@@ -57,7 +56,7 @@
     (State::new(settings, Rc::new(clock.clone())), clock)
 }
 
-fn ask(ticket: u128, tier: u8) -> ReserveRequest {
+fn reservation(ticket: u128, tier: u8) -> ReserveRequest {
     ReserveRequest {
         ticket: RequestId(ticket),
         class: format!("class-{tier}"),
@@ -75,8 +74,8 @@
     }
 }
 
-fn reserve(state: &State, ask: &ReserveRequest) -> ReserveOutcome {
-    state.reserve(ask).1
+fn reserve(state: &State, reservation: &ReserveRequest) -> ReserveOutcome {
+    state.reserve(reservation).1
 }
 
 fn start(state: &Rc<State>, ticket: u128) -> StartOutcome {
@@ -94,21 +93,24 @@
     })
 }
 
-/// Reserves and starts a ticket.
-fn running(state: &Rc<State>, ask: &ReserveRequest) -> Rc<Request> {
-    assert!(matches!(reserve(state, ask), ReserveOutcome::Ready { .. }));
-    assert_eq!(start(state, ask.ticket.0), StartOutcome::Running);
-    state.find(ask.ticket).expect("it runs")
+/// Reserves a slot for a request and starts it.
+fn start_new(state: &Rc<State>, reservation: &ReserveRequest) -> Rc<Request> {
+    assert!(matches!(
+        reserve(state, reservation),
+        ReserveOutcome::Ready { .. }
+    ));
+    assert_eq!(start(state, reservation.ticket.0), StartOutcome::Running);
+    state.find(reservation.ticket).expect("the request runs")
 }
 
-fn piece(size: usize) -> Chunk {
+fn chunk(size: usize) -> Chunk {
     Chunk {
         tokens: 1,
         data: Bytes::from(vec![b'x'; size]),
     }
 }
 
-fn whole(chunk_count: u32) -> ResponseEnd {
+fn complete_end(chunk_count: u32) -> ResponseEnd {
     ResponseEnd::Complete {
         chunk_count,
         status: 200,
@@ -117,22 +119,23 @@
     }
 }
 
-/// Number of the first piece, how many there are, and whether they end.
-fn pulled(state: &State, entry: &Request, from: u32) -> (u32, usize, bool) {
-    match state.pull(entry, from) {
+/// Pulls from number `from` on; returns the number of the first chunk, the number
+/// of chunks, and whether the response ended.
+fn pull(state: &State, request: &Request, from: u32) -> (u32, usize, bool) {
+    match state.pull(request, from) {
         PullOutcome::Chunks { first, chunks, end } => (first, chunks.len(), end.is_some()),
-        PullOutcome::Unknown => panic!("unknown"),
+        PullOutcome::Unknown => panic!("the ticket is unknown"),
     }
 }
 
-// The entry is slow and its start comes after the hold has run out. The slot
-// may be another's by then, so the start is refused and nothing runs. The
-// entry asks again, gets a new hold, and its caller its answer.
+// A `start` that arrives after the hold expired is refused and nothing runs,
+// since the slot may have been granted to another request. A second reservation
+// succeeds.
 #[actix_rt::test]
-async fn start_after_lapse() {
-    let (state, clock) = sidecar();
+async fn start_after_hold_expired() {
+    let (state, clock) = new_sidecar();
     assert!(matches!(
-        reserve(&state, &ask(1, 0)),
+        reserve(&state, &reservation(1, 0)),
         ReserveOutcome::Ready { .. }
     ));
     clock.advance(HOLD);
@@ -141,43 +144,43 @@
     assert_eq!(start(&state, 1), StartOutcome::ReservationExpired);
 
     assert!(matches!(
-        reserve(&state, &ask(1, 0)),
+        reserve(&state, &reservation(1, 0)),
         ReserveOutcome::Ready { .. }
     ));
     assert_eq!(start(&state, 1), StartOutcome::Running);
     assert_eq!(start(&state, 1), StartOutcome::Running, "a repeated start");
 }
 
-// A hold runs out while another caller waits. The slot goes to that one, and
-// the first ticket waits behind it when it asks again.
+// When a hold expires, the slot is granted to the next waiting request. The
+// first request waits behind it when it reserves again.
 #[actix_rt::test]
-async fn sweep_lapse_passes_on() {
-    let (state, clock) = sidecar();
-    reserve(&state, &ask(1, 0));
+async fn expired_hold_grants_slot_to_next() {
+    let (state, clock) = new_sidecar();
+    reserve(&state, &reservation(1, 0));
     assert!(matches!(
-        reserve(&state, &ask(2, 0)),
+        reserve(&state, &reservation(2, 0)),
         ReserveOutcome::Waiting { .. }
     ));
     clock.advance(HOLD);
     state.sweep();
 
     assert!(matches!(
-        reserve(&state, &ask(1, 0)),
+        reserve(&state, &reservation(1, 0)),
         ReserveOutcome::Waiting { .. }
     ));
     assert_eq!(start(&state, 1), StartOutcome::ReservationExpired);
     assert_eq!(start(&state, 2), StartOutcome::Running);
 }
 
-// A caller goes away. The cancel overtakes the reserve on another connection;
-// the late reserve must not take a slot, nor the late start run anything.
+// A `cancel` may overtake the `reserve` on another connection. The late
+// `reserve` must not take a slot and the late `start` must not run anything.
 #[actix_rt::test]
 async fn cancel_before_reserve() {
-    let (state, _clock) = sidecar();
+    let (state, _clock) = new_sidecar();
     assert_eq!(state.cancel(RequestId(1)), CancelOutcome::NeverStarted);
-    let stands = reserve(&state, &ask(1, 0));
+    let status = reserve(&state, &reservation(1, 0));
     assert!(matches!(
-        stands,
+        status,
         ReserveOutcome::Refused {
             reason: Refusal::CallerGone,
             ..
@@ -187,17 +190,18 @@
     assert_eq!(state.load().running, 0);
 }
 
-// Entries cancel far more tickets than the sidecar ever ran, as after an
-// outage. What it remembers of them stays bounded, and time clears it.
+// After an outage entries may cancel far more tickets than the sidecar ever saw.
+// The number of tombstones stays bounded, and they expire.
 #[actix_rt::test]
-async fn cancel_many_unknown() {
-    let (state, clock) = sidecar();
+async fn tombstones_bounded() {
+    let (state, clock) = new_sidecar();
     for ticket in 0..70_000 {
         state.cancel(RequestId(ticket));
     }
     assert_eq!(state.tracked_sizes().1, 65_536);
     assert_eq!(start(&state, 69_999), StartOutcome::Cancelled);
-    // The oldest is forgotten; without a hold it cannot start all the same.
+    // The oldest tombstone was dropped; without a hold its ticket still cannot
+    // start.
     assert_eq!(start(&state, 0), StartOutcome::ReservationExpired);
 
     clock.advance(Duration::from_secs(60));
@@ -205,43 +209,43 @@
     assert_eq!(state.tracked_sizes(), (0, 0, 0));
 }
 
-// The queue is full and a caller of the lowest tier is refused as shed, with
-// a time to come back. A repeated call hears the same; one after that time
-// is taken as a new one.
+// When the queue is full, a request of the lowest tier is shed with a retry
+// delay. A repeated `reserve` gets the same refusal until the delay has passed;
+// after that the request is queued.
 #[actix_rt::test]
-async fn reserve_after_refusal() {
-    let (state, clock) = sidecar();
-    let first = running(&state, &ask(1, 0));
-    reserve(&state, &ask(2, 0));
-    let shed = ReserveOutcome::Refused {
+async fn refusal_lasts_until_retry_after() {
+    let (state, clock) = new_sidecar();
+    let first = start_new(&state, &reservation(1, 0));
+    reserve(&state, &reservation(2, 0));
+    let shed_outcome = ReserveOutcome::Refused {
         reason: Refusal::Shed,
         retry_after_ms: 1000,
     };
-    assert_eq!(reserve(&state, &ask(3, 1)), shed);
-    state.finish(&first, whole(0));
+    assert_eq!(reserve(&state, &reservation(3, 1)), shed_outcome);
+    state.finish(&first, complete_end(0));
     assert_eq!(start(&state, 2), StartOutcome::Running);
 
-    assert_eq!(reserve(&state, &ask(3, 1)), shed);
+    assert_eq!(reserve(&state, &reservation(3, 1)), shed_outcome);
     clock.advance(Duration::from_secs(1));
     assert!(matches!(
-        reserve(&state, &ask(3, 1)),
+        reserve(&state, &reservation(3, 1)),
         ReserveOutcome::Waiting { .. }
     ));
 }
 
-// A waiting caller is pushed out by one of a higher tier. It hears so at the
-// next sweep and not at its deadline.
+// A waiting request that is displaced by one of a higher tier is refused at the
+// next sweep and not only at its deadline.
 #[actix_rt::test]
-async fn sweep_tells_shed() {
-    let (state, _clock) = sidecar();
-    running(&state, &ask(1, 0));
-    let (entry, _) = state.reserve(&ask(2, 1));
-    reserve(&state, &ask(3, 0));
+async fn sweep_reports_shed() {
+    let (state, _clock) = new_sidecar();
+    start_new(&state, &reservation(1, 0));
+    let (request, _) = state.reserve(&reservation(2, 1));
+    reserve(&state, &reservation(3, 0));
     state.sweep();
 
-    let stands = state.reservation_status(&entry.expect("it waits"), 10);
+    let status = state.reservation_status(&request.expect("the request waits"), 10);
     assert!(matches!(
-        stands,
+        status,
         ReserveOutcome::Refused {
             reason: Refusal::Shed,
             ..
@@ -250,79 +254,78 @@
     assert_eq!(start(&state, 2), StartOutcome::ReservationExpired);
 }
 
-// A start comes that was meant for the sidecar's life before. What that life
-// did is not known here, so it is refused in every state.
+// A `start` meant for an earlier incarnation of the sidecar is refused in every
+// phase, since the request may already have run there.
 #[actix_rt::test]
-async fn start_other_life() {
-    let (state, _clock) = sidecar();
-    reserve(&state, &ask(1, 0));
+async fn start_other_incarnation() {
+    let (state, _clock) = new_sidecar();
+    reserve(&state, &reservation(1, 0));
     let other = Incarnation(state.incarnation.0 ^ 1);
     assert_eq!(start_in(&state, 1, other), StartOutcome::OtherIncarnation);
-    assert_eq!(state.load().running, 1, "still held");
+    assert_eq!(state.load().running, 1, "the slot is still held");
 }
 
-// An entry pulls, loses the reply and pulls again from the same number: it
-// gets the same pieces, until its next number says that it has them.
+// An entry that lost a reply pulls again from the same number and gets the same
+// chunks, until a pull from a higher number acknowledges them.
 #[actix_rt::test]
-async fn pull_again() {
-    let (state, _clock) = sidecar();
-    let entry = running(&state, &ask(1, 0));
+async fn pull_repeated() {
+    let (state, _clock) = new_sidecar();
+    let request = start_new(&state, &reservation(1, 0));
     for _ in 0..3 {
-        state.push_chunk(&entry, piece(10));
+        state.push_chunk(&request, chunk(10));
     }
-    assert_eq!(pulled(&state, &entry, 0), (0, 3, false));
-    assert_eq!(pulled(&state, &entry, 0), (0, 3, false));
-    assert_eq!(pulled(&state, &entry, 2), (2, 1, false));
-    state.finish(&entry, whole(3));
-    assert_eq!(pulled(&state, &entry, 3), (3, 0, true));
-    assert_eq!(pulled(&state, &entry, 3), (3, 0, true));
+    assert_eq!(pull(&state, &request, 0), (0, 3, false));
+    assert_eq!(pull(&state, &request, 0), (0, 3, false));
+    assert_eq!(pull(&state, &request, 2), (2, 1, false));
+    state.finish(&request, complete_end(3));
+    assert_eq!(pull(&state, &request, 3), (3, 0, true));
+    assert_eq!(pull(&state, &request, 3), (3, 0, true));
     assert_eq!(state.tracked_sizes().2, 0);
 }
 
-// A large answer waits when its entry comes back after a silence. It is handed
-// out in batches, so that one reply cannot block the connection for others,
-// and the end comes with the last batch only.
+// A large buffered response is delivered in batches, so that one reply does not
+// block the connection for other requests. Only the last batch carries the end.
 #[actix_rt::test]
 async fn pull_batches() {
-    let (state, _clock) = sidecar();
-    let entry = running(&state, &ask(1, 0));
-    state.push_chunk(&entry, piece(700 << 10));
-    state.push_chunk(&entry, piece(700 << 10));
-    state.finish(&entry, whole(2));
-    // It is larger than all that may be kept, but it has only just ended.
-    assert_eq!(pulled(&state, &entry, 0), (0, 1, false));
-    assert_eq!(pulled(&state, &entry, 1), (1, 1, true));
+    let (state, _clock) = new_sidecar();
+    let request = start_new(&state, &reservation(1, 0));
+    state.push_chunk(&request, chunk(700 << 10));
+    state.push_chunk(&request, chunk(700 << 10));
+    state.finish(&request, complete_end(2));
+    // The response exceeds the retention limit but is kept, since it ended last.
+    assert_eq!(pull(&state, &request, 0), (0, 1, false));
+    assert_eq!(pull(&state, &request, 1), (1, 1, true));
 }
 
-// An entry host is gone and nobody pulls. The answer in the making is stopped
-// once it takes more than its part of the memory.
+// If the entry is gone and nobody pulls, the run is stopped once its response
+// exceeds its share of the retention limit.
 #[actix_rt::test]
-async fn push_unpulled() {
-    let (state, _clock) = sidecar();
-    let entry = running(&state, &ask(1, 0));
+async fn unpulled_response_stopped() {
+    let (state, _clock) = new_sidecar();
+    let request = start_new(&state, &reservation(1, 0));
     for _ in 0..8 {
-        state.push_chunk(&entry, piece(8 << 10));
+        state.push_chunk(&request, chunk(8 << 10));
     }
-    assert!(!entry.stop.is_triggered());
-    state.push_chunk(&entry, piece(8 << 10));
-    assert!(entry.stop.is_triggered());
+    assert!(!request.stop.is_triggered());
+    state.push_chunk(&request, chunk(8 << 10));
+    assert!(request.stop.is_triggered());
     assert_eq!(
-        state.stopped_end(&entry),
+        state.stopped_end(&request),
         interrupted(Refusal::Truncated, Executed::Partial)
     );
 }
 
-// Ended answers fill the memory for kept ones. Those whose entry has had the
-// end go first; one that is still to be pulled stays while it can.
+// When ended responses exceed the retention limit, those whose end was delivered
+// are dropped before those that are still to be pulled.
 #[actix_rt::test]
-async fn finish_drops_kept() {
-    let (state, _clock) = sidecar();
+async fn retention_drops_delivered_first() {
+    let (state, _clock) = new_sidecar();
     for ticket in 1..=3 {
-        let entry = running(&state, &ask(ticket, 0));
-        state.push_chunk(&entry, piece(30 << 10));
-        state.finish(&entry, whole(1));
+        let request = start_new(&state, &reservation(ticket, 0));
+        state.push_chunk(&request, chunk(30 << 10));
+        state.finish(&request, complete_end(1));
         if ticket == 2 {
-            pulled(&state, &entry, 0);
+            pull(&state, &request, 0);
         }
     }
     let kept: Vec<_> = (1..=3)
@@ -332,30 +335,30 @@
     assert_eq!(state.tracked_sizes().2, 60 << 10);
 }
 
-// A pull is held when the answer it is about is dropped for want of memory.
-// It finds the answer gone; what is kept is still counted right.
+// A response is dropped for the retention limit while its entry still pulls.
+// The pull gets `Unknown`, and the counted bytes stay correct.
 #[actix_rt::test]
-async fn pull_dropped() {
-    let (state, _clock) = sidecar();
-    let first = running(&state, &ask(1, 0));
-    state.push_chunk(&first, piece(60 << 10));
-    state.finish(&first, whole(1));
-    let second = running(&state, &ask(2, 0));
-    state.push_chunk(&second, piece(60 << 10));
-    state.finish(&second, whole(1));
+async fn pull_dropped_response() {
+    let (state, _clock) = new_sidecar();
+    let first = start_new(&state, &reservation(1, 0));
+    state.push_chunk(&first, chunk(60 << 10));
+    state.finish(&first, complete_end(1));
+    let second = start_new(&state, &reservation(2, 0));
+    state.push_chunk(&second, chunk(60 << 10));
+    state.finish(&second, complete_end(1));
 
     assert_eq!(state.pull(&first, 1), PullOutcome::Unknown);
     assert_eq!(state.tracked_sizes(), (1, 0, 60 << 10));
 }
 
-// Answers end and are pulled; after a while nothing of them is left.
+// Ended responses are dropped completely after the retention time.
 #[actix_rt::test]
-async fn sweep_forgets_ended() {
-    let (state, clock) = sidecar();
+async fn sweep_drops_ended() {
+    let (state, clock) = new_sidecar();
     for ticket in 1..=20 {
-        let entry = running(&state, &ask(ticket, 0));
-        state.push_chunk(&entry, piece(100));
-        state.finish(&entry, whole(1));
+        let request = start_new(&state, &reservation(ticket, 0));
+        state.push_chunk(&request, chunk(100));
+        state.finish(&request, complete_end(1));
     }
     assert_eq!(state.tracked_sizes(), (20, 0, 2000));
     clock.advance(KEEP);
@@ -364,64 +367,68 @@
     assert!(state.is_idle());
 }
 
-// A lower-tier run has the only slot when a caller of the top tier is about to
-// miss its target. The run is stopped; its entry gets no piece of it, not even
-// one made before, and hears "preempted", so that it can run it elsewhere.
+// A lower-tier run occupies the only slot when a top-tier request is about to
+// miss its target. The run is stopped, and its entry gets the end `Preempted`
+// and no chunk, not even one received before, so that it can run the request
+// elsewhere.
 #[actix_rt::test]
 async fn sweep_preempts() {
-    let (state, clock) = sidecar();
-    let lower = running(&state, &ask(1, 1));
-    let mut top = ask(2, 0);
-    top.ttft_budget_us = 50_000;
-    reserve(&state, &top);
-    state.push_chunk(&lower, piece(10));
+    let (state, clock) = new_sidecar();
+    let lower_tier = start_new(&state, &reservation(1, 1));
+    let mut top_tier = reservation(2, 0);
+    top_tier.ttft_budget_us = 50_000;
+    reserve(&state, &top_tier);
+    state.push_chunk(&lower_tier, chunk(10));
     clock.advance(Duration::from_millis(29));
     state.sweep();
-    assert!(!lower.stop.is_triggered());
+    assert!(!lower_tier.stop.is_triggered());
     clock.advance(Duration::from_millis(1));
     state.sweep();
-    assert!(lower.stop.is_triggered());
+    assert!(lower_tier.stop.is_triggered());
 
-    assert_eq!(pulled(&state, &lower, 0), (0, 0, false));
-    state.push_chunk(&lower, piece(10));
-    let end = state.stopped_end(&lower);
+    assert_eq!(pull(&state, &lower_tier, 0), (0, 0, false));
+    state.push_chunk(&lower_tier, chunk(10));
+    let end = state.stopped_end(&lower_tier);
     assert_eq!(end, interrupted(Refusal::Preempted, Executed::Partial));
-    state.finish(&lower, end);
-    assert_eq!(pulled(&state, &lower, 0), (0, 0, true));
+    state.finish(&lower_tier, end);
+    assert_eq!(pull(&state, &lower_tier, 0), (0, 0, true));
     assert_eq!(start(&state, 2), StartOutcome::Running);
 }
 
-// The sidecar is to stop. It waits for the run and then for its entry to have
-// the end, else the last words of an answer would be lost with the process.
+// A drain must wait for the runs and until the end of each response was pulled,
+// or the last chunks would be lost when the process exits.
 #[actix_rt::test]
-async fn idle_after_end_is_pulled() {
-    let (state, _clock) = sidecar();
-    let entry = running(&state, &ask(1, 0));
+async fn idle_after_end_pulled() {
+    let (state, _clock) = new_sidecar();
+    let request = start_new(&state, &reservation(1, 0));
     assert!(!state.is_idle());
-    state.finish(&entry, whole(0));
+    state.finish(&request, complete_end(0));
     assert!(!state.is_idle());
-    pulled(&state, &entry, 0);
+    pull(&state, &request, 0);
     assert!(state.is_idle());
 }
 
-// Holds are cancelled, lapse and start in every order; the slot is always
-// given back exactly once.
+// Whatever the order in which a hold is cancelled, expires and starts, the slot
+// is released exactly once.
 #[rstest]
 #[case::cancel_twice(&["cancel", "cancel"])]
-#[case::lapse_cancel(&["lapse", "cancel"])]
-#[case::cancel_lapse(&["cancel", "lapse"])]
-#[case::start_lapse_finish_cancel(&["start", "lapse", "finish", "cancel"])]
+#[case::expire_cancel(&["expire", "cancel"])]
+#[case::cancel_expire(&["cancel", "expire"])]
+#[case::start_expire_finish_cancel(&["start", "expire", "finish", "cancel"])]
 #[case::start_cancel_finish(&["start", "cancel", "finish"])]
-#[case::lapse_start_lapse(&["lapse", "start", "lapse"])]
+#[case::expire_start_expire(&["expire", "start", "expire"])]
 #[actix_rt::test]
-async fn slot_given_back(#[case] steps: &[&str]) {
-    let (state, clock) = sidecar();
-    reserve(&state, &ask(1, 0));
+async fn slot_released_once(#[case] steps: &[&str]) {
+    let (state, clock) = new_sidecar();
+    reserve(&state, &reservation(1, 0));
     for step in steps {
         match *step {
             "cancel" => drop(state.cancel(RequestId(1))),
             "start" => drop(start(&state, 1)),
-            "finish" => state.finish(&state.find(RequestId(1)).expect("it runs"), whole(0)),
+            "finish" => state.finish(
+                &state.find(RequestId(1)).expect("the request runs"),
+                complete_end(0),
+            ),
             _ => {
                 clock.advance(HOLD);
                 state.sweep();
@@ -430,7 +437,7 @@
     }
     assert_eq!(state.load().running, 0);
     assert!(matches!(
-        reserve(&state, &ask(2, 0)),
+        reserve(&state, &reservation(2, 0)),
         ReserveOutcome::Ready { .. }
     ));
 }
