--- a/crates/sidecar/tests/cache_events.rs
+++ b/crates/sidecar/tests/cache_events.rs
@@ -1,4 +1,4 @@
-//! What a sidecar's offers tell of its engine's prefix cache.
+//! Tests the cached tokens that a sidecar reports from its engine's cache events.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,11 +14,11 @@
 
 const PREFIX: u64 = 7;
 
-/// The events that the engine gives out, whatever number they are asked from.
-type Events = Rc<RefCell<CacheEvents>>;
+/// The events that the engine returns, whatever sequence number is requested.
+type PublishedEvents = Rc<RefCell<CacheEvents>>;
 
-async fn events(http: HttpRequest) -> HttpResponse {
-    HttpResponse::Ok().json(&*http.app_data::<Events>().unwrap().borrow())
+async fn serve_events(http: HttpRequest) -> HttpResponse {
+    HttpResponse::Ok().json(&*http.app_data::<PublishedEvents>().unwrap().borrow())
 }
 
 fn stored(seq: u64, block: u64) -> CacheEvent {
@@ -26,15 +26,15 @@
     CacheEvent { seq, change, block }
 }
 
-/// Asks for slots until an offer tells of so many cached tokens.
-async fn offered(peer: &Peer, tickets: &mut u128, expected: u32) {
-    let stamp = CallHeader {
+/// Reserves slots until a reply reports `expected` cached tokens.
+async fn expect_cached_tokens(peer: &Peer, last_ticket: &mut u128, expected: u32) {
+    let header = CallHeader {
         sequence: BundleSequence(0),
     };
     loop {
-        *tickets += 1;
-        let ask = ReserveRequest {
-            ticket: RequestId(*tickets),
+        *last_ticket += 1;
+        let request = ReserveRequest {
+            ticket: RequestId(*last_ticket),
             class: "counter".to_owned(),
             workspace: "cantine".to_owned(),
             weight: 1,
@@ -48,33 +48,33 @@
             preemptions: 0,
             wait_ms: 1000,
         };
-        let answer = peer.reserve(stamp, ask).await;
-        if let Ok(reply) = answer
+        let response = peer.reserve(header, request).await;
+        if let Ok(reply) = response
             && matches!(reply.body, ReserveOutcome::Ready { cached_tokens, .. } if cached_tokens == expected)
         {
             return;
         }
-        let _ = peer.cancel(stamp, RequestId(*tickets)).await;
+        let _ = peer.cancel(header, RequestId(*last_ticket)).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-// The offer tells that the prompt's prefix is cached, and no longer does once
-// an event was lost: the lost one may have been the prefix's removal, and the
-// request would be sent after a cache that is gone.
+// The reply to `reserve` reports a cached prefix, and no longer does after a gap
+// in the events. The lost event may have been the prefix's removal, and the
+// request would be routed to a cache that no longer has it.
 #[actix_rt::test]
-async fn offer_cached() {
-    let given: Events = Rc::default();
+async fn reserve_reports_cached_prefix() {
+    let published: PublishedEvents = Rc::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let engine = listener.local_addr().unwrap();
     let app = App::new()
-        .app_data(Rc::clone(&given))
-        .route("/v1/cache/events", web::get().to(events));
+        .app_data(Rc::clone(&published))
+        .route("/v1/cache/events", web::get().to(serve_events));
     actix_rt::spawn(base::http::serve(listener, app, StopSignal::new()));
 
-    let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let addr = free.local_addr().unwrap();
-    drop(free);
+    let unused = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = unused.local_addr().unwrap();
+    drop(unused);
     let settings = json!({
         "name": "sidecar", "zone": "plateau", "listen": addr, "log_level": "off",
         "backend": { "engine": { "addr": engine, "slots": 1 } },
@@ -83,17 +83,17 @@
     actix_rt::spawn(sidecar::run(settings, StopSignal::new()));
 
     let peer = Peer::new(addr, Timeouts::default());
-    let mut tickets = 0;
-    let told = async {
-        offered(&peer, &mut tickets, 0).await;
-        given.borrow_mut().events.push(stored(0, PREFIX));
-        given.borrow_mut().next = 1;
-        offered(&peer, &mut tickets, 256).await;
+    let mut last_ticket = 0;
+    let checks = async {
+        expect_cached_tokens(&peer, &mut last_ticket, 0).await;
+        published.borrow_mut().events.push(stored(0, PREFIX));
+        published.borrow_mut().next = 1;
+        expect_cached_tokens(&peer, &mut last_ticket, 256).await;
 
-        given.borrow_mut().events.push(stored(2, 8));
-        given.borrow_mut().next = 3;
-        offered(&peer, &mut tickets, 0).await;
+        published.borrow_mut().events.push(stored(2, 8));
+        published.borrow_mut().next = 3;
+        expect_cached_tokens(&peer, &mut last_ticket, 0).await;
     };
-    let bound = tokio::time::timeout(Duration::from_secs(30), told).await;
-    bound.expect("the offers follow the events");
+    let result = tokio::time::timeout(Duration::from_secs(30), checks).await;
+    result.expect("the reported tokens follow the events");
 }
--- a/crates/sidecar/tests/orders.rs
+++ b/crates/sidecar/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Two sidecars beside one engine, with the log, the weight store and engines
-//! that check fencing numbers or ignore them.
+//! Tests two sidecars that reconcile one engine, with the log, the weight store
+//! and engines that check or ignore fencing tokens.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -18,21 +18,21 @@
 use standin::weights::Store;
 use standin::{Control, orders, weights};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Short, so that a test can wait for it to lapse.
+/// Short, so that tests can wait until it expires.
 const LEASE: HumanDuration = HumanDuration::ms(300);
 
-/// An address that nobody else has: a part of loopback for each process, and
-/// below the ports that the system gives to outgoing connections.
-fn free() -> SocketAddr {
+/// Returns an unused address: each process has its own part of the loopback
+/// network, and the ports are below the system's ephemeral range.
+fn unused_addr() -> SocketAddr {
     static PORTS: AtomicU16 = AtomicU16::new(7100);
     let [_, _, a, b] = std::process::id().to_be_bytes();
     let port = PORTS.fetch_add(1, Ordering::Relaxed);
     (Ipv4Addr::new(127, a.max(1), b, 2), port).into()
 }
 
-/// The platform around one engine.
+/// One engine with the platform's log and weight store.
 struct Platform {
     engine: SocketAddr,
     log: SocketAddr,
@@ -45,9 +45,9 @@
 impl Platform {
     fn start(checks_fencing: bool, every: HumanDuration) -> Self {
         let platform = Self {
-            engine: free(),
-            log: free(),
-            store: free(),
+            engine: unused_addr(),
+            log: unused_addr(),
+            store: unused_addr(),
             record: orders::Record::default(),
             faults: Control::new(LogFaults::default()),
             weights: Store::default(),
@@ -81,16 +81,16 @@
         platform
     }
 
-    fn keeper(&self, holder: &str) -> LoadReconciler {
-        self.keeper_with(holder, Some(self.store), LEASE)
+    fn reconciler(&self, holder: &str) -> LoadReconciler {
+        self.reconciler_with(holder, Some(self.store), LEASE)
     }
 
-    /// A keeper that needs no permits and whose lease outlasts the test.
-    fn keeper_without(&self, holder: &str) -> LoadReconciler {
-        self.keeper_with(holder, None, HumanDuration::secs(600))
+    /// A reconciler that needs no permits and whose lease outlasts the test.
+    fn reconciler_without_permits(&self, holder: &str) -> LoadReconciler {
+        self.reconciler_with(holder, None, HumanDuration::secs(600))
     }
 
-    fn keeper_with(
+    fn reconciler_with(
         &self,
         holder: &str,
         weight_store: Option<SocketAddr>,
@@ -129,79 +129,88 @@
     }
 }
 
-/// Takes rounds until one comes to `wanted`.
-async fn rounds(keeper: &mut LoadReconciler, version: &str, wanted: ReconcileOutcome) {
-    let began = Instant::now();
-    while keeper.reconcile(&loaded(version)).await != wanted {
-        assert!(began.elapsed() < PATIENCE, "no round comes to {wanted:?}");
+/// Reconciles until the outcome is `expected`.
+async fn reconcile_until(
+    reconciler: &mut LoadReconciler,
+    version: &str,
+    expected: ReconcileOutcome,
+) {
+    let started_at = Instant::now();
+    while reconciler.reconcile(&loaded(version)).await != expected {
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "no reconciliation results in {expected:?}"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
 #[actix_rt::test]
-async fn round_loads_and_rests() {
+async fn reconcile_loads_then_idles() {
     let platform = Platform::start(true, HumanDuration::ms(1));
-    let mut keeper = platform.keeper("a");
-    rounds(&mut keeper, "v1", ReconcileOutcome::OrderSent).await;
-    rounds(&mut keeper, "v1", ReconcileOutcome::Idle).await;
+    let mut reconciler = platform.reconciler("a");
+    reconcile_until(&mut reconciler, "v1", ReconcileOutcome::OrderSent).await;
+    reconcile_until(&mut reconciler, "v1", ReconcileOutcome::Idle).await;
     assert_eq!(platform.versions(), ["v1"]);
     assert_eq!(platform.weights.given(), ["v1"]);
 }
 
-// A sidecar's host is replaced while the old one still runs. The engine is
-// ordered by one of them at a time: the new one waits until the old lease has
-// lapsed by the log's clock, and then takes over.
+// A sidecar is replaced while the old one still runs. Only one of them gives
+// orders at a time: the new one takes over after the old lease has expired by the
+// log's clock.
 #[actix_rt::test]
-async fn round_after_lapse() {
+async fn reconcile_after_lease_expired() {
     let platform = Platform::start(true, HumanDuration::ms(1));
-    let (mut old, mut new) = (platform.keeper("old"), platform.keeper("new"));
-    rounds(&mut old, "v1", ReconcileOutcome::OrderSent).await;
+    let (mut old, mut new) = (platform.reconciler("old"), platform.reconciler("new"));
+    reconcile_until(&mut old, "v1", ReconcileOutcome::OrderSent).await;
     assert_eq!(
         new.reconcile(&loaded("v2")).await,
         ReconcileOutcome::NotHolder
     );
-    rounds(&mut new, "v2", ReconcileOutcome::OrderSent).await;
+    reconcile_until(&mut new, "v2", ReconcileOutcome::OrderSent).await;
     assert_eq!(platform.versions(), ["v1", "v2"]);
 
-    // Numbers only grow.
-    let fences: Vec<Offset> = platform.record.taken().iter().map(|(f, _)| *f).collect();
-    assert!(fences.is_sorted(), "{fences:?}");
+    // Fencing tokens never decrease.
+    let fencing_tokens: Vec<Offset> = platform.record.taken().iter().map(|(f, _)| *f).collect();
+    assert!(fencing_tokens.is_sorted(), "{fencing_tokens:?}");
 }
 
-// A sidecar holds the lease and waits for the weight store for longer than
-// the lease lasts; meanwhile another one takes over and orders a newer
-// version. The first comes back and gives no order, also where the engine
-// ignores fencing numbers: the new version stays.
+// A sidecar waits for a permit for longer than its lease lasts, and meanwhile
+// another one takes over and orders a newer version. The first must give no
+// order after its wait, even if the engine ignores fencing tokens.
 #[rstest]
 #[case::checks(true)]
 #[case::ignores(false)]
 #[actix_rt::test]
-async fn round_outlasts_lease(#[case] checks: bool) {
+async fn permit_wait_outlasts_lease(#[case] checks: bool) {
     let platform = Platform::start(checks, HumanDuration::ms(1));
-    let (mut old, mut new) = (platform.keeper("old"), platform.keeper_without("new"));
-    rounds(&mut old, "v0", ReconcileOutcome::OrderSent).await;
-    rounds(&mut old, "v0", ReconcileOutcome::Idle).await;
+    let (mut old, mut new) = (
+        platform.reconciler("old"),
+        platform.reconciler_without_permits("new"),
+    );
+    reconcile_until(&mut old, "v0", ReconcileOutcome::OrderSent).await;
+    reconcile_until(&mut old, "v0", ReconcileOutcome::Idle).await;
 
     platform.weights.control.change(|f| f.outage = true);
-    let paused = actix_rt::spawn(async move { old.reconcile(&loaded("v1")).await });
-    rounds(&mut new, "v2", ReconcileOutcome::OrderSent).await;
+    let delayed = actix_rt::spawn(async move { old.reconcile(&loaded("v1")).await });
+    reconcile_until(&mut new, "v2", ReconcileOutcome::OrderSent).await;
     platform.weights.control.change(|f| f.outage = false);
 
-    assert_eq!(paused.await.unwrap(), ReconcileOutcome::NotHolder);
+    assert_eq!(delayed.await.unwrap(), ReconcileOutcome::NotHolder);
     assert_eq!(platform.versions(), ["v0", "v2"]);
 }
 
-// An order with an old number reaches the engine after a newer one. An engine
-// that checks refuses it; one that ignores the number takes it, which is why
-// a sidecar must not rely on the engine.
+// An order with an old fencing token arrives after a newer one. An engine that
+// checks tokens refuses it; one that ignores them accepts it, which is why the
+// sidecar must not rely on the engine.
 #[rstest]
 #[case::checks(true)]
 #[case::ignores(false)]
 #[actix_rt::test]
-async fn give_old_number(#[case] checks: bool) {
+async fn order_with_old_fencing_token(#[case] checks: bool) {
     let platform = Platform::start(checks, HumanDuration::ms(1));
-    let mut keeper = platform.keeper("a");
-    rounds(&mut keeper, "v1", ReconcileOutcome::OrderSent).await;
+    let mut reconciler = platform.reconciler("a");
+    reconcile_until(&mut reconciler, "v1", ReconcileOutcome::OrderSent).await;
 
     let client = Orders::new(platform.engine);
     let order = |v: &str| Order::LoadVersion(v.to_owned());
@@ -213,29 +222,29 @@
     }
 }
 
-// The log is down when an order is due. No order is given without a lease;
-// once the log is back, it is.
+// While the log is down, the lease cannot be renewed and no order is given. Once
+// the log is back, the order is given.
 #[actix_rt::test]
-async fn round_log_down() {
+async fn reconcile_log_down() {
     let platform = Platform::start(true, HumanDuration::ms(1));
-    let mut keeper = platform.keeper("a");
-    rounds(&mut keeper, "v1", ReconcileOutcome::OrderSent).await;
-    rounds(&mut keeper, "v1", ReconcileOutcome::Idle).await;
+    let mut reconciler = platform.reconciler("a");
+    reconcile_until(&mut reconciler, "v1", ReconcileOutcome::OrderSent).await;
+    reconcile_until(&mut reconciler, "v1", ReconcileOutcome::Idle).await;
 
     platform.faults.change(|f| f.down = true);
     tokio::time::sleep(LEASE.0).await;
     assert_eq!(
-        keeper.reconcile(&loaded("v2")).await,
+        reconciler.reconcile(&loaded("v2")).await,
         ReconcileOutcome::Failed
     );
     assert_eq!(platform.versions(), ["v1"]);
     platform.faults.change(|f| f.down = false);
-    rounds(&mut keeper, "v2", ReconcileOutcome::OrderSent).await;
+    reconcile_until(&mut reconciler, "v2", ReconcileOutcome::OrderSent).await;
 }
 
-// A new version is rolled out: eight sidecars ask the weight store at once,
-// which gives one permit every 30 ms and then goes out for a while. Each gets
-// exactly one permit in the end, and its engine one order.
+// Eight sidecars request permits for a new version at once, from a weight store
+// that is down at first and then grants one permit every 30 ms. Each gets exactly
+// one permit, and its engine one order.
 #[actix_rt::test]
 async fn permits_shared() {
     let first = Platform::start(true, HumanDuration::ms(30));
@@ -244,16 +253,18 @@
     let store = engines[0].store;
     engines[0].weights.control.change(|f| f.outage = true);
 
-    let keepers = engines.iter().enumerate().map(|(i, platform)| {
-        let mut keeper =
-            platform.keeper_with(&format!("k{i}"), Some(store), HumanDuration::secs(600));
-        actix_rt::spawn(async move { rounds(&mut keeper, "v1", ReconcileOutcome::OrderSent).await })
+    let reconcilers = engines.iter().enumerate().map(|(i, platform)| {
+        let mut reconciler =
+            platform.reconciler_with(&format!("k{i}"), Some(store), HumanDuration::secs(600));
+        actix_rt::spawn(async move {
+            reconcile_until(&mut reconciler, "v1", ReconcileOutcome::OrderSent).await
+        })
     });
-    let keepers: Vec<_> = keepers.collect();
+    let reconcilers: Vec<_> = reconcilers.collect();
     tokio::time::sleep(Duration::from_millis(100)).await;
     engines[0].weights.control.change(|f| f.outage = false);
-    for keeper in keepers {
-        keeper.await.unwrap();
+    for reconciler in reconcilers {
+        reconciler.await.unwrap();
     }
     assert_eq!(engines[0].weights.given(), ["v1"; 8]);
     assert!(engines.iter().all(|e| e.versions() == ["v1"]));
