--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -10,7 +10,7 @@
 //! - `metrics`: the sidecar's metrics.
 //! - [`orders`]: orders the engine to load the bundle's model and adapters.
 //! - [`cache_events`]: follows the engine's cache events.
-//! - [`run`]: runs one request at the backend server.
+//! - [`mod@run`]: runs one request at the backend server.
 
 pub mod bundle_sync;
 pub mod cache_events;
--- a/crates/sidecar/src/run/engine.rs
+++ b/crates/sidecar/src/run/engine.rs
@@ -173,8 +173,8 @@
     /// Relays a token if it is the next in sequence.
     ///
     /// A token that was received before a fault may be repeated after resuming,
-    /// and a lost token would leave a gap in a response that looks complete. The
-    /// sequence numbers reveal both.
+    /// and the caller would read it twice. A lost token would leave a gap in a
+    /// response that looks complete. The sequence numbers reveal both.
     fn relay_token(&mut self, seq: u32, text: String) -> Result<(), StreamFault> {
         match seq.cmp(&self.next_seq) {
             Ordering::Less => metrics::duplicate_token(),
