--- a/crates/sidecar/src/health.rs
+++ b/crates/sidecar/src/health.rs
@@ -1,4 +1,5 @@
-//! Whether the backend server answers. See docs/DECISIONS/0404-silence.md.
+//! Monitors whether the backend server is reachable. See
+//! docs/DECISIONS/0404-silence.md.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,59 +8,60 @@
 use clients::engine::Error;
 use spdlog::{info, warn};
 
-use crate::meter;
-use crate::state::{Client, State};
+use crate::metrics;
+use crate::state::{BackendClient, State};
 
-/// The first pause between two probes of a failed backend server.
-const PROBE_FIRST: Duration = Duration::from_millis(50);
+/// Initial delay between two probes of an unreachable backend server.
+const MIN_PROBE_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest pause; the new life of a backend server stays unused for so
-/// long at the most.
-const PROBE_LONGEST: Duration = Duration::from_secs(2);
+/// Maximum delay between probes. A restarted backend server stays unused for at
+/// most this long.
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(2);
 
-/// Time allowed for an answer to a probe.
-const PROBE_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of one probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Notes that a call of the backend server failed.
+/// Records that a call to the backend server failed.
 ///
-/// Only a server that cannot be reached counts as failed: it answers refusals
-/// faster than any other server answers work, so that its empty queue would
-/// draw requests from all entries, each in vain.
-pub(crate) fn note(state: &State, error: &Error) {
+/// Only an unreachable backend server counts as failed. Its calls fail faster
+/// than other servers process requests, so its empty queue would attract
+/// requests from all entries, and each of them would fail.
+pub(crate) fn record_error(state: &State, error: &Error) {
     if matches!(error, Error::Connect { .. }) {
-        state.fail();
+        state.mark_failed();
     }
 }
 
-/// Probes the backend server whenever it failed, until `end`.
-pub(crate) async fn watch(state: Rc<State>, end: StopSignal) {
+/// Probes the backend server after each failure until it is reachable again;
+/// returns when `end` is triggered.
+pub(crate) async fn monitor(state: Rc<State>, end: StopSignal) {
     loop {
         tokio::select! {
-            () = state.failure.notified() => {}
+            () = state.backend_failure.notified() => {}
             () = end.wait() => return,
         }
-        warn!("backend failed", kv: { name = state.settings.name.as_str() });
-        meter::failure();
+        warn!("backend server unreachable", kv: { name = state.settings.name.as_str() });
+        metrics::backend_failure();
 
-        let mut pause = PROBE_FIRST;
-        while !answers(&state).await {
+        let mut delay = MIN_PROBE_DELAY;
+        while !probe_succeeds(&state).await {
             if end.is_triggered() {
                 return;
             }
-            tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
-            pause = (pause * 2).min(PROBE_LONGEST);
+            tokio::time::sleep(delay.mul_f64(rand::random_range(0.5..1.0))).await;
+            delay = (delay * 2).min(MAX_PROBE_DELAY);
         }
-        state.recover();
-        info!("backend back", kv: { name = state.settings.name.as_str() });
+        state.mark_recovered();
+        info!("backend server reachable again", kv: { name = state.settings.name.as_str() });
     }
 }
 
-async fn answers(state: &State) -> bool {
+async fn probe_succeeds(state: &State) -> bool {
     let probe = async {
         match &state.backend {
-            Client::Engine(engine) => engine.probe().await,
-            Client::Plain(plain) => plain.probe().await,
+            BackendClient::Engine(engine) => engine.probe().await,
+            BackendClient::Plain(plain) => plain.probe().await,
         }
     };
-    matches!(tokio::time::timeout(PROBE_LIMIT, probe).await, Ok(Ok(())))
+    matches!(tokio::time::timeout(PROBE_TIMEOUT, probe).await, Ok(Ok(())))
 }
--- a/crates/sidecar/src/run/engine.rs
+++ b/crates/sidecar/src/run/engine.rs
@@ -1,4 +1,4 @@
-//! Running a completion at a model engine, whose stream is resumed when its
+//! Runs a completion at a model engine and resumes its stream when the
 //! connection breaks or goes silent. See docs/DECISIONS/0404-silence.md.
 
 use std::cmp::Ordering;
@@ -12,67 +12,69 @@
 use spdlog::warn;
 use wire::{Chunk, ResponseEnd};
 
-use crate::settings::Streams;
-use crate::state::{Entry, State, broken};
-use crate::{health, meter};
+use crate::settings::StreamSettings;
+use crate::state::{Request, State, interrupted};
+use crate::{health, metrics};
 
 use super::failed;
 
-/// The engine's answer when it does not know a stream.
+/// The engine's response status when it does not know a stream.
 const NOT_FOUND: u16 = 404;
 
-/// Silence bounds for the header of a new run. Given up too early, the run may
-/// begin after the engine was asked whether it knows it.
-const HEADER_BOUNDS: u32 = 3;
+/// Timeout for the response header of a new run, as a multiple of the idle
+/// timeout. If it is too short, the run may begin only after the engine was
+/// asked to resume it and answered that it does not know the stream.
+const HEADER_TIMEOUT_FACTOR: u32 = 3;
 
-/// Pause before the second attempt to resume; it doubles with each further.
-const PAUSE: Duration = Duration::from_millis(25);
+/// Delay before the second attempt to resume; it doubles with each further
+/// attempt, up to 16 times this value.
+const RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// Runs a completion to its end and passes its tokens on.
+/// Runs a completion to its end and relays its tokens.
 pub(super) async fn complete(
     state: &State,
-    entry: &Entry,
+    request: &Request,
     engine: &Engine,
     body: Bytes,
 ) -> ResponseEnd {
-    let mut run = Run {
+    let mut run = EngineRun {
         state,
-        entry,
+        request,
         engine,
-        limits: state.settings.streams,
-        next: 0,
-        moved: state.clock.now(),
+        settings: state.settings.streams,
+        next_seq: 0,
+        last_token_at: state.clock.now(),
         attempts: 0,
     };
     tokio::select! {
         end = run.run(body) => end,
-        () = entry.stop.wait() => {
-            // What the engine still makes for it would be wasted.
-            let _ = engine.cancel(entry.ticket).await;
-            state.stopped(entry)
+        () = request.stop.wait() => {
+            // Further tokens would be wasted.
+            let _ = engine.cancel(request.ticket).await;
+            state.stopped_end(request)
         }
     }
 }
 
 /// One completion at an engine.
-struct Run<'a> {
+struct EngineRun<'a> {
     state: &'a State,
-    entry: &'a Entry,
+    request: &'a Request,
     engine: &'a Engine,
-    limits: Streams,
-    /// The number of the next token.
-    next: u32,
-    /// When the last token came.
-    moved: Instant,
-    /// Attempts to resume since then.
+    settings: StreamSettings,
+    /// The sequence number of the next token.
+    next_seq: u32,
+    /// When the last token was received, or when the run began.
+    last_token_at: Instant,
+    /// Number of faults since then.
     attempts: u32,
 }
 
 /// Why a stream stopped before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fault {
-    /// Nothing came for the silence bound. The engine may only be slow;
-    /// resuming then costs it a connection and nothing else.
+pub(crate) enum StreamFault {
+    /// Nothing was received within the idle timeout. The engine may only be
+    /// slow; resuming then costs no more than a new connection.
     Silent,
     /// The connection broke.
     Broken,
@@ -82,8 +84,8 @@
     Unreachable,
 }
 
-impl Fault {
-    /// The word used in labels and logs.
+impl StreamFault {
+    /// The value used in metric labels and log events.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Silent => "silent",
@@ -94,12 +96,15 @@
     }
 }
 
-impl Run<'_> {
+impl EngineRun<'_> {
     async fn run(&mut self, body: Bytes) -> ResponseEnd {
-        let (ticket, tier) = (self.entry.ticket, self.entry.tier);
-        let begun = self.engine.run(ticket, tier, body);
-        let mut fault = match tokio::time::timeout(self.limits.silence.0 * HEADER_BOUNDS, begun)
-            .await
+        let (ticket, tier) = (self.request.ticket, self.request.tier);
+        let response = self.engine.run(ticket, tier, body);
+        let mut fault = match tokio::time::timeout(
+            self.settings.idle_timeout.0 * HEADER_TIMEOUT_FACTOR,
+            response,
+        )
+        .await
         {
             Ok(Ok(events)) => match self.take(events).await {
                 Ok(end) => return end,
@@ -107,50 +112,50 @@
             },
             Ok(Err(e)) if e.not_run() => {
                 warn!("run failed", kv: { ticket = ticket.to_string().as_str(), error = e.to_string().as_str() });
-                health::note(self.state, &e);
+                health::record_error(self.state, &e);
                 return failed(&e);
             }
-            // The request may have arrived; its stream shows.
-            Ok(Err(_)) => Fault::Broken,
-            Err(_) => Fault::Silent,
+            // The request may have arrived; resuming its stream tells.
+            Ok(Err(_)) => StreamFault::Broken,
+            Err(_) => StreamFault::Silent,
         };
 
-        while self.goes_on(fault) {
-            tokio::time::sleep(self.pause()).await;
-            meter::resume(fault);
-            let resumed = self.engine.resume(ticket, self.next);
-            fault = match tokio::time::timeout(self.limits.silence.0, resumed).await {
+        while self.should_retry(fault) {
+            tokio::time::sleep(self.retry_delay()).await;
+            metrics::resume_attempt(fault);
+            let response = self.engine.resume(ticket, self.next_seq);
+            fault = match tokio::time::timeout(self.settings.idle_timeout.0, response).await {
                 Ok(Ok(events)) => match self.take(events).await {
                     Ok(end) => return end,
                     Err(fault) => fault,
                 },
                 Ok(Err(Error::Refused { status, .. })) if status == NOT_FOUND => {
-                    warn!("stream unknown", kv: { ticket = ticket.to_string().as_str(), next = self.next });
-                    return self.lost();
+                    warn!("stream unknown to engine", kv: { ticket = ticket.to_string().as_str(), next = self.next_seq });
+                    return self.lost_end();
                 }
-                Ok(Err(Error::Connect { .. })) => Fault::Unreachable,
-                Ok(Err(_)) => Fault::Broken,
-                Err(_) => Fault::Silent,
+                Ok(Err(Error::Connect { .. })) => StreamFault::Unreachable,
+                Ok(Err(_)) => StreamFault::Broken,
+                Err(_) => StreamFault::Silent,
             };
         }
-        self.give_up(fault).await
+        self.abandon(fault).await
     }
 
-    /// Passes events on until the end or a fault.
+    /// Relays events until the end of the response or a fault.
     async fn take(
         &mut self,
         events: impl Stream<Item = Result<Event, Error>>,
-    ) -> Result<ResponseEnd, Fault> {
+    ) -> Result<ResponseEnd, StreamFault> {
         let mut events = pin!(events);
         loop {
-            let event = tokio::time::timeout(self.limits.silence.0, events.next()).await;
+            let event = tokio::time::timeout(self.settings.idle_timeout.0, events.next()).await;
             match event {
-                Ok(Some(Ok(Event::Token { seq, text }))) => self.token(seq, text)?,
+                Ok(Some(Ok(Event::Token { seq, text }))) => self.relay_token(seq, text)?,
                 Ok(Some(Ok(Event::End {
                     count,
                     finish,
                     cached,
-                }))) if count == self.next => {
+                }))) if count == self.next_seq => {
                     return Ok(ResponseEnd::Complete {
                         chunk_count: count,
                         status: 200,
@@ -158,70 +163,73 @@
                         cached_tokens: cached,
                     });
                 }
-                Ok(Some(Ok(Event::End { .. }))) => return Err(Fault::Gap),
-                Ok(Some(Err(_)) | None) => return Err(Fault::Broken),
-                Err(_) => return Err(Fault::Silent),
+                Ok(Some(Ok(Event::End { .. }))) => return Err(StreamFault::Gap),
+                Ok(Some(Err(_)) | None) => return Err(StreamFault::Broken),
+                Err(_) => return Err(StreamFault::Silent),
             }
         }
     }
 
-    /// Passes one token on, if it is the next.
+    /// Relays a token if it is the next in sequence.
     ///
-    /// A token that came before a fault may come again after resuming, and
-    /// its caller would read it twice. One that is missing would leave a hole
-    /// in an answer that looks whole. The numbers tell both.
-    fn token(&mut self, seq: u32, text: String) -> Result<(), Fault> {
-        match seq.cmp(&self.next) {
-            Ordering::Less => meter::duplicate(),
-            Ordering::Greater => return Err(Fault::Gap),
+    /// A token that was received before a fault may be repeated after resuming,
+    /// and the caller would read it twice. A lost token would leave a gap in a
+    /// response that looks complete. The sequence numbers reveal both.
+    fn relay_token(&mut self, seq: u32, text: String) -> Result<(), StreamFault> {
+        match seq.cmp(&self.next_seq) {
+            Ordering::Less => metrics::duplicate_token(),
+            Ordering::Greater => return Err(StreamFault::Gap),
             Ordering::Equal => {
-                self.next += 1;
-                self.moved = self.state.clock.now();
+                self.next_seq += 1;
+                self.last_token_at = self.state.clock.now();
                 self.attempts = 0;
                 let data = Bytes::from(text);
-                self.state.push(self.entry, Chunk { tokens: 1, data });
+                self.state
+                    .push_chunk(self.request, Chunk { tokens: 1, data });
             }
         }
         Ok(())
     }
 
-    /// Whether to try to resume once more.
-    fn goes_on(&mut self, fault: Fault) -> bool {
-        let still = self.state.clock.now() - self.moved;
+    /// Counts a fault and decides whether to resume the stream once more.
+    fn should_retry(&mut self, fault: StreamFault) -> bool {
+        let since_last_token = self.state.clock.now() - self.last_token_at;
         self.attempts += 1;
         match fault {
-            // Slow and silent look alike; only time tells.
-            Fault::Silent => still < self.limits.patience.0,
-            Fault::Broken | Fault::Gap | Fault::Unreachable => {
-                self.attempts <= self.limits.attempts && still < self.limits.patience.0
+            // A slow engine cannot be told from a silent one, so only the stall
+            // timeout ends the attempts.
+            StreamFault::Silent => since_last_token < self.settings.stall_timeout.0,
+            StreamFault::Broken | StreamFault::Gap | StreamFault::Unreachable => {
+                self.attempts <= self.settings.max_attempts
+                    && since_last_token < self.settings.stall_timeout.0
             }
         }
     }
 
-    fn pause(&self) -> Duration {
+    fn retry_delay(&self) -> Duration {
         match self.attempts {
             0 | 1 => Duration::ZERO,
-            n => PAUSE * 2_u32.saturating_pow(n.min(6) - 2),
+            n => RETRY_DELAY * 2_u32.saturating_pow(n.min(6) - 2),
         }
     }
 
-    async fn give_up(&self, fault: Fault) -> ResponseEnd {
-        let ticket = self.entry.ticket.to_string();
-        warn!("stream given up", kv: { ticket = ticket.as_str(), next = self.next, fault = fault.as_str() });
-        // The engine may go on with it for nobody.
-        if let Err(e) = self.engine.cancel(self.entry.ticket).await {
-            health::note(self.state, &e);
+    async fn abandon(&self, fault: StreamFault) -> ResponseEnd {
+        let ticket = self.request.ticket.to_string();
+        warn!("stream abandoned", kv: { ticket = ticket.as_str(), next = self.next_seq, fault = fault.as_str() });
+        // The engine may still be generating tokens that nobody will receive.
+        if let Err(e) = self.engine.cancel(self.request.ticket).await {
+            health::record_error(self.state, &e);
         }
-        self.lost()
+        self.lost_end()
     }
 
-    /// The end of an answer that cannot be had any more. What the engine did
-    /// with it is not known, beyond the tokens that came.
-    fn lost(&self) -> ResponseEnd {
-        let ran = match self.next {
+    /// The end of a response whose stream is lost. Beyond the received tokens it
+    /// is unknown how far the engine ran the request.
+    fn lost_end(&self) -> ResponseEnd {
+        let ran = match self.next_seq {
             0 => Executed::Unknown,
             _ => Executed::Partial,
         };
-        broken(Refusal::BackendFailed, ran)
+        interrupted(Refusal::BackendFailed, ran)
     }
 }
