--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -10,7 +10,7 @@
 use base::settings::{self, HumanDuration};
 use bundle::{Bundle, Class, Pool, Targets, Workspace};
 use demo::host::Host;
-use entry::settings::Known;
+use entry::settings::SidecarInfo;
 use standin::{Control, Ledger, silence};
 
 /// Port on which every daemon listens, each on an address of its own.
@@ -75,7 +75,7 @@
             hosts.push(self.start_engine(engine));
             hosts.push(self.start_sidecar(i, sidecar, engine));
             hosts.push(start_link(link, sidecar, traffic.clone()));
-            known.push(Known {
+            known.push(SidecarInfo {
                 name: format!("sidecar-{i}"),
                 addr: link,
                 zone: "a".to_owned(),
@@ -138,7 +138,7 @@
     })
 }
 
-fn start_entry(listen: SocketAddr, known: Vec<Known>) -> Host {
+fn start_entry(listen: SocketAddr, known: Vec<SidecarInfo>) -> Host {
     let text = format!(
         r#"{{ "name": "entry", "zone": "a", "listen": "{listen}", "log_level": "error", "seed": 1 }}"#
     );
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -8,7 +8,7 @@
 use base::settings::HumanDuration;
 use bundle::Bundle;
 use clients::hosts::{Host as Listed, Role as Kind, Standing};
-use entry::settings::{Drain, Keys, Known, Roster, Routing};
+use entry::settings::{Drain, HostList, IdempotencyKeys, Routing, SidecarInfo};
 use policy::queue::QueueSettings;
 use sidecar::settings::Backend;
 use standin::hosts::{self, Registry};
@@ -271,10 +271,10 @@
             operators: Some(self.operators(Role::Entry, i)),
             follow: Some(self.follow()),
             sidecars: Vec::new(),
-            roster: Roster {
+            roster: HostList {
                 hosts: Some(self.addr(Role::Hosts, 0)),
                 region: self.fleet.name().to_owned(),
-                ..Roster::default()
+                ..HostList::default()
             },
             drain: Drain {
                 // The demo's callers go on to the next entry at once.
@@ -283,7 +283,7 @@
             },
             fan: 2,
             routing: Routing::default(),
-            keys: Keys::default(),
+            keys: IdempotencyKeys::default(),
             comment: HumanDuration::secs(5),
             body_limit: 4 << 20,
             seed: Some(self.seed + u64::from(i)),
@@ -302,7 +302,7 @@
     }
 
     /// A backend server's sidecar as entries know it.
-    fn known(&self, i: u8) -> Known {
+    fn known(&self, i: u8) -> SidecarInfo {
         let serves = match i < self.fleet.engines() {
             true => self.fleet.model(),
             false => self.fleet.service(),
@@ -312,7 +312,7 @@
         } else {
             Role::Sidecar
         };
-        Known {
+        SidecarInfo {
             name: format!("sidecar-{i}"),
             addr: self.addr(role, i),
             zone: self.fleet.zones()[usize::from(i) % 3].to_owned(),
--- a/crates/demo/tests/whole/common.rs
+++ b/crates/demo/tests/whole/common.rs
@@ -11,7 +11,7 @@
 use base::settings::{self, HumanDuration};
 use bundle::Bundle;
 use demo::host::Host;
-use entry::settings::Known;
+use entry::settings::SidecarInfo;
 use serde_json::Value;
 use sidecar::settings::Backend;
 use standin::Ledger;
@@ -159,7 +159,7 @@
     }
 
     fn entry_settings(&self) -> entry::Settings {
-        let known = |role, serves: &str| Known {
+        let known = |role, serves: &str| SidecarInfo {
             name: format!("s{role}"),
             addr: self.addr(role),
             zone: "z".to_owned(),
--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/bundle_sync.rs
@@ -20,7 +20,7 @@
 use spdlog::debug;
 use wire::CallHeader;
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use crate::state::{Server, State};
 
 /// How long a new request waits for a version that is known to be there.
@@ -37,7 +37,7 @@
 const PEERS: usize = 5;
 
 /// The bundle in force and how it is kept level with the sidecars'.
-pub struct Spread {
+pub struct BundleSync {
     /// The bundle in force.
     pub held: Rc<Held>,
     /// Who may change it; none when the bundle came from a file.
@@ -48,7 +48,7 @@
     last: RefCell<HashMap<ServerIndex, Instant>>,
 }
 
-impl Spread {
+impl BundleSync {
     /// Goes by one bundle for ever.
     #[must_use]
     pub fn fixed(bundle: Bundle) -> Self {
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// Returns the refusal to answer with when no bundle is in force.
-    pub async fn current(&self) -> Result<Rc<Lookup>, Refused> {
+    pub async fn current(&self) -> Result<Rc<Lookup>, RequestError> {
         let ahead = self.ahead.get();
         if self.held.behind(ahead) {
             let reached = tokio::time::timeout(CATCH_UP, self.held.reached(ahead)).await;
@@ -126,7 +126,7 @@
             }
         }
         self.held.bundle().ok_or_else(|| {
-            Refused::not_run(Refusal::NoBundle, "no bundle has been accepted yet")
+            RequestError::not_run(Refusal::NoBundle, "no bundle has been accepted yet")
                 .after(Duration::from_secs(1))
         })
     }
@@ -135,7 +135,7 @@
 /// Asks sidecars for a bundle until one is in force: a fresh entry during an
 /// outage of the log has nobody else to ask. The latest one that holds wins,
 /// since an older one never replaces a later one.
-pub async fn ask_sidecars(state: Rc<State>) {
+pub async fn fetch_initial_bundle(state: Rc<State>) {
     let Some(follower) = state.spread.follower.clone() else {
         return;
     };
--- a/crates/entry/src/shape.rs
+++ b/crates/entry/src/completion.rs
@@ -4,14 +4,14 @@
 use serde::Serialize;
 use wire::Chunk;
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 
 /// Ends a stream of events, by the usual protocol.
 const DONE: &[u8] = b"data: [DONE]\n\n";
 
 /// How the answer to one request is written.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct CompletionWriter {
     id: String,
     model: String,
     chat: bool,
@@ -53,7 +53,7 @@
     total_tokens: u32,
 }
 
-impl Shape {
+impl CompletionWriter {
     /// Prepares to write the answer to one request.
     #[must_use]
     pub fn new(ticket: RequestId, model: &str, chat: bool, prompt: u32) -> Self {
@@ -111,7 +111,7 @@
 
     /// Appends the event that ends an answer that broke off. No end mark
     /// follows, so that no client takes the answer for a whole one.
-    pub fn error(&self, out: &mut Vec<u8>, refused: &Refused) {
+    pub fn error(&self, out: &mut Vec<u8>, refused: &RequestError) {
         out.extend_from_slice(b"data: ");
         // Writing to memory cannot fail.
         let _ = serde_json::to_writer(&mut *out, &refused.body());
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -9,7 +9,7 @@
 use policy::placement::{PlacementRequest, ServerIndex};
 use policy::retry::{FailedAttempt, RetryDecision};
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use crate::request::Request;
 use crate::reserve::{Rejection, Round};
 use crate::start::{Outcome, Run};
@@ -28,12 +28,12 @@
     /// Its run.
     pub run: Run,
     /// The tries so far.
-    pub tries: Tries,
+    pub tries: Attempts,
 }
 
 /// The tries of one request so far.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct Attempts {
     /// Sidecars that failed or refused it.
     tried: Vec<ServerIndex>,
     /// Rounds of reservations that gave no slot.
@@ -44,7 +44,7 @@
     ran: Option<Executed>,
 }
 
-impl Tries {
+impl Attempts {
     /// Notes that a try ran or may have run.
     pub fn note(&mut self, ran: Executed) {
         if ran != Executed::No && self.ran != Some(Executed::Partial) {
@@ -56,21 +56,21 @@
     /// or lost at one server and then refused by the next did run: its caller
     /// would otherwise hear "not run" while its tokens were made.
     #[must_use]
-    pub fn tell(&self, refused: Refused) -> Refused {
+    pub fn tell(&self, refused: RequestError) -> RequestError {
         let ran = match refused.ran {
             Executed::No => self.ran.unwrap_or(Executed::No),
             ran => ran,
         };
-        Refused { ran, ..refused }
+        RequestError { ran, ..refused }
     }
 }
 
 /// A try that came to nothing, and what its caller is told if it is the last.
-pub struct Failed {
+pub struct AttemptFailure {
     /// What is known about it.
     pub failure: FailedAttempt,
     /// The refusal.
-    pub refused: Refused,
+    pub refused: RequestError,
 }
 
 /// Gets a slot and starts the request there.
@@ -78,8 +78,8 @@
 /// # Errors
 ///
 /// Returns the refusal to answer with when the request could not be started.
-pub async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, Refused> {
-    let mut tries = Tries::default();
+pub async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, RequestError> {
+    let mut tries = Attempts::default();
     match place(state, request, &mut tries, None).await {
         Ok(run) => Ok(Granted { run, tries }),
         Err(refused) => Err(tries.tell(refused)),
@@ -91,13 +91,13 @@
 /// # Errors
 ///
 /// Returns the refusal to answer with when it must not or cannot run again.
-pub async fn again(
+pub async fn retry(
     state: &Rc<State>,
     request: &Request,
-    mut tries: Tries,
+    mut tries: Attempts,
     server: ServerIndex,
-    failed: Failed,
-) -> Result<Granted, Refused> {
+    failed: AttemptFailure,
+) -> Result<Granted, RequestError> {
     tries.tried.push(server);
     tries.begun = true;
     tries.note(failed.failure.ran);
@@ -110,9 +110,9 @@
 async fn place(
     state: &Rc<State>,
     request: &Request,
-    tries: &mut Tries,
-    mut failed: Option<Failed>,
-) -> Result<Run, Refused> {
+    tries: &mut Attempts,
+    mut failed: Option<AttemptFailure>,
+) -> Result<Run, RequestError> {
     let mut ticket = request.ticket;
     loop {
         let chosen = choose(state, request, tries);
@@ -140,13 +140,13 @@
         };
         // The last wait before the start is over.
         if !request.may_start(state.clock.now()) {
-            return Err(idempotency::lapsed());
+            return Err(idempotency::claim_expired());
         }
         match run.start(request).await {
             Outcome::Running => {
                 let share = state.shares().retries;
                 state.budget.borrow_mut().earn(&request.class, share);
-                counters::grant(request.promise.tier);
+                counters::count_grant(request.promise.tier);
                 return Ok(run);
             }
             outcome => {
@@ -159,7 +159,7 @@
     }
 }
 
-fn choose(state: &State, request: &Request, tries: &Tries) -> Vec<ServerIndex> {
+fn choose(state: &State, request: &Request, tries: &Attempts) -> Vec<ServerIndex> {
     let want = PlacementRequest {
         target: &request.target,
         prefix_hash: request.prefix,
@@ -174,11 +174,11 @@
 fn admit(
     state: &State,
     request: &Request,
-    tries: &Tries,
-    failed: Failed,
+    tries: &Attempts,
+    failed: AttemptFailure,
     alone: bool,
-) -> Result<(), Refused> {
-    let Failed { failure, refused } = failed;
+) -> Result<(), RequestError> {
+    let AttemptFailure { failure, refused } = failed;
     let left = time_left(state, request, tries);
     let need = time_needed(state, request, tries);
     if alone || failure.decide(request.repeatable, left, need) != RetryDecision::Again {
@@ -193,7 +193,7 @@
     );
     if !free && !state.budget.borrow_mut().take(&request.class) {
         return Err(match refused.reason {
-            Refusal::NoServer => Refused {
+            Refusal::NoServer => RequestError {
                 reason: Refusal::RetryBudget,
                 ..refused
             },
@@ -206,7 +206,7 @@
 
 /// Time until the first piece is due; once an answer was begun and lost, only
 /// the end counts.
-fn time_left(state: &State, request: &Request, tries: &Tries) -> Duration {
+fn time_left(state: &State, request: &Request, tries: &Attempts) -> Duration {
     let now = state.clock.now();
     let waited = now.saturating_duration_since(request.arrived);
     let targets = &request.promise.targets;
@@ -217,7 +217,7 @@
 }
 
 /// What another try takes at least, until the piece that is due.
-fn time_needed(state: &State, request: &Request, tries: &Tries) -> Duration {
+fn time_needed(state: &State, request: &Request, tries: &Attempts) -> Duration {
     let now = state.clock.now();
     let usual = state
         .placement
@@ -230,13 +230,13 @@
     usual.first_token
 }
 
-fn no_server() -> Refused {
-    Refused::not_run(Refusal::NoServer, "no backend server can take it").after(RETRY_AFTER)
+fn no_server() -> RequestError {
+    RequestError::not_run(Refusal::NoServer, "no backend server can take it").after(RETRY_AFTER)
 }
 
 /// A round in which no sidecar gave a slot. The refusal that tells the caller
 /// most stands for all.
-fn rejected(rejections: &[Rejection]) -> Failed {
+fn rejected(rejections: &[Rejection]) -> AttemptFailure {
     let telling = rejections
         .iter()
         .filter(|r| r.cause == RetryReason::Refused)
@@ -248,9 +248,9 @@
     let reason = telling.and_then(|r| r.refusal);
     let refused = match reason {
         None | Some(Refusal::Draining) => no_server(),
-        Some(reason) => Refused::not_run(reason, "no backend server can take it in time"),
+        Some(reason) => RequestError::not_run(reason, "no backend server can take it in time"),
     };
-    Failed {
+    AttemptFailure {
         failure: FailedAttempt {
             cause,
             ran: Executed::No,
@@ -261,12 +261,14 @@
 }
 
 /// A start after which the request does not run, or may not.
-fn not_started(outcome: Outcome) -> Failed {
+fn not_started(outcome: Outcome) -> AttemptFailure {
     let (cause, ran, refused) = match outcome {
         Outcome::NotRun(cause) => (cause, Executed::No, no_server()),
-        Outcome::Running | Outcome::Unknown => (RetryReason::Unknown, Executed::Unknown, unknown()),
+        Outcome::Running | Outcome::Unknown => {
+            (RetryReason::Unknown, Executed::Unknown, outcome_unknown())
+        }
     };
-    Failed {
+    AttemptFailure {
         failure: FailedAttempt {
             cause,
             ran,
@@ -277,8 +279,8 @@
 }
 
 /// The answer when nobody can tell whether the request ran.
-pub(crate) fn unknown() -> Refused {
-    Refused {
+pub(crate) fn outcome_unknown() -> RequestError {
+    RequestError {
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
         after: None,
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -8,7 +8,7 @@
 use metrics::counter;
 use spdlog::{info, warn};
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use crate::state::State;
 
 /// How long connections may take to close once nothing is in progress. A
@@ -51,20 +51,23 @@
 
 /// The refusal of a request that comes too late.
 #[must_use]
-pub fn refused() -> Refused {
-    Refused::not_run(Refusal::Draining, "this entry stops; ask another one")
+pub fn draining_error() -> RequestError {
+    RequestError::not_run(Refusal::Draining, "this entry stops; ask another one")
         .after(Duration::from_secs(1))
 }
 
 /// How a request ends that the cut-off meets; it may have run.
 #[must_use]
-pub fn cut_off(begun: bool) -> Refused {
+pub fn cutoff_error(begun: bool) -> RequestError {
     let ran = if begun {
         Executed::Partial
     } else {
         Executed::Unknown
     };
-    Refused { ran, ..refused() }
+    RequestError {
+        ran,
+        ..draining_error()
+    }
 }
 
 /// Waits until no request is in progress.
--- a/crates/entry/src/refuse.rs
+++ b/crates/entry/src/error.rs
@@ -10,7 +10,7 @@
 
 /// A refusal with everything that its caller is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refused {
+pub struct RequestError {
     /// Why.
     pub reason: Refusal,
     /// Whether the request ran.
@@ -39,7 +39,7 @@
     pub ran: &'a str,
 }
 
-impl Refused {
+impl RequestError {
     /// Makes a refusal of a request that did not run.
     #[must_use]
     pub fn not_run(reason: Refusal, hint: &str) -> Self {
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -12,13 +12,13 @@
 use bytes::Bytes;
 use futures_util::stream;
 
+use crate::completion::CompletionWriter;
 use crate::dispatch::Granted;
 use crate::drain;
-use crate::refuse::Refused;
-use crate::relay::{Answer, Part};
+use crate::error::RequestError;
+use crate::relay::{ResponsePart, ResponseStream};
 use crate::request::Request;
-use crate::shape::Shape;
-use crate::state::{Open, State};
+use crate::state::{OpenRequest, State};
 use crate::{dispatch, idempotency};
 
 /// A line that every reader of server-sent events skips.
@@ -74,20 +74,20 @@
         http.method(),
         http.path()
     );
-    Refused::not_run(Refusal::UnknownTarget, &hint).response()
+    RequestError::not_run(Refusal::UnknownTarget, &hint).response()
 }
 
 async fn completion(
     http: &HttpRequest,
     body: Result<Bytes, Error>,
     chat: bool,
-) -> Result<HttpResponse, Refused> {
+) -> Result<HttpResponse, RequestError> {
     let (state, open) = enter(http)?;
     let bundle = state.spread.current().await?;
     let body = body.map_err(|e| unread(&e, state))?;
     let request = Request::completion(http, body, chat, &bundle, state.clock.now())?;
 
-    idempotency::once(state, request, async move |request| {
+    idempotency::run_once(state, request, async move |request| {
         complete(state, request, chat, open).await
     })
     .await
@@ -97,12 +97,12 @@
     state: &Rc<State>,
     request: Request,
     chat: bool,
-    open: Open,
-) -> Result<HttpResponse, Refused> {
+    open: OpenRequest,
+) -> Result<HttpResponse, RequestError> {
     let granted = grant(state, &request).await?;
-    let shape = Shape::new(request.ticket, &request.target, chat, request.prompt);
+    let shape = CompletionWriter::new(request.ticket, &request.target, chat, request.prompt);
     let stream = request.stream;
-    let answer = Answer::new(Rc::clone(state), request, granted);
+    let answer = ResponseStream::new(Rc::clone(state), request, granted);
     if stream {
         return Ok(streamed(answer, shape, open));
     }
@@ -118,21 +118,21 @@
     http: &HttpRequest,
     target: (&str, &str),
     body: Result<Bytes, Error>,
-) -> Result<HttpResponse, Refused> {
+) -> Result<HttpResponse, RequestError> {
     let (state, _open) = enter(http)?;
     let bundle = state.spread.current().await?;
     let body = body.map_err(|e| unread(&e, state))?;
     let request = Request::call(http, body, target, &bundle, state.clock.now())?;
 
-    idempotency::once(state, request, async move |request| {
+    idempotency::run_once(state, request, async move |request| {
         call_once(state, request).await
     })
     .await
 }
 
-async fn call_once(state: &Rc<State>, request: Request) -> Result<HttpResponse, Refused> {
+async fn call_once(state: &Rc<State>, request: Request) -> Result<HttpResponse, RequestError> {
     let granted = grant(state, &request).await?;
-    let whole = collect(Answer::new(Rc::clone(state), request, granted)).await?;
+    let whole = collect(ResponseStream::new(Rc::clone(state), request, granted)).await?;
     let status = StatusCode::from_u16(whole.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
     if !whole.finish.is_empty() {
@@ -142,35 +142,35 @@
 }
 
 /// Takes a request as in progress, unless it comes after the entry drained.
-fn enter(http: &HttpRequest) -> Result<(&Rc<State>, Open), Refused> {
+fn enter(http: &HttpRequest) -> Result<(&Rc<State>, OpenRequest), RequestError> {
     let state = http.app_data::<Rc<State>>();
     let state =
-        state.ok_or_else(|| Refused::not_run(Refusal::NoBundle, "the entry is not set up"))?;
+        state.ok_or_else(|| RequestError::not_run(Refusal::NoBundle, "the entry is not set up"))?;
     if state.refusing.get() {
-        return Err(drain::refused());
+        return Err(drain::draining_error());
     }
     Ok((state, state.open()))
 }
 
 /// Gets the request to run, unless the drain's limit passes.
-async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, Refused> {
+async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, RequestError> {
     tokio::select! {
         granted = dispatch::grant(state, request) => granted,
-        () = state.cutoff.wait() => Err(drain::cut_off(false)),
+        () = state.cutoff.wait() => Err(drain::cutoff_error(false)),
     }
 }
 
 /// The refusal of a body that could not be read.
-fn unread(error: &Error, state: &State) -> Refused {
+fn unread(error: &Error, state: &State) -> RequestError {
     let status = error.as_response_error().status_code();
     if status == StatusCode::PAYLOAD_TOO_LARGE {
         let hint = format!(
             "the body is larger than {} bytes",
             state.settings.body_limit
         );
-        return Refused::not_run(Refusal::TooLarge, &hint);
+        return RequestError::not_run(Refusal::TooLarge, &hint);
     }
-    Refused::not_run(
+    RequestError::not_run(
         Refusal::BadRequest,
         &format!("the body could not be read: {error}"),
     )
@@ -185,12 +185,12 @@
 }
 
 /// Waits for the whole answer.
-async fn collect(mut answer: Answer) -> Result<Whole, Refused> {
+async fn collect(mut answer: ResponseStream) -> Result<Whole, RequestError> {
     let (mut body, mut tokens) = (Vec::new(), 0);
     loop {
         let (pieces, end) = match answer.part().await? {
-            Part::Pieces(pieces) => (pieces, None),
-            Part::Whole {
+            ResponsePart::Chunks(pieces) => (pieces, None),
+            ResponsePart::Complete {
                 chunks,
                 status,
                 finish_reason,
@@ -212,11 +212,11 @@
 }
 
 /// An answer whose next part is waited for.
-type Waiting = Pin<Box<dyn Future<Output = (Answer, Result<Part, Refused>)>>>;
+type Waiting = Pin<Box<dyn Future<Output = (ResponseStream, Result<ResponsePart, RequestError>)>>>;
 
 /// Waits for an answer's next part. Taking a part must not be dropped halfway,
 /// so the wait is kept from one comment to the next.
-fn wait(mut answer: Answer) -> Waiting {
+fn wait(mut answer: ResponseStream) -> Waiting {
     Box::pin(async move {
         let part = answer.part().await;
         (answer, part)
@@ -228,7 +228,7 @@
 /// With nothing to write, a caller that vanished without closing its
 /// connection would never be noticed, and its request would hold a slot. A
 /// comment, which callers skip, makes its host answer with a reset.
-fn streamed(answer: Answer, shape: Shape, open: Open) -> HttpResponse {
+fn streamed(answer: ResponseStream, shape: CompletionWriter, open: OpenRequest) -> HttpResponse {
     let every = answer.comment();
     let state = Some((wait(answer), shape, open));
     let body = stream::unfold(state, move |state| async move {
@@ -241,11 +241,11 @@
 
         let mut out = Vec::new();
         let more = match part {
-            Ok(Part::Pieces(pieces)) => {
+            Ok(ResponsePart::Chunks(pieces)) => {
                 shape.pieces(&mut out, &pieces);
                 true
             }
-            Ok(Part::Whole {
+            Ok(ResponsePart::Complete {
                 chunks,
                 finish_reason,
                 ..
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -26,9 +26,9 @@
 use tokio::sync::Notify;
 use wire::BackendRequest;
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use crate::request::Request;
-use crate::state::{Open, State};
+use crate::state::{OpenRequest, State};
 
 /// Bytes of answers that are kept at the most, over all keys.
 const KEPT_BYTES: usize = 16 << 20;
@@ -41,7 +41,7 @@
 
 /// The calls with a key that this entry keeps.
 #[derive(Default)]
-pub struct Calls {
+pub struct KeyedCalls {
     by_key: RefCell<HashMap<Hash, Rc<Call>>>,
     /// Keys in the order in which their calls came.
     order: RefCell<VecDeque<Hash>>,
@@ -55,7 +55,7 @@
     asks: Hash,
     head: RefCell<Option<Head>>,
     body: RefCell<Vec<u8>>,
-    end: RefCell<Option<Result<(), Refused>>>,
+    end: RefCell<Option<Result<(), RequestError>>>,
     changed: Notify,
 }
 
@@ -72,11 +72,11 @@
 /// # Errors
 ///
 /// Returns the refusal to answer with.
-pub async fn once(
+pub async fn run_once(
     state: &Rc<State>,
     mut request: Request,
-    run: impl AsyncFnOnce(Request) -> Result<HttpResponse, Refused>,
-) -> Result<HttpResponse, Refused> {
+    run: impl AsyncFnOnce(Request) -> Result<HttpResponse, RequestError>,
+) -> Result<HttpResponse, RequestError> {
     let Some(key) = request.key.clone() else {
         return run(request).await;
     };
@@ -110,7 +110,7 @@
     request: &Request,
     key: &str,
     asks: Hash,
-) -> Result<Option<Rc<Claim>>, Refused> {
+) -> Result<Option<Rc<Claim>>, RequestError> {
     let Some(claims) = &state.claims else {
         return Ok(None);
     };
@@ -122,7 +122,7 @@
 }
 
 /// What a caller is told whose key is not its own.
-fn refusal(denied: Denied) -> Refused {
+fn refusal(denied: Denied) -> RequestError {
     let (ran, hint) = match (denied.reason, denied.end) {
         (Refusal::KeyReused, _) => (Executed::No, "the key was used with another request"),
         (Refusal::KeyInUse, Some(End::Whole)) => {
@@ -134,7 +134,7 @@
             "the platform's log is needed and does not answer",
         ),
     };
-    Refused {
+    RequestError {
         reason: denied.reason,
         ran,
         after: denied.after.map(|a| a.max(Duration::from_secs(1))),
@@ -144,9 +144,9 @@
 
 /// The refusal of a call that waited longer than its claim lasts.
 #[must_use]
-pub fn lapsed() -> Refused {
+pub fn claim_expired() -> RequestError {
     let hint = "the claim of the idempotency key lapsed while the call waited";
-    Refused::not_run(Refusal::Expired, hint).after(Duration::from_secs(1))
+    RequestError::not_run(Refusal::Expired, hint).after(Duration::from_secs(1))
 }
 
 /// Hash of what a call asks for.
@@ -201,7 +201,7 @@
 
     /// Ends the call with a refusal. One that did not run leaves the key
     /// free, so that its caller may try again.
-    fn refuse(&self, refused: &Refused) {
+    fn refuse(&self, refused: &RequestError) {
         self.settled.set(true);
         self.call.finish(Err(refused.clone()));
         if refused.ran == Executed::No || refused.reason == Refusal::KeyInUse {
@@ -307,8 +307,8 @@
     }
 }
 
-fn gone() -> Refused {
-    Refused {
+fn gone() -> RequestError {
+    RequestError {
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
         after: None,
@@ -317,10 +317,10 @@
 }
 
 /// Answers a further call with the first one's answer.
-async fn join(call: Rc<Call>, asks: Hash, open: Open) -> Result<HttpResponse, Refused> {
+async fn join(call: Rc<Call>, asks: Hash, open: OpenRequest) -> Result<HttpResponse, RequestError> {
     if call.asks != asks {
         let hint = "the key was used with another request";
-        return Err(Refused::not_run(Refusal::KeyReused, hint));
+        return Err(RequestError::not_run(Refusal::KeyReused, hint));
     }
     let head = call.begun().await?;
     metrics::counter!("pimentocart_claims_total", "outcome" => "joined").increment(1);
@@ -340,7 +340,7 @@
 }
 
 impl Call {
-    fn finish(&self, end: Result<(), Refused>) {
+    fn finish(&self, end: Result<(), RequestError>) {
         self.end.borrow_mut().get_or_insert(end);
         self.changed.notify_waiters();
     }
@@ -352,7 +352,7 @@
     }
 
     /// Waits until the answer has begun.
-    async fn begun(&self) -> Result<Head, Refused> {
+    async fn begun(&self) -> Result<Head, RequestError> {
         loop {
             let changed = self.changed.notified();
             if let Some(head) = self.head.borrow().clone() {
@@ -383,14 +383,14 @@
 }
 
 /// Adds the error event by which a stream of events tells that it broke off.
-fn write_error(out: &mut Vec<u8>, refused: &Refused) {
+fn write_error(out: &mut Vec<u8>, refused: &RequestError) {
     out.extend_from_slice(b"data: ");
     // Writing to memory cannot fail.
     let _ = serde_json::to_writer(&mut *out, &refused.body());
     out.extend_from_slice(b"\n\n");
 }
 
-impl Calls {
+impl KeyedCalls {
     fn insert(&self, key: Hash, call: &Rc<Call>) {
         self.by_key.borrow_mut().insert(key, Rc::clone(call));
         self.order.borrow_mut().push_back(key);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -18,19 +18,19 @@
 //! - [`counters`]: what placement counts.
 //! - [`refuse`]: the answer to a request that is refused.
 
+pub mod bundle_sync;
+pub mod completion;
 pub mod counters;
 pub mod dispatch;
 pub mod drain;
+pub mod error;
 pub mod http;
 pub mod idempotency;
-pub mod refuse;
+pub mod membership;
 pub mod relay;
 pub mod request;
 pub mod reserve;
-pub mod roster;
 pub mod settings;
-pub mod shape;
-pub mod spread;
 pub mod start;
 pub mod state;
 pub mod status;
@@ -46,8 +46,8 @@
 use bundle::Bundle;
 use spdlog::info;
 
+use bundle_sync::BundleSync;
 pub use settings::Settings;
-use spread::Spread;
 use state::State;
 
 /// What an operator is told who gave neither a log nor a bundle.
@@ -67,16 +67,16 @@
 pub async fn run(settings: Settings, bundle: Option<Bundle>, stop: StopSignal) -> io::Result<()> {
     settings.check().map_err(io::Error::other)?;
     let spread = match (bundle, settings.follow.clone()) {
-        (Some(bundle), _) => Spread::fixed(bundle),
-        (None, Some(follow)) => Spread::follow(follow, Rc::new(SystemClock)),
+        (Some(bundle), _) => BundleSync::fixed(bundle),
+        (None, Some(follow)) => BundleSync::follow(follow, Rc::new(SystemClock)),
         (None, None) => return Err(io::Error::other(NO_BUNDLE)),
     };
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     let listener = listen("listen", settings.listen).await?;
     let operators = settings.operators;
     let state = State::new(settings, spread, clock);
-    actix_rt::spawn(spread::ask_sidecars(Rc::clone(&state)));
-    roster::Roster::new(Rc::clone(&state)).start();
+    actix_rt::spawn(bundle_sync::fetch_initial_bundle(Rc::clone(&state)));
+    membership::MembershipActor::new(Rc::clone(&state)).start();
 
     // The operators' address goes on until the process ends, so that a drain
     // can be watched.
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/membership.rs
@@ -14,7 +14,7 @@
 use spdlog::{info, warn};
 use wire::PullRequest;
 
-use crate::settings::Known;
+use crate::settings::SidecarInfo;
 use crate::state::{Server, State};
 
 /// How often sidecars that may come back or be gone are asked.
@@ -29,7 +29,7 @@
 
 /// Follows the host list, and asks after sidecars that the list or their own
 /// word calls gone.
-pub struct Roster {
+pub struct MembershipActor {
     state: Rc<State>,
     hosts: Option<Rc<Hosts>>,
     known: Membership,
@@ -39,7 +39,7 @@
     asking: Rc<Cell<usize>>,
 }
 
-impl Roster {
+impl MembershipActor {
     /// Makes the roster of an entry.
     #[must_use]
     pub fn new(state: Rc<State>) -> Self {
@@ -170,7 +170,7 @@
 
     /// Gives the entry the sidecars that it should know.
     fn apply(&self) {
-        let chosen: Vec<Known> = self
+        let chosen: Vec<SidecarInfo> = self
             .known
             .chosen_sidecars()
             .into_iter()
@@ -192,7 +192,7 @@
     }
 }
 
-impl Actor for Roster {
+impl Actor for MembershipActor {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
@@ -201,7 +201,7 @@
     }
 }
 
-fn named(known: &Known) -> Host {
+fn named(known: &SidecarInfo) -> Host {
     let kind = HostKind::Sidecar {
         serves: known.serves.clone(),
     };
@@ -230,11 +230,11 @@
     }
 }
 
-fn known(host: &Host) -> Option<Known> {
+fn known(host: &Host) -> Option<SidecarInfo> {
     let HostKind::Sidecar { serves } = &host.kind else {
         return None;
     };
-    Some(Known {
+    Some(SidecarInfo {
         name: host.name.clone(),
         addr: host.addr,
         zone: host.zone.clone(),
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -11,9 +11,9 @@
 use wire::{Chunk, PullOutcome, PullRequest, ResponseEnd};
 
 use crate::counters;
-use crate::dispatch::{self, Failed, Granted, Tries};
+use crate::dispatch::{self, AttemptFailure, Attempts, Granted};
 use crate::drain;
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use crate::request::Request;
 use crate::reserve::cause;
 use crate::start::Run;
@@ -27,11 +27,11 @@
 const PULLS: u32 = 2;
 
 /// The answer of one request as it comes in.
-pub struct Answer {
+pub struct ResponseStream {
     state: Rc<State>,
     request: Request,
     run: Run,
-    tries: Tries,
+    tries: Attempts,
     /// The number of the next piece.
     next: u32,
     /// Tokens in this run's pieces so far.
@@ -41,11 +41,11 @@
 }
 
 /// What came in.
-pub enum Part {
+pub enum ResponsePart {
     /// Pieces, in order.
-    Pieces(Vec<Chunk>),
+    Chunks(Vec<Chunk>),
     /// The end of a whole answer, after its last pieces.
-    Whole {
+    Complete {
         /// The last pieces.
         chunks: Vec<Chunk>,
         /// HTTP status of a plain service's answer.
@@ -55,7 +55,7 @@
     },
 }
 
-impl Answer {
+impl ResponseStream {
     /// Starts to take in the answer of a granted request.
     #[must_use]
     pub fn new(state: Rc<State>, request: Request, granted: Granted) -> Self {
@@ -77,13 +77,13 @@
     /// # Errors
     ///
     /// Returns how the answer broke off.
-    pub async fn part(&mut self) -> Result<Part, Refused> {
+    pub async fn part(&mut self) -> Result<ResponsePart, RequestError> {
         let cutoff = self.state.cutoff.clone();
         tokio::select! {
             part = self.next_part() => return part,
             () = cutoff.wait() => {}
         }
-        Err(drain::cut_off(self.next > 0))
+        Err(drain::cutoff_error(self.next > 0))
     }
 
     /// How long its stream may bring nothing until a comment is written.
@@ -92,14 +92,14 @@
         self.state.settings.comment.0
     }
 
-    async fn next_part(&mut self) -> Result<Part, Refused> {
+    async fn next_part(&mut self) -> Result<ResponsePart, RequestError> {
         loop {
             match self.pull().await {
-                Ok(Part::Pieces(pieces)) if self.request.stream => {
-                    return Ok(Part::Pieces(pieces));
+                Ok(ResponsePart::Chunks(pieces)) if self.request.stream => {
+                    return Ok(ResponsePart::Chunks(pieces));
                 }
-                Ok(Part::Pieces(pieces)) => self.kept.extend(pieces),
-                Ok(Part::Whole {
+                Ok(ResponsePart::Chunks(pieces)) => self.kept.extend(pieces),
+                Ok(ResponsePart::Complete {
                     mut chunks,
                     status,
                     finish_reason,
@@ -108,7 +108,7 @@
                         self.kept.append(&mut chunks);
                         chunks = std::mem::take(&mut self.kept);
                     }
-                    return Ok(Part::Whole {
+                    return Ok(ResponsePart::Complete {
                         chunks,
                         status,
                         finish_reason,
@@ -120,16 +120,16 @@
     }
 
     /// Runs the request again after its run failed.
-    async fn again(&mut self, mut failed: Failed) -> Result<(), Refused> {
+    async fn again(&mut self, mut failed: AttemptFailure) -> Result<(), RequestError> {
         failed.failure.delivered = self.delivered();
         if failed.failure.cause == RetryReason::Preempted {
             self.request.preempted += 1;
         }
         let tries = std::mem::take(&mut self.tries);
         let server = self.run.server.index;
-        let granted = dispatch::again(&self.state, &self.request, tries, server, failed).await?;
+        let granted = dispatch::retry(&self.state, &self.request, tries, server, failed).await?;
 
-        counters::wasted(u64::from(self.tokens));
+        counters::count_wasted_tokens(u64::from(self.tokens));
         self.run = granted.run;
         self.tries = granted.tries;
         self.next = 0;
@@ -145,7 +145,7 @@
     }
 
     /// Waits for the next pieces of this run.
-    async fn pull(&mut self) -> Result<Part, Failed> {
+    async fn pull(&mut self) -> Result<ResponsePart, AttemptFailure> {
         let hold = self.state.settings.routing.poll.0;
         let mut failing: Option<(Instant, u32)> = None;
         loop {
@@ -195,7 +195,7 @@
     }
 
     /// Checks what was pulled and counts it.
-    fn take(&mut self, pulled: PullOutcome) -> Result<Option<Part>, Failed> {
+    fn take(&mut self, pulled: PullOutcome) -> Result<Option<ResponsePart>, AttemptFailure> {
         let PullOutcome::Chunks {
             first,
             mut chunks,
@@ -216,7 +216,7 @@
 
         match end {
             None if chunks.is_empty() => Ok(None),
-            None => Ok(Some(Part::Pieces(chunks))),
+            None => Ok(Some(ResponsePart::Chunks(chunks))),
             Some(ResponseEnd::Complete {
                 chunk_count,
                 status,
@@ -224,7 +224,7 @@
                 ..
             }) if chunk_count == self.next => {
                 self.whole();
-                Ok(Some(Part::Whole {
+                Ok(Some(ResponsePart::Complete {
                     chunks,
                     status,
                     finish_reason,
@@ -243,7 +243,7 @@
     }
 
     /// The sidecar says that the run broke off.
-    fn broken(&self, reason: Refusal, ran: Executed) -> Failed {
+    fn broken(&self, reason: Refusal, ran: Executed) -> AttemptFailure {
         self.run.over();
         if reason == Refusal::BackendFailed {
             self.state.ran(&self.run.server, false);
@@ -257,13 +257,13 @@
             Refusal::Preempted => RetryReason::Preempted,
             _ => RetryReason::BackendFailed,
         };
-        Failed {
+        AttemptFailure {
             failure: FailedAttempt {
                 cause,
                 ran,
                 delivered: self.delivered(),
             },
-            refused: Refused {
+            refused: RequestError {
                 reason,
                 ran,
                 after: None,
@@ -273,13 +273,13 @@
     }
 
     /// The answer can no longer be had from the sidecar.
-    fn lost(&self, cause: RetryReason) -> Failed {
-        let mut refused = dispatch::unknown();
+    fn lost(&self, cause: RetryReason) -> AttemptFailure {
+        let mut refused = dispatch::outcome_unknown();
         if self.delivered() {
             refused.reason = Refusal::Truncated;
             refused.ran = Executed::Partial;
         }
-        Failed {
+        AttemptFailure {
             failure: FailedAttempt {
                 cause,
                 ran: refused.ran,
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -3,8 +3,8 @@
 //! - [`body`]: what the router reads of a completion's body.
 //! - [`rights`]: who asks, and for which class.
 
+pub mod access;
 pub mod body;
-pub mod rights;
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 use claims::Claim;
 use wire::{BackendRequest, ReserveRequest};
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use body::Body;
 
 /// Header that marks one call as not repeatable.
@@ -79,19 +79,19 @@
         chat: bool,
         bundle: &Lookup,
         now: Instant,
-    ) -> Result<Self, Refused> {
-        let workspace = rights::workspace(http, bundle)?;
+    ) -> Result<Self, RequestError> {
+        let workspace = access::workspace(http, bundle)?;
         let body = Body::parse(&raw, chat)?;
         let model = body.model.as_deref();
-        let (class, promise) = rights::class(http, model, bundle)?;
-        rights::entitled(bundle, workspace, class)?;
-        let target = rights::model(bundle, model, promise)?;
+        let (class, promise) = access::class(http, model, bundle)?;
+        access::check_entitled(bundle, workspace, class)?;
+        let target = access::model(bundle, model, promise)?;
         let key = key(http)?;
 
         Ok(Self {
             ticket: RequestId::random(),
             workspace: workspace.to_owned(),
-            weight: rights::weight(bundle, workspace),
+            weight: access::weight(bundle, workspace),
             class: class.to_owned(),
             promise: promise.clone(),
             target: target.to_owned(),
@@ -120,11 +120,11 @@
         (name, path): (&str, &str),
         bundle: &Lookup,
         now: Instant,
-    ) -> Result<Self, Refused> {
-        let workspace = rights::workspace(http, bundle)?;
-        let service = rights::service(bundle, name)?;
-        let (class, promise) = rights::class(http, Some(&service.class), bundle)?;
-        rights::entitled(bundle, workspace, class)?;
+    ) -> Result<Self, RequestError> {
+        let workspace = access::workspace(http, bundle)?;
+        let service = access::service(bundle, name)?;
+        let (class, promise) = access::class(http, Some(&service.class), bundle)?;
+        access::check_entitled(bundle, workspace, class)?;
         let key = key(http)?;
 
         let query = http.query_string();
@@ -139,7 +139,7 @@
         Ok(Self {
             ticket: RequestId::random(),
             workspace: workspace.to_owned(),
-            weight: rights::weight(bundle, workspace),
+            weight: access::weight(bundle, workspace),
             class: class.to_owned(),
             promise: promise.clone(),
             target: name.to_owned(),
@@ -193,20 +193,20 @@
 }
 
 /// The idempotency key, if the caller sent one.
-fn key(http: &HttpRequest) -> Result<Option<String>, Refused> {
+fn key(http: &HttpRequest) -> Result<Option<String>, RequestError> {
     let Some(value) = http.headers().get(IDEMPOTENCY_KEY) else {
         return Ok(None);
     };
     let text = value.to_str().unwrap_or("");
     if text.is_empty() || text.len() > KEY_LIMIT {
         let hint = format!("{IDEMPOTENCY_KEY} takes 1 to {KEY_LIMIT} visible ASCII characters");
-        return Err(Refused::not_run(Refusal::BadRequest, &hint));
+        return Err(RequestError::not_run(Refusal::BadRequest, &hint));
     }
     Ok(Some(text.to_owned()))
 }
 
 /// Whether the caller allows the call to run again.
-fn repeatable(http: &HttpRequest) -> Result<bool, Refused> {
+fn repeatable(http: &HttpRequest) -> Result<bool, RequestError> {
     let Some(value) = http.headers().get(NO_REPEAT) else {
         return Ok(true);
     };
@@ -216,7 +216,7 @@
         // Taken for "may repeat", a misspelt mark could send a letter twice.
         _ => {
             let hint = format!("{NO_REPEAT} takes true or false");
-            Err(Refused::not_run(Refusal::BadRequest, &hint))
+            Err(RequestError::not_run(Refusal::BadRequest, &hint))
         }
     }
 }
--- a/crates/entry/src/request/rights.rs
+++ b/crates/entry/src/request/access.rs
@@ -5,10 +5,10 @@
 use base::reason::Refusal;
 use bundle::{Bundle, Class, Lookup, Service};
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 
 /// Header that names the request class.
-pub const CLASS: &str = "x-request-class";
+pub const CLASS_HEADER: &str = "x-request-class";
 
 /// How many names a hint lists.
 const HINT_NAMES: usize = 12;
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// Returns [`Refusal::BadToken`].
-pub fn workspace<'a>(http: &HttpRequest, bundle: &'a Lookup) -> Result<&'a str, Refused> {
+pub fn workspace<'a>(http: &HttpRequest, bundle: &'a Lookup) -> Result<&'a str, RequestError> {
     let header = http
         .headers()
         .get(AUTHORIZATION)
@@ -27,7 +27,7 @@
     let owner = token.and_then(|t| bundle.owner(t));
     owner.ok_or_else(|| {
         let hint = "send a workspace's token as \"Authorization: Bearer TOKEN\"";
-        Refused::not_run(Refusal::BadToken, hint)
+        RequestError::not_run(Refusal::BadToken, hint)
     })
 }
 
@@ -46,16 +46,20 @@
     http: &HttpRequest,
     named: Option<&str>,
     bundle: &'a Bundle,
-) -> Result<(&'a str, &'a Class), Refused> {
-    let header = http.headers().get(CLASS).and_then(|v| v.to_str().ok());
+) -> Result<(&'a str, &'a Class), RequestError> {
+    let header = http
+        .headers()
+        .get(CLASS_HEADER)
+        .and_then(|v| v.to_str().ok());
     let name = header.or(named).unwrap_or("");
     let found = bundle.classes.get_key_value(name);
     found
         .map(|(name, class)| (name.as_str(), class))
         .ok_or_else(|| {
             let known: Vec<_> = bundle.classes.keys().take(HINT_NAMES).collect();
-            let hint = format!("no class {name:?}; name one of {known:?} in {CLASS} or as model");
-            Refused::not_run(Refusal::UnknownClass, &hint)
+            let hint =
+                format!("no class {name:?}; name one of {known:?} in {CLASS_HEADER} or as model");
+            RequestError::not_run(Refusal::UnknownClass, &hint)
         })
 }
 
@@ -64,7 +68,7 @@
 /// # Errors
 ///
 /// Returns [`Refusal::NotEntitled`].
-pub fn entitled(bundle: &Bundle, workspace: &str, class: &str) -> Result<(), Refused> {
+pub fn check_entitled(bundle: &Bundle, workspace: &str, class: &str) -> Result<(), RequestError> {
     let may = bundle
         .workspaces
         .get(workspace)
@@ -73,7 +77,7 @@
         return Ok(());
     }
     let hint = format!("workspace {workspace:?} is not entitled to class {class:?}");
-    Err(Refused::not_run(Refusal::NotEntitled, &hint))
+    Err(RequestError::not_run(Refusal::NotEntitled, &hint))
 }
 
 /// The model that serves the request: the one named, or the class's own when
@@ -86,14 +90,14 @@
     bundle: &'a Bundle,
     named: Option<&str>,
     class: &'a Class,
-) -> Result<&'a str, Refused> {
+) -> Result<&'a str, RequestError> {
     let Some(named) = named.filter(|n| !bundle.classes.contains_key(*n)) else {
         return Ok(&class.model);
     };
     let found = bundle.models.get_key_value(named);
     found.map(|(name, _)| name.as_str()).ok_or_else(|| {
         let hint = format!("no model or class {named:?} in the bundle");
-        Refused::not_run(Refusal::UnknownTarget, &hint)
+        RequestError::not_run(Refusal::UnknownTarget, &hint)
     })
 }
 
@@ -102,10 +106,10 @@
 /// # Errors
 ///
 /// Returns [`Refusal::UnknownTarget`].
-pub fn service<'a>(bundle: &'a Bundle, name: &str) -> Result<&'a Service, Refused> {
+pub fn service<'a>(bundle: &'a Bundle, name: &str) -> Result<&'a Service, RequestError> {
     bundle.services.get(name).ok_or_else(|| {
         let known: Vec<_> = bundle.services.keys().take(HINT_NAMES).collect();
         let hint = format!("no service {name:?} in the bundle; there are {known:?}");
-        Refused::not_run(Refusal::UnknownTarget, &hint)
+        RequestError::not_run(Refusal::UnknownTarget, &hint)
     })
 }
--- a/crates/entry/src/request/body.rs
+++ b/crates/entry/src/request/body.rs
@@ -3,7 +3,7 @@
 use base::reason::Refusal;
 use serde::Deserialize;
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 
 /// Bytes of a prompt for one token, as a rough rule. The estimates correct
 /// it by what engines report.
@@ -64,8 +64,8 @@
     /// # Errors
     ///
     /// Returns the refusal to answer with.
-    pub fn parse(raw: &[u8], chat: bool) -> Result<Self, Refused> {
-        let bad = |hint: &str| Refused::not_run(Refusal::BadRequest, hint);
+    pub fn parse(raw: &[u8], chat: bool) -> Result<Self, RequestError> {
+        let bad = |hint: &str| RequestError::not_run(Refusal::BadRequest, hint);
         let body: Self = serde_json::from_slice(raw)
             .map_err(|e| bad(&format!("the body is not a completion: {e}")))?;
 
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -46,13 +46,13 @@
     ticket: RequestId,
     size: RequestSize,
     usual: TokenLatency,
-    bids: Vec<Bid>,
+    bids: Vec<Reservation>,
 }
 
 /// A reservation at one sidecar. Dropped while it is open, it is cancelled:
 /// a slot held for nobody, because the caller went away or another sidecar
 /// was taken, would keep others waiting until the hold ends.
-struct Bid {
+struct Reservation {
     state: Rc<State>,
     server: Rc<Server>,
     ticket: RequestId,
@@ -64,7 +64,7 @@
 
 /// A slot that is held.
 #[derive(Clone, Copy)]
-struct Held {
+struct HeldSlot {
     bid: usize,
     offer: Offer,
     incarnation: Incarnation,
@@ -94,7 +94,7 @@
                 .borrow_mut()
                 .median_pace(now, &request.target),
             bids: servers
-                .map(|server| Bid {
+                .map(|server| Reservation {
                     state: Rc::clone(state),
                     server,
                     ticket,
@@ -126,9 +126,9 @@
     }
 
     /// Waits for the best slot, or for all to have rejected.
-    async fn settle(&self, first_left: Option<Duration>) -> (Option<Held>, Vec<Rejection>) {
+    async fn settle(&self, first_left: Option<Duration>) -> (Option<HeldSlot>, Vec<Rejection>) {
         let mut rejections = Vec::new();
-        let mut held: Option<Held> = None;
+        let mut held: Option<HeldSlot> = None;
         let mut until = None;
         let asks = (0..self.bids.len()).map(|i| async move { (i, self.ask(i, first_left).await) });
         let mut asks: FuturesUnordered<_> = asks.collect();
@@ -139,7 +139,7 @@
                 Some(until) => match tokio::time::timeout_at(until, asks.next()).await {
                     Ok(next) => next,
                     Err(_) => {
-                        counters::grace(false);
+                        counters::count_grace_period(false);
                         return (held, rejections);
                     }
                 },
@@ -148,13 +148,13 @@
                 None => return (held, rejections),
                 Some((_, Err(rejection))) => rejections.push(rejection),
                 Some((bid, Ok((offer, incarnation)))) => {
-                    let new = Held {
+                    let new = HeldSlot {
                         bid,
                         offer,
                         incarnation,
                     };
                     if held.is_some() {
-                        counters::grace(true);
+                        counters::count_grace_period(true);
                     }
                     held = Some(held.map_or(new, |old| self.better(old, new)));
                 }
@@ -174,8 +174,8 @@
     }
 
     /// The slot with the earlier expected finish.
-    fn better(&self, old: Held, new: Held) -> Held {
-        let finish = |held: &Held| held.offer.completion_time(self.size, self.usual);
+    fn better(&self, old: HeldSlot, new: HeldSlot) -> HeldSlot {
+        let finish = |held: &HeldSlot| held.offer.completion_time(self.size, self.usual);
         if finish(&new) < finish(&old) {
             new
         } else {
@@ -184,7 +184,7 @@
     }
 
     /// How long to leave the best slot held.
-    fn grace(&self, best: Held, rejections: &[Rejection]) -> Duration {
+    fn grace(&self, best: HeldSlot, rejections: &[Rejection]) -> Duration {
         let limit = self.state.settings.routing.grace.0;
         let others = self.bids.iter().enumerate().filter_map(|(i, bid)| {
             let rejected = rejections.iter().any(|r| r.index == bid.server.index);
@@ -263,7 +263,7 @@
     }
 }
 
-impl Bid {
+impl Reservation {
     fn rejection(&self, cause: RetryReason) -> Rejection {
         Rejection {
             index: self.server.index,
@@ -325,12 +325,12 @@
     }
 }
 
-impl Drop for Bid {
+impl Drop for Reservation {
     fn drop(&mut self) {
         if !self.open.get() {
             return;
         }
-        counters::hedge();
+        counters::count_cancelled_hedge();
         let (state, server, ticket) =
             (Rc::clone(&self.state), Rc::clone(&self.server), self.ticket);
         actix_rt::spawn(async move {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest body limit: a start must fit into one frame of the inner protocol.
-const BODY_MOST: usize = 16 << 20;
+const MAX_BODY_LIMIT: usize = 16 << 20;
 
 /// Settings of one entry.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -29,28 +29,28 @@
     pub follow: Option<follow::Settings>,
     /// Sidecars known from the start.
     #[serde(default)]
-    pub sidecars: Vec<Known>,
+    pub sidecars: Vec<SidecarInfo>,
     /// How the entry learns which hosts there are.
-    #[serde(default)]
-    pub roster: Roster,
+    #[serde(rename = "roster", default)]
+    pub roster: HostList,
     /// How the entry stops.
     #[serde(default)]
     pub drain: Drain,
     /// How many sidecars are asked for a slot at once.
-    #[serde(default = "default_fan")]
+    #[serde(rename = "fan", default = "default_fan_out")]
     pub fan: usize,
     /// How requests are placed, and how long sidecars are waited for.
     #[serde(default)]
     pub routing: Routing,
     /// How idempotency keys are claimed; the same at every entry.
     #[serde(default)]
-    pub keys: Keys,
+    pub keys: IdempotencyKeys,
     /// How long a stream to a caller may bring nothing until a comment is
     /// written, by which a caller that vanished is found.
-    #[serde(default = "default_comment")]
+    #[serde(rename = "comment", default = "default_comment_interval")]
     pub comment: HumanDuration,
     /// Largest request body, in bytes.
-    #[serde(default = "default_body")]
+    #[serde(default = "default_body_limit")]
     pub body_limit: usize,
     /// Seed of the entry's random choices; drawn at random when absent.
     #[serde(default)]
@@ -67,37 +67,46 @@
     /// How servers are chosen; all but late binding are baselines.
     pub mode: PlacementMode,
     /// Age of the load reports that the baselines go by.
+    #[serde(rename = "lag")]
     pub lag: HumanDuration,
     /// Whether a class's retries are limited by its budget.
+    #[serde(rename = "budget")]
     pub budget: bool,
     /// Longest time that a held slot is left waiting for a better one.
+    #[serde(rename = "grace")]
     pub grace: HumanDuration,
     /// How long one call may be held at a sidecar.
+    #[serde(rename = "poll")]
     pub poll: HumanDuration,
     /// Time allowed for an answer beyond that.
+    #[serde(rename = "margin")]
     pub margin: HumanDuration,
     /// Time allowed for dialling.
+    #[serde(rename = "dial")]
     pub dial: HumanDuration,
     /// A connection idle for so long is replaced before it is used again.
+    #[serde(rename = "idle")]
     pub idle: HumanDuration,
     /// How long an answer in delivery is tried for when its sidecar cannot be
     /// reached.
+    #[serde(rename = "patience")]
     pub patience: HumanDuration,
 }
 
 /// How idempotency keys are claimed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Keys {
+pub struct IdempotencyKeys {
     /// How long a key names its first call. Half of the log's retention at
     /// the most.
     pub window: HumanDuration,
     /// Least time between two appends of one entry; claims that come
     /// meanwhile share one.
+    #[serde(rename = "gap")]
     pub gap: HumanDuration,
 }
 
-impl Default for Keys {
+impl Default for IdempotencyKeys {
     fn default() -> Self {
         Self {
             window: HumanDuration::secs(600),
@@ -125,23 +134,28 @@
 /// How an entry learns which hosts there are.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Roster {
+pub struct HostList {
     /// Where the platform serves the list of hosts; without it, only the
     /// sidecars named in the settings are known.
+    #[serde(rename = "hosts")]
     pub hosts: Option<SocketAddr>,
     /// The region whose hosts are known.
     pub region: String,
     /// How often the list is read, on average.
+    #[serde(rename = "poll")]
     pub poll: HumanDuration,
     /// Sidecars of one service that are known, on average.
+    #[serde(rename = "subset")]
     pub subset: usize,
     /// How many of these stand in other availability zones, at the least.
+    #[serde(rename = "far")]
     pub far: usize,
     /// How long a host stays that is not listed and does not answer.
+    #[serde(rename = "forget")]
     pub forget: HumanDuration,
 }
 
-impl Default for Roster {
+impl Default for HostList {
     fn default() -> Self {
         Self {
             hosts: None,
@@ -162,6 +176,7 @@
     /// the balancer has seen it.
     pub linger: HumanDuration,
     /// How long requests in progress may take; what is left then is ended.
+    #[serde(rename = "limit")]
     pub limit: HumanDuration,
 }
 
@@ -177,7 +192,7 @@
 /// A sidecar as the settings or the host list name it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Known {
+pub struct SidecarInfo {
     /// The sidecar's name.
     pub name: String,
     /// Where it listens.
@@ -210,7 +225,7 @@
         check(
             "body_limit",
             self.body_limit,
-            (1024..=BODY_MOST).contains(&self.body_limit),
+            (1024..=MAX_BODY_LIMIT).contains(&self.body_limit),
             "allow 1024 to 16777216 bytes",
         )?;
         check(
@@ -240,14 +255,14 @@
     }
 }
 
-fn default_fan() -> usize {
+fn default_fan_out() -> usize {
     2
 }
 
-fn default_comment() -> HumanDuration {
+fn default_comment_interval() -> HumanDuration {
     HumanDuration::secs(5)
 }
 
-fn default_body() -> usize {
+fn default_body_limit() -> usize {
     4 << 20
 }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -19,10 +19,10 @@
 use wire::peer::{Error, Timeouts};
 use wire::{CallHeader, Peer, Reply};
 
+use crate::bundle_sync::BundleSync;
 use crate::counters;
-use crate::idempotency::Calls;
-use crate::settings::{Known, Settings};
-use crate::spread::Spread;
+use crate::idempotency::KeyedCalls;
+use crate::settings::{Settings, SidecarInfo};
 
 /// Everything that an entry knows.
 pub struct State {
@@ -31,11 +31,11 @@
     /// Where the time comes from.
     pub clock: Rc<dyn Clock>,
     /// The bundle in force.
-    pub spread: Spread,
+    pub spread: BundleSync,
     /// Claims idempotency keys; none without a log.
     pub claims: Option<Rc<Claims>>,
     /// Calls with a key that further calls may join.
-    pub calls: Calls,
+    pub calls: KeyedCalls,
     /// The known sidecars by their index. An index is not used again, so that
     /// a late answer is never booked to another sidecar.
     servers: RefCell<Vec<Option<Rc<Server>>>>,
@@ -62,7 +62,7 @@
     /// Its place among the known sidecars.
     pub index: ServerIndex,
     /// What is known of it from outside.
-    pub known: Known,
+    pub known: SidecarInfo,
     /// The connection.
     pub peer: Peer,
     /// When it answered last, and in which life.
@@ -72,7 +72,7 @@
 impl State {
     /// Makes the state of an entry that just started.
     #[must_use]
-    pub fn new(settings: Settings, spread: Spread, clock: Rc<dyn Clock>) -> Rc<Self> {
+    pub fn new(settings: Settings, spread: BundleSync, clock: Rc<dyn Clock>) -> Rc<Self> {
         let options = PlacementOptions {
             mode: settings.routing.mode,
             report_lag: settings.routing.lag.0,
@@ -83,7 +83,7 @@
             servers: RefCell::default(),
             claims: claims(&settings, &clock),
             clock,
-            calls: Calls::default(),
+            calls: KeyedCalls::default(),
             spread,
             placement: RefCell::new(Placement::new(options)),
             budget: RefCell::new(RetryBudget::new(!settings.routing.budget)),
@@ -117,7 +117,7 @@
     }
 
     /// Takes a sidecar as known from now on.
-    pub fn join(&self, known: &Known) {
+    pub fn join(&self, known: &SidecarInfo) {
         let routing = &self.settings.routing;
         let timing = Timeouts {
             margin: routing.margin.0,
@@ -147,8 +147,8 @@
 
     /// Makes the known sidecars exactly these. Those that stay keep their
     /// index, their connection and what was learned of them.
-    pub fn set_servers(&self, known: &[Known]) {
-        let mut new: HashSet<&Known> = known.iter().collect();
+    pub fn set_servers(&self, known: &[SidecarInfo]) {
+        let mut new: HashSet<&SidecarInfo> = known.iter().collect();
         for server in self.servers() {
             if !new.remove(&server.known) {
                 self.leave(server.index);
@@ -192,7 +192,7 @@
         };
         drop(placement);
         if ejected {
-            counters::ejection(server);
+            counters::count_ejection(server);
         }
         if let (Ok(reply), Some(server)) = (&answer, self.server(server.index)) {
             self.spread.compare(now, &server, reply.sequence);
@@ -209,14 +209,14 @@
             return placement.record_good(now, server.index, Success::RunCompleted);
         }
         if placement.record_fault(now, server.index, Fault::RunFailed, share) {
-            counters::ejection(server);
+            counters::count_ejection(server);
         }
     }
 
     /// Counts a request as in progress until the guard is dropped.
-    pub fn open(self: &Rc<Self>) -> Open {
+    pub fn open(self: &Rc<Self>) -> OpenRequest {
         self.open.set(self.open.get() + 1);
-        Open {
+        OpenRequest {
             state: Rc::clone(self),
         }
     }
@@ -240,11 +240,11 @@
 }
 
 /// Counts one request as in progress for as long as it lives.
-pub struct Open {
+pub struct OpenRequest {
     state: Rc<State>,
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.state.open.set(self.state.open.get() - 1);
     }
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -22,6 +22,7 @@
     /// The bundle in force.
     pub sequence: BundleSequence,
     /// Requests in progress.
+    #[serde(rename = "open")]
     pub open: usize,
     /// The known sidecars.
     pub sidecars: Vec<SidecarStatus>,
--- a/crates/entry/tests/told.rs
+++ b/crates/entry/tests/executed.rs
@@ -1,8 +1,8 @@
 //! What a caller is told about having run, after several tries.
 
 use base::reason::{Executed, Refusal};
-use entry::dispatch::Tries;
-use entry::refuse::Refused;
+use entry::dispatch::Attempts;
+use entry::error::RequestError;
 use rstest::rstest;
 
 /// The caller hears "not run", yet the engine made tokens for its request.
@@ -18,9 +18,9 @@
 #[case::partial_outlives_unknown(&[Executed::Partial, Executed::Unknown], Executed::No, Executed::Partial)]
 #[case::last_try_tells_more(&[Executed::Unknown], Executed::Partial, Executed::Partial)]
 fn tell_all_tries(#[case] earlier: &[Executed], #[case] last: Executed, #[case] told: Executed) {
-    let mut tries = Tries::default();
+    let mut tries = Attempts::default();
     earlier.iter().for_each(|ran| tries.note(*ran));
-    let mut refused = Refused::not_run(Refusal::TargetUnreachable, "no time");
+    let mut refused = RequestError::not_run(Refusal::TargetUnreachable, "no time");
     refused.ran = last;
     assert_eq!(tries.tell(refused).ran, told);
 }
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -11,11 +11,11 @@
 use base::stop::StopSignal;
 use bundle::{Bundle, Class, Targets};
 use bytes::Bytes;
-use entry::refuse::Refused;
-use entry::relay::{Answer, Part};
+use entry::bundle_sync::BundleSync;
+use entry::error::RequestError;
+use entry::relay::{ResponsePart, ResponseStream};
 use entry::request::Request;
-use entry::settings::{Known, Routing, Settings};
-use entry::spread::Spread;
+use entry::settings::{Routing, Settings, SidecarInfo};
 use entry::state::State;
 use policy::placement::PlacementMode;
 use tarpc::context::Context;
@@ -300,7 +300,7 @@
     let mut sidecars = Vec::new();
     for (i, fake) in fakes.iter().enumerate() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        sidecars.push(Known {
+        sidecars.push(SidecarInfo {
             name: fake.name.to_owned(),
             addr: listener.local_addr().unwrap(),
             zone: if i == 0 { "a" } else { "b" }.to_owned(),
@@ -313,11 +313,11 @@
 }
 
 /// An entry that knows the given sidecars.
-pub(crate) fn state(sidecars: Vec<Known>, fan: usize, mode: PlacementMode) -> Rc<State> {
+pub(crate) fn state(sidecars: Vec<SidecarInfo>, fan: usize, mode: PlacementMode) -> Rc<State> {
     state_by(sidecars, fan, quick(mode))
 }
 
-fn state_by(sidecars: Vec<Known>, fan: usize, routing: Routing) -> Rc<State> {
+fn state_by(sidecars: Vec<SidecarInfo>, fan: usize, routing: Routing) -> Rc<State> {
     let settings = serde_json::json!({
         "name": "entry", "zone": "a", "listen": "127.0.0.1:0", "seed": 1,
     });
@@ -327,7 +327,7 @@
     settings.routing = routing;
     State::new(
         settings,
-        Spread::fixed(Bundle::default()),
+        BundleSync::fixed(Bundle::default()),
         Rc::new(SystemClock),
     )
 }
@@ -410,13 +410,13 @@
     Got { text, end }
 }
 
-async fn take(state: &Rc<State>, request: Request, text: &mut String) -> Result<(), Refused> {
+async fn take(state: &Rc<State>, request: Request, text: &mut String) -> Result<(), RequestError> {
     let granted = entry::dispatch::grant(state, &request).await?;
-    let mut answer = Answer::new(Rc::clone(state), request, granted);
+    let mut answer = ResponseStream::new(Rc::clone(state), request, granted);
     loop {
         let (pieces, whole) = match answer.part().await? {
-            Part::Pieces(pieces) => (pieces, false),
-            Part::Whole { chunks, .. } => (chunks, true),
+            ResponsePart::Chunks(pieces) => (pieces, false),
+            ResponsePart::Complete { chunks, .. } => (chunks, true),
         };
         for piece in pieces {
             text.push_str(std::str::from_utf8(&piece.data).unwrap());
--- a/crates/entry/tests/routing/retries.rs
+++ b/crates/entry/tests/routing/retries.rs
@@ -7,7 +7,7 @@
     Fake, Got, Reserving, Running, Script, Starting, call, entry, request, state, unhurried,
 };
 use base::reason::{Executed, Refusal};
-use entry::settings::Known;
+use entry::settings::SidecarInfo;
 use policy::placement::PlacementMode;
 use rstest::rstest;
 
@@ -236,7 +236,7 @@
     let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = gone.local_addr().unwrap();
     drop(gone);
-    let sidecar = Known {
+    let sidecar = SidecarInfo {
         name: "gone".to_owned(),
         addr,
         zone: "a".to_owned(),
