--- a/crates/demo/src/arm.rs
+++ b/crates/demo/src/arm.rs
@@ -69,10 +69,10 @@
             Self::Random => routing.mode = PlacementMode::Random,
             Self::LeastLoaded => routing.mode = PlacementMode::LeastLoaded,
             Self::TwoChoices => routing.mode = PlacementMode::TwoChoices,
-            Self::NoRetryBudget => routing.budget = false,
+            Self::NoRetryBudget => routing.retry_budget = false,
             Self::Plain => {
                 routing.mode = PlacementMode::TwoChoices;
-                routing.budget = false;
+                routing.retry_budget = false;
             }
         }
     }
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -271,8 +271,8 @@
             operators: Some(self.operators(Role::Entry, i)),
             follow: Some(self.follow()),
             sidecars: Vec::new(),
-            roster: HostList {
-                hosts: Some(self.addr(Role::Hosts, 0)),
+            host_list: HostList {
+                list_addr: Some(self.addr(Role::Hosts, 0)),
                 region: self.fleet.name().to_owned(),
                 ..HostList::default()
             },
@@ -281,10 +281,10 @@
                 linger: HumanDuration::ms(100),
                 ..Drain::default()
             },
-            fan: 2,
+            fan_out: 2,
             routing: Routing::default(),
             keys: IdempotencyKeys::default(),
-            comment: HumanDuration::secs(5),
+            comment_interval: HumanDuration::secs(5),
             body_limit: 4 << 20,
             seed: Some(self.seed + u64::from(i)),
             log_level: base::logging::Level::Warn,
--- a/crates/entry/src/bundle_sync.rs
+++ b/crates/entry/src/bundle_sync.rs
@@ -74,7 +74,7 @@
 
     /// Takes in the version that a sidecar told of, and starts a transfer in
     /// whichever direction one is behind.
-    pub fn compare(&self, now: Instant, server: &Rc<Server>, told: BundleSequence) {
+    pub fn compare_sequence(&self, now: Instant, server: &Rc<Server>, told: BundleSequence) {
         let Some(follower) = &self.follower else {
             return;
         };
@@ -136,10 +136,10 @@
 /// outage of the log has nobody else to ask. The latest one that holds wins,
 /// since an older one never replaces a later one.
 pub async fn fetch_initial_bundle(state: Rc<State>) {
-    let Some(follower) = state.spread.follower.clone() else {
+    let Some(follower) = state.bundle_sync.follower.clone() else {
         return;
     };
-    let held = Rc::clone(&state.spread.held);
+    let held = Rc::clone(&state.bundle_sync.held);
     while held.in_force().is_none() {
         tokio::time::sleep(ASK).await;
         if held.reachable() {
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -67,7 +67,7 @@
 
     /// A whole answer of `tokens` tokens, as JSON.
     #[must_use]
-    pub fn whole(&self, text: &[u8], finish: &str, tokens: u32) -> Vec<u8> {
+    pub fn full_body(&self, text: &[u8], finish: &str, tokens: u32) -> Vec<u8> {
         let text = String::from_utf8_lossy(text);
         let usage = Usage {
             prompt_tokens: self.prompt,
@@ -96,15 +96,15 @@
     }
 
     /// Appends an event for each piece.
-    pub fn pieces(&self, out: &mut Vec<u8>, pieces: &[Chunk]) {
-        for piece in pieces {
+    pub fn write_chunks(&self, out: &mut Vec<u8>, write_chunks: &[Chunk]) {
+        for piece in write_chunks {
             let text = String::from_utf8_lossy(&piece.data);
             self.event(out, &text, None);
         }
     }
 
     /// Appends the events that end a whole answer.
-    pub fn end(&self, out: &mut Vec<u8>, finish: &str) {
+    pub fn write_end(&self, out: &mut Vec<u8>, finish: &str) {
         self.event(out, "", Some(finish));
         out.extend_from_slice(DONE);
     }
--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -24,7 +24,7 @@
 
 /// Counts an ejection.
 pub fn count_ejection(server: &Server) {
-    warn!("server ejected", kv: { peer = server.known.addr.to_string().as_str() });
+    warn!("server ejected", kv: { peer = server.info.addr.to_string().as_str() });
     counter!("pimentocart_ejections_total").increment(1);
 }
 
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -28,7 +28,7 @@
     /// Its run.
     pub run: Run,
     /// The tries so far.
-    pub tries: Attempts,
+    pub attempts: Attempts,
 }
 
 /// The tries of one request so far.
@@ -46,7 +46,7 @@
 
 impl Attempts {
     /// Notes that a try ran or may have run.
-    pub fn note(&mut self, ran: Executed) {
+    pub fn record(&mut self, ran: Executed) {
         if ran != Executed::No && self.ran != Some(Executed::Partial) {
             self.ran = Some(ran);
         }
@@ -56,7 +56,7 @@
     /// or lost at one server and then refused by the next did run: its caller
     /// would otherwise hear "not run" while its tokens were made.
     #[must_use]
-    pub fn tell(&self, refused: RequestError) -> RequestError {
+    pub fn final_error(&self, refused: RequestError) -> RequestError {
         let ran = match refused.ran {
             Executed::No => self.ran.unwrap_or(Executed::No),
             ran => ran,
@@ -68,9 +68,9 @@
 /// A try that came to nothing, and what its caller is told if it is the last.
 pub struct AttemptFailure {
     /// What is known about it.
-    pub failure: FailedAttempt,
+    pub attempt: FailedAttempt,
     /// The refusal.
-    pub refused: RequestError,
+    pub error: RequestError,
 }
 
 /// Gets a slot and starts the request there.
@@ -81,8 +81,8 @@
 pub async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, RequestError> {
     let mut tries = Attempts::default();
     match place(state, request, &mut tries, None).await {
-        Ok(run) => Ok(Granted { run, tries }),
-        Err(refused) => Err(tries.tell(refused)),
+        Ok(run) => Ok(Granted { run, attempts: tries }),
+        Err(refused) => Err(tries.final_error(refused)),
     }
 }
 
@@ -100,10 +100,10 @@
 ) -> Result<Granted, RequestError> {
     tries.tried.push(server);
     tries.begun = true;
-    tries.note(failed.failure.ran);
+    tries.record(failed.attempt.ran);
     match place(state, request, &mut tries, Some(failed)).await {
-        Ok(run) => Ok(Granted { run, tries }),
-        Err(refused) => Err(tries.tell(refused)),
+        Ok(run) => Ok(Granted { run, attempts: tries }),
+        Err(refused) => Err(tries.final_error(refused)),
     }
 }
 
@@ -145,14 +145,14 @@
         match run.start(request).await {
             Outcome::Running => {
                 let share = state.shares().retries;
-                state.budget.borrow_mut().earn(&request.class, share);
-                counters::count_grant(request.promise.tier);
+                state.retry_budget.borrow_mut().earn(&request.class, share);
+                counters::count_grant(request.class_spec.tier);
                 return Ok(run);
             }
             outcome => {
                 tries.tried.push(run.server.index);
                 let last = not_started(outcome);
-                tries.note(last.failure.ran);
+                tries.record(last.attempt.ran);
                 failed = Some(last);
             }
         }
@@ -162,9 +162,9 @@
 fn choose(state: &State, request: &Request, tries: &Attempts) -> Vec<ServerIndex> {
     let want = PlacementRequest {
         target: &request.target,
-        prefix_hash: request.prefix,
+        prefix_hash: request.prefix_hash,
         excluded: &tries.tried,
-        fan_out: state.settings.fan << tries.rounds.min(ROUNDS_WIDER),
+        fan_out: state.settings.fan_out << tries.rounds.min(ROUNDS_WIDER),
     };
     let now = state.clock.now();
     state.placement.borrow_mut().choose(now, &want)
@@ -178,7 +178,7 @@
     failed: AttemptFailure,
     alone: bool,
 ) -> Result<(), RequestError> {
-    let AttemptFailure { failure, refused } = failed;
+    let AttemptFailure { attempt: failure, error: refused } = failed;
     let left = time_left(state, request, tries);
     let need = time_needed(state, request, tries);
     if alone || failure.decide(request.repeatable, left, need) != RetryDecision::Again {
@@ -191,7 +191,7 @@
         failure.cause,
         RetryReason::Draining | RetryReason::Preempted
     );
-    if !free && !state.budget.borrow_mut().take(&request.class) {
+    if !free && !state.retry_budget.borrow_mut().take(&request.class) {
         return Err(match refused.reason {
             Refusal::NoServer => RequestError {
                 reason: Refusal::RetryBudget,
@@ -209,7 +209,7 @@
 fn time_left(state: &State, request: &Request, tries: &Attempts) -> Duration {
     let now = state.clock.now();
     let waited = now.saturating_duration_since(request.arrived);
-    let targets = &request.promise.targets;
+    let targets = &request.class_spec.targets;
     if tries.begun && !request.stream {
         return targets.whole.0.saturating_sub(waited);
     }
@@ -224,7 +224,7 @@
         .borrow_mut()
         .median_pace(now, &request.target);
     if tries.begun && !request.stream {
-        let lengths = state.lengths.borrow();
+        let lengths = state.answer_lengths.borrow();
         return usual.completion_time(lengths.expected_tokens(&request.class, request.max_tokens));
     }
     usual.first_token
@@ -251,12 +251,12 @@
         Some(reason) => RequestError::not_run(reason, "no backend server can take it in time"),
     };
     AttemptFailure {
-        failure: FailedAttempt {
+        attempt: FailedAttempt {
             cause,
             ran: Executed::No,
             delivered: false,
         },
-        refused: refused.after(after.unwrap_or(RETRY_AFTER)),
+        error: refused.after(after.unwrap_or(RETRY_AFTER)),
     }
 }
 
@@ -269,12 +269,12 @@
         }
     };
     AttemptFailure {
-        failure: FailedAttempt {
+        attempt: FailedAttempt {
             cause,
             ran,
             delivered: false,
         },
-        refused,
+        error: refused,
     }
 }
 
@@ -283,7 +283,7 @@
     RequestError {
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
-        after: None,
+        retry_after: None,
         hint: "the backend server's host became unreachable".to_owned(),
     }
 }
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -35,7 +35,7 @@
     tokio::time::sleep(settings.linger.0).await;
     state.refusing.set(true);
 
-    let outcome = match tokio::time::timeout(settings.limit.0, idle(&state)).await {
+    let outcome = match tokio::time::timeout(settings.time_limit.0, idle(&state)).await {
         Ok(()) => "whole",
         Err(_) => {
             warn!("entry cuts off", kv: { name = state.settings.name.as_str(), open = state.in_progress() });
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -16,7 +16,7 @@
     /// Whether the request ran.
     pub ran: Executed,
     /// When to come back, if that may help.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// What would help, in words.
     pub hint: String,
 }
@@ -46,7 +46,7 @@
         Self {
             reason,
             ran: Executed::No,
-            after: None,
+            retry_after: None,
             hint: hint.to_owned(),
         }
     }
@@ -54,7 +54,7 @@
     /// Adds when to come back.
     #[must_use]
     pub fn after(mut self, after: Duration) -> Self {
-        self.after = Some(after);
+        self.retry_after = Some(after);
         self
     }
 
@@ -85,7 +85,7 @@
             // The caller's next request must find another entry.
             response.force_close();
         }
-        if let Some(after) = self.after {
+        if let Some(after) = self.retry_after {
             // Whole seconds are all that the header can say.
             let secs = after.as_secs() + u64::from(after.subsec_nanos() > 0);
             response.insert_header((RETRY_AFTER, secs.to_string()));
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -83,7 +83,7 @@
     chat: bool,
 ) -> Result<HttpResponse, RequestError> {
     let (state, open) = enter(http)?;
-    let bundle = state.spread.current().await?;
+    let bundle = state.bundle_sync.current().await?;
     let body = body.map_err(|e| unread(&e, state))?;
     let request = Request::completion(http, body, chat, &bundle, state.clock.now())?;
 
@@ -100,7 +100,7 @@
     open: OpenRequest,
 ) -> Result<HttpResponse, RequestError> {
     let granted = grant(state, &request).await?;
-    let shape = CompletionWriter::new(request.ticket, &request.target, chat, request.prompt);
+    let shape = CompletionWriter::new(request.ticket, &request.target, chat, request.prompt_tokens);
     let stream = request.stream;
     let answer = ResponseStream::new(Rc::clone(state), request, granted);
     if stream {
@@ -108,7 +108,7 @@
     }
 
     let whole = collect(answer).await?;
-    let body = shape.whole(&whole.body, &whole.finish, whole.tokens);
+    let body = shape.full_body(&whole.body, &whole.finish, whole.tokens);
     Ok(HttpResponse::Ok()
         .content_type("application/json")
         .body(body))
@@ -120,9 +120,9 @@
     body: Result<Bytes, Error>,
 ) -> Result<HttpResponse, RequestError> {
     let (state, _open) = enter(http)?;
-    let bundle = state.spread.current().await?;
+    let bundle = state.bundle_sync.current().await?;
     let body = body.map_err(|e| unread(&e, state))?;
-    let request = Request::call(http, body, target, &bundle, state.clock.now())?;
+    let request = Request::service_call(http, body, target, &bundle, state.clock.now())?;
 
     idempotency::run_once(state, request, async move |request| {
         call_once(state, request).await
@@ -229,7 +229,7 @@
 /// connection would never be noticed, and its request would hold a slot. A
 /// comment, which callers skip, makes its host answer with a reset.
 fn streamed(answer: ResponseStream, shape: CompletionWriter, open: OpenRequest) -> HttpResponse {
-    let every = answer.comment();
+    let every = answer.comment_interval();
     let state = Some((wait(answer), shape, open));
     let body = stream::unfold(state, move |state| async move {
         let (mut waiting, shape, open) = state?;
@@ -242,7 +242,7 @@
         let mut out = Vec::new();
         let more = match part {
             Ok(ResponsePart::Chunks(pieces)) => {
-                shape.pieces(&mut out, &pieces);
+                shape.write_chunks(&mut out, &pieces);
                 true
             }
             Ok(ResponsePart::Complete {
@@ -250,8 +250,8 @@
                 finish_reason,
                 ..
             }) => {
-                shape.pieces(&mut out, &chunks);
-                shape.end(&mut out, &finish_reason);
+                shape.write_chunks(&mut out, &chunks);
+                shape.write_end(&mut out, &finish_reason);
                 false
             }
             Err(refused) => {
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -77,12 +77,12 @@
     mut request: Request,
     run: impl AsyncFnOnce(Request) -> Result<HttpResponse, RequestError>,
 ) -> Result<HttpResponse, RequestError> {
-    let Some(key) = request.key.clone() else {
+    let Some(key) = request.idempotency_key.clone() else {
         return run(request).await;
     };
     let hash = key_hash(&request.workspace, &key);
     let asks = asks(&request);
-    let found = state.calls.by_key.borrow().get(&hash).cloned();
+    let found = state.keyed_calls.by_key.borrow().get(&hash).cloned();
     if let Some(call) = found {
         return join(call, asks, state.open()).await;
     }
@@ -137,7 +137,7 @@
     RequestError {
         reason: denied.reason,
         ran,
-        after: denied.after.map(|a| a.max(Duration::from_secs(1))),
+        retry_after: denied.after.map(|a| a.max(Duration::from_secs(1))),
         hint: hint.to_owned(),
     }
 }
@@ -190,7 +190,7 @@
             end: RefCell::default(),
             changed: Notify::new(),
         });
-        state.calls.insert(key, &call);
+        state.keyed_calls.insert(key, &call);
         Self {
             state: Rc::clone(state),
             key,
@@ -205,7 +205,7 @@
         self.settled.set(true);
         self.call.finish(Err(refused.clone()));
         if refused.ran == Executed::No || refused.reason == Refusal::KeyInUse {
-            self.state.calls.remove(&self.key);
+            self.state.keyed_calls.remove(&self.key);
         }
     }
 
@@ -235,7 +235,7 @@
     fn drop(&mut self) {
         if !self.settled.get() {
             self.call.finish(Err(gone()));
-            self.state.calls.remove(&self.key);
+            self.state.keyed_calls.remove(&self.key);
         }
     }
 }
@@ -253,7 +253,7 @@
     fn keep(&self, data: &[u8]) {
         self.call.body.borrow_mut().extend_from_slice(data);
         self.call.changed.notify_waiters();
-        self.state.calls.grow(data.len());
+        self.state.keyed_calls.grow(data.len());
         // The length is known from the start, so the end is not asked for.
         if self.inner.size() == BodySize::Sized(self.call.body.borrow().len() as u64) {
             self.whole();
@@ -303,7 +303,7 @@
             return self.whole();
         }
         self.call.finish(Err(gone()));
-        self.state.calls.remove(&self.key);
+        self.state.keyed_calls.remove(&self.key);
     }
 }
 
@@ -311,7 +311,7 @@
     RequestError {
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
-        after: None,
+        retry_after: None,
         hint: "the first call with this key was broken off by its caller".to_owned(),
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -94,8 +94,8 @@
     // sidecars that the list names. They wait for it, but not for ever: the
     // list may be out of reach.
     let settings = &state.settings;
-    if settings.roster.hosts.is_some() && settings.sidecars.is_empty() {
-        let _ = tokio::time::timeout(LIST_WAIT, state.listed.wait()).await;
+    if settings.host_list.list_addr.is_some() && settings.sidecars.is_empty() {
+        let _ = tokio::time::timeout(LIST_WAIT, state.list_applied.wait()).await;
     }
 
     let drained = StopSignal::new();
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -46,10 +46,10 @@
         let settings = &state.settings;
         let limits = MembershipLimits {
             subset_size: SubsetSize {
-                total: settings.roster.subset,
-                other_zones: settings.roster.far,
+                total: settings.host_list.subset_size,
+                other_zones: settings.host_list.other_zones,
             },
-            forget_after: settings.roster.forget.0,
+            forget_after: settings.host_list.forget_after.0,
         };
         let mut known = Membership::new(&settings.name, &settings.zone, limits);
         // Sidecars named in the settings are believed until a list shows
@@ -57,10 +57,10 @@
         let named: Vec<Host> = settings.sidecars.iter().map(named).collect();
         known.apply_list(state.clock.now(), &named);
 
-        let region = &settings.roster.region;
+        let region = &settings.host_list.region;
         let hosts = settings
-            .roster
-            .hosts
+            .host_list
+            .list_addr
             .map(|a| Rc::new(Hosts::new(a, region)));
         Self {
             state,
@@ -82,7 +82,7 @@
             // An entry that knows nobody can serve nobody.
             let poll = match roster.known.is_empty() {
                 true => EAGER,
-                false => roster.state.settings.roster.poll.0,
+                false => roster.state.settings.host_list.poll.0,
             };
             // Entries that start together must not ask together for ever.
             let wait = poll.mul_f64(rand::random_range(0.5..1.5));
@@ -115,15 +115,15 @@
         self.readable = readable;
         if outcome == "taken" {
             self.apply();
-            self.state.listed.trigger();
+            self.state.list_applied.trigger();
         }
     }
 
     /// Notes who answered since.
     fn hear(&mut self) {
         for server in self.state.servers() {
-            if let Some((at, life)) = server.heard.get() {
-                self.known.note_answer(at, &server.known.name, life);
+            if let Some((at, life)) = server.last_reply.get() {
+                self.known.note_answer(at, &server.info.name, life);
             }
         }
     }
@@ -145,7 +145,7 @@
         }
         for server in self.state.servers() {
             let open = self.state.placement.borrow().is_open(server.index);
-            if !open || !self.known.is_listed(&server.known.name) {
+            if !open || !self.known.is_listed(&server.info.name) {
                 self.ask(server);
             }
         }
@@ -162,7 +162,7 @@
                 wait_ms: 0,
             };
             // No answer is told by the time since the last one.
-            let answer = server.peer.pull(state.stamp(), ask).await;
+            let answer = server.peer.pull(state.call_header(), ask).await;
             let _ = state.heard(&server, answer);
             asking.set(asking.get() - 1);
         });
@@ -187,7 +187,7 @@
         let servers = self.state.servers();
         let mut placement = self.state.placement.borrow_mut();
         for server in servers {
-            placement.set_closed(server.index, self.known.is_leaving(&server.known.name));
+            placement.set_closed(server.index, self.known.is_leaving(&server.info.name));
         }
     }
 }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -33,11 +33,11 @@
     run: Run,
     tries: Attempts,
     /// The number of the next piece.
-    next: u32,
+    next_chunk: u32,
     /// Tokens in this run's pieces so far.
     tokens: u32,
     /// Pieces held back for a caller that takes the answer whole.
-    kept: Vec<Chunk>,
+    buffered: Vec<Chunk>,
 }
 
 /// What came in.
@@ -63,10 +63,10 @@
             state,
             request,
             run: granted.run,
-            tries: granted.tries,
-            next: 0,
+            tries: granted.attempts,
+            next_chunk: 0,
             tokens: 0,
-            kept: Vec::new(),
+            buffered: Vec::new(),
         }
     }
 
@@ -83,13 +83,13 @@
             part = self.next_part() => return part,
             () = cutoff.wait() => {}
         }
-        Err(drain::cutoff_error(self.next > 0))
+        Err(drain::cutoff_error(self.next_chunk > 0))
     }
 
     /// How long its stream may bring nothing until a comment is written.
     #[must_use]
-    pub fn comment(&self) -> Duration {
-        self.state.settings.comment.0
+    pub fn comment_interval(&self) -> Duration {
+        self.state.settings.comment_interval.0
     }
 
     async fn next_part(&mut self) -> Result<ResponsePart, RequestError> {
@@ -98,15 +98,15 @@
                 Ok(ResponsePart::Chunks(pieces)) if self.request.stream => {
                     return Ok(ResponsePart::Chunks(pieces));
                 }
-                Ok(ResponsePart::Chunks(pieces)) => self.kept.extend(pieces),
+                Ok(ResponsePart::Chunks(pieces)) => self.buffered.extend(pieces),
                 Ok(ResponsePart::Complete {
                     mut chunks,
                     status,
                     finish_reason,
                 }) => {
-                    if !self.kept.is_empty() {
-                        self.kept.append(&mut chunks);
-                        chunks = std::mem::take(&mut self.kept);
+                    if !self.buffered.is_empty() {
+                        self.buffered.append(&mut chunks);
+                        chunks = std::mem::take(&mut self.buffered);
                     }
                     return Ok(ResponsePart::Complete {
                         chunks,
@@ -121,9 +121,9 @@
 
     /// Runs the request again after its run failed.
     async fn again(&mut self, mut failed: AttemptFailure) -> Result<(), RequestError> {
-        failed.failure.delivered = self.delivered();
-        if failed.failure.cause == RetryReason::Preempted {
-            self.request.preempted += 1;
+        failed.attempt.delivered = self.delivered();
+        if failed.attempt.cause == RetryReason::Preempted {
+            self.request.preemptions += 1;
         }
         let tries = std::mem::take(&mut self.tries);
         let server = self.run.server.index;
@@ -131,31 +131,31 @@
 
         counters::count_wasted_tokens(u64::from(self.tokens));
         self.run = granted.run;
-        self.tries = granted.tries;
-        self.next = 0;
+        self.tries = granted.attempts;
+        self.next_chunk = 0;
         self.tokens = 0;
-        self.kept.clear();
+        self.buffered.clear();
         Ok(())
     }
 
     /// Whether a part of this run's answer reached the caller. The pieces of
     /// another run must not follow it: their words would differ.
     fn delivered(&self) -> bool {
-        self.request.stream && self.next > 0
+        self.request.stream && self.next_chunk > 0
     }
 
     /// Waits for the next pieces of this run.
     async fn pull(&mut self) -> Result<ResponsePart, AttemptFailure> {
-        let hold = self.state.settings.routing.poll.0;
+        let hold = self.state.settings.routing.poll_hold.0;
         let mut failing: Option<(Instant, u32)> = None;
         loop {
             let ask = PullRequest {
                 ticket: self.run.ticket,
-                from: self.next,
+                from: self.next_chunk,
                 wait_ms: u32::try_from(hold.as_millis()).unwrap_or(u32::MAX),
             };
             let server = &self.run.server;
-            let answer = server.peer.pull(self.state.stamp(), ask).await;
+            let answer = server.peer.pull(self.state.call_header(), ask).await;
             let reply = match self.state.heard(server, answer) {
                 Ok(reply) => reply,
                 Err(e) => {
@@ -176,7 +176,7 @@
             failing = None;
             if reply.incarnation != self.run.incarnation {
                 // The life that ran it is gone with all it knew.
-                self.run.over();
+                self.run.mark_finished();
                 return Err(self.lost(RetryReason::SidecarRestarted));
             }
             if let Some(part) = self.take(reply.body)? {
@@ -190,7 +190,7 @@
     /// sidecar keeps the answer for a while.
     fn gives_up(&self, since: Instant, pulls: u32) -> bool {
         let elsewhere = self.request.repeatable && !self.delivered();
-        let patience = self.state.settings.routing.patience.0;
+        let patience = self.state.settings.routing.unreachable_timeout.0;
         (elsewhere && pulls >= PULLS) || since.elapsed() >= patience
     }
 
@@ -202,16 +202,16 @@
             end,
         } = pulled
         else {
-            self.run.over();
+            self.run.mark_finished();
             return Err(self.lost(RetryReason::Unknown));
         };
         // A piece missing between would give the caller another answer than
         // the one that was made.
-        let Some(skip) = self.next.checked_sub(first) else {
+        let Some(skip) = self.next_chunk.checked_sub(first) else {
             return Err(self.lost(RetryReason::Unknown));
         };
         chunks.drain(..chunks.len().min(skip as usize));
-        self.next += u32::try_from(chunks.len()).unwrap_or(u32::MAX);
+        self.next_chunk += u32::try_from(chunks.len()).unwrap_or(u32::MAX);
         self.tokens += chunks.iter().map(|p| p.tokens).sum::<u32>();
 
         match end {
@@ -222,7 +222,7 @@
                 status,
                 finish_reason,
                 ..
-            }) if chunk_count == self.next => {
+            }) if chunk_count == self.next_chunk => {
                 self.whole();
                 Ok(Some(ResponsePart::Complete {
                     chunks,
@@ -236,17 +236,17 @@
     }
 
     fn whole(&self) {
-        self.run.over();
-        self.state.ran(&self.run.server, true);
-        let mut lengths = self.state.lengths.borrow_mut();
+        self.run.mark_finished();
+        self.state.record_run(&self.run.server, true);
+        let mut lengths = self.state.answer_lengths.borrow_mut();
         lengths.record(&self.request.class, self.tokens);
     }
 
     /// The sidecar says that the run broke off.
     fn broken(&self, reason: Refusal, ran: Executed) -> AttemptFailure {
-        self.run.over();
+        self.run.mark_finished();
         if reason == Refusal::BackendFailed {
-            self.state.ran(&self.run.server, false);
+            self.state.record_run(&self.run.server, false);
         }
         let ran = if self.delivered() {
             Executed::Partial
@@ -258,15 +258,15 @@
             _ => RetryReason::BackendFailed,
         };
         AttemptFailure {
-            failure: FailedAttempt {
+            attempt: FailedAttempt {
                 cause,
                 ran,
                 delivered: self.delivered(),
             },
-            refused: RequestError {
+            error: RequestError {
                 reason,
                 ran,
-                after: None,
+                retry_after: None,
                 hint: "the backend server failed".to_owned(),
             },
         }
@@ -280,12 +280,12 @@
             refused.ran = Executed::Partial;
         }
         AttemptFailure {
-            failure: FailedAttempt {
+            attempt: FailedAttempt {
                 cause,
                 ran: refused.ran,
                 delivered: self.delivered(),
             },
-            refused,
+            error: refused,
         }
     }
 }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -42,7 +42,7 @@
     /// The class, by name.
     pub class: String,
     /// What the class promises.
-    pub promise: Class,
+    pub class_spec: Class,
     /// The model or service asked for.
     pub target: String,
     /// When the request arrived.
@@ -52,17 +52,17 @@
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// How often the request was preempted.
-    pub preempted: u32,
+    pub preemptions: u32,
     /// The caller's name for a call that must run at most once.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// What this entry holds of the key, set before the grant.
     pub claim: Option<Rc<Claim>>,
     /// Size of the prompt, in tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Most tokens that the answer may have.
     pub max_tokens: u32,
     /// Hash of the prompt's prefix.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// What to run.
     pub work: BackendRequest,
 }
@@ -93,17 +93,17 @@
             workspace: workspace.to_owned(),
             weight: access::weight(bundle, workspace),
             class: class.to_owned(),
-            promise: promise.clone(),
+            class_spec: promise.clone(),
             target: target.to_owned(),
             arrived: now,
             stream: body.stream,
             repeatable: key.is_none() && repeatable(http)?,
-            key,
+            idempotency_key: key,
             claim: None,
-            preempted: 0,
-            prompt: body.tokens(),
+            preemptions: 0,
+            prompt_tokens: body.prompt_tokens(),
             max_tokens: body.max_tokens.unwrap_or(u32::MAX),
-            prefix: body.prefix(),
+            prefix_hash: body.prefix(),
             work: BackendRequest::Completion { body: raw, chat },
         })
     }
@@ -114,7 +114,7 @@
     /// # Errors
     ///
     /// Returns the refusal to answer with.
-    pub fn call(
+    pub fn service_call(
         http: &HttpRequest,
         body: Bytes,
         (name, path): (&str, &str),
@@ -141,17 +141,17 @@
             workspace: workspace.to_owned(),
             weight: access::weight(bundle, workspace),
             class: class.to_owned(),
-            promise: promise.clone(),
+            class_spec: promise.clone(),
             target: name.to_owned(),
             arrived: now,
             stream: false,
             repeatable: key.is_none() && service.repeatable && repeatable(http)?,
-            key,
+            idempotency_key: key,
             claim: None,
-            preempted: 0,
-            prompt: 0,
+            preemptions: 0,
+            prompt_tokens: 0,
             max_tokens: 0,
-            prefix: 0,
+            prefix_hash: 0,
             work: BackendRequest::Call {
                 method: http.method().to_string(),
                 path,
@@ -169,7 +169,7 @@
 
     /// The request as sidecars are asked for a slot.
     #[must_use]
-    pub fn ask(&self, now: Instant, wait: Duration) -> ReserveRequest {
+    pub fn reserve_request(&self, now: Instant, wait: Duration) -> ReserveRequest {
         let waited = now.saturating_duration_since(self.arrived);
         let left = |target: Duration| {
             u64::try_from(target.saturating_sub(waited).as_micros()).unwrap_or(u64::MAX)
@@ -179,14 +179,14 @@
             class: self.class.clone(),
             workspace: self.workspace.clone(),
             weight: self.weight,
-            tier: self.promise.tier,
-            ttft_budget_us: left(self.promise.targets.first_token.0),
-            total_budget_us: left(self.promise.targets.whole.0),
-            prompt_tokens: self.prompt,
+            tier: self.class_spec.tier,
+            ttft_budget_us: left(self.class_spec.targets.first_token.0),
+            total_budget_us: left(self.class_spec.targets.whole.0),
+            prompt_tokens: self.prompt_tokens,
             max_tokens: self.max_tokens,
-            prefix_hash: self.prefix,
+            prefix_hash: self.prefix_hash,
             repeatable: self.repeatable,
-            preemptions: self.preempted,
+            preemptions: self.preemptions,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         }
     }
--- a/crates/entry/src/request/body.rs
+++ b/crates/entry/src/request/body.rs
@@ -88,7 +88,7 @@
 
     /// Size of the prompt, in tokens, by a rough rule.
     #[must_use]
-    pub fn tokens(&self) -> u32 {
+    pub fn prompt_tokens(&self) -> u32 {
         let bytes: usize = self.texts().map(str::len).sum();
         u32::try_from(bytes / TOKEN_BYTES)
             .unwrap_or(u32::MAX)
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -79,14 +79,14 @@
         chosen: &[ServerIndex],
     ) -> Self {
         let now = state.clock.now();
-        let lengths = state.lengths.borrow();
+        let lengths = state.answer_lengths.borrow();
         let servers = chosen.iter().filter_map(|i| state.server(*i));
         Self {
             state,
             request,
             ticket,
             size: RequestSize {
-                prompt_tokens: request.prompt,
+                prompt_tokens: request.prompt_tokens,
                 answer_tokens: lengths.expected_tokens(&request.class, request.max_tokens),
             },
             usual: state
@@ -185,7 +185,7 @@
 
     /// How long to leave the best slot held.
     fn grace(&self, best: HeldSlot, rejections: &[Rejection]) -> Duration {
-        let limit = self.state.settings.routing.grace.0;
+        let limit = self.state.settings.routing.grace_period.0;
         let others = self.bids.iter().enumerate().filter_map(|(i, bid)| {
             let rejected = rejections.iter().any(|r| r.index == bid.server.index);
             (i != best.bid && !rejected)
@@ -209,7 +209,7 @@
         loop {
             let ask = self.message(hold, first_left);
             bid.open.set(true);
-            let answer = bid.server.peer.reserve(self.state.stamp(), ask).await;
+            let answer = bid.server.peer.reserve(self.state.call_header(), ask).await;
             let reply = match self.state.heard(&bid.server, answer) {
                 Ok(reply) => reply,
                 Err(e) => {
@@ -240,7 +240,7 @@
                 }
                 ReserveOutcome::Waiting { estimate_us } => {
                     bid.wait.set(Some(Duration::from_micros(estimate_us)));
-                    hold = self.state.settings.routing.poll.0;
+                    hold = self.state.settings.routing.poll_hold.0;
                 }
                 ReserveOutcome::Refused {
                     reason,
@@ -254,7 +254,7 @@
     }
 
     fn message(&self, hold: Duration, first_left: Option<Duration>) -> ReserveRequest {
-        let mut ask = self.request.ask(self.state.clock.now(), hold);
+        let mut ask = self.request.reserve_request(self.state.clock.now(), hold);
         ask.ticket = self.ticket;
         if let Some(left) = first_left {
             ask.ttft_budget_us = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
@@ -335,7 +335,7 @@
             (Rc::clone(&self.state), Rc::clone(&self.server), self.ticket);
         actix_rt::spawn(async move {
             // Without an answer the hold ends by itself.
-            let answer = server.peer.cancel(state.stamp(), ticket).await;
+            let answer = server.peer.cancel(state.call_header(), ticket).await;
             let _ = state.heard(&server, answer);
         });
     }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -32,13 +32,13 @@
     pub sidecars: Vec<SidecarInfo>,
     /// How the entry learns which hosts there are.
     #[serde(rename = "roster", default)]
-    pub roster: HostList,
+    pub host_list: HostList,
     /// How the entry stops.
     #[serde(default)]
     pub drain: Drain,
     /// How many sidecars are asked for a slot at once.
     #[serde(rename = "fan", default = "default_fan_out")]
-    pub fan: usize,
+    pub fan_out: usize,
     /// How requests are placed, and how long sidecars are waited for.
     #[serde(default)]
     pub routing: Routing,
@@ -48,7 +48,7 @@
     /// How long a stream to a caller may bring nothing until a comment is
     /// written, by which a caller that vanished is found.
     #[serde(rename = "comment", default = "default_comment_interval")]
-    pub comment: HumanDuration,
+    pub comment_interval: HumanDuration,
     /// Largest request body, in bytes.
     #[serde(default = "default_body_limit")]
     pub body_limit: usize,
@@ -68,29 +68,29 @@
     pub mode: PlacementMode,
     /// Age of the load reports that the baselines go by.
     #[serde(rename = "lag")]
-    pub lag: HumanDuration,
+    pub report_lag: HumanDuration,
     /// Whether a class's retries are limited by its budget.
     #[serde(rename = "budget")]
-    pub budget: bool,
+    pub retry_budget: bool,
     /// Longest time that a held slot is left waiting for a better one.
     #[serde(rename = "grace")]
-    pub grace: HumanDuration,
+    pub grace_period: HumanDuration,
     /// How long one call may be held at a sidecar.
     #[serde(rename = "poll")]
-    pub poll: HumanDuration,
+    pub poll_hold: HumanDuration,
     /// Time allowed for an answer beyond that.
     #[serde(rename = "margin")]
-    pub margin: HumanDuration,
+    pub reply_margin: HumanDuration,
     /// Time allowed for dialling.
     #[serde(rename = "dial")]
-    pub dial: HumanDuration,
+    pub connect_timeout: HumanDuration,
     /// A connection idle for so long is replaced before it is used again.
     #[serde(rename = "idle")]
-    pub idle: HumanDuration,
+    pub idle_limit: HumanDuration,
     /// How long an answer in delivery is tried for when its sidecar cannot be
     /// reached.
     #[serde(rename = "patience")]
-    pub patience: HumanDuration,
+    pub unreachable_timeout: HumanDuration,
 }
 
 /// How idempotency keys are claimed.
@@ -103,14 +103,14 @@
     /// Least time between two appends of one entry; claims that come
     /// meanwhile share one.
     #[serde(rename = "gap")]
-    pub gap: HumanDuration,
+    pub append_interval: HumanDuration,
 }
 
 impl Default for IdempotencyKeys {
     fn default() -> Self {
         Self {
             window: HumanDuration::secs(600),
-            gap: HumanDuration::ms(10),
+            append_interval: HumanDuration::ms(10),
         }
     }
 }
@@ -119,14 +119,14 @@
     fn default() -> Self {
         Self {
             mode: PlacementMode::default(),
-            lag: HumanDuration::ms(500),
-            budget: true,
-            grace: HumanDuration::ms(100),
-            poll: HumanDuration::ms(250),
-            margin: HumanDuration::ms(500),
-            dial: HumanDuration::ms(500),
-            idle: HumanDuration::secs(15),
-            patience: HumanDuration::secs(3),
+            report_lag: HumanDuration::ms(500),
+            retry_budget: true,
+            grace_period: HumanDuration::ms(100),
+            poll_hold: HumanDuration::ms(250),
+            reply_margin: HumanDuration::ms(500),
+            connect_timeout: HumanDuration::ms(500),
+            idle_limit: HumanDuration::secs(15),
+            unreachable_timeout: HumanDuration::secs(3),
         }
     }
 }
@@ -138,7 +138,7 @@
     /// Where the platform serves the list of hosts; without it, only the
     /// sidecars named in the settings are known.
     #[serde(rename = "hosts")]
-    pub hosts: Option<SocketAddr>,
+    pub list_addr: Option<SocketAddr>,
     /// The region whose hosts are known.
     pub region: String,
     /// How often the list is read, on average.
@@ -146,24 +146,24 @@
     pub poll: HumanDuration,
     /// Sidecars of one service that are known, on average.
     #[serde(rename = "subset")]
-    pub subset: usize,
+    pub subset_size: usize,
     /// How many of these stand in other availability zones, at the least.
     #[serde(rename = "far")]
-    pub far: usize,
+    pub other_zones: usize,
     /// How long a host stays that is not listed and does not answer.
     #[serde(rename = "forget")]
-    pub forget: HumanDuration,
+    pub forget_after: HumanDuration,
 }
 
 impl Default for HostList {
     fn default() -> Self {
         Self {
-            hosts: None,
+            list_addr: None,
             region: String::new(),
             poll: HumanDuration::secs(2),
-            subset: 128,
-            far: 16,
-            forget: HumanDuration::secs(30),
+            subset_size: 128,
+            other_zones: 16,
+            forget_after: HumanDuration::secs(30),
         }
     }
 }
@@ -177,14 +177,14 @@
     pub linger: HumanDuration,
     /// How long requests in progress may take; what is left then is ended.
     #[serde(rename = "limit")]
-    pub limit: HumanDuration,
+    pub time_limit: HumanDuration,
 }
 
 impl Default for Drain {
     fn default() -> Self {
         Self {
             linger: HumanDuration::secs(5),
-            limit: HumanDuration::secs(600),
+            time_limit: HumanDuration::secs(600),
         }
     }
 }
@@ -218,8 +218,8 @@
         )?;
         check(
             "fan",
-            self.fan,
-            (1..=8).contains(&self.fan),
+            self.fan_out,
+            (1..=8).contains(&self.fan_out),
             "ask 1 to 8 sidecars at once",
         )?;
         check(
@@ -230,20 +230,20 @@
         )?;
         check(
             "roster.subset",
-            self.roster.subset,
-            self.roster.subset > self.roster.far,
+            self.host_list.subset_size,
+            self.host_list.subset_size > self.host_list.other_zones,
             "know more sidecars in all than in other zones (roster.far)",
         )?;
         check(
             "comment",
-            self.comment,
-            !self.comment.0.is_zero(),
+            self.comment_interval,
+            !self.comment_interval.0.is_zero(),
             "write a comment every few seconds, as in \"5s\"",
         )?;
         check(
             "roster.poll",
-            self.roster.poll,
-            !self.roster.poll.0.is_zero(),
+            self.host_list.poll,
+            !self.host_list.poll.0.is_zero(),
             "read the list every few seconds, as in \"2s\"",
         )?;
         check(
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -69,7 +69,7 @@
     }
 
     /// Notes that nothing is left to cancel.
-    pub fn over(&self) {
+    pub fn mark_finished(&self) {
         self.over.set(true);
     }
 
@@ -94,7 +94,7 @@
                 incarnation: self.incarnation,
                 work: request.work.clone(),
             };
-            let answer = self.server.peer.start(self.state.stamp(), order).await;
+            let answer = self.server.peer.start(self.state.call_header(), order).await;
             match self.state.heard(&self.server, answer) {
                 Ok(reply) => return self.judge(reply.body, sent),
                 Err(e) => {
@@ -127,7 +127,7 @@
             StartOutcome::OtherIncarnation if sent => Outcome::Unknown,
             StartOutcome::OtherIncarnation => Outcome::NotRun(RetryReason::SidecarRestarted),
         };
-        self.over();
+        self.mark_finished();
         outcome
     }
 
@@ -137,12 +137,12 @@
         let answer = self
             .server
             .peer
-            .cancel(self.state.stamp(), self.ticket)
+            .cancel(self.state.call_header(), self.ticket)
             .await;
         let Ok(reply) = self.state.heard(&self.server, answer) else {
             return Outcome::Unknown;
         };
-        self.over();
+        self.mark_finished();
         match reply.body {
             CancelOutcome::NeverStarted if reply.incarnation == self.incarnation => {
                 Outcome::NotRun(RetryReason::Unreachable)
@@ -161,7 +161,7 @@
             (Rc::clone(&self.state), Rc::clone(&self.server), self.ticket);
         actix_rt::spawn(async move {
             // Without an answer there is nobody left to tell.
-            let answer = server.peer.cancel(state.stamp(), ticket).await;
+            let answer = server.peer.cancel(state.call_header(), ticket).await;
             let _ = state.heard(&server, answer);
         });
     }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -31,30 +31,30 @@
     /// Where the time comes from.
     pub clock: Rc<dyn Clock>,
     /// The bundle in force.
-    pub spread: BundleSync,
+    pub bundle_sync: BundleSync,
     /// Claims idempotency keys; none without a log.
     pub claims: Option<Rc<Claims>>,
     /// Calls with a key that further calls may join.
-    pub calls: KeyedCalls,
+    pub keyed_calls: KeyedCalls,
     /// The known sidecars by their index. An index is not used again, so that
     /// a late answer is never booked to another sidecar.
     servers: RefCell<Vec<Option<Rc<Server>>>>,
     /// Where to ask for a slot.
     pub placement: RefCell<Placement>,
     /// The retries that are left to each class.
-    pub budget: RefCell<RetryBudget>,
+    pub retry_budget: RefCell<RetryBudget>,
     /// How long answers are.
-    pub lengths: RefCell<AnswerLengths>,
+    pub answer_lengths: RefCell<AnswerLengths>,
     /// Whether readiness is off: the balancer should send nothing more.
     pub draining: Cell<bool>,
     /// Asked once the sidecars are known from the host list.
-    pub listed: StopSignal,
+    pub list_applied: StopSignal,
     /// Whether new requests are refused.
     pub refusing: Cell<bool>,
     /// Asked when requests in progress must end now, whole or not.
     pub cutoff: StopSignal,
     /// Requests in progress.
-    open: Cell<usize>,
+    open_requests: Cell<usize>,
 }
 
 /// A sidecar and the connection to it.
@@ -62,11 +62,11 @@
     /// Its place among the known sidecars.
     pub index: ServerIndex,
     /// What is known of it from outside.
-    pub known: SidecarInfo,
+    pub info: SidecarInfo,
     /// The connection.
     pub peer: Peer,
     /// When it answered last, and in which life.
-    pub heard: Cell<Option<(Instant, Incarnation)>>,
+    pub last_reply: Cell<Option<(Instant, Incarnation)>>,
 }
 
 impl State {
@@ -75,7 +75,7 @@
     pub fn new(settings: Settings, spread: BundleSync, clock: Rc<dyn Clock>) -> Rc<Self> {
         let options = PlacementOptions {
             mode: settings.routing.mode,
-            report_lag: settings.routing.lag.0,
+            report_lag: settings.routing.report_lag.0,
             zone: settings.zone.clone(),
             seed: settings.seed.unwrap_or_else(rand::random),
         };
@@ -83,54 +83,54 @@
             servers: RefCell::default(),
             claims: claims(&settings, &clock),
             clock,
-            calls: KeyedCalls::default(),
-            spread,
+            keyed_calls: KeyedCalls::default(),
+            bundle_sync: spread,
             placement: RefCell::new(Placement::new(options)),
-            budget: RefCell::new(RetryBudget::new(!settings.routing.budget)),
-            lengths: RefCell::default(),
+            retry_budget: RefCell::new(RetryBudget::new(!settings.routing.retry_budget)),
+            answer_lengths: RefCell::default(),
             draining: Cell::new(false),
-            listed: StopSignal::new(),
+            list_applied: StopSignal::new(),
             refusing: Cell::new(false),
             cutoff: StopSignal::new(),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             settings,
         });
         for known in &state.settings.sidecars {
-            state.join(known);
+            state.add_server(known);
         }
         state
     }
 
     /// What every call tells about this entry.
-    pub fn stamp(&self) -> CallHeader {
+    pub fn call_header(&self) -> CallHeader {
         CallHeader {
-            sequence: self.spread.held.sequence(),
+            sequence: self.bundle_sync.held.sequence(),
         }
     }
 
     /// The shares and limits of the bundle in force.
     pub fn shares(&self) -> Shares {
-        self.spread
+        self.bundle_sync
             .held
             .bundle()
             .map_or_else(Shares::default, |b| b.shares)
     }
 
     /// Takes a sidecar as known from now on.
-    pub fn join(&self, known: &SidecarInfo) {
+    pub fn add_server(&self, known: &SidecarInfo) {
         let routing = &self.settings.routing;
         let timing = Timeouts {
-            margin: routing.margin.0,
-            connect: routing.dial.0,
-            idle: routing.idle.0,
+            margin: routing.reply_margin.0,
+            connect: routing.connect_timeout.0,
+            idle: routing.idle_limit.0,
         };
         let mut servers = self.servers.borrow_mut();
         let index = servers.len();
         servers.push(Some(Rc::new(Server {
             index,
-            known: known.clone(),
+            info: known.clone(),
             peer: Peer::new(known.addr, timing),
-            heard: Cell::new(None),
+            last_reply: Cell::new(None),
         })));
         let mut placement = self.placement.borrow_mut();
         placement.add_server(index, &known.name, &known.zone, &known.serves);
@@ -138,7 +138,7 @@
 
     /// Sends nothing new to a sidecar from now on. Answers in progress there
     /// go on.
-    pub fn leave(&self, index: ServerIndex) {
+    pub fn remove_server(&self, index: ServerIndex) {
         self.placement.borrow_mut().remove_server(index);
         if let Some(place) = self.servers.borrow_mut().get_mut(index) {
             place.take();
@@ -150,12 +150,12 @@
     pub fn set_servers(&self, known: &[SidecarInfo]) {
         let mut new: HashSet<&SidecarInfo> = known.iter().collect();
         for server in self.servers() {
-            if !new.remove(&server.known) {
-                self.leave(server.index);
+            if !new.remove(&server.info) {
+                self.remove_server(server.index);
             }
         }
         for known in known.iter().filter(|k| new.contains(k)) {
-            self.join(known);
+            self.add_server(known);
         }
     }
 
@@ -184,7 +184,7 @@
         let share = self.shares().ejected;
         let mut placement = self.placement.borrow_mut();
         if let Ok(reply) = &answer {
-            server.heard.set(Some((now, reply.incarnation)));
+            server.last_reply.set(Some((now, reply.incarnation)));
         }
         let ejected = match &answer {
             Ok(reply) => placement.record_load(now, server.index, load(&reply.load), share),
@@ -195,13 +195,13 @@
             counters::count_ejection(server);
         }
         if let (Ok(reply), Some(server)) = (&answer, self.server(server.index)) {
-            self.spread.compare(now, &server, reply.sequence);
+            self.bundle_sync.compare_sequence(now, &server, reply.sequence);
         }
         answer
     }
 
     /// Notes how a run ended at a sidecar's backend server.
-    pub fn ran(&self, server: &Server, whole: bool) {
+    pub fn record_run(&self, server: &Server, whole: bool) {
         let now = self.clock.now();
         let share = self.shares().ejected;
         let mut placement = self.placement.borrow_mut();
@@ -215,7 +215,7 @@
 
     /// Counts a request as in progress until the guard is dropped.
     pub fn open(self: &Rc<Self>) -> OpenRequest {
-        self.open.set(self.open.get() + 1);
+        self.open_requests.set(self.open_requests.get() + 1);
         OpenRequest {
             state: Rc::clone(self),
         }
@@ -223,7 +223,7 @@
 
     /// Requests in progress.
     pub fn in_progress(&self) -> usize {
-        self.open.get()
+        self.open_requests.get()
     }
 }
 
@@ -234,7 +234,7 @@
         log: follow.log,
         entry: settings.name.clone(),
         window: settings.keys.window,
-        gap: settings.keys.gap,
+        gap: settings.keys.append_interval,
     };
     Some(Claims::start(settings, Rc::clone(clock)))
 }
@@ -246,7 +246,7 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.state.open.set(self.state.open.get() - 1);
+        self.state.open_requests.set(self.state.open_requests.get() - 1);
     }
 }
 
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -23,7 +23,7 @@
     pub sequence: BundleSequence,
     /// Requests in progress.
     #[serde(rename = "open")]
-    pub open: usize,
+    pub open_requests: usize,
     /// The known sidecars.
     pub sidecars: Vec<SidecarStatus>,
 }
@@ -62,15 +62,15 @@
             name: self.settings.name.clone(),
             zone: self.settings.zone.clone(),
             ready: self.ready(),
-            sequence: self.stamp().sequence,
-            open: self.in_progress(),
+            sequence: self.call_header().sequence,
+            open_requests: self.in_progress(),
             sidecars: sidecars.collect(),
         }
     }
 
     fn ready(&self) -> bool {
         let known = !self.servers().is_empty();
-        known && !self.draining.get() && self.spread.held.in_force().is_some()
+        known && !self.draining.get() && self.bundle_sync.held.in_force().is_some()
     }
 }
 
@@ -80,10 +80,10 @@
         let load = placement.load(server.index);
         let age = placement.load_age(self.clock.now(), server.index);
         SidecarStatus {
-            name: server.known.name.clone(),
-            addr: server.known.addr,
-            zone: server.known.zone.clone(),
-            serves: server.known.serves.clone(),
+            name: server.info.name.clone(),
+            addr: server.info.addr,
+            zone: server.info.zone.clone(),
+            serves: server.info.serves.clone(),
             running: load.running,
             waiting: load.waiting,
             heard_ms: age.map(|a| u64::try_from(a.as_millis()).unwrap_or(u64::MAX)),
--- a/crates/entry/tests/executed.rs
+++ b/crates/entry/tests/executed.rs
@@ -19,8 +19,8 @@
 #[case::last_try_tells_more(&[Executed::Unknown], Executed::Partial, Executed::Partial)]
 fn tell_all_tries(#[case] earlier: &[Executed], #[case] last: Executed, #[case] told: Executed) {
     let mut tries = Attempts::default();
-    earlier.iter().for_each(|ran| tries.note(*ran));
+    earlier.iter().for_each(|ran| tries.record(*ran));
     let mut refused = RequestError::not_run(Refusal::TargetUnreachable, "no time");
     refused.ran = last;
-    assert_eq!(tries.tell(refused).ran, told);
+    assert_eq!(tries.final_error(refused).ran, told);
 }
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -288,8 +288,8 @@
 /// them, and places by the given mode. For tests in which none falls silent.
 pub(crate) async fn unhurried(fakes: &[Rc<Fake>], fan: usize, mode: PlacementMode) -> Rc<State> {
     let routing = Routing {
-        margin: HumanDuration::secs(10),
-        dial: HumanDuration::secs(10),
+        reply_margin: HumanDuration::secs(10),
+        connect_timeout: HumanDuration::secs(10),
         ..quick(mode)
     };
     entry_by(fakes, fan, routing).await
@@ -323,7 +323,7 @@
     });
     let mut settings: Settings = serde_json::from_value(settings).unwrap();
     settings.sidecars = sidecars;
-    settings.fan = fan;
+    settings.fan_out = fan;
     settings.routing = routing;
     State::new(
         settings,
@@ -335,10 +335,10 @@
 /// Timing under which a silent connection shows soon.
 fn quick(mode: PlacementMode) -> Routing {
     Routing {
-        poll: HumanDuration::ms(100),
-        margin: HumanDuration::ms(300),
-        patience: HumanDuration::secs(1),
-        grace: HumanDuration::secs(5),
+        poll_hold: HumanDuration::ms(100),
+        reply_margin: HumanDuration::ms(300),
+        unreachable_timeout: HumanDuration::secs(1),
+        grace_period: HumanDuration::secs(5),
         mode,
         ..Routing::default()
     }
@@ -355,7 +355,7 @@
         workspace: "w".to_owned(),
         weight: 1,
         class: "class".to_owned(),
-        promise: Class {
+        class_spec: Class {
             tier: Tier(0),
             targets,
             model: "model".to_owned(),
@@ -364,12 +364,12 @@
         arrived: Instant::now(),
         stream,
         repeatable,
-        preempted: 0,
-        key: None,
+        preemptions: 0,
+        idempotency_key: None,
         claim: None,
-        prompt: 10,
+        prompt_tokens: 10,
         max_tokens: 2,
-        prefix: 0,
+        prefix_hash: 0,
         work: BackendRequest::Completion {
             body: Bytes::from_static(b"{}"),
             chat: true,
--- a/crates/entry/tests/routing/retries.rs
+++ b/crates/entry/tests/routing/retries.rs
@@ -204,7 +204,7 @@
     assert_eq!(asked, 1000 + 5 * 4);
 
     let refused = entry::dispatch::grant(&state, &request(true, true)).await;
-    let after = refused.err().and_then(|r| r.after);
+    let after = refused.err().and_then(|r| r.retry_after);
     assert_eq!(after, Some(std::time::Duration::from_secs(7)));
 }
 
