--- a/crates/entry/src/bundle_sync.rs
+++ b/crates/entry/src/bundle_sync.rs
@@ -43,9 +43,9 @@
     /// Who may change it; none when the bundle came from a file.
     follower: Option<Addr<Follower>>,
     /// The latest version that any sidecar told of.
-    ahead: Cell<BundleSequence>,
+    latest_seen: Cell<BundleSequence>,
     /// When the last transfer with a sidecar began.
-    last: RefCell<HashMap<ServerIndex, Instant>>,
+    last_transfers: RefCell<HashMap<ServerIndex, Instant>>,
 }
 
 impl BundleSync {
@@ -67,8 +67,8 @@
         Self {
             held,
             follower,
-            ahead: Cell::default(),
-            last: RefCell::default(),
+            latest_seen: Cell::default(),
+            last_transfers: RefCell::default(),
         }
     }
 
@@ -82,8 +82,8 @@
         if !behind && told >= self.held.sequence() {
             return;
         }
-        self.ahead.set(self.ahead.get().max(told));
-        if !self.begin(now, server.index) {
+        self.latest_seen.set(self.latest_seen.get().max(told));
+        if !self.try_begin_transfer(now, server.index) {
             return;
         }
 
@@ -97,8 +97,8 @@
     }
 
     /// Whether a transfer with a sidecar may begin now.
-    fn begin(&self, now: Instant, index: ServerIndex) -> bool {
-        let mut last = self.last.borrow_mut();
+    fn try_begin_transfer(&self, now: Instant, index: ServerIndex) -> bool {
+        let mut last = self.last_transfers.borrow_mut();
         let free = last
             .get(&index)
             .is_none_or(|at| now.duration_since(*at) >= PAUSE);
@@ -117,17 +117,17 @@
     /// # Errors
     ///
     /// Returns the refusal to answer with when no bundle is in force.
-    pub async fn current(&self) -> Result<Rc<Lookup>, RequestError> {
-        let ahead = self.ahead.get();
+    pub async fn current_bundle(&self) -> Result<Rc<Lookup>, RequestError> {
+        let ahead = self.latest_seen.get();
         if self.held.behind(ahead) {
             let reached = tokio::time::timeout(CATCH_UP, self.held.reached(ahead)).await;
             if reached.is_err() {
-                self.ahead.set(BundleSequence(0));
+                self.latest_seen.set(BundleSequence(0));
             }
         }
         self.held.bundle().ok_or_else(|| {
             RequestError::not_run(Refusal::NoBundle, "no bundle has been accepted yet")
-                .after(Duration::from_secs(1))
+                .with_retry_after(Duration::from_secs(1))
         })
     }
 }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -111,7 +111,7 @@
 
     /// Appends the event that ends an answer that broke off. No end mark
     /// follows, so that no client takes the answer for a whole one.
-    pub fn error(&self, out: &mut Vec<u8>, refused: &RequestError) {
+    pub fn write_error(&self, out: &mut Vec<u8>, refused: &RequestError) {
         out.extend_from_slice(b"data: ");
         // Writing to memory cannot fail.
         let _ = serde_json::to_writer(&mut *out, &refused.body());
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -12,7 +12,7 @@
 use crate::error::RequestError;
 use crate::request::Request;
 use crate::reserve::{Rejection, Round};
-use crate::start::{Outcome, Run};
+use crate::start::{Run, StartStatus};
 use crate::state::State;
 use crate::{counters, idempotency};
 
@@ -35,11 +35,11 @@
 #[derive(Debug, Default)]
 pub struct Attempts {
     /// Sidecars that failed or refused it.
-    tried: Vec<ServerIndex>,
+    excluded: Vec<ServerIndex>,
     /// Rounds of reservations that gave no slot.
     rounds: u32,
     /// Whether any answer was begun; its first token is late by then.
-    begun: bool,
+    started: bool,
     /// Whether any of them ran, as far as known.
     ran: Option<Executed>,
 }
@@ -81,7 +81,10 @@
 pub async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, RequestError> {
     let mut tries = Attempts::default();
     match place(state, request, &mut tries, None).await {
-        Ok(run) => Ok(Granted { run, attempts: tries }),
+        Ok(run) => Ok(Granted {
+            run,
+            attempts: tries,
+        }),
         Err(refused) => Err(tries.final_error(refused)),
     }
 }
@@ -98,11 +101,14 @@
     server: ServerIndex,
     failed: AttemptFailure,
 ) -> Result<Granted, RequestError> {
-    tries.tried.push(server);
-    tries.begun = true;
+    tries.excluded.push(server);
+    tries.started = true;
     tries.record(failed.attempt.ran);
     match place(state, request, &mut tries, Some(failed)).await {
-        Ok(run) => Ok(Granted { run, attempts: tries }),
+        Ok(run) => Ok(Granted {
+            run,
+            attempts: tries,
+        }),
         Err(refused) => Err(tries.final_error(refused)),
     }
 }
@@ -117,14 +123,14 @@
     loop {
         let chosen = choose(state, request, tries);
         if let Some(last) = failed.take() {
-            admit(state, request, tries, last, chosen.is_empty())?;
+            check_retry(state, request, tries, last, chosen.is_empty())?;
             // The last try's ticket is cancelled wherever it was.
             ticket = RequestId::random();
         } else if chosen.is_empty() {
             return Err(no_server());
         }
 
-        let left = tries.begun.then(|| {
+        let left = tries.started.then(|| {
             let left = time_left(state, request, tries);
             left.saturating_sub(time_needed(state, request, tries))
         });
@@ -132,9 +138,9 @@
         let run = match round.run(left).await {
             Ok(run) => run,
             Err(rejections) => {
-                tries.tried.extend(&chosen);
+                tries.excluded.extend(&chosen);
                 tries.rounds += 1;
-                failed = Some(rejected(&rejections));
+                failed = Some(round_failure(&rejections));
                 continue;
             }
         };
@@ -143,15 +149,15 @@
             return Err(idempotency::claim_expired());
         }
         match run.start(request).await {
-            Outcome::Running => {
+            StartStatus::Running => {
                 let share = state.shares().retries;
                 state.retry_budget.borrow_mut().earn(&request.class, share);
                 counters::count_grant(request.class_spec.tier);
                 return Ok(run);
             }
             outcome => {
-                tries.tried.push(run.server.index);
-                let last = not_started(outcome);
+                tries.excluded.push(run.server.index);
+                let last = start_failure(outcome);
                 tries.record(last.attempt.ran);
                 failed = Some(last);
             }
@@ -163,7 +169,7 @@
     let want = PlacementRequest {
         target: &request.target,
         prefix_hash: request.prefix_hash,
-        excluded: &tries.tried,
+        excluded: &tries.excluded,
         fan_out: state.settings.fan_out << tries.rounds.min(ROUNDS_WIDER),
     };
     let now = state.clock.now();
@@ -171,14 +177,17 @@
 }
 
 /// Whether to try again; an error is the caller's answer.
-fn admit(
+fn check_retry(
     state: &State,
     request: &Request,
     tries: &Attempts,
     failed: AttemptFailure,
     alone: bool,
 ) -> Result<(), RequestError> {
-    let AttemptFailure { attempt: failure, error: refused } = failed;
+    let AttemptFailure {
+        attempt: failure,
+        error: refused,
+    } = failed;
     let left = time_left(state, request, tries);
     let need = time_needed(state, request, tries);
     if alone || failure.decide(request.repeatable, left, need) != RetryDecision::Again {
@@ -210,7 +219,7 @@
     let now = state.clock.now();
     let waited = now.saturating_duration_since(request.arrived);
     let targets = &request.class_spec.targets;
-    if tries.begun && !request.stream {
+    if tries.started && !request.stream {
         return targets.whole.0.saturating_sub(waited);
     }
     targets.first_token.0.saturating_sub(waited)
@@ -223,7 +232,7 @@
         .placement
         .borrow_mut()
         .median_pace(now, &request.target);
-    if tries.begun && !request.stream {
+    if tries.started && !request.stream {
         let lengths = state.answer_lengths.borrow();
         return usual.completion_time(lengths.expected_tokens(&request.class, request.max_tokens));
     }
@@ -231,19 +240,20 @@
 }
 
 fn no_server() -> RequestError {
-    RequestError::not_run(Refusal::NoServer, "no backend server can take it").after(RETRY_AFTER)
+    RequestError::not_run(Refusal::NoServer, "no backend server can take it")
+        .with_retry_after(RETRY_AFTER)
 }
 
 /// A round in which no sidecar gave a slot. The refusal that tells the caller
 /// most stands for all.
-fn rejected(rejections: &[Rejection]) -> AttemptFailure {
+fn round_failure(rejections: &[Rejection]) -> AttemptFailure {
     let telling = rejections
         .iter()
         .filter(|r| r.cause == RetryReason::Refused)
         .find(|r| r.refusal.is_some())
         .or(rejections.first());
     let cause = telling.map_or(RetryReason::Unreachable, |r| r.cause);
-    let after = rejections.iter().filter_map(|r| r.after).min();
+    let after = rejections.iter().filter_map(|r| r.retry_after).min();
 
     let reason = telling.and_then(|r| r.refusal);
     let refused = match reason {
@@ -256,15 +266,15 @@
             ran: Executed::No,
             delivered: false,
         },
-        error: refused.after(after.unwrap_or(RETRY_AFTER)),
+        error: refused.with_retry_after(after.unwrap_or(RETRY_AFTER)),
     }
 }
 
 /// A start after which the request does not run, or may not.
-fn not_started(outcome: Outcome) -> AttemptFailure {
+fn start_failure(outcome: StartStatus) -> AttemptFailure {
     let (cause, ran, refused) = match outcome {
-        Outcome::NotRun(cause) => (cause, Executed::No, no_server()),
-        Outcome::Running | Outcome::Unknown => {
+        StartStatus::NotRun(cause) => (cause, Executed::No, no_server()),
+        StartStatus::Running | StartStatus::Unknown => {
             (RetryReason::Unknown, Executed::Unknown, outcome_unknown())
         }
     };
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -35,12 +35,12 @@
     tokio::time::sleep(settings.linger.0).await;
     state.refusing.set(true);
 
-    let outcome = match tokio::time::timeout(settings.time_limit.0, idle(&state)).await {
+    let outcome = match tokio::time::timeout(settings.time_limit.0, wait_idle(&state)).await {
         Ok(()) => "whole",
         Err(_) => {
             warn!("entry cuts off", kv: { name = state.settings.name.as_str(), open = state.in_progress() });
             state.cutoff.trigger();
-            let _ = tokio::time::timeout(CUTOFF_LIMIT, idle(&state)).await;
+            let _ = tokio::time::timeout(CUTOFF_LIMIT, wait_idle(&state)).await;
             "cut_off"
         }
     };
@@ -53,7 +53,7 @@
 #[must_use]
 pub fn draining_error() -> RequestError {
     RequestError::not_run(Refusal::Draining, "this entry stops; ask another one")
-        .after(Duration::from_secs(1))
+        .with_retry_after(Duration::from_secs(1))
 }
 
 /// How a request ends that the cut-off meets; it may have run.
@@ -71,7 +71,7 @@
 }
 
 /// Waits until no request is in progress.
-async fn idle(state: &State) {
+async fn wait_idle(state: &State) {
     while state.in_progress() > 0 {
         tokio::time::sleep(POLL).await;
     }
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -53,8 +53,8 @@
 
     /// Adds when to come back.
     #[must_use]
-    pub fn after(mut self, after: Duration) -> Self {
-        self.retry_after = Some(after);
+    pub fn with_retry_after(mut self, with_retry_after: Duration) -> Self {
+        self.retry_after = Some(with_retry_after);
         self
     }
 
@@ -71,14 +71,14 @@
     }
 
     /// Counts the refusal. Each is counted where its caller is told.
-    pub fn count(&self) {
+    pub fn record_metric(&self) {
         base::telemetry::count_refusal(self.reason, self.ran);
     }
 
     /// The whole answer; counts the refusal.
     #[must_use]
     pub fn response(&self) -> HttpResponse {
-        self.count();
+        self.record_metric();
         let status = StatusCode::from_u16(self.reason.status());
         let mut response = HttpResponse::build(status.unwrap_or(StatusCode::BAD_GATEWAY));
         if self.reason == Refusal::Draining {
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -40,9 +40,9 @@
         .app_data(web::PayloadConfig::new(state.settings.body_limit))
         .app_data(state)
         .route("/v1/chat/completions", web::post().to(chat))
-        .route("/v1/completions", web::post().to(text))
+        .route("/v1/completions", web::post().to(completion_text))
         .route("/v1/services/{name}/{path:.*}", web::route().to(service))
-        .default_service(web::to(nowhere))
+        .default_service(web::to(unknown_path))
 }
 
 async fn chat(http: HttpRequest, body: Result<Bytes, Error>) -> HttpResponse {
@@ -51,7 +51,7 @@
         .unwrap_or_else(|refused| refused.response())
 }
 
-async fn text(http: HttpRequest, body: Result<Bytes, Error>) -> HttpResponse {
+async fn completion_text(http: HttpRequest, body: Result<Bytes, Error>) -> HttpResponse {
     completion(&http, body, false)
         .await
         .unwrap_or_else(|refused| refused.response())
@@ -68,7 +68,7 @@
         .unwrap_or_else(|refused| refused.response())
 }
 
-async fn nowhere(http: HttpRequest) -> HttpResponse {
+async fn unknown_path(http: HttpRequest) -> HttpResponse {
     let hint = format!(
         "nothing at {} {}; see /v1/chat/completions, /v1/completions and /v1/services/NAME/",
         http.method(),
@@ -82,9 +82,9 @@
     body: Result<Bytes, Error>,
     chat: bool,
 ) -> Result<HttpResponse, RequestError> {
-    let (state, open) = enter(http)?;
-    let bundle = state.bundle_sync.current().await?;
-    let body = body.map_err(|e| unread(&e, state))?;
+    let (state, open) = begin_request(http)?;
+    let bundle = state.bundle_sync.current_bundle().await?;
+    let body = body.map_err(|e| body_error(&e, state))?;
     let request = Request::completion(http, body, chat, &bundle, state.clock.now())?;
 
     idempotency::run_once(state, request, async move |request| {
@@ -104,7 +104,7 @@
     let stream = request.stream;
     let answer = ResponseStream::new(Rc::clone(state), request, granted);
     if stream {
-        return Ok(streamed(answer, shape, open));
+        return Ok(stream_response(answer, shape, open));
     }
 
     let whole = collect(answer).await?;
@@ -119,9 +119,9 @@
     target: (&str, &str),
     body: Result<Bytes, Error>,
 ) -> Result<HttpResponse, RequestError> {
-    let (state, _open) = enter(http)?;
-    let bundle = state.bundle_sync.current().await?;
-    let body = body.map_err(|e| unread(&e, state))?;
+    let (state, _open) = begin_request(http)?;
+    let bundle = state.bundle_sync.current_bundle().await?;
+    let body = body.map_err(|e| body_error(&e, state))?;
     let request = Request::service_call(http, body, target, &bundle, state.clock.now())?;
 
     idempotency::run_once(state, request, async move |request| {
@@ -142,14 +142,14 @@
 }
 
 /// Takes a request as in progress, unless it comes after the entry drained.
-fn enter(http: &HttpRequest) -> Result<(&Rc<State>, OpenRequest), RequestError> {
+fn begin_request(http: &HttpRequest) -> Result<(&Rc<State>, OpenRequest), RequestError> {
     let state = http.app_data::<Rc<State>>();
     let state =
         state.ok_or_else(|| RequestError::not_run(Refusal::NoBundle, "the entry is not set up"))?;
     if state.refusing.get() {
         return Err(drain::draining_error());
     }
-    Ok((state, state.open()))
+    Ok((state, state.begin_request()))
 }
 
 /// Gets the request to run, unless the drain's limit passes.
@@ -161,7 +161,7 @@
 }
 
 /// The refusal of a body that could not be read.
-fn unread(error: &Error, state: &State) -> RequestError {
+fn body_error(error: &Error, state: &State) -> RequestError {
     let status = error.as_response_error().status_code();
     if status == StatusCode::PAYLOAD_TOO_LARGE {
         let hint = format!(
@@ -177,7 +177,7 @@
 }
 
 /// A whole answer.
-struct Whole {
+struct FullResponse {
     body: Vec<u8>,
     status: u16,
     finish: String,
@@ -185,7 +185,7 @@
 }
 
 /// Waits for the whole answer.
-async fn collect(mut answer: ResponseStream) -> Result<Whole, RequestError> {
+async fn collect(mut answer: ResponseStream) -> Result<FullResponse, RequestError> {
     let (mut body, mut tokens) = (Vec::new(), 0);
     loop {
         let (pieces, end) = match answer.part().await? {
@@ -201,7 +201,7 @@
             tokens += piece.tokens;
         }
         if let Some((status, finish)) = end {
-            return Ok(Whole {
+            return Ok(FullResponse {
                 body,
                 status,
                 finish,
@@ -212,11 +212,12 @@
 }
 
 /// An answer whose next part is waited for.
-type Waiting = Pin<Box<dyn Future<Output = (ResponseStream, Result<ResponsePart, RequestError>)>>>;
+type PendingPart =
+    Pin<Box<dyn Future<Output = (ResponseStream, Result<ResponsePart, RequestError>)>>>;
 
 /// Waits for an answer's next part. Taking a part must not be dropped halfway,
 /// so the wait is kept from one comment to the next.
-fn wait(mut answer: ResponseStream) -> Waiting {
+fn wait_part(mut answer: ResponseStream) -> PendingPart {
     Box::pin(async move {
         let part = answer.part().await;
         (answer, part)
@@ -228,9 +229,13 @@
 /// With nothing to write, a caller that vanished without closing its
 /// connection would never be noticed, and its request would hold a slot. A
 /// comment, which callers skip, makes its host answer with a reset.
-fn streamed(answer: ResponseStream, shape: CompletionWriter, open: OpenRequest) -> HttpResponse {
+fn stream_response(
+    answer: ResponseStream,
+    shape: CompletionWriter,
+    open: OpenRequest,
+) -> HttpResponse {
     let every = answer.comment_interval();
-    let state = Some((wait(answer), shape, open));
+    let state = Some((wait_part(answer), shape, open));
     let body = stream::unfold(state, move |state| async move {
         let (mut waiting, shape, open) = state?;
         let part = tokio::time::timeout(every, waiting.as_mut()).await;
@@ -255,12 +260,12 @@
                 false
             }
             Err(refused) => {
-                refused.count();
-                shape.error(&mut out, &refused);
+                refused.record_metric();
+                shape.write_error(&mut out, &refused);
                 false
             }
         };
-        let state = more.then(|| (wait(answer), shape, open));
+        let state = more.then(|| (wait_part(answer), shape, open));
         Some((Ok::<_, io::Error>(Bytes::from(out)), state))
     });
     HttpResponse::Ok()
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -84,7 +84,7 @@
     let asks = asks(&request);
     let found = state.keyed_calls.by_key.borrow().get(&hash).cloned();
     if let Some(call) = found {
-        return join(call, asks, state.open()).await;
+        return join(call, asks, state.begin_request()).await;
     }
 
     let first = First::new(state, hash, asks);
@@ -146,7 +146,7 @@
 #[must_use]
 pub fn claim_expired() -> RequestError {
     let hint = "the claim of the idempotency key lapsed while the call waited";
-    RequestError::not_run(Refusal::Expired, hint).after(Duration::from_secs(1))
+    RequestError::not_run(Refusal::Expired, hint).with_retry_after(Duration::from_secs(1))
 }
 
 /// Hash of what a call asks for.
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -31,12 +31,12 @@
 /// word calls gone.
 pub struct MembershipActor {
     state: Rc<State>,
-    hosts: Option<Rc<Hosts>>,
-    known: Membership,
+    list_client: Option<Rc<Hosts>>,
+    membership: Membership,
     /// Whether the list could be read last time, to log changes only.
-    readable: bool,
+    list_readable: bool,
     /// Calls that ask after a sidecar and are still out.
-    asking: Rc<Cell<usize>>,
+    open_probes: Rc<Cell<usize>>,
 }
 
 impl MembershipActor {
@@ -54,7 +54,7 @@
         let mut known = Membership::new(&settings.name, &settings.zone, limits);
         // Sidecars named in the settings are believed until a list shows
         // otherwise and they stop answering.
-        let named: Vec<Host> = settings.sidecars.iter().map(named).collect();
+        let named: Vec<Host> = settings.sidecars.iter().map(configured_host).collect();
         known.apply_list(state.clock.now(), &named);
 
         let region = &settings.host_list.region;
@@ -64,42 +64,42 @@
             .map(|a| Rc::new(Hosts::new(a, region)));
         Self {
             state,
-            hosts,
-            known,
-            readable: true,
-            asking: Rc::default(),
+            list_client: hosts,
+            membership: known,
+            list_readable: true,
+            open_probes: Rc::default(),
         }
     }
 
     /// Reads the list, and again after a while.
-    fn poll(&mut self, ctx: &mut Context<Self>) {
-        let Some(hosts) = self.hosts.clone() else {
+    fn poll_list(&mut self, ctx: &mut Context<Self>) {
+        let Some(hosts) = self.list_client.clone() else {
             return;
         };
         let read = async move { hosts.read().await };
         let done = read.into_actor(self).map(|list, roster, ctx| {
-            roster.take(&list);
+            roster.apply_list(&list);
             // An entry that knows nobody can serve nobody.
-            let poll = match roster.known.is_empty() {
+            let poll = match roster.membership.is_empty() {
                 true => EAGER,
-                false => roster.state.settings.host_list.poll.0,
+                false => roster.state.settings.host_list.poll_interval.0,
             };
             // Entries that start together must not ask together for ever.
             let wait = poll.mul_f64(rand::random_range(0.5..1.5));
-            ctx.run_later(wait, Self::poll);
+            ctx.run_later(wait, Self::poll_list);
         });
         ctx.spawn(done);
     }
 
     /// Takes over what the reading brought.
-    fn take(&mut self, list: &Result<Option<Vec<Listed>>, Error>) {
+    fn apply_list(&mut self, list: &Result<Option<Vec<Listed>>, Error>) {
         // Which life the list calls leaving shows only against the newest one.
-        self.hear();
+        self.note_answers();
         let outcome = match list {
             Ok(None) => "unchanged",
             Ok(Some(list)) => {
-                let hosts: Vec<Host> = list.iter().map(host).collect();
-                match self.known.apply_list(self.state.clock.now(), &hosts) {
+                let hosts: Vec<Host> = list.iter().map(listed_host).collect();
+                match self.membership.apply_list(self.state.clock.now(), &hosts) {
                     ListOutcome::Taken => "taken",
                     ListOutcome::Ignored => "empty",
                 }
@@ -109,51 +109,51 @@
         counter!("pimentocart_host_lists_total", "outcome" => outcome).increment(1);
 
         let readable = list.is_ok();
-        if let (Err(e), true) = (list, self.readable) {
+        if let (Err(e), true) = (list, self.list_readable) {
             warn!("host list unreadable", kv: { error = e.to_string().as_str() });
         }
-        self.readable = readable;
+        self.list_readable = readable;
         if outcome == "taken" {
-            self.apply();
+            self.publish_servers();
             self.state.list_applied.trigger();
         }
     }
 
     /// Notes who answered since.
-    fn hear(&mut self) {
+    fn note_answers(&mut self) {
         for server in self.state.servers() {
             if let Some((at, life)) = server.last_reply.get() {
-                self.known.note_answer(at, &server.info.name, life);
+                self.membership.note_answer(at, &server.info.name, life);
             }
         }
     }
 
     /// Notes who answered, forgets who is gone and asks after the doubtful.
-    fn beat(&mut self, _: &mut Context<Self>) {
-        self.hear();
-        let forgotten = self.known.sweep(self.state.clock.now());
+    fn tick(&mut self, _: &mut Context<Self>) {
+        self.note_answers();
+        let forgotten = self.membership.sweep(self.state.clock.now());
         if forgotten > 0 {
             info!("hosts forgotten", kv: { count = forgotten });
             counter!("pimentocart_hosts_forgotten_total").increment(forgotten as u64);
-            self.apply();
+            self.publish_servers();
         }
-        self.mark();
+        self.mark_leaving();
 
         // The answers of those asked the last time are still awaited.
-        if self.asking.get() > 0 {
+        if self.open_probes.get() > 0 {
             return;
         }
         for server in self.state.servers() {
             let open = self.state.placement.borrow().is_open(server.index);
-            if !open || !self.known.is_listed(&server.info.name) {
-                self.ask(server);
+            if !open || !self.membership.is_listed(&server.info.name) {
+                self.probe(server);
             }
         }
     }
 
     /// Asks one sidecar how it is.
-    fn ask(&self, server: Rc<Server>) {
-        let (state, asking) = (Rc::clone(&self.state), Rc::clone(&self.asking));
+    fn probe(&self, server: Rc<Server>) {
+        let (state, asking) = (Rc::clone(&self.state), Rc::clone(&self.open_probes));
         asking.set(asking.get() + 1);
         actix_rt::spawn(async move {
             let ask = PullRequest {
@@ -163,31 +163,31 @@
             };
             // No answer is told by the time since the last one.
             let answer = server.peer.pull(state.call_header(), ask).await;
-            let _ = state.heard(&server, answer);
+            let _ = state.record_reply(&server, answer);
             asking.set(asking.get() - 1);
         });
     }
 
     /// Gives the entry the sidecars that it should know.
-    fn apply(&self) {
+    fn publish_servers(&self) {
         let chosen: Vec<SidecarInfo> = self
-            .known
+            .membership
             .chosen_sidecars()
             .into_iter()
-            .filter_map(known)
+            .filter_map(sidecar_info)
             .collect();
         self.state.set_servers(&chosen);
-        self.mark();
-        gauge!("pimentocart_hosts_known").set(self.known.len() as f64);
+        self.mark_leaving();
+        gauge!("pimentocart_hosts_known").set(self.membership.len() as f64);
         gauge!("pimentocart_servers_known").set(chosen.len() as f64);
     }
 
     /// Marks the sidecars that the list calls leaving.
-    fn mark(&self) {
+    fn mark_leaving(&self) {
         let servers = self.state.servers();
         let mut placement = self.state.placement.borrow_mut();
         for server in servers {
-            placement.set_closed(server.index, self.known.is_leaving(&server.info.name));
+            placement.set_closed(server.index, self.membership.is_leaving(&server.info.name));
         }
     }
 }
@@ -196,12 +196,12 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        self.poll(ctx);
-        ctx.run_interval(BEAT, Self::beat);
+        self.poll_list(ctx);
+        ctx.run_interval(BEAT, Self::tick);
     }
 }
 
-fn named(known: &SidecarInfo) -> Host {
+fn configured_host(known: &SidecarInfo) -> Host {
     let kind = HostKind::Sidecar {
         serves: known.serves.clone(),
     };
@@ -214,7 +214,7 @@
     }
 }
 
-fn host(listed: &Listed) -> Host {
+fn listed_host(listed: &Listed) -> Host {
     let kind = match listed.role {
         Role::Entry => HostKind::Entry,
         Role::Sidecar => HostKind::Sidecar {
@@ -230,7 +230,7 @@
     }
 }
 
-fn known(host: &Host) -> Option<SidecarInfo> {
+fn sidecar_info(host: &Host) -> Option<SidecarInfo> {
     let HostKind::Sidecar { serves } = &host.kind else {
         return None;
     };
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -15,7 +15,7 @@
 use crate::drain;
 use crate::error::RequestError;
 use crate::request::Request;
-use crate::reserve::cause;
+use crate::reserve::retry_reason;
 use crate::start::Run;
 use crate::state::State;
 
@@ -80,7 +80,7 @@
     pub async fn part(&mut self) -> Result<ResponsePart, RequestError> {
         let cutoff = self.state.cutoff.clone();
         tokio::select! {
-            part = self.next_part() => return part,
+            part = self.next_unguarded_part() => return part,
             () = cutoff.wait() => {}
         }
         Err(drain::cutoff_error(self.next_chunk > 0))
@@ -92,7 +92,7 @@
         self.state.settings.comment_interval.0
     }
 
-    async fn next_part(&mut self) -> Result<ResponsePart, RequestError> {
+    async fn next_unguarded_part(&mut self) -> Result<ResponsePart, RequestError> {
         loop {
             match self.pull().await {
                 Ok(ResponsePart::Chunks(pieces)) if self.request.stream => {
@@ -114,13 +114,13 @@
                         finish_reason,
                     });
                 }
-                Err(failed) => self.again(failed).await?,
+                Err(failed) => self.retry(failed).await?,
             }
         }
     }
 
     /// Runs the request again after its run failed.
-    async fn again(&mut self, mut failed: AttemptFailure) -> Result<(), RequestError> {
+    async fn retry(&mut self, mut failed: AttemptFailure) -> Result<(), RequestError> {
         failed.attempt.delivered = self.delivered();
         if failed.attempt.cause == RetryReason::Preempted {
             self.request.preemptions += 1;
@@ -156,17 +156,17 @@
             };
             let server = &self.run.server;
             let answer = server.peer.pull(self.state.call_header(), ask).await;
-            let reply = match self.state.heard(server, answer) {
+            let reply = match self.state.record_reply(server, answer) {
                 Ok(reply) => reply,
                 Err(e) => {
                     if failing.is_none() {
-                        base::telemetry::count_retry(cause(&e));
+                        base::telemetry::count_retry(retry_reason(&e));
                     }
                     let (since, pulls) = failing.unwrap_or((Instant::now(), 0));
                     failing = Some((since, pulls + 1));
-                    if self.gives_up(since, pulls + 1) {
+                    if self.should_give_up(since, pulls + 1) {
                         warn!("answer lost", kv: { ticket = self.run.ticket.to_string().as_str(), error = e.to_string().as_str() });
-                        return Err(self.lost(RetryReason::Unknown));
+                        return Err(self.lost_failure(RetryReason::Unknown));
                     }
                     tokio::time::sleep(PAUSE).await;
                     continue;
@@ -177,9 +177,9 @@
             if reply.incarnation != self.run.incarnation {
                 // The life that ran it is gone with all it knew.
                 self.run.mark_finished();
-                return Err(self.lost(RetryReason::SidecarRestarted));
+                return Err(self.lost_failure(RetryReason::SidecarRestarted));
             }
-            if let Some(part) = self.take(reply.body)? {
+            if let Some(part) = self.accept(reply.body)? {
                 return Ok(part);
             }
         }
@@ -188,14 +188,14 @@
     /// Whether to stop trying to reach the sidecar. Where the request may run
     /// elsewhere, waiting costs more than another run; where it may not, the
     /// sidecar keeps the answer for a while.
-    fn gives_up(&self, since: Instant, pulls: u32) -> bool {
+    fn should_give_up(&self, since: Instant, pulls: u32) -> bool {
         let elsewhere = self.request.repeatable && !self.delivered();
         let patience = self.state.settings.routing.unreachable_timeout.0;
         (elsewhere && pulls >= PULLS) || since.elapsed() >= patience
     }
 
     /// Checks what was pulled and counts it.
-    fn take(&mut self, pulled: PullOutcome) -> Result<Option<ResponsePart>, AttemptFailure> {
+    fn accept(&mut self, pulled: PullOutcome) -> Result<Option<ResponsePart>, AttemptFailure> {
         let PullOutcome::Chunks {
             first,
             mut chunks,
@@ -203,12 +203,12 @@
         } = pulled
         else {
             self.run.mark_finished();
-            return Err(self.lost(RetryReason::Unknown));
+            return Err(self.lost_failure(RetryReason::Unknown));
         };
         // A piece missing between would give the caller another answer than
         // the one that was made.
         let Some(skip) = self.next_chunk.checked_sub(first) else {
-            return Err(self.lost(RetryReason::Unknown));
+            return Err(self.lost_failure(RetryReason::Unknown));
         };
         chunks.drain(..chunks.len().min(skip as usize));
         self.next_chunk += u32::try_from(chunks.len()).unwrap_or(u32::MAX);
@@ -223,19 +223,21 @@
                 finish_reason,
                 ..
             }) if chunk_count == self.next_chunk => {
-                self.whole();
+                self.record_complete();
                 Ok(Some(ResponsePart::Complete {
                     chunks,
                     status,
                     finish_reason,
                 }))
             }
-            Some(ResponseEnd::Complete { .. }) => Err(self.lost(RetryReason::Unknown)),
-            Some(ResponseEnd::Interrupted { reason, ran }) => Err(self.broken(reason, ran)),
+            Some(ResponseEnd::Complete { .. }) => Err(self.lost_failure(RetryReason::Unknown)),
+            Some(ResponseEnd::Interrupted { reason, ran }) => {
+                Err(self.interrupted_failure(reason, ran))
+            }
         }
     }
 
-    fn whole(&self) {
+    fn record_complete(&self) {
         self.run.mark_finished();
         self.state.record_run(&self.run.server, true);
         let mut lengths = self.state.answer_lengths.borrow_mut();
@@ -243,7 +245,7 @@
     }
 
     /// The sidecar says that the run broke off.
-    fn broken(&self, reason: Refusal, ran: Executed) -> AttemptFailure {
+    fn interrupted_failure(&self, reason: Refusal, ran: Executed) -> AttemptFailure {
         self.run.mark_finished();
         if reason == Refusal::BackendFailed {
             self.state.record_run(&self.run.server, false);
@@ -273,7 +275,7 @@
     }
 
     /// The answer can no longer be had from the sidecar.
-    fn lost(&self, cause: RetryReason) -> AttemptFailure {
+    fn lost_failure(&self, cause: RetryReason) -> AttemptFailure {
         let mut refused = dispatch::outcome_unknown();
         if self.delivered() {
             refused.reason = Refusal::Truncated;
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -103,7 +103,7 @@
             preemptions: 0,
             prompt_tokens: body.prompt_tokens(),
             max_tokens: body.max_tokens.unwrap_or(u32::MAX),
-            prefix_hash: body.prefix(),
+            prefix_hash: body.prefix_hash(),
             work: BackendRequest::Completion { body: raw, chat },
         })
     }
--- a/crates/entry/src/request/body.rs
+++ b/crates/entry/src/request/body.rs
@@ -97,7 +97,7 @@
 
     /// Hash of the prompt's prefix, equal for prompts that begin alike.
     #[must_use]
-    pub fn prefix(&self) -> u64 {
+    pub fn prefix_hash(&self) -> u64 {
         let mut prefix = Vec::with_capacity(PREFIX_BYTES);
         for text in self.texts() {
             let left = PREFIX_BYTES - prefix.len();
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -36,7 +36,7 @@
     /// Its reason, if it answered.
     pub refusal: Option<Refusal>,
     /// When asking there again may help.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// One round of reservations for one ticket.
@@ -45,8 +45,8 @@
     request: &'a Request,
     ticket: RequestId,
     size: RequestSize,
-    usual: TokenLatency,
-    bids: Vec<Reservation>,
+    median_latency: TokenLatency,
+    reservations: Vec<Reservation>,
 }
 
 /// A reservation at one sidecar. Dropped while it is open, it is cancelled:
@@ -65,7 +65,7 @@
 /// A slot that is held.
 #[derive(Clone, Copy)]
 struct HeldSlot {
-    bid: usize,
+    reservation: usize,
     offer: Offer,
     incarnation: Incarnation,
 }
@@ -89,11 +89,11 @@
                 prompt_tokens: request.prompt_tokens,
                 answer_tokens: lengths.expected_tokens(&request.class, request.max_tokens),
             },
-            usual: state
+            median_latency: state
                 .placement
                 .borrow_mut()
                 .median_pace(now, &request.target),
-            bids: servers
+            reservations: servers
                 .map(|server| Reservation {
                     state: Rc::clone(state),
                     server,
@@ -111,11 +111,11 @@
     ///
     /// Returns why each sidecar gave none.
     pub async fn run(mut self, first_left: Option<Duration>) -> Result<Run, Vec<Rejection>> {
-        let (held, rejections) = self.settle(first_left).await;
+        let (held, rejections) = self.best_slot(first_left).await;
         let Some(held) = held else {
             return Err(rejections);
         };
-        let won = self.bids.swap_remove(held.bid);
+        let won = self.reservations.swap_remove(held.reservation);
         won.open.set(false);
         Ok(Run::new(
             Rc::clone(self.state),
@@ -126,11 +126,12 @@
     }
 
     /// Waits for the best slot, or for all to have rejected.
-    async fn settle(&self, first_left: Option<Duration>) -> (Option<HeldSlot>, Vec<Rejection>) {
+    async fn best_slot(&self, first_left: Option<Duration>) -> (Option<HeldSlot>, Vec<Rejection>) {
         let mut rejections = Vec::new();
         let mut held: Option<HeldSlot> = None;
         let mut until = None;
-        let asks = (0..self.bids.len()).map(|i| async move { (i, self.ask(i, first_left).await) });
+        let asks = (0..self.reservations.len())
+            .map(|i| async move { (i, self.reserve_at(i, first_left).await) });
         let mut asks: FuturesUnordered<_> = asks.collect();
 
         loop {
@@ -149,14 +150,14 @@
                 Some((_, Err(rejection))) => rejections.push(rejection),
                 Some((bid, Ok((offer, incarnation)))) => {
                     let new = HeldSlot {
-                        bid,
+                        reservation: bid,
                         offer,
                         incarnation,
                     };
                     if held.is_some() {
                         counters::count_grace_period(true);
                     }
-                    held = Some(held.map_or(new, |old| self.better(old, new)));
+                    held = Some(held.map_or(new, |old| self.earlier_finish(old, new)));
                 }
             }
 
@@ -164,7 +165,7 @@
             let Some(best) = held else {
                 continue;
             };
-            let grace = self.grace(best, &rejections);
+            let grace = self.grace_period(best, &rejections);
             if grace.is_zero() {
                 return (held, rejections);
             }
@@ -174,8 +175,8 @@
     }
 
     /// The slot with the earlier expected finish.
-    fn better(&self, old: HeldSlot, new: HeldSlot) -> HeldSlot {
-        let finish = |held: &HeldSlot| held.offer.completion_time(self.size, self.usual);
+    fn earlier_finish(&self, old: HeldSlot, new: HeldSlot) -> HeldSlot {
+        let finish = |held: &HeldSlot| held.offer.completion_time(self.size, self.median_latency);
         if finish(&new) < finish(&old) {
             new
         } else {
@@ -184,37 +185,37 @@
     }
 
     /// How long to leave the best slot held.
-    fn grace(&self, best: HeldSlot, rejections: &[Rejection]) -> Duration {
+    fn grace_period(&self, best: HeldSlot, rejections: &[Rejection]) -> Duration {
         let limit = self.state.settings.routing.grace_period.0;
-        let others = self.bids.iter().enumerate().filter_map(|(i, bid)| {
+        let others = self.reservations.iter().enumerate().filter_map(|(i, bid)| {
             let rejected = rejections.iter().any(|r| r.index == bid.server.index);
-            (i != best.bid && !rejected)
-                .then(|| bid.expected())
+            (i != best.reservation && !rejected)
+                .then(|| bid.expected_offer())
                 .flatten()
         });
-        offer::grace_period(best.offer, others, self.size, self.usual, limit)
+        offer::grace_period(best.offer, others, self.size, self.median_latency, limit)
     }
 
     /// Asks one sidecar until a slot is held or rejected there.
-    async fn ask(
+    async fn reserve_at(
         &self,
         bid: usize,
         first_left: Option<Duration>,
     ) -> Result<(Offer, Incarnation), Rejection> {
-        let bid = &self.bids[bid];
+        let bid = &self.reservations[bid];
         let mut redials = 0;
         // The first answer comes at once: it brings the estimate, and a
         // connection that is silent shows after the margin alone.
         let mut hold = Duration::ZERO;
         loop {
-            let ask = self.message(hold, first_left);
+            let ask = self.reserve_message(hold, first_left);
             bid.open.set(true);
             let answer = bid.server.peer.reserve(self.state.call_header(), ask).await;
-            let reply = match self.state.heard(&bid.server, answer) {
+            let reply = match self.state.record_reply(&bid.server, answer) {
                 Ok(reply) => reply,
                 Err(e) => {
                     debug!("reserve failed", kv: { error = e.to_string().as_str() });
-                    let cause = cause(&e);
+                    let cause = retry_reason(&e);
                     if redials >= REDIALS || e.never_sent() {
                         bid.open.set(!e.never_sent());
                         return Err(bid.rejection(cause));
@@ -253,7 +254,7 @@
         }
     }
 
-    fn message(&self, hold: Duration, first_left: Option<Duration>) -> ReserveRequest {
+    fn reserve_message(&self, hold: Duration, first_left: Option<Duration>) -> ReserveRequest {
         let mut ask = self.request.reserve_request(self.state.clock.now(), hold);
         ask.ticket = self.ticket;
         if let Some(left) = first_left {
@@ -269,7 +270,7 @@
             index: self.server.index,
             cause,
             refusal: None,
-            after: None,
+            retry_after: None,
         }
     }
 
@@ -283,7 +284,7 @@
         let after = Duration::from_millis(u64::from(retry_after_ms));
         Rejection {
             refusal: Some(reason),
-            after: Some(after).filter(|after| !after.is_zero()),
+            retry_after: Some(after).filter(|after| !after.is_zero()),
             ..self.rejection(cause)
         }
     }
@@ -309,7 +310,7 @@
     }
 
     /// What the sidecar is expected to offer; `None` when nothing tells.
-    fn expected(&self) -> Option<Offer> {
+    fn expected_offer(&self) -> Option<Offer> {
         let load = self.state.placement.borrow().load(self.server.index);
         let told = self.wait.get().filter(|wait| !wait.is_zero());
         let wait = match load.full() {
@@ -336,13 +337,13 @@
         actix_rt::spawn(async move {
             // Without an answer the hold ends by itself.
             let answer = server.peer.cancel(state.call_header(), ticket).await;
-            let _ = state.heard(&server, answer);
+            let _ = state.record_reply(&server, answer);
         });
     }
 }
 
 /// Why a call without an answer is made again.
-pub(crate) fn cause(error: &Error) -> RetryReason {
+pub(crate) fn retry_reason(error: &Error) -> RetryReason {
     match error {
         Error::Dial { .. } => RetryReason::Unreachable,
         Error::Call { .. } | Error::Silent { .. } => RetryReason::Silent,
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -143,7 +143,7 @@
     pub region: String,
     /// How often the list is read, on average.
     #[serde(rename = "poll")]
-    pub poll: HumanDuration,
+    pub poll_interval: HumanDuration,
     /// Sidecars of one service that are known, on average.
     #[serde(rename = "subset")]
     pub subset_size: usize,
@@ -160,7 +160,7 @@
         Self {
             list_addr: None,
             region: String::new(),
-            poll: HumanDuration::secs(2),
+            poll_interval: HumanDuration::secs(2),
             subset_size: 128,
             other_zones: 16,
             forget_after: HumanDuration::secs(30),
@@ -242,8 +242,8 @@
         )?;
         check(
             "roster.poll",
-            self.host_list.poll,
-            !self.host_list.poll.0.is_zero(),
+            self.host_list.poll_interval,
+            !self.host_list.poll_interval.0.is_zero(),
             "read the list every few seconds, as in \"2s\"",
         )?;
         check(
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -11,7 +11,7 @@
 use wire::{CancelOutcome, StartOutcome, StartRequest};
 
 use crate::request::Request;
-use crate::reserve::cause;
+use crate::reserve::retry_reason;
 use crate::state::{Server, State};
 
 /// How often a start without an answer is sent again where nothing else can
@@ -36,12 +36,12 @@
     /// The sidecar's life in which it runs.
     pub incarnation: Incarnation,
     /// Whether nothing is left to cancel.
-    over: Cell<bool>,
+    finished: Cell<bool>,
 }
 
 /// What became of a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum StartStatus {
     /// It runs.
     Running,
     /// It did not run and never will.
@@ -64,19 +64,19 @@
             server,
             ticket,
             incarnation,
-            over: Cell::new(false),
+            finished: Cell::new(false),
         }
     }
 
     /// Notes that nothing is left to cancel.
     pub fn mark_finished(&self) {
-        self.over.set(true);
+        self.finished.set(true);
     }
 
     /// Starts the work. A start without an answer may or may not have taken
     /// effect; it is sent again for the same life of the sidecar, which
     /// answers the same however often it is asked and so tells which.
-    pub async fn start(&self, request: &Request) -> Outcome {
+    pub async fn start(&self, request: &Request) -> StartStatus {
         let again = match request.repeatable {
             true => AGAIN_REPEATABLE,
             false => AGAIN,
@@ -94,38 +94,42 @@
                 incarnation: self.incarnation,
                 work: request.work.clone(),
             };
-            let answer = self.server.peer.start(self.state.call_header(), order).await;
-            match self.state.heard(&self.server, answer) {
-                Ok(reply) => return self.judge(reply.body, sent),
+            let answer = self
+                .server
+                .peer
+                .start(self.state.call_header(), order)
+                .await;
+            match self.state.record_reply(&self.server, answer) {
+                Ok(reply) => return self.start_status(reply.body, sent),
                 Err(e) => {
                     warn!("start without answer", kv: { ticket = self.ticket.to_string().as_str(), error = e.to_string().as_str() });
                     sent |= !e.never_sent();
-                    base::telemetry::count_retry(cause(&e));
+                    base::telemetry::count_retry(retry_reason(&e));
                     tokio::time::sleep(PAUSE).await;
                 }
             }
         }
         if !sent {
-            return Outcome::NotRun(RetryReason::Unreachable);
+            return StartStatus::NotRun(RetryReason::Unreachable);
         }
         // The caller of a repeatable request waits for its answer elsewhere;
         // this run, if there is one, is cancelled when it is dropped.
         if request.repeatable {
-            return Outcome::Unknown;
+            return StartStatus::Unknown;
         }
         self.cancel().await
     }
 
-    fn judge(&self, started: StartOutcome, sent: bool) -> Outcome {
+    fn start_status(&self, started: StartOutcome, sent: bool) -> StartStatus {
         let outcome = match started {
-            StartOutcome::Running => return Outcome::Running,
+            StartOutcome::Running => return StartStatus::Running,
             StartOutcome::ReservationExpired | StartOutcome::Cancelled => {
-                Outcome::NotRun(RetryReason::ReservationExpired)
+                StartStatus::NotRun(RetryReason::ReservationExpired)
             }
-            StartOutcome::Refused(_) => Outcome::NotRun(RetryReason::Refused),
+            StartOutcome::Refused(_) => StartStatus::NotRun(RetryReason::Refused),
             // An earlier start may have run in the life that is gone.
-            StartOutcome::OtherIncarnation if sent => Outcome::Unknown,
-            StartOutcome::OtherIncarnation => Outcome::NotRun(RetryReason::SidecarRestarted),
+            StartOutcome::OtherIncarnation if sent => StartStatus::Unknown,
+            StartOutcome::OtherIncarnation => StartStatus::NotRun(RetryReason::SidecarRestarted),
         };
         self.mark_finished();
         outcome
@@ -133,28 +137,28 @@
 
     /// The last try to find out: a cancelled ticket that never started cannot
     /// start any more.
-    async fn cancel(&self) -> Outcome {
+    async fn cancel(&self) -> StartStatus {
         let answer = self
             .server
             .peer
             .cancel(self.state.call_header(), self.ticket)
             .await;
-        let Ok(reply) = self.state.heard(&self.server, answer) else {
-            return Outcome::Unknown;
+        let Ok(reply) = self.state.record_reply(&self.server, answer) else {
+            return StartStatus::Unknown;
         };
         self.mark_finished();
         match reply.body {
             CancelOutcome::NeverStarted if reply.incarnation == self.incarnation => {
-                Outcome::NotRun(RetryReason::Unreachable)
+                StartStatus::NotRun(RetryReason::Unreachable)
             }
-            _ => Outcome::Unknown,
+            _ => StartStatus::Unknown,
         }
     }
 }
 
 impl Drop for Run {
     fn drop(&mut self) {
-        if self.over.get() {
+        if self.finished.get() {
             return;
         }
         let (state, server, ticket) =
@@ -162,7 +166,7 @@
         actix_rt::spawn(async move {
             // Without an answer there is nobody left to tell.
             let answer = server.peer.cancel(state.call_header(), ticket).await;
-            let _ = state.heard(&server, answer);
+            let _ = state.record_reply(&server, answer);
         });
     }
 }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -81,7 +81,7 @@
         };
         let state = Rc::new(Self {
             servers: RefCell::default(),
-            claims: claims(&settings, &clock),
+            claims: start_claims(&settings, &clock),
             clock,
             keyed_calls: KeyedCalls::default(),
             bundle_sync: spread,
@@ -175,7 +175,7 @@
     /// # Errors
     ///
     /// Passes the call's error on.
-    pub fn heard<T>(
+    pub fn record_reply<T>(
         &self,
         server: &Server,
         answer: Result<Reply<T>, Error>,
@@ -187,7 +187,7 @@
             server.last_reply.set(Some((now, reply.incarnation)));
         }
         let ejected = match &answer {
-            Ok(reply) => placement.record_load(now, server.index, load(&reply.load), share),
+            Ok(reply) => placement.record_load(now, server.index, policy_load(&reply.load), share),
             Err(_) => placement.record_fault(now, server.index, Fault::Unreachable, share),
         };
         drop(placement);
@@ -195,7 +195,8 @@
             counters::count_ejection(server);
         }
         if let (Ok(reply), Some(server)) = (&answer, self.server(server.index)) {
-            self.bundle_sync.compare_sequence(now, &server, reply.sequence);
+            self.bundle_sync
+                .compare_sequence(now, &server, reply.sequence);
         }
         answer
     }
@@ -214,7 +215,7 @@
     }
 
     /// Counts a request as in progress until the guard is dropped.
-    pub fn open(self: &Rc<Self>) -> OpenRequest {
+    pub fn begin_request(self: &Rc<Self>) -> OpenRequest {
         self.open_requests.set(self.open_requests.get() + 1);
         OpenRequest {
             state: Rc::clone(self),
@@ -228,7 +229,7 @@
 }
 
 /// Starts to claim idempotency keys in the log, if there is one.
-fn claims(settings: &Settings, clock: &Rc<dyn Clock>) -> Option<Rc<Claims>> {
+fn start_claims(settings: &Settings, clock: &Rc<dyn Clock>) -> Option<Rc<Claims>> {
     let follow = settings.follow.as_ref()?;
     let settings = claims::Settings {
         log: follow.log,
@@ -246,12 +247,14 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.state.open_requests.set(self.state.open_requests.get() - 1);
+        self.state
+            .open_requests
+            .set(self.state.open_requests.get() - 1);
     }
 }
 
 /// The load as the policy sees it.
-fn load(told: &wire::ServerLoad) -> Load {
+fn policy_load(told: &wire::ServerLoad) -> Load {
     let us = |us: u32| Duration::from_micros(u64::from(us));
     Load {
         running: told.running,
