--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -56,12 +56,12 @@
     /// or lost at one server and then refused by the next did run: its caller
     /// would otherwise hear "not run" while its tokens were made.
     #[must_use]
-    pub fn final_error(&self, refused: RequestError) -> RequestError {
-        let ran = match refused.ran {
+    pub fn final_error(&self, error: RequestError) -> RequestError {
+        let ran = match error.ran {
             Executed::No => self.ran.unwrap_or(Executed::No),
             ran => ran,
         };
-        RequestError { ran, ..refused }
+        RequestError { ran, ..error }
     }
 }
 
@@ -79,13 +79,10 @@
 ///
 /// Returns the refusal to answer with when the request could not be started.
 pub async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, RequestError> {
-    let mut tries = Attempts::default();
-    match place(state, request, &mut tries, None).await {
-        Ok(run) => Ok(Granted {
-            run,
-            attempts: tries,
-        }),
-        Err(refused) => Err(tries.final_error(refused)),
+    let mut attempts = Attempts::default();
+    match place(state, request, &mut attempts, None).await {
+        Ok(run) => Ok(Granted { run, attempts }),
+        Err(error) => Err(attempts.final_error(error)),
     }
 }
 
@@ -97,49 +94,46 @@
 pub async fn retry(
     state: &Rc<State>,
     request: &Request,
-    mut tries: Attempts,
+    mut attempts: Attempts,
     server: ServerIndex,
     failed: AttemptFailure,
 ) -> Result<Granted, RequestError> {
-    tries.excluded.push(server);
-    tries.started = true;
-    tries.record(failed.attempt.ran);
-    match place(state, request, &mut tries, Some(failed)).await {
-        Ok(run) => Ok(Granted {
-            run,
-            attempts: tries,
-        }),
-        Err(refused) => Err(tries.final_error(refused)),
+    attempts.excluded.push(server);
+    attempts.started = true;
+    attempts.record(failed.attempt.ran);
+    match place(state, request, &mut attempts, Some(failed)).await {
+        Ok(run) => Ok(Granted { run, attempts }),
+        Err(error) => Err(attempts.final_error(error)),
     }
 }
 
 async fn place(
     state: &Rc<State>,
     request: &Request,
-    tries: &mut Attempts,
+    attempts: &mut Attempts,
     mut failed: Option<AttemptFailure>,
 ) -> Result<Run, RequestError> {
     let mut ticket = request.ticket;
     loop {
-        let chosen = choose(state, request, tries);
+        let chosen = choose(state, request, attempts);
         if let Some(last) = failed.take() {
-            check_retry(state, request, tries, last, chosen.is_empty())?;
+            check_retry(state, request, attempts, last, chosen.is_empty())?;
             // The last try's ticket is cancelled wherever it was.
             ticket = RequestId::random();
         } else if chosen.is_empty() {
             return Err(no_server());
         }
 
-        let left = tries.started.then(|| {
-            let left = time_left(state, request, tries);
-            left.saturating_sub(time_needed(state, request, tries))
+        let left = attempts.started.then(|| {
+            let left = time_left(state, request, attempts);
+            left.saturating_sub(time_needed(state, request, attempts))
         });
         let round = Round::new(state, request, ticket, &chosen);
         let run = match round.run(left).await {
             Ok(run) => run,
             Err(rejections) => {
-                tries.excluded.extend(&chosen);
-                tries.rounds += 1;
+                attempts.excluded.extend(&chosen);
+                attempts.rounds += 1;
                 failed = Some(round_failure(&rejections));
                 continue;
             }
@@ -156,21 +150,21 @@
                 return Ok(run);
             }
             outcome => {
-                tries.excluded.push(run.server.index);
+                attempts.excluded.push(run.server.index);
                 let last = start_failure(outcome);
-                tries.record(last.attempt.ran);
+                attempts.record(last.attempt.ran);
                 failed = Some(last);
             }
         }
     }
 }
 
-fn choose(state: &State, request: &Request, tries: &Attempts) -> Vec<ServerIndex> {
+fn choose(state: &State, request: &Request, attempts: &Attempts) -> Vec<ServerIndex> {
     let want = PlacementRequest {
         target: &request.target,
         prefix_hash: request.prefix_hash,
-        excluded: &tries.excluded,
-        fan_out: state.settings.fan_out << tries.rounds.min(ROUNDS_WIDER),
+        excluded: &attempts.excluded,
+        fan_out: state.settings.fan_out << attempts.rounds.min(ROUNDS_WIDER),
     };
     let now = state.clock.now();
     state.placement.borrow_mut().choose(now, &want)
@@ -180,59 +174,56 @@
 fn check_retry(
     state: &State,
     request: &Request,
-    tries: &Attempts,
+    attempts: &Attempts,
     failed: AttemptFailure,
     alone: bool,
 ) -> Result<(), RequestError> {
-    let AttemptFailure {
-        attempt: failure,
-        error: refused,
-    } = failed;
-    let left = time_left(state, request, tries);
-    let need = time_needed(state, request, tries);
-    if alone || failure.decide(request.repeatable, left, need) != RetryDecision::Again {
-        return Err(refused);
+    let AttemptFailure { attempt, error } = failed;
+    let left = time_left(state, request, attempts);
+    let need = time_needed(state, request, attempts);
+    if alone || attempt.decide(request.repeatable, left, need) != RetryDecision::Again {
+        return Err(error);
     }
 
     // A draining sidecar is not asked again, and a request is preempted once
     // at the most, so neither kind of retry can multiply.
     let free = matches!(
-        failure.cause,
+        attempt.cause,
         RetryReason::Draining | RetryReason::Preempted
     );
     if !free && !state.retry_budget.borrow_mut().take(&request.class) {
-        return Err(match refused.reason {
+        return Err(match error.reason {
             Refusal::NoServer => RequestError {
                 reason: Refusal::RetryBudget,
-                ..refused
+                ..error
             },
-            _ => refused,
+            _ => error,
         });
     }
-    base::telemetry::count_retry(failure.cause);
+    base::telemetry::count_retry(attempt.cause);
     Ok(())
 }
 
 /// Time until the first piece is due; once an answer was begun and lost, only
 /// the end counts.
-fn time_left(state: &State, request: &Request, tries: &Attempts) -> Duration {
+fn time_left(state: &State, request: &Request, attempts: &Attempts) -> Duration {
     let now = state.clock.now();
     let waited = now.saturating_duration_since(request.arrived);
     let targets = &request.class_spec.targets;
-    if tries.started && !request.stream {
+    if attempts.started && !request.stream {
         return targets.whole.0.saturating_sub(waited);
     }
     targets.first_token.0.saturating_sub(waited)
 }
 
 /// What another try takes at least, until the piece that is due.
-fn time_needed(state: &State, request: &Request, tries: &Attempts) -> Duration {
+fn time_needed(state: &State, request: &Request, attempts: &Attempts) -> Duration {
     let now = state.clock.now();
     let usual = state
         .placement
         .borrow_mut()
         .median_pace(now, &request.target);
-    if tries.started && !request.stream {
+    if attempts.started && !request.stream {
         let lengths = state.answer_lengths.borrow();
         return usual.completion_time(lengths.expected_tokens(&request.class, request.max_tokens));
     }
@@ -256,7 +247,7 @@
     let after = rejections.iter().filter_map(|r| r.retry_after).min();
 
     let reason = telling.and_then(|r| r.refusal);
-    let refused = match reason {
+    let error = match reason {
         None | Some(Refusal::Draining) => no_server(),
         Some(reason) => RequestError::not_run(reason, "no backend server can take it in time"),
     };
@@ -266,13 +257,13 @@
             ran: Executed::No,
             delivered: false,
         },
-        error: refused.with_retry_after(after.unwrap_or(RETRY_AFTER)),
+        error: error.with_retry_after(after.unwrap_or(RETRY_AFTER)),
     }
 }
 
 /// A start after which the request does not run, or may not.
 fn start_failure(outcome: StartStatus) -> AttemptFailure {
-    let (cause, ran, refused) = match outcome {
+    let (cause, ran, error) = match outcome {
         StartStatus::NotRun(cause) => (cause, Executed::No, no_server()),
         StartStatus::Running | StartStatus::Unknown => {
             (RetryReason::Unknown, Executed::Unknown, outcome_unknown())
@@ -284,7 +275,7 @@
             ran,
             delivered: false,
         },
-        error: refused,
+        error,
     }
 }
 
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -188,7 +188,7 @@
 async fn collect(mut answer: ResponseStream) -> Result<FullResponse, RequestError> {
     let (mut body, mut tokens) = (Vec::new(), 0);
     loop {
-        let (pieces, end) = match answer.part().await? {
+        let (pieces, end) = match answer.next_part().await? {
             ResponsePart::Chunks(pieces) => (pieces, None),
             ResponsePart::Complete {
                 chunks,
@@ -219,7 +219,7 @@
 /// so the wait is kept from one comment to the next.
 fn wait_part(mut answer: ResponseStream) -> PendingPart {
     Box::pin(async move {
-        let part = answer.part().await;
+        let part = answer.next_part().await;
         (answer, part)
     })
 }
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -42,28 +42,28 @@
 /// The calls with a key that this entry keeps.
 #[derive(Default)]
 pub struct KeyedCalls {
-    by_key: RefCell<HashMap<Hash, Rc<Call>>>,
+    by_key: RefCell<HashMap<Hash, Rc<KeyedCall>>>,
     /// Keys in the order in which their calls came.
     order: RefCell<VecDeque<Hash>>,
     /// Bytes of all kept answers.
-    bytes: Cell<usize>,
+    buffered_bytes: Cell<usize>,
 }
 
 /// One call with a key, and its answer as far as it came.
-struct Call {
+struct KeyedCall {
     /// Hash of what the call asks for.
-    asks: Hash,
-    head: RefCell<Option<Head>>,
+    request_hash: Hash,
+    head: RefCell<Option<ResponseHead>>,
     body: RefCell<Vec<u8>>,
-    end: RefCell<Option<Result<(), RequestError>>>,
+    result: RefCell<Option<Result<(), RequestError>>>,
     changed: Notify,
 }
 
 /// The status and the content type of an answer.
 #[derive(Clone)]
-struct Head {
+struct ResponseHead {
     status: StatusCode,
-    kind: String,
+    content_type: String,
 }
 
 /// Runs a request that has a key once, or joins the call that runs already;
@@ -81,23 +81,23 @@
         return run(request).await;
     };
     let hash = key_hash(&request.workspace, &key);
-    let asks = asks(&request);
+    let request_hash = request_hash(&request);
     let found = state.keyed_calls.by_key.borrow().get(&hash).cloned();
     if let Some(call) = found {
-        return join(call, asks, state.begin_request()).await;
+        return join_call(call, request_hash, state.begin_request()).await;
     }
 
-    let first = First::new(state, hash, asks);
-    let claimed = claim(state, &request, &key, asks).await;
-    request.claim = claimed.inspect_err(|refused| first.refuse(refused))?;
+    let first = FirstCall::new(state, hash, request_hash);
+    let claimed = claim(state, &request, &key, request_hash).await;
+    request.claim = claimed.inspect_err(|refused| first.fail(refused))?;
     let claim = request.claim.clone();
     match run(request).await {
-        Ok(response) => Ok(first.answer(response, claim)),
+        Ok(response) => Ok(first.record_response(response, claim)),
         Err(refused) => {
             if let Some(claim) = claim {
-                claim.end(end_of(refused.ran));
+                claim.end(claim_end(refused.ran));
             }
-            first.refuse(&refused);
+            first.fail(&refused);
             Err(refused)
         }
     }
@@ -109,20 +109,20 @@
     state: &State,
     request: &Request,
     key: &str,
-    asks: Hash,
+    request_hash: Hash,
 ) -> Result<Option<Rc<Claim>>, RequestError> {
     let Some(claims) = &state.claims else {
         return Ok(None);
     };
-    let claimed = claims.claim(&request.workspace, key, asks, request.ticket);
+    let claimed = claims.claim(&request.workspace, key, request_hash, request.ticket);
     match claimed.await {
         Ok(claim) => Ok(Some(Rc::new(claim))),
-        Err(denied) => Err(refusal(denied)),
+        Err(denied) => Err(denied_error(denied)),
     }
 }
 
 /// What a caller is told whose key is not its own.
-fn refusal(denied: Denied) -> RequestError {
+fn denied_error(denied: Denied) -> RequestError {
     let (ran, hint) = match (denied.reason, denied.end) {
         (Refusal::KeyReused, _) => (Executed::No, "the key was used with another request"),
         (Refusal::KeyInUse, Some(End::Whole)) => {
@@ -150,7 +150,7 @@
 }
 
 /// Hash of what a call asks for.
-fn asks(request: &Request) -> Hash {
+fn request_hash(request: &Request) -> Hash {
     match &request.work {
         BackendRequest::Completion { body, chat } => {
             let shape: &[u8] = if *chat { b"chat" } else { b"text" };
@@ -165,7 +165,7 @@
     }
 }
 
-fn end_of(ran: Executed) -> End {
+fn claim_end(ran: Executed) -> End {
     match ran {
         Executed::No => End::NotRun,
         Executed::Unknown | Executed::Partial => End::Unknown,
@@ -174,20 +174,20 @@
 
 /// The first call with a key. Dropped before it has an answer, it ends those
 /// who joined it.
-struct First {
+struct FirstCall {
     state: Rc<State>,
     key: Hash,
-    call: Rc<Call>,
-    settled: Cell<bool>,
+    call: Rc<KeyedCall>,
+    finished: Cell<bool>,
 }
 
-impl First {
-    fn new(state: &Rc<State>, key: Hash, asks: Hash) -> Self {
-        let call = Rc::new(Call {
-            asks,
+impl FirstCall {
+    fn new(state: &Rc<State>, key: Hash, request_hash: Hash) -> Self {
+        let call = Rc::new(KeyedCall {
+            request_hash,
             head: RefCell::default(),
             body: RefCell::default(),
-            end: RefCell::default(),
+            result: RefCell::default(),
             changed: Notify::new(),
         });
         state.keyed_calls.insert(key, &call);
@@ -195,14 +195,14 @@
             state: Rc::clone(state),
             key,
             call,
-            settled: Cell::new(false),
+            finished: Cell::new(false),
         }
     }
 
     /// Ends the call with a refusal. One that did not run leaves the key
     /// free, so that its caller may try again.
-    fn refuse(&self, refused: &RequestError) {
-        self.settled.set(true);
+    fn fail(&self, refused: &RequestError) {
+        self.finished.set(true);
         self.call.finish(Err(refused.clone()));
         if refused.ran == Executed::No || refused.reason == Refusal::KeyInUse {
             self.state.keyed_calls.remove(&self.key);
@@ -210,12 +210,12 @@
     }
 
     /// Keeps the answer while it goes out.
-    fn answer(self, response: HttpResponse, claim: Option<Rc<Claim>>) -> HttpResponse {
-        self.settled.set(true);
+    fn record_response(self, response: HttpResponse, claim: Option<Rc<Claim>>) -> HttpResponse {
+        self.finished.set(true);
         let kind = response.headers().get(CONTENT_TYPE);
-        *self.call.head.borrow_mut() = Some(Head {
+        *self.call.head.borrow_mut() = Some(ResponseHead {
             status: response.status(),
-            kind: kind.and_then(|v| v.to_str().ok()).unwrap_or("").to_owned(),
+            content_type: kind.and_then(|v| v.to_str().ok()).unwrap_or("").to_owned(),
         });
         self.call.changed.notify_waiters();
         let (state, key, call) = (Rc::clone(&self.state), self.key, Rc::clone(&self.call));
@@ -231,10 +231,10 @@
     }
 }
 
-impl Drop for First {
+impl Drop for FirstCall {
     fn drop(&mut self) {
-        if !self.settled.get() {
-            self.call.finish(Err(gone()));
+        if !self.finished.get() {
+            self.call.finish(Err(aborted_error()));
             self.state.keyed_calls.remove(&self.key);
         }
     }
@@ -245,23 +245,23 @@
     inner: BoxBody,
     state: Rc<State>,
     key: Hash,
-    call: Rc<Call>,
+    call: Rc<KeyedCall>,
     claim: Option<Rc<Claim>>,
 }
 
 impl Tee {
-    fn keep(&self, data: &[u8]) {
+    fn record_data(&self, data: &[u8]) {
         self.call.body.borrow_mut().extend_from_slice(data);
         self.call.changed.notify_waiters();
-        self.state.keyed_calls.grow(data.len());
+        self.state.keyed_calls.add_bytes(data.len());
         // The length is known from the start, so the end is not asked for.
         if self.inner.size() == BodySize::Sized(self.call.body.borrow().len() as u64) {
-            self.whole();
+            self.finish_claim();
         }
     }
 
-    fn whole(&self) {
-        let streamed = self.call.streamed();
+    fn finish_claim(&self) {
+        let streamed = self.call.is_event_stream();
         let whole = !streamed || self.call.body.borrow().ends_with(DONE);
         if let Some(claim) = &self.claim {
             claim.end(if whole { End::Whole } else { End::Unknown });
@@ -284,8 +284,8 @@
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
         let polled = Pin::new(&mut self.inner).poll_next(cx);
         match &polled {
-            Poll::Ready(Some(Ok(data))) => self.keep(data),
-            Poll::Ready(None) => self.whole(),
+            Poll::Ready(Some(Ok(data))) => self.record_data(data),
+            Poll::Ready(None) => self.finish_claim(),
             Poll::Ready(Some(Err(_))) | Poll::Pending => {}
         }
         polled
@@ -296,18 +296,18 @@
     /// A caller that goes away ends the run, so those who joined get no whole
     /// answer either; one that comes later hears that the outcome is unknown.
     fn drop(&mut self) {
-        if self.call.end.borrow().is_some() {
+        if self.call.result.borrow().is_some() {
             return;
         }
         if self.inner.size() == BodySize::Sized(0) {
-            return self.whole();
+            return self.finish_claim();
         }
-        self.call.finish(Err(gone()));
+        self.call.finish(Err(aborted_error()));
         self.state.keyed_calls.remove(&self.key);
     }
 }
 
-fn gone() -> RequestError {
+fn aborted_error() -> RequestError {
     RequestError {
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
@@ -317,48 +317,52 @@
 }
 
 /// Answers a further call with the first one's answer.
-async fn join(call: Rc<Call>, asks: Hash, open: OpenRequest) -> Result<HttpResponse, RequestError> {
-    if call.asks != asks {
+async fn join_call(
+    call: Rc<KeyedCall>,
+    request_hash: Hash,
+    open: OpenRequest,
+) -> Result<HttpResponse, RequestError> {
+    if call.request_hash != request_hash {
         let hint = "the key was used with another request";
         return Err(RequestError::not_run(Refusal::KeyReused, hint));
     }
-    let head = call.begun().await?;
+    let head = call.response_head().await?;
     metrics::counter!("pimentocart_claims_total", "outcome" => "joined").increment(1);
 
     let body = stream::unfold(Some((call, 0, open)), |state| async move {
         let (call, from, open) = state?;
-        let (data, over) = call.more(from).await;
+        let (data, over) = call.next_data(from).await;
         let from = from + data.len();
         let state = (!over).then_some((call, from, open));
         Some((Ok::<_, io::Error>(data), state))
     });
     let mut response = HttpResponse::build(head.status);
-    if !head.kind.is_empty() {
-        response.content_type(head.kind);
+    if !head.content_type.is_empty() {
+        response.content_type(head.content_type);
     }
     Ok(response.streaming(body))
 }
 
-impl Call {
+impl KeyedCall {
     fn finish(&self, end: Result<(), RequestError>) {
-        self.end.borrow_mut().get_or_insert(end);
+        self.result.borrow_mut().get_or_insert(end);
         self.changed.notify_waiters();
     }
 
-    fn streamed(&self) -> bool {
+    fn is_event_stream(&self) -> bool {
         let head = self.head.borrow();
         head.as_ref()
-            .is_some_and(|h| h.kind.starts_with("text/event-stream"))
+            .is_some_and(|h| h.content_type.starts_with("text/event-stream"))
     }
 
     /// Waits until the answer has begun.
-    async fn begun(&self) -> Result<Head, RequestError> {
+    async fn response_head(&self) -> Result<ResponseHead, RequestError> {
         loop {
             let changed = self.changed.notified();
             if let Some(head) = self.head.borrow().clone() {
                 return Ok(head);
             }
-            if let Some(Err(refused)) = &*self.end.borrow() {
+            if let Some(Err(refused)) = &*self.result.borrow() {
                 return Err(refused.clone());
             }
             changed.await;
@@ -366,11 +370,11 @@
     }
 
     /// Waits for more of the answer; the flag says that there is no more.
-    async fn more(&self, from: usize) -> (Bytes, bool) {
+    async fn next_data(&self, from: usize) -> (Bytes, bool) {
         loop {
             let changed = self.changed.notified();
             let mut data = self.body.borrow().get(from..).unwrap_or(&[]).to_vec();
-            let end = self.end.borrow().clone();
+            let end = self.result.borrow().clone();
             if let Some(Err(refused)) = &end {
                 write_error(&mut data, refused);
             }
@@ -391,24 +395,25 @@
 }
 
 impl KeyedCalls {
-    fn insert(&self, key: Hash, call: &Rc<Call>) {
+    fn insert(&self, key: Hash, call: &Rc<KeyedCall>) {
         self.by_key.borrow_mut().insert(key, Rc::clone(call));
         self.order.borrow_mut().push_back(key);
-        self.grow(0);
+        self.add_bytes(0);
     }
 
     fn remove(&self, key: &Hash) {
         if let Some(call) = self.by_key.borrow_mut().remove(key) {
             let size = call.body.borrow().len();
-            self.bytes.set(self.bytes.get().saturating_sub(size));
+            self.buffered_bytes
+                .set(self.buffered_bytes.get().saturating_sub(size));
         }
     }
 
     /// Counts kept bytes and forgets the oldest answers beyond the limits.
     /// Who is joined to them still gets them whole.
-    fn grow(&self, by: usize) {
-        self.bytes.set(self.bytes.get() + by);
-        while self.bytes.get() > KEPT_BYTES || self.order.borrow().len() > KEPT_CALLS {
+    fn add_bytes(&self, by: usize) {
+        self.buffered_bytes.set(self.buffered_bytes.get() + by);
+        while self.buffered_bytes.get() > KEPT_BYTES || self.order.borrow().len() > KEPT_CALLS {
             let Some(key) = self.order.borrow_mut().pop_front() else {
                 return;
             };
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -66,7 +66,7 @@
 /// listen.
 pub async fn run(settings: Settings, bundle: Option<Bundle>, stop: StopSignal) -> io::Result<()> {
     settings.check().map_err(io::Error::other)?;
-    let spread = match (bundle, settings.follow.clone()) {
+    let bundle_sync = match (bundle, settings.follow.clone()) {
         (Some(bundle), _) => BundleSync::fixed(bundle),
         (None, Some(follow)) => BundleSync::follow(follow, Rc::new(SystemClock)),
         (None, None) => return Err(io::Error::other(NO_BUNDLE)),
@@ -74,7 +74,7 @@
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     let listener = listen("listen", settings.listen).await?;
     let operators = settings.operators;
-    let state = State::new(settings, spread, clock);
+    let state = State::new(settings, bundle_sync, clock);
     actix_rt::spawn(bundle_sync::fetch_initial_bundle(Rc::clone(&state)));
     membership::MembershipActor::new(Rc::clone(&state)).start();
 
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -51,21 +51,21 @@
             },
             forget_after: settings.host_list.forget_after.0,
         };
-        let mut known = Membership::new(&settings.name, &settings.zone, limits);
+        let mut membership = Membership::new(&settings.name, &settings.zone, limits);
         // Sidecars named in the settings are believed until a list shows
         // otherwise and they stop answering.
         let named: Vec<Host> = settings.sidecars.iter().map(configured_host).collect();
-        known.apply_list(state.clock.now(), &named);
+        membership.apply_list(state.clock.now(), &named);
 
         let region = &settings.host_list.region;
-        let hosts = settings
+        let list_client = settings
             .host_list
             .list_addr
             .map(|a| Rc::new(Hosts::new(a, region)));
         Self {
             state,
-            list_client: hosts,
-            membership: known,
+            list_client,
+            membership,
             list_readable: true,
             open_probes: Rc::default(),
         }
@@ -73,10 +73,10 @@
 
     /// Reads the list, and again after a while.
     fn poll_list(&mut self, ctx: &mut Context<Self>) {
-        let Some(hosts) = self.list_client.clone() else {
+        let Some(list_client) = self.list_client.clone() else {
             return;
         };
-        let read = async move { hosts.read().await };
+        let read = async move { list_client.read().await };
         let done = read.into_actor(self).map(|list, roster, ctx| {
             roster.apply_list(&list);
             // An entry that knows nobody can serve nobody.
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -31,7 +31,7 @@
     state: Rc<State>,
     request: Request,
     run: Run,
-    tries: Attempts,
+    attempts: Attempts,
     /// The number of the next piece.
     next_chunk: u32,
     /// Tokens in this run's pieces so far.
@@ -63,7 +63,7 @@
             state,
             request,
             run: granted.run,
-            tries: granted.attempts,
+            attempts: granted.attempts,
             next_chunk: 0,
             tokens: 0,
             buffered: Vec::new(),
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// Returns how the answer broke off.
-    pub async fn part(&mut self) -> Result<ResponsePart, RequestError> {
+    pub async fn next_part(&mut self) -> Result<ResponsePart, RequestError> {
         let cutoff = self.state.cutoff.clone();
         tokio::select! {
             part = self.next_unguarded_part() => return part,
@@ -125,13 +125,13 @@
         if failed.attempt.cause == RetryReason::Preempted {
             self.request.preemptions += 1;
         }
-        let tries = std::mem::take(&mut self.tries);
+        let attempts = std::mem::take(&mut self.attempts);
         let server = self.run.server.index;
-        let granted = dispatch::retry(&self.state, &self.request, tries, server, failed).await?;
+        let granted = dispatch::retry(&self.state, &self.request, attempts, server, failed).await?;
 
         counters::count_wasted_tokens(u64::from(self.tokens));
         self.run = granted.run;
-        self.tries = granted.attempts;
+        self.attempts = granted.attempts;
         self.next_chunk = 0;
         self.tokens = 0;
         self.buffered.clear();
@@ -276,18 +276,18 @@
 
     /// The answer can no longer be had from the sidecar.
     fn lost_failure(&self, cause: RetryReason) -> AttemptFailure {
-        let mut refused = dispatch::outcome_unknown();
+        let mut error = dispatch::outcome_unknown();
         if self.delivered() {
-            refused.reason = Refusal::Truncated;
-            refused.ran = Executed::Partial;
+            error.reason = Refusal::Truncated;
+            error.ran = Executed::Partial;
         }
         AttemptFailure {
             attempt: FailedAttempt {
                 cause,
-                ran: refused.ran,
+                ran: error.ran,
                 delivered: self.delivered(),
             },
-            error: refused,
+            error,
         }
     }
 }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -86,7 +86,7 @@
         let (class, promise) = access::class(http, model, bundle)?;
         access::check_entitled(bundle, workspace, class)?;
         let target = access::model(bundle, model, promise)?;
-        let key = key(http)?;
+        let idempotency_key = idempotency_key(http)?;
 
         Ok(Self {
             ticket: RequestId::random(),
@@ -97,8 +97,8 @@
             target: target.to_owned(),
             arrived: now,
             stream: body.stream,
-            repeatable: key.is_none() && repeatable(http)?,
-            idempotency_key: key,
+            repeatable: idempotency_key.is_none() && repeatable(http)?,
+            idempotency_key,
             claim: None,
             preemptions: 0,
             prompt_tokens: body.prompt_tokens(),
@@ -125,7 +125,7 @@
         let service = access::service(bundle, name)?;
         let (class, promise) = access::class(http, Some(&service.class), bundle)?;
         access::check_entitled(bundle, workspace, class)?;
-        let key = key(http)?;
+        let idempotency_key = idempotency_key(http)?;
 
         let query = http.query_string();
         let path = match query.is_empty() {
@@ -145,8 +145,8 @@
             target: name.to_owned(),
             arrived: now,
             stream: false,
-            repeatable: key.is_none() && service.repeatable && repeatable(http)?,
-            idempotency_key: key,
+            repeatable: idempotency_key.is_none() && service.repeatable && repeatable(http)?,
+            idempotency_key,
             claim: None,
             preemptions: 0,
             prompt_tokens: 0,
@@ -193,7 +193,7 @@
 }
 
 /// The idempotency key, if the caller sent one.
-fn key(http: &HttpRequest) -> Result<Option<String>, RequestError> {
+fn idempotency_key(http: &HttpRequest) -> Result<Option<String>, RequestError> {
     let Some(value) = http.headers().get(IDEMPOTENCY_KEY) else {
         return Ok(None);
     };
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -148,9 +148,9 @@
             match next {
                 None => return (held, rejections),
                 Some((_, Err(rejection))) => rejections.push(rejection),
-                Some((bid, Ok((offer, incarnation)))) => {
+                Some((reservation, Ok((offer, incarnation)))) => {
                     let new = HeldSlot {
-                        reservation: bid,
+                        reservation,
                         offer,
                         incarnation,
                     };
@@ -187,38 +187,48 @@
     /// How long to leave the best slot held.
     fn grace_period(&self, best: HeldSlot, rejections: &[Rejection]) -> Duration {
         let limit = self.state.settings.routing.grace_period.0;
-        let others = self.reservations.iter().enumerate().filter_map(|(i, bid)| {
-            let rejected = rejections.iter().any(|r| r.index == bid.server.index);
-            (i != best.reservation && !rejected)
-                .then(|| bid.expected_offer())
-                .flatten()
-        });
+        let others = self
+            .reservations
+            .iter()
+            .enumerate()
+            .filter_map(|(i, reservation)| {
+                let rejected = rejections
+                    .iter()
+                    .any(|r| r.index == reservation.server.index);
+                (i != best.reservation && !rejected)
+                    .then(|| reservation.expected_offer())
+                    .flatten()
+            });
         offer::grace_period(best.offer, others, self.size, self.median_latency, limit)
     }
 
     /// Asks one sidecar until a slot is held or rejected there.
     async fn reserve_at(
         &self,
-        bid: usize,
+        reservation: usize,
         first_left: Option<Duration>,
     ) -> Result<(Offer, Incarnation), Rejection> {
-        let bid = &self.reservations[bid];
+        let reservation = &self.reservations[reservation];
         let mut redials = 0;
         // The first answer comes at once: it brings the estimate, and a
         // connection that is silent shows after the margin alone.
         let mut hold = Duration::ZERO;
         loop {
             let ask = self.reserve_message(hold, first_left);
-            bid.open.set(true);
-            let answer = bid.server.peer.reserve(self.state.call_header(), ask).await;
-            let reply = match self.state.record_reply(&bid.server, answer) {
+            reservation.open.set(true);
+            let answer = reservation
+                .server
+                .peer
+                .reserve(self.state.call_header(), ask)
+                .await;
+            let reply = match self.state.record_reply(&reservation.server, answer) {
                 Ok(reply) => reply,
                 Err(e) => {
                     debug!("reserve failed", kv: { error = e.to_string().as_str() });
                     let cause = retry_reason(&e);
                     if redials >= REDIALS || e.never_sent() {
-                        bid.open.set(!e.never_sent());
-                        return Err(bid.rejection(cause));
+                        reservation.open.set(!e.never_sent());
+                        return Err(reservation.rejection(cause));
                     }
                     redials += 1;
                     base::telemetry::count_retry(cause);
@@ -233,22 +243,24 @@
                     cached_tokens,
                     ..
                 } => {
-                    let offer = bid.offer(ttft_us, token_us, cached_tokens);
+                    let offer = reservation.offer(ttft_us, token_us, cached_tokens);
                     return Ok((offer, reply.incarnation));
                 }
                 ReserveOutcome::AlreadyStarted => {
-                    return Ok((bid.offer(0, 0, 0), reply.incarnation));
+                    return Ok((reservation.offer(0, 0, 0), reply.incarnation));
                 }
                 ReserveOutcome::Waiting { estimate_us } => {
-                    bid.wait.set(Some(Duration::from_micros(estimate_us)));
+                    reservation
+                        .wait
+                        .set(Some(Duration::from_micros(estimate_us)));
                     hold = self.state.settings.routing.poll_hold.0;
                 }
                 ReserveOutcome::Refused {
                     reason,
                     retry_after_ms,
                 } => {
-                    bid.open.set(false);
-                    return Err(bid.refused(reason, retry_after_ms));
+                    reservation.open.set(false);
+                    return Err(reservation.refused(reason, retry_after_ms));
                 }
             }
         }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -72,7 +72,7 @@
 impl State {
     /// Makes the state of an entry that just started.
     #[must_use]
-    pub fn new(settings: Settings, spread: BundleSync, clock: Rc<dyn Clock>) -> Rc<Self> {
+    pub fn new(settings: Settings, bundle_sync: BundleSync, clock: Rc<dyn Clock>) -> Rc<Self> {
         let options = PlacementOptions {
             mode: settings.routing.mode,
             report_lag: settings.routing.report_lag.0,
@@ -84,7 +84,7 @@
             claims: start_claims(&settings, &clock),
             clock,
             keyed_calls: KeyedCalls::default(),
-            bundle_sync: spread,
+            bundle_sync,
             placement: RefCell::new(Placement::new(options)),
             retry_budget: RefCell::new(RetryBudget::new(!settings.routing.retry_budget)),
             answer_lengths: RefCell::default(),
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -414,7 +414,7 @@
     let granted = entry::dispatch::grant(state, &request).await?;
     let mut answer = ResponseStream::new(Rc::clone(state), request, granted);
     loop {
-        let (pieces, whole) = match answer.part().await? {
+        let (pieces, whole) = match answer.next_part().await? {
             ResponsePart::Chunks(pieces) => (pieces, false),
             ResponsePart::Complete { chunks, .. } => (chunks, true),
         };
