--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Getting a request to run, again at another server if need be. See
-//! docs/DECISIONS/0202-retries.md.
+//! Reserves a slot for a request, starts it there, and retries at another
+//! server where that is allowed. See docs/DECISIONS/0202-retries.md.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,45 +16,47 @@
 use crate::state::State;
 use crate::{counters, idempotency};
 
-/// When to come back if no sidecar said.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The `Retry-After` of a refusal when no sidecar gave an estimate.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Rounds of reservations that each ask twice as many sidecars as the last.
-/// Asking costs little, and a request that was refused twice has little time.
-const ROUNDS_WIDER: u32 = 2;
+/// Number of times that the fan-out doubles, once per failed round of
+/// reservations. A reservation is cheap, and after two refusals a request has
+/// little time left.
+const FAN_OUT_DOUBLINGS: u32 = 2;
 
-/// A request that runs at a sidecar.
+/// A request that was started at a sidecar.
 pub struct Granted {
-    /// Its run.
+    /// The run at the sidecar.
     pub run: Run,
-    /// The tries so far.
+    /// The attempts that led to it.
     pub attempts: Attempts,
 }
 
-/// The tries of one request so far.
+/// The attempts of one request so far.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Sidecars that failed or refused it.
+    /// Sidecars that failed or refused the request; they are not asked again.
     excluded: Vec<ServerIndex>,
-    /// Rounds of reservations that gave no slot.
+    /// Number of reservation rounds that yielded no slot.
     rounds: u32,
-    /// Whether any answer was begun; its first token is late by then.
+    /// Whether an earlier run was started. The deadline of the first token no
+    /// longer applies then to an answer that is delivered whole.
     started: bool,
-    /// Whether any of them ran, as far as known.
+    /// Whether any attempt ran, as far as is known.
     ran: Option<Executed>,
 }
 
 impl Attempts {
-    /// Notes that a try ran or may have run.
+    /// Records whether an attempt ran or may have run.
     pub fn record(&mut self, ran: Executed) {
         if ran != Executed::No && self.ran != Some(Executed::Partial) {
             self.ran = Some(ran);
         }
     }
 
-    /// What the caller is told after the last try. A request that was stopped
-    /// or lost at one server and then refused by the next did run: its caller
-    /// would otherwise hear "not run" while its tokens were made.
+    /// Merges the error of the last attempt with what earlier attempts ran. A
+    /// request that was preempted or lost at one server and then refused by the
+    /// next did run, and the caller must not be told that it did not.
     #[must_use]
     pub fn final_error(&self, error: RequestError) -> RequestError {
         let ran = match error.ran {
@@ -65,19 +67,19 @@
     }
 }
 
-/// A try that came to nothing, and what its caller is told if it is the last.
+/// A failed attempt, with the error for the caller in case it is not retried.
 pub struct AttemptFailure {
-    /// What is known about it.
+    /// The cause of the failure and whether the request may have run.
     pub attempt: FailedAttempt,
-    /// The refusal.
+    /// The error to return if there is no retry.
     pub error: RequestError,
 }
 
-/// Gets a slot and starts the request there.
+/// Reserves a slot and starts the request there.
 ///
 /// # Errors
 ///
-/// Returns the refusal to answer with when the request could not be started.
+/// Returns the error for the caller when the request could not be started.
 pub async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, RequestError> {
     let mut attempts = Attempts::default();
     match place(state, request, &mut attempts, None).await {
@@ -86,11 +88,12 @@
     }
 }
 
-/// Gets the request to run again after its run at `server` failed.
+/// Starts the request again after its run at `server` failed.
 ///
 /// # Errors
 ///
-/// Returns the refusal to answer with when it must not or cannot run again.
+/// Returns the error for the caller when the request must not or cannot be
+/// retried.
 pub async fn retry(
     state: &Rc<State>,
     request: &Request,
@@ -118,7 +121,8 @@
         let chosen = choose(state, request, attempts);
         if let Some(last) = failed.take() {
             check_retry(state, request, attempts, last, chosen.is_empty())?;
-            // The last try's ticket is cancelled wherever it was.
+            // Each attempt gets its own ticket, because the previous one is
+            // cancelled at every sidecar that was asked.
             ticket = RequestId::random();
         } else if chosen.is_empty() {
             return Err(no_server());
@@ -138,7 +142,8 @@
                 continue;
             }
         };
-        // The last wait before the start is over.
+        // Nothing below waits before the start is sent, so the claim is
+        // checked here.
         if !request.may_start(state.clock.now()) {
             return Err(idempotency::claim_expired());
         }
@@ -160,38 +165,40 @@
 }
 
 fn choose(state: &State, request: &Request, attempts: &Attempts) -> Vec<ServerIndex> {
-    let want = PlacementRequest {
+    let placement_request = PlacementRequest {
         target: &request.target,
         prefix_hash: request.prefix_hash,
         excluded: &attempts.excluded,
-        fan_out: state.settings.fan_out << attempts.rounds.min(ROUNDS_WIDER),
+        fan_out: state.settings.fan_out << attempts.rounds.min(FAN_OUT_DOUBLINGS),
     };
     let now = state.clock.now();
-    state.placement.borrow_mut().choose(now, &want)
+    state.placement.borrow_mut().choose(now, &placement_request)
 }
 
-/// Whether to try again; an error is the caller's answer.
+/// Checks whether a failed attempt may be retried; otherwise returns the error
+/// for the caller.
 fn check_retry(
     state: &State,
     request: &Request,
     attempts: &Attempts,
     failed: AttemptFailure,
-    alone: bool,
+    no_candidates: bool,
 ) -> Result<(), RequestError> {
     let AttemptFailure { attempt, error } = failed;
     let left = time_left(state, request, attempts);
-    let need = time_needed(state, request, attempts);
-    if alone || attempt.decide(request.repeatable, left, need) != RetryDecision::Again {
+    let needed = time_needed(state, request, attempts);
+    if no_candidates || attempt.decide(request.repeatable, left, needed) != RetryDecision::Again {
         return Err(error);
     }
 
-    // A draining sidecar is not asked again, and a request is preempted once
-    // at the most, so neither kind of retry can multiply.
-    let free = matches!(
+    // These retries do not count against the budget: a draining sidecar is not
+    // asked again and a request is preempted at most once, so neither cause can
+    // amplify the load.
+    let exempt = matches!(
         attempt.cause,
         RetryReason::Draining | RetryReason::Preempted
     );
-    if !free && !state.retry_budget.borrow_mut().take(&request.class) {
+    if !exempt && !state.retry_budget.borrow_mut().take(&request.class) {
         return Err(match error.reason {
             Refusal::NoServer => RequestError {
                 reason: Refusal::RetryBudget,
@@ -204,8 +211,8 @@
     Ok(())
 }
 
-/// Time until the first piece is due; once an answer was begun and lost, only
-/// the end counts.
+/// Time until the deadline of the first token, or until the deadline of the
+/// whole answer if a run was lost and the answer is not streamed.
 fn time_left(state: &State, request: &Request, attempts: &Attempts) -> Duration {
     let now = state.clock.now();
     let waited = now.saturating_duration_since(request.arrived);
@@ -216,40 +223,46 @@
     targets.first_token.0.saturating_sub(waited)
 }
 
-/// What another try takes at least, until the piece that is due.
+/// Estimated time that another attempt needs to meet that deadline.
 fn time_needed(state: &State, request: &Request, attempts: &Attempts) -> Duration {
     let now = state.clock.now();
-    let usual = state
+    let median_latency = state
         .placement
         .borrow_mut()
         .median_pace(now, &request.target);
     if attempts.started && !request.stream {
         let lengths = state.answer_lengths.borrow();
-        return usual.completion_time(lengths.expected_tokens(&request.class, request.max_tokens));
+        return median_latency
+            .completion_time(lengths.expected_tokens(&request.class, request.max_tokens));
     }
-    usual.first_token
+    median_latency.first_token
 }
 
 fn no_server() -> RequestError {
-    RequestError::not_run(Refusal::NoServer, "no backend server can take it")
-        .with_retry_after(RETRY_AFTER)
+    RequestError::not_run(
+        Refusal::NoServer,
+        "no backend server is available for this request",
+    )
+    .with_retry_after(DEFAULT_RETRY_AFTER)
 }
 
-/// A round in which no sidecar gave a slot. The refusal that tells the caller
-/// most stands for all.
+/// The failure of a round in which no sidecar granted a slot. A refusal with a
+/// reason takes precedence over other rejections.
 fn round_failure(rejections: &[Rejection]) -> AttemptFailure {
-    let telling = rejections
+    let rejection = rejections
         .iter()
         .filter(|r| r.cause == RetryReason::Refused)
         .find(|r| r.refusal.is_some())
         .or(rejections.first());
-    let cause = telling.map_or(RetryReason::Unreachable, |r| r.cause);
+    let cause = rejection.map_or(RetryReason::Unreachable, |r| r.cause);
     let after = rejections.iter().filter_map(|r| r.retry_after).min();
 
-    let reason = telling.and_then(|r| r.refusal);
+    let reason = rejection.and_then(|r| r.refusal);
     let error = match reason {
         None | Some(Refusal::Draining) => no_server(),
-        Some(reason) => RequestError::not_run(reason, "no backend server can take it in time"),
+        Some(reason) => {
+            RequestError::not_run(reason, "no backend server can serve this request in time")
+        }
     };
     AttemptFailure {
         attempt: FailedAttempt {
@@ -257,11 +270,12 @@
             ran: Executed::No,
             delivered: false,
         },
-        error: error.with_retry_after(after.unwrap_or(RETRY_AFTER)),
+        error: error.with_retry_after(after.unwrap_or(DEFAULT_RETRY_AFTER)),
     }
 }
 
-/// A start after which the request does not run, or may not.
+/// The failure of a start after which the request is not, or may not be,
+/// running.
 fn start_failure(outcome: StartStatus) -> AttemptFailure {
     let (cause, ran, error) = match outcome {
         StartStatus::NotRun(cause) => (cause, Executed::No, no_server()),
@@ -279,7 +293,7 @@
     }
 }
 
-/// The answer when nobody can tell whether the request ran.
+/// The error when it is unknown whether the request ran.
 pub(crate) fn outcome_unknown() -> RequestError {
     RequestError {
         reason: Refusal::OutcomeUnknown,
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -1,5 +1,5 @@
-//! Asking several sidecars for a slot; the earliest expected finish wins. See
-//! docs/DECISIONS/0002-late-binding.md.
+//! Reserves a slot at several sidecars at once and takes the one with the
+//! earliest expected completion. See docs/DECISIONS/0002-late-binding.md.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,20 +22,21 @@
 use crate::start::Run;
 use crate::state::{Server, State};
 
-/// How often one reservation is sent anew over a new connection. Only the
-/// connection is known to be bad then; a second time it is the sidecar.
-const REDIALS: u32 = 1;
+/// Number of times that one reservation is resent over a new connection. The
+/// first failure may be due to the connection alone; a second one is attributed
+/// to the sidecar.
+const MAX_REDIALS: u32 = 1;
 
-/// Why a sidecar did not give a slot.
+/// Why a sidecar did not grant a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct Rejection {
     /// The sidecar.
     pub index: ServerIndex,
-    /// Why another one would be asked.
+    /// The reason recorded for a retry at another sidecar.
     pub cause: RetryReason,
-    /// Its reason, if it answered.
+    /// The sidecar's reason, if it replied.
     pub refusal: Option<Refusal>,
-    /// When asking there again may help.
+    /// Delay after which the sidecar may accept the request.
     pub retry_after: Option<Duration>,
 }
 
@@ -49,20 +50,20 @@
     reservations: Vec<Reservation>,
 }
 
-/// A reservation at one sidecar. Dropped while it is open, it is cancelled:
-/// a slot held for nobody, because the caller went away or another sidecar
-/// was taken, would keep others waiting until the hold ends.
+/// A reservation at one sidecar. It is cancelled if dropped while open. When the
+/// caller disconnects or another sidecar is chosen, the slot would otherwise
+/// stay unused until its lease expires.
 struct Reservation {
     state: Rc<State>,
     server: Rc<Server>,
     ticket: RequestId,
     /// Whether the sidecar may hold or queue the ticket.
     open: Cell<bool>,
-    /// The last estimate of the wait there.
+    /// The sidecar's last estimate of the queueing time.
     wait: Cell<Option<Duration>>,
 }
 
-/// A slot that is held.
+/// A slot that a sidecar holds for the ticket.
 #[derive(Clone, Copy)]
 struct HeldSlot {
     reservation: usize,
@@ -105,39 +106,41 @@
         }
     }
 
-    /// Asks until a slot is taken.
+    /// Reserves at all chosen sidecars until one slot is taken. `first_left` is
+    /// the time left until the first token, if it differs from the request's own
+    /// budget.
     ///
     /// # Errors
     ///
-    /// Returns why each sidecar gave none.
+    /// Returns why each sidecar granted none.
     pub async fn run(mut self, first_left: Option<Duration>) -> Result<Run, Vec<Rejection>> {
         let (held, rejections) = self.best_slot(first_left).await;
         let Some(held) = held else {
             return Err(rejections);
         };
-        let won = self.reservations.swap_remove(held.reservation);
-        won.open.set(false);
+        let winner = self.reservations.swap_remove(held.reservation);
+        winner.open.set(false);
         Ok(Run::new(
             Rc::clone(self.state),
-            Rc::clone(&won.server),
+            Rc::clone(&winner.server),
             self.ticket,
             held.incarnation,
         ))
     }
 
-    /// Waits for the best slot, or for all to have rejected.
+    /// Waits for the best slot, or until all sidecars have rejected the request.
     async fn best_slot(&self, first_left: Option<Duration>) -> (Option<HeldSlot>, Vec<Rejection>) {
         let mut rejections = Vec::new();
         let mut held: Option<HeldSlot> = None;
         let mut until = None;
-        let asks = (0..self.reservations.len())
+        let pending = (0..self.reservations.len())
             .map(|i| async move { (i, self.reserve_at(i, first_left).await) });
-        let mut asks: FuturesUnordered<_> = asks.collect();
+        let mut pending: FuturesUnordered<_> = pending.collect();
 
         loop {
             let next = match until {
-                None => asks.next().await,
-                Some(until) => match tokio::time::timeout_at(until, asks.next()).await {
+                None => pending.next().await,
+                Some(until) => match tokio::time::timeout_at(until, pending.next()).await {
                     Ok(next) => next,
                     Err(_) => {
                         counters::count_grace_period(false);
@@ -161,7 +164,8 @@
                 }
             }
 
-            // Each answer may change whether waiting on pays.
+            // Each reply may change how long it is worth waiting for a better
+            // slot.
             let Some(best) = held else {
                 continue;
             };
@@ -169,22 +173,23 @@
             if grace.is_zero() {
                 return (held, rejections);
             }
-            let end = Instant::now() + grace;
-            until = Some(until.map_or(end, |u: Instant| u.min(end)));
+            let deadline = Instant::now() + grace;
+            until = Some(until.map_or(deadline, |u: Instant| u.min(deadline)));
         }
     }
 
-    /// The slot with the earlier expected finish.
+    /// Returns the slot with the earlier expected completion.
     fn earlier_finish(&self, old: HeldSlot, new: HeldSlot) -> HeldSlot {
-        let finish = |held: &HeldSlot| held.offer.completion_time(self.size, self.median_latency);
-        if finish(&new) < finish(&old) {
+        let completion =
+            |held: &HeldSlot| held.offer.completion_time(self.size, self.median_latency);
+        if completion(&new) < completion(&old) {
             new
         } else {
             old
         }
     }
 
-    /// How long to leave the best slot held.
+    /// How long to hold the best slot while waiting for a better one.
     fn grace_period(&self, best: HeldSlot, rejections: &[Rejection]) -> Duration {
         let limit = self.state.settings.routing.grace_period.0;
         let others = self
@@ -202,7 +207,8 @@
         offer::grace_period(best.offer, others, self.size, self.median_latency, limit)
     }
 
-    /// Asks one sidecar until a slot is held or rejected there.
+    /// Repeats the reservation at one sidecar until it holds a slot or rejects
+    /// the request.
     async fn reserve_at(
         &self,
         reservation: usize,
@@ -210,23 +216,24 @@
     ) -> Result<(Offer, Incarnation), Rejection> {
         let reservation = &self.reservations[reservation];
         let mut redials = 0;
-        // The first answer comes at once: it brings the estimate, and a
-        // connection that is silent shows after the margin alone.
+        // The first reservation is not a long poll. It returns the estimate
+        // immediately, and an unresponsive connection is detected after the reply
+        // margin alone.
         let mut hold = Duration::ZERO;
         loop {
-            let ask = self.reserve_message(hold, first_left);
+            let message = self.reserve_message(hold, first_left);
             reservation.open.set(true);
-            let answer = reservation
+            let result = reservation
                 .server
                 .peer
-                .reserve(self.state.call_header(), ask)
+                .reserve(self.state.call_header(), message)
                 .await;
-            let reply = match self.state.record_reply(&reservation.server, answer) {
+            let reply = match self.state.record_reply(&reservation.server, result) {
                 Ok(reply) => reply,
                 Err(e) => {
-                    debug!("reserve failed", kv: { error = e.to_string().as_str() });
+                    debug!("slot reservation failed", kv: { error = e.to_string().as_str() });
                     let cause = retry_reason(&e);
-                    if redials >= REDIALS || e.never_sent() {
+                    if redials >= MAX_REDIALS || e.never_sent() {
                         reservation.open.set(!e.never_sent());
                         return Err(reservation.rejection(cause));
                     }
@@ -267,12 +274,12 @@
     }
 
     fn reserve_message(&self, hold: Duration, first_left: Option<Duration>) -> ReserveRequest {
-        let mut ask = self.request.reserve_request(self.state.clock.now(), hold);
-        ask.ticket = self.ticket;
+        let mut message = self.request.reserve_request(self.state.clock.now(), hold);
+        message.ticket = self.ticket;
         if let Some(left) = first_left {
-            ask.ttft_budget_us = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
+            message.ttft_budget_us = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
         }
-        ask
+        message
     }
 }
 
@@ -288,8 +295,8 @@
 
     fn refused(&self, reason: Refusal, retry_after_ms: u32) -> Rejection {
         let cause = match reason {
-            // A sidecar whose backend server cannot be reached takes nothing
-            // new either, and says so on every answer.
+            // A sidecar whose backend server is unreachable rejects every new
+            // request, like a draining one.
             Refusal::Draining | Refusal::BackendFailed => RetryReason::Draining,
             _ => RetryReason::Refused,
         };
@@ -301,19 +308,19 @@
         }
     }
 
-    /// The slot that the sidecar holds, with the pace that it told for this
-    /// request or, failing that, in its load.
+    /// The offer for a held slot, with the token latency that the sidecar
+    /// estimated for this request or, if it gave none, that of its load report.
     fn offer(&self, first_us: u32, token_us: u32, cached_tokens: u32) -> Offer {
         let us = |us: u32| Duration::from_micros(u64::from(us));
-        let told = TokenLatency {
+        let reported = TokenLatency {
             first_token: us(first_us),
             per_token: us(token_us),
         };
         let load = self.state.placement.borrow().load(self.server.index);
         Offer {
             wait: Duration::ZERO,
-            latency: if told.is_measured() {
-                told
+            latency: if reported.is_measured() {
+                reported
             } else {
                 load.latency
             },
@@ -321,13 +328,14 @@
         }
     }
 
-    /// What the sidecar is expected to offer; `None` when nothing tells.
+    /// The offer expected from a sidecar that has not replied with a slot yet;
+    /// `None` if its wait is unknown.
     fn expected_offer(&self) -> Option<Offer> {
         let load = self.state.placement.borrow().load(self.server.index);
-        let told = self.wait.get().filter(|wait| !wait.is_zero());
+        let reported = self.wait.get().filter(|wait| !wait.is_zero());
         let wait = match load.full() {
-            // A full server of which no wait is known may keep us for long.
-            true => told.or(Some(load.wait).filter(|wait| !wait.is_zero()))?,
+            // Without an estimate, the wait at a full server has no bound.
+            true => reported.or(Some(load.wait).filter(|wait| !wait.is_zero()))?,
             false => Duration::ZERO,
         };
         Some(Offer {
@@ -347,14 +355,14 @@
         let (state, server, ticket) =
             (Rc::clone(&self.state), Rc::clone(&self.server), self.ticket);
         actix_rt::spawn(async move {
-            // Without an answer the hold ends by itself.
-            let answer = server.peer.cancel(state.call_header(), ticket).await;
-            let _ = state.record_reply(&server, answer);
+            // If the cancel fails, the slot is freed when its lease expires.
+            let result = server.peer.cancel(state.call_header(), ticket).await;
+            let _ = state.record_reply(&server, result);
         });
     }
 }
 
-/// Why a call without an answer is made again.
+/// The retry reason for a failed call.
 pub(crate) fn retry_reason(error: &Error) -> RetryReason {
     match error {
         Error::Dial { .. } => RetryReason::Unreachable,
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -1,5 +1,5 @@
-//! Starting a request where a slot is held, so that it is known whether it
-//! runs. See docs/DECISIONS/0202-retries.md.
+//! Starts a request at the sidecar that holds its slot and determines whether
+//! it runs. See docs/DECISIONS/0202-retries.md.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,44 +14,46 @@
 use crate::reserve::retry_reason;
 use crate::state::{Server, State};
 
-/// How often a start without an answer is sent again where nothing else can
-/// tell whether the request ran.
-const AGAIN: u32 = 3;
+/// Number of times that an unanswered start is resent for a request that must
+/// not run twice. Only the reply shows whether such a request ran.
+const RESENDS: u32 = 3;
 
-/// How often it is sent again for a request that may run elsewhere instead.
-const AGAIN_REPEATABLE: u32 = 1;
+/// Number of times that an unanswered start is resent for a repeatable request,
+/// which can run at another server instead.
+const RESENDS_REPEATABLE: u32 = 1;
 
-/// Pause before a start is sent again, so that a sidecar that resets
-/// connections is not flooded.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a start is resent, so that a sidecar that resets connections is
+/// not flooded.
+const RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// A ticket that holds a slot or runs at a sidecar. Dropped before it is
-/// over, it is cancelled: what runs for a caller that went away is wasted.
+/// A ticket that holds a slot or runs at a sidecar. It is cancelled if dropped
+/// before it is finished, because a run whose caller disconnected only wastes a
+/// slot.
 pub struct Run {
     state: Rc<State>,
-    /// Where it runs.
+    /// The sidecar that runs it.
     pub server: Rc<Server>,
-    /// The identity of this run.
+    /// The ticket that identifies this run.
     pub ticket: RequestId,
-    /// The sidecar's life in which it runs.
+    /// The incarnation of the sidecar that granted the slot.
     pub incarnation: Incarnation,
-    /// Whether nothing is left to cancel.
+    /// Whether the run has ended and needs no cancel.
     finished: Cell<bool>,
 }
 
-/// What became of a start.
+/// The result of a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartStatus {
-    /// It runs.
+    /// The request runs.
     Running,
-    /// It did not run and never will.
+    /// The request did not run and this ticket can no longer start it.
     NotRun(RetryReason),
-    /// Nobody can tell.
+    /// The request may or may not have run.
     Unknown,
 }
 
 impl Run {
-    /// Takes charge of a ticket that holds a slot.
+    /// Wraps a ticket that holds a slot.
     #[must_use]
     pub fn new(
         state: Rc<State>,
@@ -68,82 +70,84 @@
         }
     }
 
-    /// Notes that nothing is left to cancel.
+    /// Marks the run as ended, so that no cancel is sent on drop.
     pub fn mark_finished(&self) {
         self.finished.set(true);
     }
 
-    /// Starts the work. A start without an answer may or may not have taken
-    /// effect; it is sent again for the same life of the sidecar, which
-    /// answers the same however often it is asked and so tells which.
+    /// Starts the request. An unanswered start may have taken effect, so it is
+    /// resent for the same incarnation. The start is idempotent: the reply to
+    /// any copy shows whether the request runs.
     pub async fn start(&self, request: &Request) -> StartStatus {
-        let again = match request.repeatable {
-            true => AGAIN_REPEATABLE,
-            false => AGAIN,
+        let resends = match request.repeatable {
+            true => RESENDS_REPEATABLE,
+            false => RESENDS,
         };
         let mut sent = false;
-        for _ in 0..=again {
-            // This process may have stood still while it waited, and another
-            // entry may own the call's key by now. A start sent then could be
-            // the second run; cancelling tells what became of the first.
+        for _ in 0..=resends {
+            // This process may have been suspended during the wait, and another
+            // entry may have claimed the idempotency key since. A start sent now
+            // could be a second run; the reply to a cancel shows what became of
+            // the first.
             if sent && !request.may_start(self.state.clock.now()) {
                 break;
             }
-            let order = StartRequest {
+            let start_request = StartRequest {
                 ticket: self.ticket,
                 incarnation: self.incarnation,
                 work: request.work.clone(),
             };
-            let answer = self
+            let result = self
                 .server
                 .peer
-                .start(self.state.call_header(), order)
+                .start(self.state.call_header(), start_request)
                 .await;
-            match self.state.record_reply(&self.server, answer) {
+            match self.state.record_reply(&self.server, result) {
                 Ok(reply) => return self.start_status(reply.body, sent),
                 Err(e) => {
-                    warn!("start without answer", kv: { ticket = self.ticket.to_string().as_str(), error = e.to_string().as_str() });
+                    warn!("start got no reply", kv: { ticket = self.ticket.to_string().as_str(), error = e.to_string().as_str() });
                     sent |= !e.never_sent();
                     base::telemetry::count_retry(retry_reason(&e));
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(RESEND_DELAY).await;
                 }
             }
         }
         if !sent {
             return StartStatus::NotRun(RetryReason::Unreachable);
         }
-        // The caller of a repeatable request waits for its answer elsewhere;
-        // this run, if there is one, is cancelled when it is dropped.
+        // A repeatable request is retried at another server. This run, if it
+        // exists, is cancelled on drop.
         if request.repeatable {
             return StartStatus::Unknown;
         }
         self.cancel().await
     }
 
-    fn start_status(&self, started: StartOutcome, sent: bool) -> StartStatus {
-        let outcome = match started {
+    fn start_status(&self, outcome: StartOutcome, sent: bool) -> StartStatus {
+        let status = match outcome {
             StartOutcome::Running => return StartStatus::Running,
             StartOutcome::ReservationExpired | StartOutcome::Cancelled => {
                 StartStatus::NotRun(RetryReason::ReservationExpired)
             }
             StartOutcome::Refused(_) => StartStatus::NotRun(RetryReason::Refused),
-            // An earlier start may have run in the life that is gone.
+            // An earlier copy of the start may have run in the previous
+            // incarnation.
             StartOutcome::OtherIncarnation if sent => StartStatus::Unknown,
             StartOutcome::OtherIncarnation => StartStatus::NotRun(RetryReason::SidecarRestarted),
         };
         self.mark_finished();
-        outcome
+        status
     }
 
-    /// The last try to find out: a cancelled ticket that never started cannot
-    /// start any more.
+    /// Cancels the ticket to determine whether it ran. A ticket that is
+    /// cancelled before its start can no longer start.
     async fn cancel(&self) -> StartStatus {
-        let answer = self
+        let result = self
             .server
             .peer
             .cancel(self.state.call_header(), self.ticket)
             .await;
-        let Ok(reply) = self.state.record_reply(&self.server, answer) else {
+        let Ok(reply) = self.state.record_reply(&self.server, result) else {
             return StartStatus::Unknown;
         };
         self.mark_finished();
@@ -164,9 +168,9 @@
         let (state, server, ticket) =
             (Rc::clone(&self.state), Rc::clone(&self.server), self.ticket);
         actix_rt::spawn(async move {
-            // Without an answer there is nobody left to tell.
-            let answer = server.peer.cancel(state.call_header(), ticket).await;
-            let _ = state.record_reply(&server, answer);
+            // A failed cancel is not retried: the caller is gone.
+            let result = server.peer.cancel(state.call_header(), ticket).await;
+            let _ = state.record_reply(&server, result);
         });
     }
 }
