--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -1,9 +1,10 @@
-//! Calls with an idempotency key: each runs at most once, whichever entries
-//! its caller tries.
+//! Runs each call with an idempotency key at most once, even if its caller
+//! retries at several entries.
 //!
-//! Before the grant the key is claimed in the platform's log; see the
-//! `claims` package. A second call with the key at this entry joins the first
-//! one's answer while it is kept; at another entry it hears what is known.
+//! The key is claimed in the platform's log before the request is placed; see
+//! the `claims` package. A second call with the same key at this entry gets the
+//! answer of the first one while it is cached. At another entry it is refused
+//! with the state of the first call as far as it is known.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -30,28 +31,28 @@
 use crate::request::Request;
 use crate::state::{OpenRequest, State};
 
-/// Bytes of answers that are kept at the most, over all keys.
-const KEPT_BYTES: usize = 16 << 20;
+/// Maximum size of the cached answers of all keys, in bytes.
+const MAX_CACHED_BYTES: usize = 16 << 20;
 
-/// Answers that are kept at the most.
-const KEPT_CALLS: usize = 10_000;
+/// Maximum number of cached answers.
+const MAX_CACHED_CALLS: usize = 10_000;
 
-/// The end of a whole stream of events.
-const DONE: &[u8] = b"data: [DONE]\n\n";
+/// The last event of a complete event stream.
+const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// The calls with a key that this entry keeps.
+/// The calls with an idempotency key whose answers this entry caches.
 #[derive(Default)]
 pub struct KeyedCalls {
     by_key: RefCell<HashMap<Hash, Rc<KeyedCall>>>,
-    /// Keys in the order in which their calls came.
+    /// Keys in order of arrival, for eviction of the oldest.
     order: RefCell<VecDeque<Hash>>,
-    /// Bytes of all kept answers.
-    buffered_bytes: Cell<usize>,
+    /// Size of all cached answers, in bytes.
+    cached_bytes: Cell<usize>,
 }
 
-/// One call with a key, and its answer as far as it came.
+/// A call with an idempotency key and the part of its answer received so far.
 struct KeyedCall {
-    /// Hash of what the call asks for.
+    /// Hash of the request, to detect a key that is reused for another one.
     request_hash: Hash,
     head: RefCell<Option<ResponseHead>>,
     body: RefCell<Vec<u8>>,
@@ -66,8 +67,8 @@
     content_type: String,
 }
 
-/// Runs a request that has a key once, or joins the call that runs already;
-/// runs a request without a key as it is.
+/// Runs a request with an idempotency key, or joins the call with that key if
+/// there is one. A request without a key is run unconditionally.
 ///
 /// # Errors
 ///
@@ -87,24 +88,24 @@
         return join_call(call, request_hash, state.begin_request()).await;
     }
 
-    let first = FirstCall::new(state, hash, request_hash);
+    let first_call = FirstCall::new(state, hash, request_hash);
     let claimed = claim(state, &request, &key, request_hash).await;
-    request.claim = claimed.inspect_err(|refused| first.fail(refused))?;
+    request.claim = claimed.inspect_err(|error| first_call.fail(error))?;
     let claim = request.claim.clone();
     match run(request).await {
-        Ok(response) => Ok(first.record_response(response, claim)),
-        Err(refused) => {
+        Ok(response) => Ok(first_call.record_response(response, claim)),
+        Err(error) => {
             if let Some(claim) = claim {
-                claim.end(claim_end(refused.ran));
+                claim.end(claim_end(error.ran));
             }
-            first.fail(&refused);
-            Err(refused)
+            first_call.fail(&error);
+            Err(error)
         }
     }
 }
 
-/// Claims the key in the log. Without a log there is nobody to claim it from,
-/// and only this entry knows of it.
+/// Claims the key in the log. Without a log the key is known to this entry only,
+/// and there is no claim.
 async fn claim(
     state: &State,
     request: &Request,
@@ -121,17 +122,21 @@
     }
 }
 
-/// What a caller is told whose key is not its own.
+/// The error for a call whose claim was denied.
 fn denied_error(denied: Denied) -> RequestError {
     let (ran, hint) = match (denied.reason, denied.end) {
         (Refusal::KeyReused, _) => (Executed::No, "the key was used with another request"),
-        (Refusal::KeyInUse, Some(End::Whole)) => {
-            (Executed::Unknown, "the first call ran to its end")
-        }
-        (Refusal::KeyInUse, _) => (Executed::Unknown, "another entry took a call with this key"),
+        (Refusal::KeyInUse, Some(End::Whole)) => (
+            Executed::Unknown,
+            "the first call with this key ran to completion",
+        ),
+        (Refusal::KeyInUse, _) => (
+            Executed::Unknown,
+            "another entry is handling a call with this key",
+        ),
         _ => (
             Executed::No,
-            "the platform's log is needed and does not answer",
+            "the idempotency key cannot be claimed: the platform's log does not answer",
         ),
     };
     RequestError {
@@ -142,19 +147,19 @@
     }
 }
 
-/// The refusal of a call that waited longer than its claim lasts.
+/// The error of a call that waited longer than its claim is valid.
 #[must_use]
 pub fn claim_expired() -> RequestError {
-    let hint = "the claim of the idempotency key lapsed while the call waited";
+    let hint = "the claim of the idempotency key expired while the call waited";
     RequestError::not_run(Refusal::Expired, hint).with_retry_after(Duration::from_secs(1))
 }
 
-/// Hash of what a call asks for.
+/// Hash of the request that a call makes.
 fn request_hash(request: &Request) -> Hash {
     match &request.work {
         BackendRequest::Completion { body, chat } => {
-            let shape: &[u8] = if *chat { b"chat" } else { b"text" };
-            Hash::of(&[shape, request.class.as_bytes(), body])
+            let endpoint: &[u8] = if *chat { b"chat" } else { b"text" };
+            Hash::of(&[endpoint, request.class.as_bytes(), body])
         }
         BackendRequest::Call {
             method, path, body, ..
@@ -172,8 +177,8 @@
     }
 }
 
-/// The first call with a key. Dropped before it has an answer, it ends those
-/// who joined it.
+/// Guard of the first call with a key. If it is dropped before the call has an
+/// answer, the calls that joined it fail.
 struct FirstCall {
     state: Rc<State>,
     key: Hash,
@@ -199,23 +204,26 @@
         }
     }
 
-    /// Ends the call with a refusal. One that did not run leaves the key
-    /// free, so that its caller may try again.
-    fn fail(&self, refused: &RequestError) {
+    /// Fails the call. If it did not run, the key is released, so that the
+    /// caller may retry.
+    fn fail(&self, error: &RequestError) {
         self.finished.set(true);
-        self.call.finish(Err(refused.clone()));
-        if refused.ran == Executed::No || refused.reason == Refusal::KeyInUse {
+        self.call.finish(Err(error.clone()));
+        if error.ran == Executed::No || error.reason == Refusal::KeyInUse {
             self.state.keyed_calls.remove(&self.key);
         }
     }
 
-    /// Keeps the answer while it goes out.
+    /// Returns the response with a body that is cached while it is sent.
     fn record_response(self, response: HttpResponse, claim: Option<Rc<Claim>>) -> HttpResponse {
         self.finished.set(true);
-        let kind = response.headers().get(CONTENT_TYPE);
+        let content_type = response.headers().get(CONTENT_TYPE);
         *self.call.head.borrow_mut() = Some(ResponseHead {
             status: response.status(),
-            content_type: kind.and_then(|v| v.to_str().ok()).unwrap_or("").to_owned(),
+            content_type: content_type
+                .and_then(|v| v.to_str().ok())
+                .unwrap_or("")
+                .to_owned(),
         });
         self.call.changed.notify_waiters();
         let (state, key, call) = (Rc::clone(&self.state), self.key, Rc::clone(&self.call));
@@ -240,7 +248,7 @@
     }
 }
 
-/// Passes an answer on and keeps it.
+/// A response body that copies the data it sends into the call's cache.
 struct Tee {
     inner: BoxBody,
     state: Rc<State>,
@@ -254,19 +262,19 @@
         self.call.body.borrow_mut().extend_from_slice(data);
         self.call.changed.notify_waiters();
         self.state.keyed_calls.add_bytes(data.len());
-        // The length is known from the start, so the end is not asked for.
+        // A body of known size is not polled again after its last byte.
         if self.inner.size() == BodySize::Sized(self.call.body.borrow().len() as u64) {
             self.finish_claim();
         }
     }
 
     fn finish_claim(&self) {
-        let streamed = self.call.is_event_stream();
-        let whole = !streamed || self.call.body.borrow().ends_with(DONE);
+        let event_stream = self.call.is_event_stream();
+        let complete = !event_stream || self.call.body.borrow().ends_with(DONE_EVENT);
         if let Some(claim) = &self.claim {
-            claim.end(if whole { End::Whole } else { End::Unknown });
+            claim.end(if complete { End::Whole } else { End::Unknown });
         }
-        // A stream that broke off has told its caller so itself.
+        // An interrupted stream ends with its own error event.
         self.call.finish(Ok(()));
     }
 }
@@ -293,8 +301,9 @@
 }
 
 impl Drop for Tee {
-    /// A caller that goes away ends the run, so those who joined get no whole
-    /// answer either; one that comes later hears that the outcome is unknown.
+    /// A disconnect of the first caller ends the run, so the calls that joined
+    /// get no complete answer either. The claim keeps later calls from running
+    /// the request again.
     fn drop(&mut self) {
         if self.call.result.borrow().is_some() {
             return;
@@ -312,11 +321,11 @@
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
         retry_after: None,
-        hint: "the first call with this key was broken off by its caller".to_owned(),
+        hint: "the first call with this key was aborted by its caller".to_owned(),
     }
 }
 
-/// Answers a further call with the first one's answer.
+/// Answers another call with the answer of the first one.
 async fn join_call(
     call: Rc<KeyedCall>,
     request_hash: Hash,
@@ -331,9 +340,9 @@
 
     let body = stream::unfold(Some((call, 0, open)), |state| async move {
         let (call, from, open) = state?;
-        let (data, over) = call.next_data(from).await;
+        let (data, ended) = call.next_data(from).await;
         let from = from + data.len();
-        let state = (!over).then_some((call, from, open));
+        let state = (!ended).then_some((call, from, open));
         Some((Ok::<_, io::Error>(data), state))
     });
     let mut response = HttpResponse::build(head.status);
@@ -355,28 +364,29 @@
             .is_some_and(|h| h.content_type.starts_with("text/event-stream"))
     }
 
-    /// Waits until the answer has begun.
+    /// Waits for the head of the answer.
     async fn response_head(&self) -> Result<ResponseHead, RequestError> {
         loop {
             let changed = self.changed.notified();
             if let Some(head) = self.head.borrow().clone() {
                 return Ok(head);
             }
-            if let Some(Err(refused)) = &*self.result.borrow() {
-                return Err(refused.clone());
+            if let Some(Err(error)) = &*self.result.borrow() {
+                return Err(error.clone());
             }
             changed.await;
         }
     }
 
-    /// Waits for more of the answer; the flag says that there is no more.
+    /// Waits for data after offset `from`; returns it and whether the answer ends
+    /// there.
     async fn next_data(&self, from: usize) -> (Bytes, bool) {
         loop {
             let changed = self.changed.notified();
             let mut data = self.body.borrow().get(from..).unwrap_or(&[]).to_vec();
             let end = self.result.borrow().clone();
-            if let Some(Err(refused)) = &end {
-                write_error(&mut data, refused);
+            if let Some(Err(error)) = &end {
+                write_error(&mut data, error);
             }
             if end.is_some() || !data.is_empty() {
                 return (Bytes::from(data), end.is_some());
@@ -386,11 +396,11 @@
     }
 }
 
-/// Adds the error event by which a stream of events tells that it broke off.
-fn write_error(out: &mut Vec<u8>, refused: &RequestError) {
+/// Appends the error event that ends an interrupted event stream.
+fn write_error(out: &mut Vec<u8>, error: &RequestError) {
     out.extend_from_slice(b"data: ");
     // Writing to memory cannot fail.
-    let _ = serde_json::to_writer(&mut *out, &refused.body());
+    let _ = serde_json::to_writer(&mut *out, &error.body());
     out.extend_from_slice(b"\n\n");
 }
 
@@ -404,16 +414,18 @@
     fn remove(&self, key: &Hash) {
         if let Some(call) = self.by_key.borrow_mut().remove(key) {
             let size = call.body.borrow().len();
-            self.buffered_bytes
-                .set(self.buffered_bytes.get().saturating_sub(size));
+            self.cached_bytes
+                .set(self.cached_bytes.get().saturating_sub(size));
         }
     }
 
-    /// Counts kept bytes and forgets the oldest answers beyond the limits.
-    /// Who is joined to them still gets them whole.
+    /// Adds to the cached size and evicts the oldest answers beyond the limits.
+    /// Calls that have already joined an evicted answer still get all of it.
     fn add_bytes(&self, by: usize) {
-        self.buffered_bytes.set(self.buffered_bytes.get() + by);
-        while self.buffered_bytes.get() > KEPT_BYTES || self.order.borrow().len() > KEPT_CALLS {
+        self.cached_bytes.set(self.cached_bytes.get() + by);
+        while self.cached_bytes.get() > MAX_CACHED_BYTES
+            || self.order.borrow().len() > MAX_CACHED_CALLS
+        {
             let Some(key) = self.order.borrow_mut().pop_front() else {
                 return;
             };
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,5 +1,5 @@
-//! Passing the answer's pieces on, and running the request again where that
-//! is allowed. See docs/DECISIONS/0202-retries.md.
+//! Streams the chunks of an answer to the caller, and retries the request where
+//! that is allowed. See docs/DECISIONS/0202-retries.md.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,44 +19,45 @@
 use crate::start::Run;
 use crate::state::State;
 
-/// Pause between two pulls without an answer.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a failed pull is repeated.
+const PULL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Pulls without an answer after which a request that may run elsewhere is
-/// not waited for any more.
-const PULLS: u32 = 2;
+/// Number of consecutive failed pulls after which a request that may run at
+/// another server is retried there.
+const MAX_FAILED_PULLS: u32 = 2;
 
-/// The answer of one request as it comes in.
+/// The incoming answer to one request.
 pub struct ResponseStream {
     state: Rc<State>,
     request: Request,
     run: Run,
     attempts: Attempts,
-    /// The number of the next piece.
+    /// Number of the next chunk, counted from 0 in the current run.
     next_chunk: u32,
-    /// Tokens in this run's pieces so far.
+    /// Tokens in the chunks of the current run so far.
     tokens: u32,
-    /// Pieces held back for a caller that takes the answer whole.
+    /// Chunks buffered for a caller that does not stream.
     buffered: Vec<Chunk>,
 }
 
-/// What came in.
+/// A part of an answer.
 pub enum ResponsePart {
-    /// Pieces, in order.
+    /// Chunks, in order.
     Chunks(Vec<Chunk>),
-    /// The end of a whole answer, after its last pieces.
+    /// The end of a complete answer, with its last chunks.
     Complete {
-        /// The last pieces.
+        /// The last chunks.
         chunks: Vec<Chunk>,
-        /// HTTP status of a plain service's answer.
+        /// HTTP status of the answer of a plain service.
         status: u16,
-        /// Why the answer ended, or its content type.
+        /// Finish reason of a completion, or content type of the answer of a
+        /// plain service.
         finish_reason: String,
     },
 }
 
 impl ResponseStream {
-    /// Starts to take in the answer of a granted request.
+    /// Creates the stream for a request that was started.
     #[must_use]
     pub fn new(state: Rc<State>, request: Request, granted: Granted) -> Self {
         Self {
@@ -70,13 +71,13 @@
         }
     }
 
-    /// Waits for the next part. A caller that takes the answer whole gets one
-    /// part; until then the request may run again, since nothing of the first
-    /// run's answer has reached anyone.
+    /// Waits for the next part. A caller that does not stream gets the answer as
+    /// one part. Until then a failed run may be retried, since none of its chunks
+    /// have been delivered.
     ///
     /// # Errors
     ///
-    /// Returns how the answer broke off.
+    /// Returns the error with which the answer was interrupted.
     pub async fn next_part(&mut self) -> Result<ResponsePart, RequestError> {
         let cutoff = self.state.cutoff.clone();
         tokio::select! {
@@ -86,7 +87,7 @@
         Err(drain::cutoff_error(self.next_chunk > 0))
     }
 
-    /// How long its stream may bring nothing until a comment is written.
+    /// How long the stream may be idle before a comment is sent.
     #[must_use]
     pub fn comment_interval(&self) -> Duration {
         self.state.settings.comment_interval.0
@@ -95,10 +96,10 @@
     async fn next_unguarded_part(&mut self) -> Result<ResponsePart, RequestError> {
         loop {
             match self.pull().await {
-                Ok(ResponsePart::Chunks(pieces)) if self.request.stream => {
-                    return Ok(ResponsePart::Chunks(pieces));
+                Ok(ResponsePart::Chunks(chunks)) if self.request.stream => {
+                    return Ok(ResponsePart::Chunks(chunks));
                 }
-                Ok(ResponsePart::Chunks(pieces)) => self.buffered.extend(pieces),
+                Ok(ResponsePart::Chunks(chunks)) => self.buffered.extend(chunks),
                 Ok(ResponsePart::Complete {
                     mut chunks,
                     status,
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Runs the request again after its run failed.
+    /// Retries the request after its run failed.
     async fn retry(&mut self, mut failed: AttemptFailure) -> Result<(), RequestError> {
         failed.attempt.delivered = self.delivered();
         if failed.attempt.cause == RetryReason::Preempted {
@@ -138,44 +139,47 @@
         Ok(())
     }
 
-    /// Whether a part of this run's answer reached the caller. The pieces of
-    /// another run must not follow it: their words would differ.
+    /// Whether chunks of the current run were sent to the caller. Chunks of
+    /// another run must not follow them, because its text may differ.
     fn delivered(&self) -> bool {
         self.request.stream && self.next_chunk > 0
     }
 
-    /// Waits for the next pieces of this run.
+    /// Waits for the next chunks of the current run.
     async fn pull(&mut self) -> Result<ResponsePart, AttemptFailure> {
         let hold = self.state.settings.routing.poll_hold.0;
-        let mut failing: Option<(Instant, u32)> = None;
+        let mut outage: Option<(Instant, u32)> = None;
         loop {
-            let ask = PullRequest {
+            let pull_request = PullRequest {
                 ticket: self.run.ticket,
                 from: self.next_chunk,
                 wait_ms: u32::try_from(hold.as_millis()).unwrap_or(u32::MAX),
             };
             let server = &self.run.server;
-            let answer = server.peer.pull(self.state.call_header(), ask).await;
-            let reply = match self.state.record_reply(server, answer) {
+            let result = server
+                .peer
+                .pull(self.state.call_header(), pull_request)
+                .await;
+            let reply = match self.state.record_reply(server, result) {
                 Ok(reply) => reply,
                 Err(e) => {
-                    if failing.is_none() {
+                    if outage.is_none() {
                         base::telemetry::count_retry(retry_reason(&e));
                     }
-                    let (since, pulls) = failing.unwrap_or((Instant::now(), 0));
-                    failing = Some((since, pulls + 1));
-                    if self.should_give_up(since, pulls + 1) {
-                        warn!("answer lost", kv: { ticket = self.run.ticket.to_string().as_str(), error = e.to_string().as_str() });
+                    let (since, failed_pulls) = outage.unwrap_or((Instant::now(), 0));
+                    outage = Some((since, failed_pulls + 1));
+                    if self.should_give_up(since, failed_pulls + 1) {
+                        warn!("answer lost; sidecar unreachable", kv: { ticket = self.run.ticket.to_string().as_str(), error = e.to_string().as_str() });
                         return Err(self.lost_failure(RetryReason::Unknown));
                     }
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(PULL_RETRY_DELAY).await;
                     continue;
                 }
             };
 
-            failing = None;
+            outage = None;
             if reply.incarnation != self.run.incarnation {
-                // The life that ran it is gone with all it knew.
+                // The sidecar restarted and lost the state of the run.
                 self.run.mark_finished();
                 return Err(self.lost_failure(RetryReason::SidecarRestarted));
             }
@@ -185,28 +189,29 @@
         }
     }
 
-    /// Whether to stop trying to reach the sidecar. Where the request may run
-    /// elsewhere, waiting costs more than another run; where it may not, the
-    /// sidecar keeps the answer for a while.
-    fn should_give_up(&self, since: Instant, pulls: u32) -> bool {
-        let elsewhere = self.request.repeatable && !self.delivered();
-        let patience = self.state.settings.routing.unreachable_timeout.0;
-        (elsewhere && pulls >= PULLS) || since.elapsed() >= patience
+    /// Whether to stop pulling from an unreachable sidecar. If the request may
+    /// run at another server, waiting costs more than another run. Otherwise the
+    /// entry keeps trying up to a timeout, since the sidecar buffers the answer
+    /// for a while.
+    fn should_give_up(&self, since: Instant, failed_pulls: u32) -> bool {
+        let may_retry = self.request.repeatable && !self.delivered();
+        let timeout = self.state.settings.routing.unreachable_timeout.0;
+        (may_retry && failed_pulls >= MAX_FAILED_PULLS) || since.elapsed() >= timeout
     }
 
-    /// Checks what was pulled and counts it.
-    fn accept(&mut self, pulled: PullOutcome) -> Result<Option<ResponsePart>, AttemptFailure> {
+    /// Validates a pull result and updates the counters of the run.
+    fn accept(&mut self, outcome: PullOutcome) -> Result<Option<ResponsePart>, AttemptFailure> {
         let PullOutcome::Chunks {
             first,
             mut chunks,
             end,
-        } = pulled
+        } = outcome
         else {
             self.run.mark_finished();
             return Err(self.lost_failure(RetryReason::Unknown));
         };
-        // A piece missing between would give the caller another answer than
-        // the one that was made.
+        // After a gap in the chunk numbers the caller would get an answer that
+        // the engine did not produce.
         let Some(skip) = self.next_chunk.checked_sub(first) else {
             return Err(self.lost_failure(RetryReason::Unknown));
         };
@@ -244,7 +249,7 @@
         lengths.record(&self.request.class, self.tokens);
     }
 
-    /// The sidecar says that the run broke off.
+    /// The failure of a run that the sidecar reports as interrupted.
     fn interrupted_failure(&self, reason: Refusal, ran: Executed) -> AttemptFailure {
         self.run.mark_finished();
         if reason == Refusal::BackendFailed {
@@ -274,7 +279,7 @@
         }
     }
 
-    /// The answer can no longer be had from the sidecar.
+    /// The failure of a run whose answer can no longer be fetched.
     fn lost_failure(&self, cause: RetryReason) -> AttemptFailure {
         let mut error = dispatch::outcome_unknown();
         if self.delivered() {
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -1,4 +1,5 @@
-//! What an entry knows: the bundle in force and the sidecars.
+//! State of an entry: the bundle in force, the known sidecars and the requests
+//! in progress.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -24,53 +25,53 @@
 use crate::idempotency::KeyedCalls;
 use crate::settings::{Settings, SidecarInfo};
 
-/// Everything that an entry knows.
+/// The shared state of an entry.
 pub struct State {
-    /// What the operators set.
+    /// The settings of the entry.
     pub settings: Settings,
-    /// Where the time comes from.
+    /// The time source.
     pub clock: Rc<dyn Clock>,
-    /// The bundle in force.
+    /// The bundle in force and its exchange with the sidecars.
     pub bundle_sync: BundleSync,
-    /// Claims idempotency keys; none without a log.
+    /// Claims idempotency keys; `None` without a log.
     pub claims: Option<Rc<Claims>>,
-    /// Calls with a key that further calls may join.
+    /// Calls with an idempotency key that later calls may join.
     pub keyed_calls: KeyedCalls,
-    /// The known sidecars by their index. An index is not used again, so that
-    /// a late answer is never booked to another sidecar.
+    /// The known sidecars by index. An index is never reused, so that a late
+    /// reply is not attributed to another sidecar.
     servers: RefCell<Vec<Option<Rc<Server>>>>,
-    /// Where to ask for a slot.
+    /// Chooses the sidecars at which to reserve a slot.
     pub placement: RefCell<Placement>,
-    /// The retries that are left to each class.
+    /// The retry budget of each class.
     pub retry_budget: RefCell<RetryBudget>,
-    /// How long answers are.
+    /// Statistics on the answer length of each class.
     pub answer_lengths: RefCell<AnswerLengths>,
-    /// Whether readiness is off: the balancer should send nothing more.
+    /// Whether the entry drains and reports itself as not ready.
     pub draining: Cell<bool>,
-    /// Asked once the sidecars are known from the host list.
+    /// Triggered once the sidecars are known from the host list.
     pub list_applied: StopSignal,
     /// Whether new requests are refused.
     pub refusing: Cell<bool>,
-    /// Asked when requests in progress must end now, whole or not.
+    /// Triggered when requests still in progress must be aborted.
     pub cutoff: StopSignal,
-    /// Requests in progress.
+    /// Number of requests in progress.
     open_requests: Cell<usize>,
 }
 
 /// A sidecar and the connection to it.
 pub struct Server {
-    /// Its place among the known sidecars.
+    /// Index among the known sidecars.
     pub index: ServerIndex,
-    /// What is known of it from outside.
+    /// Its name, address, zone and target, from the settings or the host list.
     pub info: SidecarInfo,
-    /// The connection.
+    /// The connection to the sidecar.
     pub peer: Peer,
-    /// When it answered last, and in which life.
+    /// Time of its last reply, and the incarnation that sent it.
     pub last_reply: Cell<Option<(Instant, Incarnation)>>,
 }
 
 impl State {
-    /// Makes the state of an entry that just started.
+    /// Creates the state of an entry that just started.
     #[must_use]
     pub fn new(settings: Settings, bundle_sync: BundleSync, clock: Rc<dyn Clock>) -> Rc<Self> {
         let options = PlacementOptions {
@@ -101,7 +102,7 @@
         state
     }
 
-    /// What every call tells about this entry.
+    /// The header that this entry sends with every call.
     pub fn call_header(&self) -> CallHeader {
         CallHeader {
             sequence: self.bundle_sync.held.sequence(),
@@ -116,10 +117,10 @@
             .map_or_else(Shares::default, |b| b.shares)
     }
 
-    /// Takes a sidecar as known from now on.
+    /// Adds a sidecar.
     pub fn add_server(&self, known: &SidecarInfo) {
         let routing = &self.settings.routing;
-        let timing = Timeouts {
+        let timeouts = Timeouts {
             margin: routing.reply_margin.0,
             connect: routing.connect_timeout.0,
             idle: routing.idle_limit.0,
@@ -129,24 +130,24 @@
         servers.push(Some(Rc::new(Server {
             index,
             info: known.clone(),
-            peer: Peer::new(known.addr, timing),
+            peer: Peer::new(known.addr, timeouts),
             last_reply: Cell::new(None),
         })));
         let mut placement = self.placement.borrow_mut();
         placement.add_server(index, &known.name, &known.zone, &known.serves);
     }
 
-    /// Sends nothing new to a sidecar from now on. Answers in progress there
-    /// go on.
+    /// Removes a sidecar. It gets no new requests; answers in progress there
+    /// continue.
     pub fn remove_server(&self, index: ServerIndex) {
         self.placement.borrow_mut().remove_server(index);
-        if let Some(place) = self.servers.borrow_mut().get_mut(index) {
-            place.take();
+        if let Some(slot) = self.servers.borrow_mut().get_mut(index) {
+            slot.take();
         }
     }
 
-    /// Makes the known sidecars exactly these. Those that stay keep their
-    /// index, their connection and what was learned of them.
+    /// Replaces the set of known sidecars. Those in both sets keep their index,
+    /// connection and statistics.
     pub fn set_servers(&self, known: &[SidecarInfo]) {
         let mut new: HashSet<&SidecarInfo> = known.iter().collect();
         for server in self.servers() {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// The sidecars known now.
+    /// The known sidecars.
     pub fn servers(&self) -> Vec<Rc<Server>> {
         self.servers.borrow().iter().flatten().cloned().collect()
     }
@@ -169,24 +170,24 @@
         self.servers.borrow().get(index)?.clone()
     }
 
-    /// Takes in what a call of a sidecar tells about it, whatever the call
-    /// was for: the load on an answer, or the fault when there was none.
+    /// Records the result of any call to a sidecar: the load report in a reply,
+    /// or a fault if the call failed.
     ///
     /// # Errors
     ///
-    /// Passes the call's error on.
+    /// Returns the error of the call unchanged.
     pub fn record_reply<T>(
         &self,
         server: &Server,
-        answer: Result<Reply<T>, Error>,
+        result: Result<Reply<T>, Error>,
     ) -> Result<Reply<T>, Error> {
         let now = self.clock.now();
         let share = self.shares().ejected;
         let mut placement = self.placement.borrow_mut();
-        if let Ok(reply) = &answer {
+        if let Ok(reply) = &result {
             server.last_reply.set(Some((now, reply.incarnation)));
         }
-        let ejected = match &answer {
+        let ejected = match &result {
             Ok(reply) => placement.record_load(now, server.index, policy_load(&reply.load), share),
             Err(_) => placement.record_fault(now, server.index, Fault::Unreachable, share),
         };
@@ -194,19 +195,19 @@
         if ejected {
             counters::count_ejection(server);
         }
-        if let (Ok(reply), Some(server)) = (&answer, self.server(server.index)) {
+        if let (Ok(reply), Some(server)) = (&result, self.server(server.index)) {
             self.bundle_sync
                 .compare_sequence(now, &server, reply.sequence);
         }
-        answer
+        result
     }
 
-    /// Notes how a run ended at a sidecar's backend server.
-    pub fn record_run(&self, server: &Server, whole: bool) {
+    /// Records whether a run at a sidecar's backend server completed.
+    pub fn record_run(&self, server: &Server, completed: bool) {
         let now = self.clock.now();
         let share = self.shares().ejected;
         let mut placement = self.placement.borrow_mut();
-        if whole {
+        if completed {
             return placement.record_good(now, server.index, Success::RunCompleted);
         }
         if placement.record_fault(now, server.index, Fault::RunFailed, share) {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Counts a request as in progress until the guard is dropped.
+    /// Registers a request as in progress until the guard is dropped.
     pub fn begin_request(self: &Rc<Self>) -> OpenRequest {
         self.open_requests.set(self.open_requests.get() + 1);
         OpenRequest {
@@ -222,13 +223,13 @@
         }
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.open_requests.get()
     }
 }
 
-/// Starts to claim idempotency keys in the log, if there is one.
+/// Starts claiming idempotency keys in the log, if there is one.
 fn start_claims(settings: &Settings, clock: &Rc<dyn Clock>) -> Option<Rc<Claims>> {
     let follow = settings.follow.as_ref()?;
     let settings = claims::Settings {
@@ -240,7 +241,7 @@
     Some(Claims::start(settings, Rc::clone(clock)))
 }
 
-/// Counts one request as in progress for as long as it lives.
+/// Guard that counts one request as in progress.
 pub struct OpenRequest {
     state: Rc<State>,
 }
@@ -253,18 +254,18 @@
     }
 }
 
-/// The load as the policy sees it.
-fn policy_load(told: &wire::ServerLoad) -> Load {
+/// Converts a load report to the type of the policy.
+fn policy_load(report: &wire::ServerLoad) -> Load {
     let us = |us: u32| Duration::from_micros(u64::from(us));
     Load {
-        running: told.running,
-        slots: told.slots,
-        waiting: told.waiting,
-        wait: us(told.wait_us),
+        running: report.running,
+        slots: report.slots,
+        waiting: report.waiting,
+        wait: us(report.wait_us),
         latency: TokenLatency {
-            first_token: us(told.ttft_us),
-            per_token: us(told.token_us),
+            first_token: us(report.ttft_us),
+            per_token: us(report.token_us),
         },
-        draining: told.draining,
+        draining: report.draining,
     }
 }
