--- a/crates/entry/src/bundle_sync.rs
+++ b/crates/entry/src/bundle_sync.rs
@@ -1,8 +1,9 @@
-//! Spreading the bundle between this entry and the sidecars.
+//! Exchanges the bundle between this entry and the sidecars.
 //!
-//! Every call tells its sender's version, both ways. Whoever is behind gets
-//! the newer one from the other, so a version that any daemon holds is in
-//! force everywhere within seconds, also while the log is down. See
+//! Every call and every reply carries the bundle sequence of its sender. The
+//! side with the older bundle gets the newer one from the other, so a bundle
+//! that any daemon holds is in force everywhere within seconds, even while the
+//! log is unavailable. See
 //! docs/DECISIONS/0301-bundle-acceptance.md.
 
 use std::cell::{Cell, RefCell};
@@ -23,39 +24,40 @@
 use crate::error::RequestError;
 use crate::state::{Server, State};
 
-/// How long a new request waits for a version that is known to be there.
-const CATCH_UP: Duration = Duration::from_millis(500);
+/// How long a new request waits for a newer bundle that a sidecar has reported.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Least time between two transfers with one sidecar, so that one that
-/// refuses what it is sent costs little.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Minimum time between two transfers with one sidecar, which bounds the cost of
+/// a sidecar that keeps rejecting the bundle.
+const TRANSFER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often a fresh entry asks the sidecars while the log is down.
-const ASK: Duration = Duration::from_millis(250);
+/// How often an entry without a bundle asks sidecars while the log is
+/// unavailable.
+const FETCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How many sidecars a fresh entry asks at a time.
-const PEERS: usize = 5;
+/// Number of sidecars that an entry without a bundle asks at a time.
+const FETCH_FAN_OUT: usize = 5;
 
-/// The bundle in force and how it is kept level with the sidecars'.
+/// The bundle in force and its synchronization with the sidecars.
 pub struct BundleSync {
     /// The bundle in force.
     pub held: Rc<Held>,
-    /// Who may change it; none when the bundle came from a file.
+    /// The follower that updates the bundle; `None` if it came from a file.
     follower: Option<Addr<Follower>>,
-    /// The latest version that any sidecar told of.
+    /// The highest sequence that any sidecar has reported.
     latest_seen: Cell<BundleSequence>,
-    /// When the last transfer with a sidecar began.
+    /// Start time of the last transfer with each sidecar.
     last_transfers: RefCell<HashMap<ServerIndex, Instant>>,
 }
 
 impl BundleSync {
-    /// Goes by one bundle for ever.
+    /// Uses one bundle that never changes.
     #[must_use]
     pub fn fixed(bundle: Bundle) -> Self {
         Self::new(Held::fixed(bundle), None)
     }
 
-    /// Follows the log.
+    /// Follows the bundles in the platform's log.
     #[must_use]
     pub fn follow(settings: follow::Settings, clock: Rc<dyn Clock>) -> Self {
         let held = Held::new(settings.trust.clone());
@@ -72,17 +74,17 @@
         }
     }
 
-    /// Takes in the version that a sidecar told of, and starts a transfer in
-    /// whichever direction one is behind.
-    pub fn compare_sequence(&self, now: Instant, server: &Rc<Server>, told: BundleSequence) {
+    /// Compares the sequence that a sidecar reported with the own one, and starts
+    /// a transfer to the side that is behind.
+    pub fn compare_sequence(&self, now: Instant, server: &Rc<Server>, reported: BundleSequence) {
         let Some(follower) = &self.follower else {
             return;
         };
-        let behind = self.held.behind(told);
-        if !behind && told >= self.held.sequence() {
+        let behind = self.held.behind(reported);
+        if !behind && reported >= self.held.sequence() {
             return;
         }
-        self.latest_seen.set(self.latest_seen.get().max(told));
+        self.latest_seen.set(self.latest_seen.get().max(reported));
         if !self.try_begin_transfer(now, server.index) {
             return;
         }
@@ -91,36 +93,38 @@
         actix_rt::spawn(async move {
             match behind {
                 true => fetch(&held, &server, &follower).await,
-                false => offer(&held, &server, told).await,
+                false => offer(&held, &server, reported).await,
             }
         });
     }
 
-    /// Whether a transfer with a sidecar may begin now.
+    /// Returns whether a transfer with a sidecar may begin now, and if so records
+    /// its start.
     fn try_begin_transfer(&self, now: Instant, index: ServerIndex) -> bool {
-        let mut last = self.last_transfers.borrow_mut();
-        let free = last
+        let mut last_transfers = self.last_transfers.borrow_mut();
+        let allowed = last_transfers
             .get(&index)
-            .is_none_or(|at| now.duration_since(*at) >= PAUSE);
-        if free {
-            last.insert(index, now);
+            .is_none_or(|at| now.duration_since(*at) >= TRANSFER_INTERVAL);
+        if allowed {
+            last_transfers.insert(index, now);
         }
-        free
+        allowed
     }
 
-    /// The bundle that a new request goes by.
+    /// The bundle that applies to a new request.
     ///
-    /// Once a sidecar told of a later version, requests wait for it: decided
-    /// by the old one, they could pass what the new one forbids. The wait is
-    /// bounded, since the sidecar may be gone by now.
+    /// Once a sidecar has reported a newer bundle, requests wait for it, because
+    /// the old one could admit what the new one forbids. The wait is bounded,
+    /// since the sidecar may have become unreachable.
     ///
     /// # Errors
     ///
-    /// Returns the refusal to answer with when no bundle is in force.
+    /// Returns the error for the caller when no bundle is in force.
     pub async fn current_bundle(&self) -> Result<Rc<Lookup>, RequestError> {
-        let ahead = self.latest_seen.get();
-        if self.held.behind(ahead) {
-            let reached = tokio::time::timeout(CATCH_UP, self.held.reached(ahead)).await;
+        let latest_seen = self.latest_seen.get();
+        if self.held.behind(latest_seen) {
+            let reached =
+                tokio::time::timeout(CATCH_UP_TIMEOUT, self.held.reached(latest_seen)).await;
             if reached.is_err() {
                 self.latest_seen.set(BundleSequence(0));
             }
@@ -132,46 +136,46 @@
     }
 }
 
-/// Asks sidecars for a bundle until one is in force: a fresh entry during an
-/// outage of the log has nobody else to ask. The latest one that holds wins,
-/// since an older one never replaces a later one.
+/// Asks sidecars for a bundle until one is in force. An entry that starts during
+/// an outage of the log has no other source. The newest valid bundle wins, since
+/// an older one never replaces a newer one.
 pub async fn fetch_initial_bundle(state: Rc<State>) {
     let Some(follower) = state.bundle_sync.follower.clone() else {
         return;
     };
     let held = Rc::clone(&state.bundle_sync.held);
     while held.in_force().is_none() {
-        tokio::time::sleep(ASK).await;
+        tokio::time::sleep(FETCH_INTERVAL).await;
         if held.reachable() {
             continue;
         }
         let mut servers = state.servers();
         let start = rand::random_range(0..servers.len().max(1));
         servers.rotate_left(start);
-        let asked = servers.iter().take(PEERS);
-        let asked = asked.map(|server| fetch(&held, server, &follower));
-        futures_util::future::join_all(asked).await;
+        let fetches = servers.iter().take(FETCH_FAN_OUT);
+        let fetches = fetches.map(|server| fetch(&held, server, &follower));
+        futures_util::future::join_all(fetches).await;
     }
 }
 
-/// Gets a later version from a sidecar.
+/// Fetches a newer bundle from a sidecar.
 async fn fetch(held: &Held, server: &Server, follower: &Addr<Follower>) {
     let sequence = held.sequence();
     match server.peer.fetch_bundle(CallHeader { sequence }).await {
         Ok(reply) => {
             if let Some(bytes) = reply.body {
-                // The follower counts and logs what it refuses.
+                // The follower counts and logs a bundle that it rejects.
                 let _ = follower.send(Take(bytes)).await;
             }
         }
-        Err(e) => debug!("fetch failed", kv: { error = e.to_string().as_str() }),
+        Err(e) => debug!("bundle fetch failed", kv: { error = e.to_string().as_str() }),
     }
 }
 
-/// Gives a sidecar at version `told` what it lacks.
-async fn offer(held: &Held, server: &Server, told: BundleSequence) {
+/// Sends a sidecar at sequence `reported` the newer bundle.
+async fn offer(held: &Held, server: &Server, reported: BundleSequence) {
     let sequence = held.sequence();
-    let Some(bytes) = held.transfer(told) else {
+    let Some(bytes) = held.transfer(reported) else {
         return;
     };
     if let Err(e) = server
@@ -179,6 +183,6 @@
         .offer_bundle(CallHeader { sequence }, bytes)
         .await
     {
-        debug!("offer failed", kv: { error = e.to_string().as_str() });
+        debug!("bundle offer failed", kv: { error = e.to_string().as_str() });
     }
 }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -1,4 +1,4 @@
-//! How answers are written, in the usual shape of completions.
+//! Serializes answers in the OpenAI format of chat completions and completions.
 
 use base::ids::RequestId;
 use serde::Serialize;
@@ -6,16 +6,16 @@
 
 use crate::error::RequestError;
 
-/// Ends a stream of events, by the usual protocol.
-const DONE: &[u8] = b"data: [DONE]\n\n";
+/// The event that ends a complete event stream.
+const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// How the answer to one request is written.
+/// Serializes the answer to one request.
 #[derive(Debug, Clone)]
 pub struct CompletionWriter {
     id: String,
     model: String,
     chat: bool,
-    prompt: u32,
+    prompt_tokens: u32,
 }
 
 #[derive(Serialize)]
@@ -54,25 +54,25 @@
 }
 
 impl CompletionWriter {
-    /// Prepares to write the answer to one request.
+    /// Creates the writer for one request.
     #[must_use]
-    pub fn new(ticket: RequestId, model: &str, chat: bool, prompt: u32) -> Self {
+    pub fn new(ticket: RequestId, model: &str, chat: bool, prompt_tokens: u32) -> Self {
         Self {
             id: ticket.to_string(),
             model: model.to_owned(),
             chat,
-            prompt,
+            prompt_tokens,
         }
     }
 
-    /// A whole answer of `tokens` tokens, as JSON.
+    /// A complete answer of `tokens` tokens, as JSON.
     #[must_use]
-    pub fn full_body(&self, text: &[u8], finish: &str, tokens: u32) -> Vec<u8> {
+    pub fn full_body(&self, text: &[u8], finish_reason: &str, tokens: u32) -> Vec<u8> {
         let text = String::from_utf8_lossy(text);
         let usage = Usage {
-            prompt_tokens: self.prompt,
+            prompt_tokens: self.prompt_tokens,
             completion_tokens: tokens,
-            total_tokens: self.prompt.saturating_add(tokens),
+            total_tokens: self.prompt_tokens.saturating_add(tokens),
         };
         let content = Content {
             role: "assistant",
@@ -83,7 +83,7 @@
             text: (!self.chat).then_some(&*text),
             delta: None,
             message: self.chat.then_some(content),
-            finish_reason: Some(finish),
+            finish_reason: Some(finish_reason),
         };
         let object = if self.chat {
             "chat.completion"
@@ -95,30 +95,30 @@
         out
     }
 
-    /// Appends an event for each piece.
+    /// Appends an event for each chunk.
     pub fn write_chunks(&self, out: &mut Vec<u8>, write_chunks: &[Chunk]) {
-        for piece in write_chunks {
-            let text = String::from_utf8_lossy(&piece.data);
+        for chunk in write_chunks {
+            let text = String::from_utf8_lossy(&chunk.data);
             self.event(out, &text, None);
         }
     }
 
-    /// Appends the events that end a whole answer.
-    pub fn write_end(&self, out: &mut Vec<u8>, finish: &str) {
-        self.event(out, "", Some(finish));
-        out.extend_from_slice(DONE);
+    /// Appends the events that end a complete answer.
+    pub fn write_end(&self, out: &mut Vec<u8>, finish_reason: &str) {
+        self.event(out, "", Some(finish_reason));
+        out.extend_from_slice(DONE_EVENT);
     }
 
-    /// Appends the event that ends an answer that broke off. No end mark
-    /// follows, so that no client takes the answer for a whole one.
-    pub fn write_error(&self, out: &mut Vec<u8>, refused: &RequestError) {
+    /// Appends the error event that ends an interrupted answer. No `[DONE]`
+    /// follows, so that no client treats the answer as complete.
+    pub fn write_error(&self, out: &mut Vec<u8>, error: &RequestError) {
         out.extend_from_slice(b"data: ");
         // Writing to memory cannot fail.
-        let _ = serde_json::to_writer(&mut *out, &refused.body());
+        let _ = serde_json::to_writer(&mut *out, &error.body());
         out.extend_from_slice(b"\n\n");
     }
 
-    fn event(&self, out: &mut Vec<u8>, text: &str, finish: Option<&str>) {
+    fn event(&self, out: &mut Vec<u8>, text: &str, finish_reason: Option<&str>) {
         let choice = Choice {
             index: 0,
             text: (!self.chat).then_some(text),
@@ -127,7 +127,7 @@
                 content: text,
             }),
             message: None,
-            finish_reason: finish,
+            finish_reason,
         };
         let object = if self.chat {
             "chat.completion.chunk"
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -1,4 +1,5 @@
-//! Stopping without cutting anything off. See docs/operators/drain.md.
+//! Graceful shutdown: readiness goes off, new requests are refused, and requests
+//! in progress complete. See docs/operators/drain.md.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,21 +12,21 @@
 use crate::error::RequestError;
 use crate::state::State;
 
-/// How long connections may take to close once nothing is in progress. A
-/// caller that does not read its answer must not hold up the end for ever.
+/// Maximum time for connections to close once no request is in progress. A
+/// caller that does not read its answer must not block the shutdown forever.
 pub const CLOSE_LIMIT: Duration = Duration::from_secs(10);
 
-/// How long requests may take to end after the cut-off.
-const CUTOFF_LIMIT: Duration = Duration::from_secs(2);
+/// Maximum time for requests to end after they were aborted.
+const ABORT_LIMIT: Duration = Duration::from_secs(2);
 
-/// How often the end of the last request is looked for.
-const POLL: Duration = Duration::from_millis(10);
+/// How often the number of requests in progress is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits for `stop`, drains the entry, and asks `drained` at the end.
+/// Waits for `stop`, drains the entry, and triggers `drained` at the end.
 ///
-/// A balancer notices some time after readiness went off, and sends requests
-/// until then. Refusing these at once would fail callers on every planned
-/// stop, so they are taken for the time that the settings call `linger`.
+/// The load balancer sends requests until it notices that the entry is not
+/// ready. Refusing these would cause errors on every planned shutdown, so
+/// requests are accepted for the `linger` time of the settings.
 pub async fn drain(state: Rc<State>, stop: StopSignal, drained: StopSignal) {
     stop.wait().await;
     let settings = state.settings.drain;
@@ -38,9 +39,9 @@
     let outcome = match tokio::time::timeout(settings.time_limit.0, wait_idle(&state)).await {
         Ok(()) => "whole",
         Err(_) => {
-            warn!("entry cuts off", kv: { name = state.settings.name.as_str(), open = state.in_progress() });
+            warn!("drain time limit reached; aborting requests", kv: { name = state.settings.name.as_str(), open = state.in_progress() });
             state.cutoff.trigger();
-            let _ = tokio::time::timeout(CUTOFF_LIMIT, wait_idle(&state)).await;
+            let _ = tokio::time::timeout(ABORT_LIMIT, wait_idle(&state)).await;
             "cut_off"
         }
     };
@@ -49,14 +50,18 @@
     drained.trigger();
 }
 
-/// The refusal of a request that comes too late.
+/// The error for a request that arrives while the entry refuses new ones.
 #[must_use]
 pub fn draining_error() -> RequestError {
-    RequestError::not_run(Refusal::Draining, "this entry stops; ask another one")
-        .with_retry_after(Duration::from_secs(1))
+    RequestError::not_run(
+        Refusal::Draining,
+        "this entry is shutting down; retry at another one",
+    )
+    .with_retry_after(Duration::from_secs(1))
 }
 
-/// How a request ends that the cut-off meets; it may have run.
+/// The error of a request that is aborted at the drain's time limit. It may have
+/// run; with `begun`, a part of its answer was received.
 #[must_use]
 pub fn cutoff_error(begun: bool) -> RequestError {
     let ran = if begun {
@@ -73,6 +78,6 @@
 /// Waits until no request is in progress.
 async fn wait_idle(state: &State) {
     while state.in_progress() > 0 {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,4 +1,4 @@
-//! The answer to a request that is refused.
+//! Errors returned to callers.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 use base::reason::{Executed, Refusal};
 use serde::Serialize;
 
-/// A refusal with everything that its caller is told.
+/// The error with which a request ends, as reported to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestError {
-    /// Why.
+    /// The reason of the refusal.
     pub reason: Refusal,
     /// Whether the request ran.
     pub ran: Executed,
-    /// When to come back, if that may help.
+    /// Delay after which a retry may succeed, sent as `Retry-After`.
     pub retry_after: Option<Duration>,
-    /// What would help, in words.
+    /// Message that explains the error and what to do about it.
     pub hint: String,
 }
 
-/// The error object of an answer, in the usual shape.
+/// Body of an error response, in the OpenAI format.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody<'a> {
     /// The error.
@@ -31,16 +31,16 @@
 /// The error in an [`ErrorBody`].
 #[derive(Debug, Serialize)]
 pub struct ErrorObject<'a> {
-    /// The reason's word.
+    /// The reason, as a stable identifier.
     pub r#type: &'a str,
-    /// What would help, in words.
+    /// The hint.
     pub message: &'a str,
     /// Whether the request ran.
     pub ran: &'a str,
 }
 
 impl RequestError {
-    /// Makes a refusal of a request that did not run.
+    /// Creates the error of a request that did not run.
     #[must_use]
     pub fn not_run(reason: Refusal, hint: &str) -> Self {
         Self {
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the delay after which a retry may succeed.
     #[must_use]
     pub fn with_retry_after(mut self, with_retry_after: Duration) -> Self {
         self.retry_after = Some(with_retry_after);
         self
     }
 
-    /// The error object.
+    /// The body of the error response.
     #[must_use]
     pub fn body(&self) -> ErrorBody<'_> {
         ErrorBody {
@@ -70,25 +70,27 @@
         }
     }
 
-    /// Counts the refusal. Each is counted where its caller is told.
+    /// Counts the refusal. It is called once per error, where the error is sent to
+    /// the caller.
     pub fn record_metric(&self) {
         base::telemetry::count_refusal(self.reason, self.ran);
     }
 
-    /// The whole answer; counts the refusal.
+    /// The error response; also counts the refusal.
     #[must_use]
     pub fn response(&self) -> HttpResponse {
         self.record_metric();
         let status = StatusCode::from_u16(self.reason.status());
         let mut response = HttpResponse::build(status.unwrap_or(StatusCode::BAD_GATEWAY));
         if self.reason == Refusal::Draining {
-            // The caller's next request must find another entry.
+            // Closes the connection, so that the next request goes to another
+            // entry.
             response.force_close();
         }
         if let Some(after) = self.retry_after {
-            // Whole seconds are all that the header can say.
-            let secs = after.as_secs() + u64::from(after.subsec_nanos() > 0);
-            response.insert_header((RETRY_AFTER, secs.to_string()));
+            // The header has a resolution of 1 s; rounds up.
+            let seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
+            response.insert_header((RETRY_AFTER, seconds.to_string()));
         }
         response.json(self.body())
     }
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -132,7 +132,7 @@
         ),
         (Refusal::KeyInUse, _) => (
             Executed::Unknown,
-            "another entry is handling a call with this key",
+            "another entry accepted a call with this key",
         ),
         _ => (
             Executed::No,
@@ -302,8 +302,8 @@
 
 impl Drop for Tee {
     /// A disconnect of the first caller ends the run, so the calls that joined
-    /// get no complete answer either. The claim keeps later calls from running
-    /// the request again.
+    /// get no complete answer either. Later calls are told that the outcome is
+    /// unknown.
     fn drop(&mut self) {
         if self.call.result.borrow().is_some() {
             return;
