--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -8,7 +8,7 @@
 use base::settings::HumanDuration;
 use bundle::Bundle;
 use clients::hosts::{Host as Listed, Role as Kind, Standing};
-use entry::settings::{Drain, Keys, Known, Roster, Routing};
+use entry::settings::{Drain, HostList, IdempotencyKeys, Routing, SidecarInfo};
 use policy::queue::QueueSettings;
 use sidecar::settings::Backend;
 use standin::hosts::{self, Registry};
@@ -271,20 +271,20 @@
             operators: Some(self.operators(Role::Entry, i)),
             follow: Some(self.follow()),
             sidecars: Vec::new(),
-            roster: Roster {
-                hosts: Some(self.addr(Role::Hosts, 0)),
+            host_list: HostList {
+                list_addr: Some(self.addr(Role::Hosts, 0)),
                 region: self.fleet.name().to_owned(),
-                ..Roster::default()
+                ..HostList::default()
             },
             drain: Drain {
                 // The demo's callers go on to the next entry at once.
                 linger: HumanDuration::ms(100),
                 ..Drain::default()
             },
-            fan: 2,
+            fan_out: 2,
             routing: Routing::default(),
-            keys: Keys::default(),
-            comment: HumanDuration::secs(5),
+            keys: IdempotencyKeys::default(),
+            comment_interval: HumanDuration::secs(5),
             body_limit: 4 << 20,
             seed: Some(self.seed + u64::from(i)),
             log_level: base::logging::Level::Warn,
@@ -302,7 +302,7 @@
     }
 
     /// A backend server's sidecar as entries know it.
-    fn known(&self, i: u8) -> Known {
+    fn known(&self, i: u8) -> SidecarInfo {
         let serves = match i < self.fleet.engines() {
             true => self.fleet.model(),
             false => self.fleet.service(),
@@ -312,7 +312,7 @@
         } else {
             Role::Sidecar
         };
-        Known {
+        SidecarInfo {
             name: format!("sidecar-{i}"),
             addr: self.addr(role, i),
             zone: self.fleet.zones()[usize::from(i) % 3].to_owned(),
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Getting a request to run, again at another server if need be. See
-//! docs/DECISIONS/0202-retries.md.
+//! Reserves a slot for a request, starts it there, and retries at another
+//! server where that is allowed. See docs/DECISIONS/0202-retries.md.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,279 +9,296 @@
 use policy::placement::{PlacementRequest, ServerIndex};
 use policy::retry::{FailedAttempt, RetryDecision};
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use crate::request::Request;
 use crate::reserve::{Rejection, Round};
-use crate::start::{Outcome, Run};
+use crate::start::{Run, StartStatus};
 use crate::state::State;
 use crate::{counters, idempotency};
 
-/// When to come back if no sidecar said.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The `Retry-After` of a refusal when no sidecar gave an estimate.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Rounds of reservations that each ask twice as many sidecars as the last.
-/// Asking costs little, and a request that was refused twice has little time.
-const ROUNDS_WIDER: u32 = 2;
+/// Number of times that the fan-out doubles, once per failed round of
+/// reservations. A reservation is cheap, and after two refusals a request has
+/// little time left.
+const FAN_OUT_DOUBLINGS: u32 = 2;
 
-/// A request that runs at a sidecar.
+/// A request that was started at a sidecar.
 pub struct Granted {
-    /// Its run.
+    /// The run at the sidecar.
     pub run: Run,
-    /// The tries so far.
-    pub tries: Tries,
+    /// The attempts that led to it.
+    pub attempts: Attempts,
 }
 
-/// The tries of one request so far.
+/// The attempts of one request so far.
 #[derive(Debug, Default)]
-pub struct Tries {
-    /// Sidecars that failed or refused it.
-    tried: Vec<ServerIndex>,
-    /// Rounds of reservations that gave no slot.
+pub struct Attempts {
+    /// Sidecars that failed or refused the request; they are not asked again.
+    excluded: Vec<ServerIndex>,
+    /// Number of reservation rounds that yielded no slot.
     rounds: u32,
-    /// Whether any answer was begun; its first token is late by then.
-    begun: bool,
-    /// Whether any of them ran, as far as known.
+    /// Whether an earlier run was started. The deadline of the first token no
+    /// longer applies then to an answer that is delivered whole.
+    started: bool,
+    /// Whether any attempt ran, as far as is known.
     ran: Option<Executed>,
 }
 
-impl Tries {
-    /// Notes that a try ran or may have run.
-    pub fn note(&mut self, ran: Executed) {
+impl Attempts {
+    /// Records whether an attempt ran or may have run.
+    pub fn record(&mut self, ran: Executed) {
         if ran != Executed::No && self.ran != Some(Executed::Partial) {
             self.ran = Some(ran);
         }
     }
 
-    /// What the caller is told after the last try. A request that was stopped
-    /// or lost at one server and then refused by the next did run: its caller
-    /// would otherwise hear "not run" while its tokens were made.
+    /// Merges the error of the last attempt with what earlier attempts ran. A
+    /// request that was preempted or lost at one server and then refused by the
+    /// next did run, and the caller must not be told that it did not.
     #[must_use]
-    pub fn tell(&self, refused: Refused) -> Refused {
-        let ran = match refused.ran {
+    pub fn final_error(&self, error: RequestError) -> RequestError {
+        let ran = match error.ran {
             Executed::No => self.ran.unwrap_or(Executed::No),
             ran => ran,
         };
-        Refused { ran, ..refused }
+        RequestError { ran, ..error }
     }
 }
 
-/// A try that came to nothing, and what its caller is told if it is the last.
-pub struct Failed {
-    /// What is known about it.
-    pub failure: FailedAttempt,
-    /// The refusal.
-    pub refused: Refused,
+/// A failed attempt, with the error for the caller in case it is not retried.
+pub struct AttemptFailure {
+    /// The cause of the failure and whether the request may have run.
+    pub attempt: FailedAttempt,
+    /// The error to return if there is no retry.
+    pub error: RequestError,
 }
 
-/// Gets a slot and starts the request there.
+/// Reserves a slot and starts the request there.
 ///
 /// # Errors
 ///
-/// Returns the refusal to answer with when the request could not be started.
-pub async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, Refused> {
-    let mut tries = Tries::default();
-    match place(state, request, &mut tries, None).await {
-        Ok(run) => Ok(Granted { run, tries }),
-        Err(refused) => Err(tries.tell(refused)),
+/// Returns the error for the caller when the request could not be started.
+pub async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, RequestError> {
+    let mut attempts = Attempts::default();
+    match place(state, request, &mut attempts, None).await {
+        Ok(run) => Ok(Granted { run, attempts }),
+        Err(error) => Err(attempts.final_error(error)),
     }
 }
 
-/// Gets the request to run again after its run at `server` failed.
+/// Starts the request again after its run at `server` failed.
 ///
 /// # Errors
 ///
-/// Returns the refusal to answer with when it must not or cannot run again.
-pub async fn again(
+/// Returns the error for the caller when the request must not or cannot be
+/// retried.
+pub async fn retry(
     state: &Rc<State>,
     request: &Request,
-    mut tries: Tries,
+    mut attempts: Attempts,
     server: ServerIndex,
-    failed: Failed,
-) -> Result<Granted, Refused> {
-    tries.tried.push(server);
-    tries.begun = true;
-    tries.note(failed.failure.ran);
-    match place(state, request, &mut tries, Some(failed)).await {
-        Ok(run) => Ok(Granted { run, tries }),
-        Err(refused) => Err(tries.tell(refused)),
+    failed: AttemptFailure,
+) -> Result<Granted, RequestError> {
+    attempts.excluded.push(server);
+    attempts.started = true;
+    attempts.record(failed.attempt.ran);
+    match place(state, request, &mut attempts, Some(failed)).await {
+        Ok(run) => Ok(Granted { run, attempts }),
+        Err(error) => Err(attempts.final_error(error)),
     }
 }
 
 async fn place(
     state: &Rc<State>,
     request: &Request,
-    tries: &mut Tries,
-    mut failed: Option<Failed>,
-) -> Result<Run, Refused> {
+    attempts: &mut Attempts,
+    mut failed: Option<AttemptFailure>,
+) -> Result<Run, RequestError> {
     let mut ticket = request.ticket;
     loop {
-        let chosen = choose(state, request, tries);
+        let chosen = choose(state, request, attempts);
         if let Some(last) = failed.take() {
-            admit(state, request, tries, last, chosen.is_empty())?;
-            // The last try's ticket is cancelled wherever it was.
+            check_retry(state, request, attempts, last, chosen.is_empty())?;
+            // Each attempt gets its own ticket, because the previous one is
+            // cancelled at every sidecar that was asked.
             ticket = RequestId::random();
         } else if chosen.is_empty() {
             return Err(no_server());
         }
 
-        let left = tries.begun.then(|| {
-            let left = time_left(state, request, tries);
-            left.saturating_sub(time_needed(state, request, tries))
+        let left = attempts.started.then(|| {
+            let left = time_left(state, request, attempts);
+            left.saturating_sub(time_needed(state, request, attempts))
         });
         let round = Round::new(state, request, ticket, &chosen);
         let run = match round.run(left).await {
             Ok(run) => run,
             Err(rejections) => {
-                tries.tried.extend(&chosen);
-                tries.rounds += 1;
-                failed = Some(rejected(&rejections));
+                attempts.excluded.extend(&chosen);
+                attempts.rounds += 1;
+                failed = Some(round_failure(&rejections));
                 continue;
             }
         };
-        // The last wait before the start is over.
+        // Nothing below waits before the start is sent, so the claim is
+        // checked here.
         if !request.may_start(state.clock.now()) {
-            return Err(idempotency::lapsed());
+            return Err(idempotency::claim_expired());
         }
         match run.start(request).await {
-            Outcome::Running => {
+            StartStatus::Running => {
                 let share = state.shares().retry_ratio;
-                state.budget.borrow_mut().earn(&request.class, share);
-                counters::grant(request.promise.tier);
+                state.retry_budget.borrow_mut().earn(&request.class, share);
+                counters::count_grant(request.class_spec.tier);
                 return Ok(run);
             }
             outcome => {
-                tries.tried.push(run.server.index);
-                let last = not_started(outcome);
-                tries.note(last.failure.ran);
+                attempts.excluded.push(run.server.index);
+                let last = start_failure(outcome);
+                attempts.record(last.attempt.ran);
                 failed = Some(last);
             }
         }
     }
 }
 
-fn choose(state: &State, request: &Request, tries: &Tries) -> Vec<ServerIndex> {
-    let want = PlacementRequest {
+fn choose(state: &State, request: &Request, attempts: &Attempts) -> Vec<ServerIndex> {
+    let placement_request = PlacementRequest {
         target: &request.target,
-        prefix_hash: request.prefix,
-        excluded: &tries.tried,
-        fan_out: state.settings.fan << tries.rounds.min(ROUNDS_WIDER),
+        prefix_hash: request.prefix_hash,
+        excluded: &attempts.excluded,
+        fan_out: state.settings.fan_out << attempts.rounds.min(FAN_OUT_DOUBLINGS),
     };
     let now = state.clock.now();
-    state.placement.borrow_mut().choose(now, &want)
+    state.placement.borrow_mut().choose(now, &placement_request)
 }
 
-/// Whether to try again; an error is the caller's answer.
-fn admit(
+/// Checks whether a failed attempt may be retried; otherwise returns the error
+/// for the caller.
+fn check_retry(
     state: &State,
     request: &Request,
-    tries: &Tries,
-    failed: Failed,
-    alone: bool,
-) -> Result<(), Refused> {
-    let Failed { failure, refused } = failed;
-    let left = time_left(state, request, tries);
-    let need = time_needed(state, request, tries);
-    if alone || failure.decide(request.repeatable, left, need) != RetryDecision::Again {
-        return Err(refused);
+    attempts: &Attempts,
+    failed: AttemptFailure,
+    no_candidates: bool,
+) -> Result<(), RequestError> {
+    let AttemptFailure { attempt, error } = failed;
+    let left = time_left(state, request, attempts);
+    let needed = time_needed(state, request, attempts);
+    if no_candidates || attempt.decide(request.repeatable, left, needed) != RetryDecision::Again {
+        return Err(error);
     }
 
-    // A draining sidecar is not asked again, and a request is preempted once
-    // at the most, so neither kind of retry can multiply.
-    let free = matches!(
-        failure.cause,
+    // These retries do not count against the budget: a draining sidecar is not
+    // asked again and a request is preempted at most once, so neither cause can
+    // amplify the load.
+    let exempt = matches!(
+        attempt.cause,
         RetryReason::Draining | RetryReason::Preempted
     );
-    if !free && !state.budget.borrow_mut().take(&request.class) {
-        return Err(match refused.reason {
-            Refusal::NoServer => Refused {
+    if !exempt && !state.retry_budget.borrow_mut().take(&request.class) {
+        return Err(match error.reason {
+            Refusal::NoServer => RequestError {
                 reason: Refusal::RetryBudget,
-                ..refused
+                ..error
             },
-            _ => refused,
+            _ => error,
         });
     }
-    base::telemetry::count_retry(failure.cause);
+    base::telemetry::count_retry(attempt.cause);
     Ok(())
 }
 
-/// Time until the first piece is due; once an answer was begun and lost, only
-/// the end counts.
-fn time_left(state: &State, request: &Request, tries: &Tries) -> Duration {
+/// Time until the deadline of the first token, or until the deadline of the
+/// whole answer if a run was lost and the answer is not streamed.
+fn time_left(state: &State, request: &Request, attempts: &Attempts) -> Duration {
     let now = state.clock.now();
     let waited = now.saturating_duration_since(request.arrived);
-    let targets = &request.promise.targets;
-    if tries.begun && !request.stream {
+    let targets = &request.class_spec.targets;
+    if attempts.started && !request.stream {
         return targets.full_answer.0.saturating_sub(waited);
     }
     targets.first_token.0.saturating_sub(waited)
 }
 
-/// What another try takes at least, until the piece that is due.
-fn time_needed(state: &State, request: &Request, tries: &Tries) -> Duration {
+/// Estimated time that another attempt needs to meet that deadline.
+fn time_needed(state: &State, request: &Request, attempts: &Attempts) -> Duration {
     let now = state.clock.now();
-    let usual = state
+    let median_latency = state
         .placement
         .borrow_mut()
         .median_pace(now, &request.target);
-    if tries.begun && !request.stream {
-        let lengths = state.lengths.borrow();
-        return usual.completion_time(lengths.expected_tokens(&request.class, request.max_tokens));
+    if attempts.started && !request.stream {
+        let lengths = state.answer_lengths.borrow();
+        return median_latency
+            .completion_time(lengths.expected_tokens(&request.class, request.max_tokens));
     }
-    usual.first_token
+    median_latency.first_token
 }
 
-fn no_server() -> Refused {
-    Refused::not_run(Refusal::NoServer, "no backend server can take it").after(RETRY_AFTER)
+fn no_server() -> RequestError {
+    RequestError::not_run(
+        Refusal::NoServer,
+        "no backend server is available for this request",
+    )
+    .with_retry_after(DEFAULT_RETRY_AFTER)
 }
 
-/// A round in which no sidecar gave a slot. The refusal that tells the caller
-/// most stands for all.
-fn rejected(rejections: &[Rejection]) -> Failed {
-    let telling = rejections
+/// The failure of a round in which no sidecar granted a slot. A refusal with a
+/// reason takes precedence over other rejections.
+fn round_failure(rejections: &[Rejection]) -> AttemptFailure {
+    let rejection = rejections
         .iter()
         .filter(|r| r.cause == RetryReason::Refused)
         .find(|r| r.refusal.is_some())
         .or(rejections.first());
-    let cause = telling.map_or(RetryReason::Unreachable, |r| r.cause);
-    let after = rejections.iter().filter_map(|r| r.after).min();
+    let cause = rejection.map_or(RetryReason::Unreachable, |r| r.cause);
+    let after = rejections.iter().filter_map(|r| r.retry_after).min();
 
-    let reason = telling.and_then(|r| r.refusal);
-    let refused = match reason {
+    let reason = rejection.and_then(|r| r.refusal);
+    let error = match reason {
         None | Some(Refusal::Draining) => no_server(),
-        Some(reason) => Refused::not_run(reason, "no backend server can take it in time"),
+        Some(reason) => {
+            RequestError::not_run(reason, "no backend server can serve this request in time")
+        }
     };
-    Failed {
-        failure: FailedAttempt {
+    AttemptFailure {
+        attempt: FailedAttempt {
             cause,
             ran: Executed::No,
             delivered: false,
         },
-        refused: refused.after(after.unwrap_or(RETRY_AFTER)),
+        error: error.with_retry_after(after.unwrap_or(DEFAULT_RETRY_AFTER)),
     }
 }
 
-/// A start after which the request does not run, or may not.
-fn not_started(outcome: Outcome) -> Failed {
-    let (cause, ran, refused) = match outcome {
-        Outcome::NotRun(cause) => (cause, Executed::No, no_server()),
-        Outcome::Running | Outcome::Unknown => (RetryReason::Unknown, Executed::Unknown, unknown()),
+/// The failure of a start after which the request is not, or may not be,
+/// running.
+fn start_failure(outcome: StartStatus) -> AttemptFailure {
+    let (cause, ran, error) = match outcome {
+        StartStatus::NotRun(cause) => (cause, Executed::No, no_server()),
+        StartStatus::Running | StartStatus::Unknown => {
+            (RetryReason::Unknown, Executed::Unknown, outcome_unknown())
+        }
     };
-    Failed {
-        failure: FailedAttempt {
+    AttemptFailure {
+        attempt: FailedAttempt {
             cause,
             ran,
             delivered: false,
         },
-        refused,
+        error,
     }
 }
 
-/// The answer when nobody can tell whether the request ran.
-pub(crate) fn unknown() -> Refused {
-    Refused {
+/// The error when it is unknown whether the request ran.
+pub(crate) fn outcome_unknown() -> RequestError {
+    RequestError {
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
-        after: None,
+        retry_after: None,
         hint: "the backend server's host became unreachable".to_owned(),
     }
 }
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -12,13 +12,13 @@
 use bytes::Bytes;
 use futures_util::stream;
 
+use crate::completion::CompletionWriter;
 use crate::dispatch::Granted;
 use crate::drain;
-use crate::refuse::Refused;
-use crate::relay::{Answer, Part};
+use crate::error::RequestError;
+use crate::relay::{ResponsePart, ResponseStream};
 use crate::request::Request;
-use crate::shape::Shape;
-use crate::state::{Open, State};
+use crate::state::{OpenRequest, State};
 use crate::{dispatch, idempotency};
 
 /// A line that every reader of server-sent events skips.
@@ -40,9 +40,9 @@
         .app_data(web::PayloadConfig::new(state.settings.body_limit))
         .app_data(state)
         .route("/v1/chat/completions", web::post().to(chat))
-        .route("/v1/completions", web::post().to(text))
+        .route("/v1/completions", web::post().to(completion_text))
         .route("/v1/services/{name}/{path:.*}", web::route().to(service))
-        .default_service(web::to(nowhere))
+        .default_service(web::to(unknown_path))
 }
 
 async fn chat(http: HttpRequest, body: Result<Bytes, Error>) -> HttpResponse {
@@ -51,7 +51,7 @@
         .unwrap_or_else(|refused| refused.response())
 }
 
-async fn text(http: HttpRequest, body: Result<Bytes, Error>) -> HttpResponse {
+async fn completion_text(http: HttpRequest, body: Result<Bytes, Error>) -> HttpResponse {
     completion(&http, body, false)
         .await
         .unwrap_or_else(|refused| refused.response())
@@ -68,26 +68,26 @@
         .unwrap_or_else(|refused| refused.response())
 }
 
-async fn nowhere(http: HttpRequest) -> HttpResponse {
+async fn unknown_path(http: HttpRequest) -> HttpResponse {
     let hint = format!(
         "nothing at {} {}; see /v1/chat/completions, /v1/completions and /v1/services/NAME/",
         http.method(),
         http.path()
     );
-    Refused::not_run(Refusal::UnknownTarget, &hint).response()
+    RequestError::not_run(Refusal::UnknownTarget, &hint).response()
 }
 
 async fn completion(
     http: &HttpRequest,
     body: Result<Bytes, Error>,
     chat: bool,
-) -> Result<HttpResponse, Refused> {
-    let (state, open) = enter(http)?;
-    let bundle = state.spread.current().await?;
-    let body = body.map_err(|e| unread(&e, state))?;
+) -> Result<HttpResponse, RequestError> {
+    let (state, open) = begin_request(http)?;
+    let bundle = state.bundle_sync.current_bundle().await?;
+    let body = body.map_err(|e| body_error(&e, state))?;
     let request = Request::completion(http, body, chat, &bundle, state.clock.now())?;
 
-    idempotency::once(state, request, async move |request| {
+    idempotency::run_once(state, request, async move |request| {
         complete(state, request, chat, open).await
     })
     .await
@@ -97,18 +97,18 @@
     state: &Rc<State>,
     request: Request,
     chat: bool,
-    open: Open,
-) -> Result<HttpResponse, Refused> {
+    open: OpenRequest,
+) -> Result<HttpResponse, RequestError> {
     let granted = grant(state, &request).await?;
-    let shape = Shape::new(request.ticket, &request.target, chat, request.prompt);
+    let shape = CompletionWriter::new(request.ticket, &request.target, chat, request.prompt_tokens);
     let stream = request.stream;
-    let answer = Answer::new(Rc::clone(state), request, granted);
+    let answer = ResponseStream::new(Rc::clone(state), request, granted);
     if stream {
-        return Ok(streamed(answer, shape, open));
+        return Ok(stream_response(answer, shape, open));
     }
 
     let whole = collect(answer).await?;
-    let body = shape.whole(&whole.body, &whole.finish, whole.tokens);
+    let body = shape.full_body(&whole.body, &whole.finish, whole.tokens);
     Ok(HttpResponse::Ok()
         .content_type("application/json")
         .body(body))
@@ -118,21 +118,21 @@
     http: &HttpRequest,
     target: (&str, &str),
     body: Result<Bytes, Error>,
-) -> Result<HttpResponse, Refused> {
-    let (state, _open) = enter(http)?;
-    let bundle = state.spread.current().await?;
-    let body = body.map_err(|e| unread(&e, state))?;
-    let request = Request::call(http, body, target, &bundle, state.clock.now())?;
+) -> Result<HttpResponse, RequestError> {
+    let (state, _open) = begin_request(http)?;
+    let bundle = state.bundle_sync.current_bundle().await?;
+    let body = body.map_err(|e| body_error(&e, state))?;
+    let request = Request::service_call(http, body, target, &bundle, state.clock.now())?;
 
-    idempotency::once(state, request, async move |request| {
+    idempotency::run_once(state, request, async move |request| {
         call_once(state, request).await
     })
     .await
 }
 
-async fn call_once(state: &Rc<State>, request: Request) -> Result<HttpResponse, Refused> {
+async fn call_once(state: &Rc<State>, request: Request) -> Result<HttpResponse, RequestError> {
     let granted = grant(state, &request).await?;
-    let whole = collect(Answer::new(Rc::clone(state), request, granted)).await?;
+    let whole = collect(ResponseStream::new(Rc::clone(state), request, granted)).await?;
     let status = StatusCode::from_u16(whole.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
     if !whole.finish.is_empty() {
@@ -142,42 +142,42 @@
 }
 
 /// Takes a request as in progress, unless it comes after the entry drained.
-fn enter(http: &HttpRequest) -> Result<(&Rc<State>, Open), Refused> {
+fn begin_request(http: &HttpRequest) -> Result<(&Rc<State>, OpenRequest), RequestError> {
     let state = http.app_data::<Rc<State>>();
     let state =
-        state.ok_or_else(|| Refused::not_run(Refusal::NoBundle, "the entry is not set up"))?;
+        state.ok_or_else(|| RequestError::not_run(Refusal::NoBundle, "the entry is not set up"))?;
     if state.refusing.get() {
-        return Err(drain::refused());
+        return Err(drain::draining_error());
     }
-    Ok((state, state.open()))
+    Ok((state, state.begin_request()))
 }
 
 /// Gets the request to run, unless the drain's limit passes.
-async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, Refused> {
+async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, RequestError> {
     tokio::select! {
         granted = dispatch::grant(state, request) => granted,
-        () = state.cutoff.wait() => Err(drain::cut_off(false)),
+        () = state.cutoff.wait() => Err(drain::cutoff_error(false)),
     }
 }
 
 /// The refusal of a body that could not be read.
-fn unread(error: &Error, state: &State) -> Refused {
+fn body_error(error: &Error, state: &State) -> RequestError {
     let status = error.as_response_error().status_code();
     if status == StatusCode::PAYLOAD_TOO_LARGE {
         let hint = format!(
             "the body is larger than {} bytes",
             state.settings.body_limit
         );
-        return Refused::not_run(Refusal::TooLarge, &hint);
+        return RequestError::not_run(Refusal::TooLarge, &hint);
     }
-    Refused::not_run(
+    RequestError::not_run(
         Refusal::BadRequest,
         &format!("the body could not be read: {error}"),
     )
 }
 
 /// A whole answer.
-struct Whole {
+struct FullResponse {
     body: Vec<u8>,
     status: u16,
     finish: String,
@@ -185,12 +185,12 @@
 }
 
 /// Waits for the whole answer.
-async fn collect(mut answer: Answer) -> Result<Whole, Refused> {
+async fn collect(mut answer: ResponseStream) -> Result<FullResponse, RequestError> {
     let (mut body, mut tokens) = (Vec::new(), 0);
     loop {
-        let (pieces, end) = match answer.part().await? {
-            Part::Pieces(pieces) => (pieces, None),
-            Part::Whole {
+        let (pieces, end) = match answer.next_part().await? {
+            ResponsePart::Chunks(pieces) => (pieces, None),
+            ResponsePart::Complete {
                 chunks,
                 status,
                 finish_reason,
@@ -201,7 +201,7 @@
             tokens += piece.tokens;
         }
         if let Some((status, finish)) = end {
-            return Ok(Whole {
+            return Ok(FullResponse {
                 body,
                 status,
                 finish,
@@ -212,13 +212,14 @@
 }
 
 /// An answer whose next part is waited for.
-type Waiting = Pin<Box<dyn Future<Output = (Answer, Result<Part, Refused>)>>>;
+type PendingPart =
+    Pin<Box<dyn Future<Output = (ResponseStream, Result<ResponsePart, RequestError>)>>>;
 
 /// Waits for an answer's next part. Taking a part must not be dropped halfway,
 /// so the wait is kept from one comment to the next.
-fn wait(mut answer: Answer) -> Waiting {
+fn wait_part(mut answer: ResponseStream) -> PendingPart {
     Box::pin(async move {
-        let part = answer.part().await;
+        let part = answer.next_part().await;
         (answer, part)
     })
 }
@@ -228,9 +229,13 @@
 /// With nothing to write, a caller that vanished without closing its
 /// connection would never be noticed, and its request would hold a slot. A
 /// comment, which callers skip, makes its host answer with a reset.
-fn streamed(answer: Answer, shape: Shape, open: Open) -> HttpResponse {
-    let every = answer.comment();
-    let state = Some((wait(answer), shape, open));
+fn stream_response(
+    answer: ResponseStream,
+    shape: CompletionWriter,
+    open: OpenRequest,
+) -> HttpResponse {
+    let every = answer.comment_interval();
+    let state = Some((wait_part(answer), shape, open));
     let body = stream::unfold(state, move |state| async move {
         let (mut waiting, shape, open) = state?;
         let part = tokio::time::timeout(every, waiting.as_mut()).await;
@@ -241,26 +246,26 @@
 
         let mut out = Vec::new();
         let more = match part {
-            Ok(Part::Pieces(pieces)) => {
-                shape.pieces(&mut out, &pieces);
+            Ok(ResponsePart::Chunks(pieces)) => {
+                shape.write_chunks(&mut out, &pieces);
                 true
             }
-            Ok(Part::Whole {
+            Ok(ResponsePart::Complete {
                 chunks,
                 finish_reason,
                 ..
             }) => {
-                shape.pieces(&mut out, &chunks);
-                shape.end(&mut out, &finish_reason);
+                shape.write_chunks(&mut out, &chunks);
+                shape.write_end(&mut out, &finish_reason);
                 false
             }
             Err(refused) => {
-                refused.count();
-                shape.error(&mut out, &refused);
+                refused.record_metric();
+                shape.write_error(&mut out, &refused);
                 false
             }
         };
-        let state = more.then(|| (wait(answer), shape, open));
+        let state = more.then(|| (wait_part(answer), shape, open));
         Some((Ok::<_, io::Error>(Bytes::from(out)), state))
     });
     HttpResponse::Ok()
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -1,9 +1,10 @@
-//! Calls with an idempotency key: each runs at most once, whichever entries
-//! its caller tries.
+//! Runs each call with an idempotency key at most once, even if its caller
+//! retries at several entries.
 //!
-//! Before the grant the key is claimed in the platform's log; see the
-//! `claims` package. A second call with the key at this entry joins the first
-//! one's answer while it is kept; at another entry it hears what is known.
+//! The key is claimed in the platform's log before the request is placed; see
+//! the `claims` package. A second call with the same key at this entry gets the
+//! answer of the first one while it is cached. At another entry it is refused
+//! with the state of the first call as far as it is known.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -26,135 +27,139 @@
 use tokio::sync::Notify;
 use wire::BackendRequest;
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use crate::request::Request;
-use crate::state::{Open, State};
+use crate::state::{OpenRequest, State};
 
-/// Bytes of answers that are kept at the most, over all keys.
-const KEPT_BYTES: usize = 16 << 20;
+/// Maximum size of the cached answers of all keys, in bytes.
+const MAX_CACHED_BYTES: usize = 16 << 20;
 
-/// Answers that are kept at the most.
-const KEPT_CALLS: usize = 10_000;
+/// Maximum number of cached answers.
+const MAX_CACHED_CALLS: usize = 10_000;
 
-/// The end of a whole stream of events.
-const DONE: &[u8] = b"data: [DONE]\n\n";
+/// The last event of a complete event stream.
+const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// The calls with a key that this entry keeps.
+/// The calls with an idempotency key whose answers this entry caches.
 #[derive(Default)]
-pub struct Calls {
-    by_key: RefCell<HashMap<Hash, Rc<Call>>>,
-    /// Keys in the order in which their calls came.
+pub struct KeyedCalls {
+    by_key: RefCell<HashMap<Hash, Rc<KeyedCall>>>,
+    /// Keys in order of arrival, for eviction of the oldest.
     order: RefCell<VecDeque<Hash>>,
-    /// Bytes of all kept answers.
-    bytes: Cell<usize>,
+    /// Size of all cached answers, in bytes.
+    cached_bytes: Cell<usize>,
 }
 
-/// One call with a key, and its answer as far as it came.
-struct Call {
-    /// Hash of what the call asks for.
-    asks: Hash,
-    head: RefCell<Option<Head>>,
+/// A call with an idempotency key and the part of its answer received so far.
+struct KeyedCall {
+    /// Hash of the request, to detect a key that is reused for another one.
+    request_hash: Hash,
+    head: RefCell<Option<ResponseHead>>,
     body: RefCell<Vec<u8>>,
-    end: RefCell<Option<Result<(), Refused>>>,
+    result: RefCell<Option<Result<(), RequestError>>>,
     changed: Notify,
 }
 
 /// The status and the content type of an answer.
 #[derive(Clone)]
-struct Head {
+struct ResponseHead {
     status: StatusCode,
-    kind: String,
+    content_type: String,
 }
 
-/// Runs a request that has a key once, or joins the call that runs already;
-/// runs a request without a key as it is.
+/// Runs a request with an idempotency key, or joins the call with that key if
+/// there is one. A request without a key is run unconditionally.
 ///
 /// # Errors
 ///
 /// Returns the refusal to answer with.
-pub async fn once(
+pub async fn run_once(
     state: &Rc<State>,
     mut request: Request,
-    run: impl AsyncFnOnce(Request) -> Result<HttpResponse, Refused>,
-) -> Result<HttpResponse, Refused> {
-    let Some(key) = request.key.clone() else {
+    run: impl AsyncFnOnce(Request) -> Result<HttpResponse, RequestError>,
+) -> Result<HttpResponse, RequestError> {
+    let Some(key) = request.idempotency_key.clone() else {
         return run(request).await;
     };
     let hash = key_hash(&request.workspace, &key);
-    let asks = asks(&request);
-    let found = state.calls.by_key.borrow().get(&hash).cloned();
+    let request_hash = request_hash(&request);
+    let found = state.keyed_calls.by_key.borrow().get(&hash).cloned();
     if let Some(call) = found {
-        return join(call, asks, state.open()).await;
+        return join_call(call, request_hash, state.begin_request()).await;
     }
 
-    let first = First::new(state, hash, asks);
-    let claimed = claim(state, &request, &key, asks).await;
-    request.claim = claimed.inspect_err(|refused| first.refuse(refused))?;
+    let first_call = FirstCall::new(state, hash, request_hash);
+    let claimed = claim(state, &request, &key, request_hash).await;
+    request.claim = claimed.inspect_err(|error| first_call.fail(error))?;
     let claim = request.claim.clone();
     match run(request).await {
-        Ok(response) => Ok(first.answer(response, claim)),
-        Err(refused) => {
+        Ok(response) => Ok(first_call.record_response(response, claim)),
+        Err(error) => {
             if let Some(claim) = claim {
-                claim.finish(end_of(refused.ran));
+                claim.finish(claim_end(error.ran));
             }
-            first.refuse(&refused);
-            Err(refused)
+            first_call.fail(&error);
+            Err(error)
         }
     }
 }
 
-/// Claims the key in the log. Without a log there is nobody to claim it from,
-/// and only this entry knows of it.
+/// Claims the key in the log. Without a log the key is known to this entry only,
+/// and there is no claim.
 async fn claim(
     state: &State,
     request: &Request,
     key: &str,
-    asks: Hash,
-) -> Result<Option<Rc<Claim>>, Refused> {
+    request_hash: Hash,
+) -> Result<Option<Rc<Claim>>, RequestError> {
     let Some(claims) = &state.claims else {
         return Ok(None);
     };
-    let claimed = claims.claim(&request.workspace, key, asks, request.ticket);
+    let claimed = claims.claim(&request.workspace, key, request_hash, request.ticket);
     match claimed.await {
         Ok(claim) => Ok(Some(Rc::new(claim))),
-        Err(denied) => Err(refusal(denied)),
+        Err(denied) => Err(denied_error(denied)),
     }
 }
 
-/// What a caller is told whose key is not its own.
-fn refusal(denied: ClaimDenied) -> Refused {
+/// The error for a call whose claim was denied.
+fn denied_error(denied: ClaimDenied) -> RequestError {
     let (ran, hint) = match (denied.reason, denied.outcome) {
         (Refusal::KeyReused, _) => (Executed::No, "the key was used with another request"),
-        (Refusal::KeyInUse, Some(CallOutcome::Completed)) => {
-            (Executed::Unknown, "the first call ran to its end")
-        }
-        (Refusal::KeyInUse, _) => (Executed::Unknown, "another entry took a call with this key"),
+        (Refusal::KeyInUse, Some(CallOutcome::Completed)) => (
+            Executed::Unknown,
+            "the first call with this key ran to completion",
+        ),
+        (Refusal::KeyInUse, _) => (
+            Executed::Unknown,
+            "another entry accepted a call with this key",
+        ),
         _ => (
             Executed::No,
-            "the platform's log is needed and does not answer",
+            "the idempotency key cannot be claimed: the platform's log does not answer",
         ),
     };
-    Refused {
+    RequestError {
         reason: denied.reason,
         ran,
-        after: denied.retry_after.map(|a| a.max(Duration::from_secs(1))),
+        retry_after: denied.retry_after.map(|a| a.max(Duration::from_secs(1))),
         hint: hint.to_owned(),
     }
 }
 
-/// The refusal of a call that waited longer than its claim lasts.
+/// The error of a call that waited longer than its claim is valid.
 #[must_use]
-pub fn lapsed() -> Refused {
-    let hint = "the claim of the idempotency key lapsed while the call waited";
-    Refused::not_run(Refusal::Expired, hint).after(Duration::from_secs(1))
+pub fn claim_expired() -> RequestError {
+    let hint = "the claim of the idempotency key expired while the call waited";
+    RequestError::not_run(Refusal::Expired, hint).with_retry_after(Duration::from_secs(1))
 }
 
-/// Hash of what a call asks for.
-fn asks(request: &Request) -> Hash {
+/// Hash of the request that a call makes.
+fn request_hash(request: &Request) -> Hash {
     match &request.work {
         BackendRequest::Completion { body, chat } => {
-            let shape: &[u8] = if *chat { b"chat" } else { b"text" };
-            Hash::of(&[shape, request.class.as_bytes(), body])
+            let endpoint: &[u8] = if *chat { b"chat" } else { b"text" };
+            Hash::of(&[endpoint, request.class.as_bytes(), body])
         }
         BackendRequest::Call {
             method, path, body, ..
@@ -165,57 +170,60 @@
     }
 }
 
-fn end_of(ran: Executed) -> CallOutcome {
+fn claim_end(ran: Executed) -> CallOutcome {
     match ran {
         Executed::No => CallOutcome::NotRun,
         Executed::Unknown | Executed::Partial => CallOutcome::Unknown,
     }
 }
 
-/// The first call with a key. Dropped before it has an answer, it ends those
-/// who joined it.
-struct First {
+/// Guard of the first call with a key. If it is dropped before the call has an
+/// answer, the calls that joined it fail.
+struct FirstCall {
     state: Rc<State>,
     key: Hash,
-    call: Rc<Call>,
-    settled: Cell<bool>,
+    call: Rc<KeyedCall>,
+    finished: Cell<bool>,
 }
 
-impl First {
-    fn new(state: &Rc<State>, key: Hash, asks: Hash) -> Self {
-        let call = Rc::new(Call {
-            asks,
+impl FirstCall {
+    fn new(state: &Rc<State>, key: Hash, request_hash: Hash) -> Self {
+        let call = Rc::new(KeyedCall {
+            request_hash,
             head: RefCell::default(),
             body: RefCell::default(),
-            end: RefCell::default(),
+            result: RefCell::default(),
             changed: Notify::new(),
         });
-        state.calls.insert(key, &call);
+        state.keyed_calls.insert(key, &call);
         Self {
             state: Rc::clone(state),
             key,
             call,
-            settled: Cell::new(false),
+            finished: Cell::new(false),
         }
     }
 
-    /// Ends the call with a refusal. One that did not run leaves the key
-    /// free, so that its caller may try again.
-    fn refuse(&self, refused: &Refused) {
-        self.settled.set(true);
-        self.call.finish(Err(refused.clone()));
-        if refused.ran == Executed::No || refused.reason == Refusal::KeyInUse {
-            self.state.calls.remove(&self.key);
+    /// Fails the call. If it did not run, the key is released, so that the
+    /// caller may retry.
+    fn fail(&self, error: &RequestError) {
+        self.finished.set(true);
+        self.call.finish(Err(error.clone()));
+        if error.ran == Executed::No || error.reason == Refusal::KeyInUse {
+            self.state.keyed_calls.remove(&self.key);
         }
     }
 
-    /// Keeps the answer while it goes out.
-    fn answer(self, response: HttpResponse, claim: Option<Rc<Claim>>) -> HttpResponse {
-        self.settled.set(true);
-        let kind = response.headers().get(CONTENT_TYPE);
-        *self.call.head.borrow_mut() = Some(Head {
+    /// Returns the response with a body that is cached while it is sent.
+    fn record_response(self, response: HttpResponse, claim: Option<Rc<Claim>>) -> HttpResponse {
+        self.finished.set(true);
+        let content_type = response.headers().get(CONTENT_TYPE);
+        *self.call.head.borrow_mut() = Some(ResponseHead {
             status: response.status(),
-            kind: kind.and_then(|v| v.to_str().ok()).unwrap_or("").to_owned(),
+            content_type: content_type
+                .and_then(|v| v.to_str().ok())
+                .unwrap_or("")
+                .to_owned(),
         });
         self.call.changed.notify_waiters();
         let (state, key, call) = (Rc::clone(&self.state), self.key, Rc::clone(&self.call));
@@ -231,46 +239,46 @@
     }
 }
 
-impl Drop for First {
+impl Drop for FirstCall {
     fn drop(&mut self) {
-        if !self.settled.get() {
-            self.call.finish(Err(gone()));
-            self.state.calls.remove(&self.key);
+        if !self.finished.get() {
+            self.call.finish(Err(aborted_error()));
+            self.state.keyed_calls.remove(&self.key);
         }
     }
 }
 
-/// Passes an answer on and keeps it.
+/// A response body that copies the data it sends into the call's cache.
 struct Tee {
     inner: BoxBody,
     state: Rc<State>,
     key: Hash,
-    call: Rc<Call>,
+    call: Rc<KeyedCall>,
     claim: Option<Rc<Claim>>,
 }
 
 impl Tee {
-    fn keep(&self, data: &[u8]) {
+    fn record_data(&self, data: &[u8]) {
         self.call.body.borrow_mut().extend_from_slice(data);
         self.call.changed.notify_waiters();
-        self.state.calls.grow(data.len());
-        // The length is known from the start, so the end is not asked for.
+        self.state.keyed_calls.add_bytes(data.len());
+        // A body of known size is not polled again after its last byte.
         if self.inner.size() == BodySize::Sized(self.call.body.borrow().len() as u64) {
-            self.whole();
+            self.finish_claim();
         }
     }
 
-    fn whole(&self) {
-        let streamed = self.call.streamed();
-        let whole = !streamed || self.call.body.borrow().ends_with(DONE);
+    fn finish_claim(&self) {
+        let event_stream = self.call.is_event_stream();
+        let complete = !event_stream || self.call.body.borrow().ends_with(DONE_EVENT);
         if let Some(claim) = &self.claim {
-            claim.finish(if whole {
+            claim.finish(if complete {
                 CallOutcome::Completed
             } else {
                 CallOutcome::Unknown
             });
         }
-        // A stream that broke off has told its caller so itself.
+        // An interrupted stream ends with its own error event.
         self.call.finish(Ok(()));
     }
 }
@@ -288,8 +296,8 @@
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
         let polled = Pin::new(&mut self.inner).poll_next(cx);
         match &polled {
-            Poll::Ready(Some(Ok(data))) => self.keep(data),
-            Poll::Ready(None) => self.whole(),
+            Poll::Ready(Some(Ok(data))) => self.record_data(data),
+            Poll::Ready(None) => self.finish_claim(),
             Poll::Ready(Some(Err(_))) | Poll::Pending => {}
         }
         polled
@@ -297,86 +305,92 @@
 }
 
 impl Drop for Tee {
-    /// A caller that goes away ends the run, so those who joined get no whole
-    /// answer either; one that comes later hears that the outcome is unknown.
+    /// A disconnect of the first caller ends the run, so the calls that joined
+    /// get no complete answer either. Later calls are told that the outcome is
+    /// unknown.
     fn drop(&mut self) {
-        if self.call.end.borrow().is_some() {
+        if self.call.result.borrow().is_some() {
             return;
         }
         if self.inner.size() == BodySize::Sized(0) {
-            return self.whole();
+            return self.finish_claim();
         }
-        self.call.finish(Err(gone()));
-        self.state.calls.remove(&self.key);
+        self.call.finish(Err(aborted_error()));
+        self.state.keyed_calls.remove(&self.key);
     }
 }
 
-fn gone() -> Refused {
-    Refused {
+fn aborted_error() -> RequestError {
+    RequestError {
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
-        after: None,
-        hint: "the first call with this key was broken off by its caller".to_owned(),
+        retry_after: None,
+        hint: "the first call with this key was aborted by its caller".to_owned(),
     }
 }
 
-/// Answers a further call with the first one's answer.
-async fn join(call: Rc<Call>, asks: Hash, open: Open) -> Result<HttpResponse, Refused> {
-    if call.asks != asks {
+/// Answers another call with the answer of the first one.
+async fn join_call(
+    call: Rc<KeyedCall>,
+    request_hash: Hash,
+    open: OpenRequest,
+) -> Result<HttpResponse, RequestError> {
+    if call.request_hash != request_hash {
         let hint = "the key was used with another request";
-        return Err(Refused::not_run(Refusal::KeyReused, hint));
+        return Err(RequestError::not_run(Refusal::KeyReused, hint));
     }
-    let head = call.begun().await?;
+    let head = call.response_head().await?;
     metrics::counter!("pimentocart_claims_total", "outcome" => "joined").increment(1);
 
     let body = stream::unfold(Some((call, 0, open)), |state| async move {
         let (call, from, open) = state?;
-        let (data, over) = call.more(from).await;
+        let (data, ended) = call.next_data(from).await;
         let from = from + data.len();
-        let state = (!over).then_some((call, from, open));
+        let state = (!ended).then_some((call, from, open));
         Some((Ok::<_, io::Error>(data), state))
     });
     let mut response = HttpResponse::build(head.status);
-    if !head.kind.is_empty() {
-        response.content_type(head.kind);
+    if !head.content_type.is_empty() {
+        response.content_type(head.content_type);
     }
     Ok(response.streaming(body))
 }
 
-impl Call {
-    fn finish(&self, end: Result<(), Refused>) {
-        self.end.borrow_mut().get_or_insert(end);
+impl KeyedCall {
+    fn finish(&self, end: Result<(), RequestError>) {
+        self.result.borrow_mut().get_or_insert(end);
         self.changed.notify_waiters();
     }
 
-    fn streamed(&self) -> bool {
+    fn is_event_stream(&self) -> bool {
         let head = self.head.borrow();
         head.as_ref()
-            .is_some_and(|h| h.kind.starts_with("text/event-stream"))
+            .is_some_and(|h| h.content_type.starts_with("text/event-stream"))
     }
 
-    /// Waits until the answer has begun.
-    async fn begun(&self) -> Result<Head, Refused> {
+    /// Waits for the head of the answer.
+    async fn response_head(&self) -> Result<ResponseHead, RequestError> {
         loop {
             let changed = self.changed.notified();
             if let Some(head) = self.head.borrow().clone() {
                 return Ok(head);
             }
-            if let Some(Err(refused)) = &*self.end.borrow() {
-                return Err(refused.clone());
+            if let Some(Err(error)) = &*self.result.borrow() {
+                return Err(error.clone());
             }
             changed.await;
         }
     }
 
-    /// Waits for more of the answer; the flag says that there is no more.
-    async fn more(&self, from: usize) -> (Bytes, bool) {
+    /// Waits for data after offset `from`; returns it and whether the answer ends
+    /// there.
+    async fn next_data(&self, from: usize) -> (Bytes, bool) {
         loop {
             let changed = self.changed.notified();
             let mut data = self.body.borrow().get(from..).unwrap_or(&[]).to_vec();
-            let end = self.end.borrow().clone();
-            if let Some(Err(refused)) = &end {
-                write_error(&mut data, refused);
+            let end = self.result.borrow().clone();
+            if let Some(Err(error)) = &end {
+                write_error(&mut data, error);
             }
             if end.is_some() || !data.is_empty() {
                 return (Bytes::from(data), end.is_some());
@@ -386,33 +400,36 @@
     }
 }
 
-/// Adds the error event by which a stream of events tells that it broke off.
-fn write_error(out: &mut Vec<u8>, refused: &Refused) {
+/// Appends the error event that ends an interrupted event stream.
+fn write_error(out: &mut Vec<u8>, error: &RequestError) {
     out.extend_from_slice(b"data: ");
     // Writing to memory cannot fail.
-    let _ = serde_json::to_writer(&mut *out, &refused.body());
+    let _ = serde_json::to_writer(&mut *out, &error.body());
     out.extend_from_slice(b"\n\n");
 }
 
-impl Calls {
-    fn insert(&self, key: Hash, call: &Rc<Call>) {
+impl KeyedCalls {
+    fn insert(&self, key: Hash, call: &Rc<KeyedCall>) {
         self.by_key.borrow_mut().insert(key, Rc::clone(call));
         self.order.borrow_mut().push_back(key);
-        self.grow(0);
+        self.add_bytes(0);
     }
 
     fn remove(&self, key: &Hash) {
         if let Some(call) = self.by_key.borrow_mut().remove(key) {
             let size = call.body.borrow().len();
-            self.bytes.set(self.bytes.get().saturating_sub(size));
+            self.cached_bytes
+                .set(self.cached_bytes.get().saturating_sub(size));
         }
     }
 
-    /// Counts kept bytes and forgets the oldest answers beyond the limits.
-    /// Who is joined to them still gets them whole.
-    fn grow(&self, by: usize) {
-        self.bytes.set(self.bytes.get() + by);
-        while self.bytes.get() > KEPT_BYTES || self.order.borrow().len() > KEPT_CALLS {
+    /// Adds to the cached size and evicts the oldest answers beyond the limits.
+    /// Calls that have already joined an evicted answer still get all of it.
+    fn add_bytes(&self, by: usize) {
+        self.cached_bytes.set(self.cached_bytes.get() + by);
+        while self.cached_bytes.get() > MAX_CACHED_BYTES
+            || self.order.borrow().len() > MAX_CACHED_CALLS
+        {
             let Some(key) = self.order.borrow_mut().pop_front() else {
                 return;
             };
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,5 +1,5 @@
-//! Passing the answer's pieces on, and running the request again where that
-//! is allowed. See docs/DECISIONS/0202-retries.md.
+//! Streams the chunks of an answer to the caller, and retries the request where
+//! that is allowed. See docs/DECISIONS/0202-retries.md.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,242 +11,249 @@
 use wire::{Chunk, PullOutcome, PullRequest, ResponseEnd};
 
 use crate::counters;
-use crate::dispatch::{self, Failed, Granted, Tries};
+use crate::dispatch::{self, AttemptFailure, Attempts, Granted};
 use crate::drain;
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use crate::request::Request;
-use crate::reserve::cause;
+use crate::reserve::retry_reason;
 use crate::start::Run;
 use crate::state::State;
 
-/// Pause between two pulls without an answer.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a failed pull is repeated.
+const PULL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Pulls without an answer after which a request that may run elsewhere is
-/// not waited for any more.
-const PULLS: u32 = 2;
+/// Number of consecutive failed pulls after which a request that may run at
+/// another server is retried there.
+const MAX_FAILED_PULLS: u32 = 2;
 
-/// The answer of one request as it comes in.
-pub struct Answer {
+/// The incoming answer to one request.
+pub struct ResponseStream {
     state: Rc<State>,
     request: Request,
     run: Run,
-    tries: Tries,
-    /// The number of the next piece.
-    next: u32,
-    /// Tokens in this run's pieces so far.
+    attempts: Attempts,
+    /// Number of the next chunk, counted from 0 in the current run.
+    next_chunk: u32,
+    /// Tokens in the chunks of the current run so far.
     tokens: u32,
-    /// Pieces held back for a caller that takes the answer whole.
-    kept: Vec<Chunk>,
+    /// Chunks buffered for a caller that does not stream.
+    buffered: Vec<Chunk>,
 }
 
-/// What came in.
-pub enum Part {
-    /// Pieces, in order.
-    Pieces(Vec<Chunk>),
-    /// The end of a whole answer, after its last pieces.
-    Whole {
-        /// The last pieces.
+/// A part of an answer.
+pub enum ResponsePart {
+    /// Chunks, in order.
+    Chunks(Vec<Chunk>),
+    /// The end of a complete answer, with its last chunks.
+    Complete {
+        /// The last chunks.
         chunks: Vec<Chunk>,
-        /// HTTP status of a plain service's answer.
+        /// HTTP status of the answer of a plain service.
         status: u16,
-        /// Why the answer ended, or its content type.
+        /// Finish reason of a completion, or content type of the answer of a
+        /// plain service.
         finish_reason: String,
     },
 }
 
-impl Answer {
-    /// Starts to take in the answer of a granted request.
+impl ResponseStream {
+    /// Creates the stream for a request that was started.
     #[must_use]
     pub fn new(state: Rc<State>, request: Request, granted: Granted) -> Self {
         Self {
             state,
             request,
             run: granted.run,
-            tries: granted.tries,
-            next: 0,
+            attempts: granted.attempts,
+            next_chunk: 0,
             tokens: 0,
-            kept: Vec::new(),
+            buffered: Vec::new(),
         }
     }
 
-    /// Waits for the next part. A caller that takes the answer whole gets one
-    /// part; until then the request may run again, since nothing of the first
-    /// run's answer has reached anyone.
+    /// Waits for the next part. A caller that does not stream gets the answer as
+    /// one part. Until then a failed run may be retried, since none of its chunks
+    /// have been delivered.
     ///
     /// # Errors
     ///
-    /// Returns how the answer broke off.
-    pub async fn part(&mut self) -> Result<Part, Refused> {
+    /// Returns the error with which the answer was interrupted.
+    pub async fn next_part(&mut self) -> Result<ResponsePart, RequestError> {
         let cutoff = self.state.cutoff.clone();
         tokio::select! {
-            part = self.next_part() => return part,
+            part = self.next_unguarded_part() => return part,
             () = cutoff.wait() => {}
         }
-        Err(drain::cut_off(self.next > 0))
+        Err(drain::cutoff_error(self.next_chunk > 0))
     }
 
-    /// How long its stream may bring nothing until a comment is written.
+    /// How long the stream may be idle before a comment is sent.
     #[must_use]
-    pub fn comment(&self) -> Duration {
-        self.state.settings.comment.0
+    pub fn comment_interval(&self) -> Duration {
+        self.state.settings.comment_interval.0
     }
 
-    async fn next_part(&mut self) -> Result<Part, Refused> {
+    async fn next_unguarded_part(&mut self) -> Result<ResponsePart, RequestError> {
         loop {
             match self.pull().await {
-                Ok(Part::Pieces(pieces)) if self.request.stream => {
-                    return Ok(Part::Pieces(pieces));
+                Ok(ResponsePart::Chunks(chunks)) if self.request.stream => {
+                    return Ok(ResponsePart::Chunks(chunks));
                 }
-                Ok(Part::Pieces(pieces)) => self.kept.extend(pieces),
-                Ok(Part::Whole {
+                Ok(ResponsePart::Chunks(chunks)) => self.buffered.extend(chunks),
+                Ok(ResponsePart::Complete {
                     mut chunks,
                     status,
                     finish_reason,
                 }) => {
-                    if !self.kept.is_empty() {
-                        self.kept.append(&mut chunks);
-                        chunks = std::mem::take(&mut self.kept);
+                    if !self.buffered.is_empty() {
+                        self.buffered.append(&mut chunks);
+                        chunks = std::mem::take(&mut self.buffered);
                     }
-                    return Ok(Part::Whole {
+                    return Ok(ResponsePart::Complete {
                         chunks,
                         status,
                         finish_reason,
                     });
                 }
-                Err(failed) => self.again(failed).await?,
+                Err(failed) => self.retry(failed).await?,
             }
         }
     }
 
-    /// Runs the request again after its run failed.
-    async fn again(&mut self, mut failed: Failed) -> Result<(), Refused> {
-        failed.failure.delivered = self.delivered();
-        if failed.failure.cause == RetryReason::Preempted {
-            self.request.preempted += 1;
+    /// Retries the request after its run failed.
+    async fn retry(&mut self, mut failed: AttemptFailure) -> Result<(), RequestError> {
+        failed.attempt.delivered = self.delivered();
+        if failed.attempt.cause == RetryReason::Preempted {
+            self.request.preemptions += 1;
         }
-        let tries = std::mem::take(&mut self.tries);
+        let attempts = std::mem::take(&mut self.attempts);
         let server = self.run.server.index;
-        let granted = dispatch::again(&self.state, &self.request, tries, server, failed).await?;
+        let granted = dispatch::retry(&self.state, &self.request, attempts, server, failed).await?;
 
-        counters::wasted(u64::from(self.tokens));
+        counters::count_wasted_tokens(u64::from(self.tokens));
         self.run = granted.run;
-        self.tries = granted.tries;
-        self.next = 0;
+        self.attempts = granted.attempts;
+        self.next_chunk = 0;
         self.tokens = 0;
-        self.kept.clear();
+        self.buffered.clear();
         Ok(())
     }
 
-    /// Whether a part of this run's answer reached the caller. The pieces of
-    /// another run must not follow it: their words would differ.
+    /// Whether chunks of the current run were sent to the caller. Chunks of
+    /// another run must not follow them, because its text may differ.
     fn delivered(&self) -> bool {
-        self.request.stream && self.next > 0
+        self.request.stream && self.next_chunk > 0
     }
 
-    /// Waits for the next pieces of this run.
-    async fn pull(&mut self) -> Result<Part, Failed> {
-        let hold = self.state.settings.routing.poll.0;
-        let mut failing: Option<(Instant, u32)> = None;
+    /// Waits for the next chunks of the current run.
+    async fn pull(&mut self) -> Result<ResponsePart, AttemptFailure> {
+        let hold = self.state.settings.routing.poll_hold.0;
+        let mut outage: Option<(Instant, u32)> = None;
         loop {
-            let ask = PullRequest {
+            let pull_request = PullRequest {
                 ticket: self.run.ticket,
-                from: self.next,
+                from: self.next_chunk,
                 wait_ms: u32::try_from(hold.as_millis()).unwrap_or(u32::MAX),
             };
             let server = &self.run.server;
-            let answer = server.peer.pull(self.state.stamp(), ask).await;
-            let reply = match self.state.heard(server, answer) {
+            let result = server
+                .peer
+                .pull(self.state.call_header(), pull_request)
+                .await;
+            let reply = match self.state.record_reply(server, result) {
                 Ok(reply) => reply,
                 Err(e) => {
-                    if failing.is_none() {
-                        base::telemetry::count_retry(cause(&e));
+                    if outage.is_none() {
+                        base::telemetry::count_retry(retry_reason(&e));
                     }
-                    let (since, pulls) = failing.unwrap_or((Instant::now(), 0));
-                    failing = Some((since, pulls + 1));
-                    if self.gives_up(since, pulls + 1) {
-                        warn!("answer lost", kv: { ticket = self.run.ticket.to_string().as_str(), error = e.to_string().as_str() });
-                        return Err(self.lost(RetryReason::Unknown));
+                    let (since, failed_pulls) = outage.unwrap_or((Instant::now(), 0));
+                    outage = Some((since, failed_pulls + 1));
+                    if self.should_give_up(since, failed_pulls + 1) {
+                        warn!("answer lost; sidecar unreachable", kv: { ticket = self.run.ticket.to_string().as_str(), error = e.to_string().as_str() });
+                        return Err(self.lost_failure(RetryReason::Unknown));
                     }
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(PULL_RETRY_DELAY).await;
                     continue;
                 }
             };
 
-            failing = None;
+            outage = None;
             if reply.incarnation != self.run.incarnation {
-                // The life that ran it is gone with all it knew.
-                self.run.over();
-                return Err(self.lost(RetryReason::SidecarRestarted));
+                // The sidecar restarted and lost the state of the run.
+                self.run.mark_finished();
+                return Err(self.lost_failure(RetryReason::SidecarRestarted));
             }
-            if let Some(part) = self.take(reply.body)? {
+            if let Some(part) = self.accept(reply.body)? {
                 return Ok(part);
             }
         }
     }
 
-    /// Whether to stop trying to reach the sidecar. Where the request may run
-    /// elsewhere, waiting costs more than another run; where it may not, the
-    /// sidecar keeps the answer for a while.
-    fn gives_up(&self, since: Instant, pulls: u32) -> bool {
-        let elsewhere = self.request.repeatable && !self.delivered();
-        let patience = self.state.settings.routing.patience.0;
-        (elsewhere && pulls >= PULLS) || since.elapsed() >= patience
+    /// Whether to stop pulling from an unreachable sidecar. If the request may
+    /// run at another server, waiting costs more than another run. Otherwise the
+    /// entry keeps trying up to a timeout, since the sidecar buffers the answer
+    /// for a while.
+    fn should_give_up(&self, since: Instant, failed_pulls: u32) -> bool {
+        let may_retry = self.request.repeatable && !self.delivered();
+        let timeout = self.state.settings.routing.unreachable_timeout.0;
+        (may_retry && failed_pulls >= MAX_FAILED_PULLS) || since.elapsed() >= timeout
     }
 
-    /// Checks what was pulled and counts it.
-    fn take(&mut self, pulled: PullOutcome) -> Result<Option<Part>, Failed> {
+    /// Validates a pull result and updates the counters of the run.
+    fn accept(&mut self, outcome: PullOutcome) -> Result<Option<ResponsePart>, AttemptFailure> {
         let PullOutcome::Chunks {
             first,
             mut chunks,
             end,
-        } = pulled
+        } = outcome
         else {
-            self.run.over();
-            return Err(self.lost(RetryReason::Unknown));
+            self.run.mark_finished();
+            return Err(self.lost_failure(RetryReason::Unknown));
         };
-        // A piece missing between would give the caller another answer than
-        // the one that was made.
-        let Some(skip) = self.next.checked_sub(first) else {
-            return Err(self.lost(RetryReason::Unknown));
+        // After a gap in the chunk numbers the caller would get an answer that
+        // the engine did not produce.
+        let Some(skip) = self.next_chunk.checked_sub(first) else {
+            return Err(self.lost_failure(RetryReason::Unknown));
         };
         chunks.drain(..chunks.len().min(skip as usize));
-        self.next += u32::try_from(chunks.len()).unwrap_or(u32::MAX);
+        self.next_chunk += u32::try_from(chunks.len()).unwrap_or(u32::MAX);
         self.tokens += chunks.iter().map(|p| p.tokens).sum::<u32>();
 
         match end {
             None if chunks.is_empty() => Ok(None),
-            None => Ok(Some(Part::Pieces(chunks))),
+            None => Ok(Some(ResponsePart::Chunks(chunks))),
             Some(ResponseEnd::Complete {
                 chunk_count,
                 status,
                 finish_reason,
                 ..
-            }) if chunk_count == self.next => {
-                self.whole();
-                Ok(Some(Part::Whole {
+            }) if chunk_count == self.next_chunk => {
+                self.record_complete();
+                Ok(Some(ResponsePart::Complete {
                     chunks,
                     status,
                     finish_reason,
                 }))
             }
-            Some(ResponseEnd::Complete { .. }) => Err(self.lost(RetryReason::Unknown)),
-            Some(ResponseEnd::Interrupted { reason, ran }) => Err(self.broken(reason, ran)),
+            Some(ResponseEnd::Complete { .. }) => Err(self.lost_failure(RetryReason::Unknown)),
+            Some(ResponseEnd::Interrupted { reason, ran }) => {
+                Err(self.interrupted_failure(reason, ran))
+            }
         }
     }
 
-    fn whole(&self) {
-        self.run.over();
-        self.state.ran(&self.run.server, true);
-        let mut lengths = self.state.lengths.borrow_mut();
+    fn record_complete(&self) {
+        self.run.mark_finished();
+        self.state.record_run(&self.run.server, true);
+        let mut lengths = self.state.answer_lengths.borrow_mut();
         lengths.record(&self.request.class, self.tokens);
     }
 
-    /// The sidecar says that the run broke off.
-    fn broken(&self, reason: Refusal, ran: Executed) -> Failed {
-        self.run.over();
+    /// The failure of a run that the sidecar reports as interrupted.
+    fn interrupted_failure(&self, reason: Refusal, ran: Executed) -> AttemptFailure {
+        self.run.mark_finished();
         if reason == Refusal::BackendFailed {
-            self.state.ran(&self.run.server, false);
+            self.state.record_run(&self.run.server, false);
         }
         let ran = if self.delivered() {
             Executed::Partial
@@ -257,35 +264,35 @@
             Refusal::Preempted => RetryReason::Preempted,
             _ => RetryReason::BackendFailed,
         };
-        Failed {
-            failure: FailedAttempt {
+        AttemptFailure {
+            attempt: FailedAttempt {
                 cause,
                 ran,
                 delivered: self.delivered(),
             },
-            refused: Refused {
+            error: RequestError {
                 reason,
                 ran,
-                after: None,
+                retry_after: None,
                 hint: "the backend server failed".to_owned(),
             },
         }
     }
 
-    /// The answer can no longer be had from the sidecar.
-    fn lost(&self, cause: RetryReason) -> Failed {
-        let mut refused = dispatch::unknown();
+    /// The failure of a run whose answer can no longer be fetched.
+    fn lost_failure(&self, cause: RetryReason) -> AttemptFailure {
+        let mut error = dispatch::outcome_unknown();
         if self.delivered() {
-            refused.reason = Refusal::Truncated;
-            refused.ran = Executed::Partial;
+            error.reason = Refusal::Truncated;
+            error.ran = Executed::Partial;
         }
-        Failed {
-            failure: FailedAttempt {
+        AttemptFailure {
+            attempt: FailedAttempt {
                 cause,
-                ran: refused.ran,
+                ran: error.ran,
                 delivered: self.delivered(),
             },
-            refused,
+            error,
         }
     }
 }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -3,8 +3,8 @@
 //! - [`body`]: what the router reads of a completion's body.
 //! - [`rights`]: who asks, and for which class.
 
+pub mod access;
 pub mod body;
-pub mod rights;
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 use claims::Claim;
 use wire::{BackendRequest, ReserveRequest};
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 use body::Body;
 
 /// Header that marks one call as not repeatable.
@@ -42,7 +42,7 @@
     /// The class, by name.
     pub class: String,
     /// What the class promises.
-    pub promise: Class,
+    pub class_spec: Class,
     /// The model or service asked for.
     pub target: String,
     /// When the request arrived.
@@ -52,17 +52,17 @@
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// How often the request was preempted.
-    pub preempted: u32,
+    pub preemptions: u32,
     /// The caller's name for a call that must run at most once.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// What this entry holds of the key, set before the grant.
     pub claim: Option<Rc<Claim>>,
     /// Size of the prompt, in tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Most tokens that the answer may have.
     pub max_tokens: u32,
     /// Hash of the prompt's prefix.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// What to run.
     pub work: BackendRequest,
 }
@@ -79,31 +79,31 @@
         chat: bool,
         bundle: &IndexedBundle,
         now: Instant,
-    ) -> Result<Self, Refused> {
-        let workspace = rights::workspace(http, bundle)?;
+    ) -> Result<Self, RequestError> {
+        let workspace = access::workspace(http, bundle)?;
         let body = Body::parse(&raw, chat)?;
         let model = body.model.as_deref();
-        let (class, promise) = rights::class(http, model, bundle)?;
-        rights::entitled(bundle, workspace, class)?;
-        let target = rights::model(bundle, model, promise)?;
-        let key = key(http)?;
+        let (class, promise) = access::class(http, model, bundle)?;
+        access::check_entitled(bundle, workspace, class)?;
+        let target = access::model(bundle, model, promise)?;
+        let idempotency_key = idempotency_key(http)?;
 
         Ok(Self {
             ticket: RequestId::random(),
             workspace: workspace.to_owned(),
-            weight: rights::weight(bundle, workspace),
+            weight: access::weight(bundle, workspace),
             class: class.to_owned(),
-            promise: promise.clone(),
+            class_spec: promise.clone(),
             target: target.to_owned(),
             arrived: now,
             stream: body.stream,
-            repeatable: key.is_none() && repeatable(http)?,
-            key,
+            repeatable: idempotency_key.is_none() && repeatable(http)?,
+            idempotency_key,
             claim: None,
-            preempted: 0,
-            prompt: body.tokens(),
+            preemptions: 0,
+            prompt_tokens: body.prompt_tokens(),
             max_tokens: body.max_tokens.unwrap_or(u32::MAX),
-            prefix: body.prefix(),
+            prefix_hash: body.prefix_hash(),
             work: BackendRequest::Completion { body: raw, chat },
         })
     }
@@ -114,18 +114,18 @@
     /// # Errors
     ///
     /// Returns the refusal to answer with.
-    pub fn call(
+    pub fn service_call(
         http: &HttpRequest,
         body: Bytes,
         (name, path): (&str, &str),
         bundle: &IndexedBundle,
         now: Instant,
-    ) -> Result<Self, Refused> {
-        let workspace = rights::workspace(http, bundle)?;
-        let service = rights::service(bundle, name)?;
-        let (class, promise) = rights::class(http, Some(&service.class), bundle)?;
-        rights::entitled(bundle, workspace, class)?;
-        let key = key(http)?;
+    ) -> Result<Self, RequestError> {
+        let workspace = access::workspace(http, bundle)?;
+        let service = access::service(bundle, name)?;
+        let (class, promise) = access::class(http, Some(&service.class), bundle)?;
+        access::check_entitled(bundle, workspace, class)?;
+        let idempotency_key = idempotency_key(http)?;
 
         let query = http.query_string();
         let path = match query.is_empty() {
@@ -139,19 +139,19 @@
         Ok(Self {
             ticket: RequestId::random(),
             workspace: workspace.to_owned(),
-            weight: rights::weight(bundle, workspace),
+            weight: access::weight(bundle, workspace),
             class: class.to_owned(),
-            promise: promise.clone(),
+            class_spec: promise.clone(),
             target: name.to_owned(),
             arrived: now,
             stream: false,
-            repeatable: key.is_none() && service.idempotent && repeatable(http)?,
-            key,
+            repeatable: idempotency_key.is_none() && service.idempotent && repeatable(http)?,
+            idempotency_key,
             claim: None,
-            preempted: 0,
-            prompt: 0,
+            preemptions: 0,
+            prompt_tokens: 0,
             max_tokens: 0,
-            prefix: 0,
+            prefix_hash: 0,
             work: BackendRequest::Call {
                 method: http.method().to_string(),
                 path,
@@ -169,7 +169,7 @@
 
     /// The request as sidecars are asked for a slot.
     #[must_use]
-    pub fn ask(&self, now: Instant, wait: Duration) -> ReserveRequest {
+    pub fn reserve_request(&self, now: Instant, wait: Duration) -> ReserveRequest {
         let waited = now.saturating_duration_since(self.arrived);
         let left = |target: Duration| {
             u64::try_from(target.saturating_sub(waited).as_micros()).unwrap_or(u64::MAX)
@@ -179,34 +179,34 @@
             class: self.class.clone(),
             workspace: self.workspace.clone(),
             weight: self.weight,
-            tier: self.promise.tier,
-            ttft_budget_us: left(self.promise.targets.first_token.0),
-            total_budget_us: left(self.promise.targets.full_answer.0),
-            prompt_tokens: self.prompt,
+            tier: self.class_spec.tier,
+            ttft_budget_us: left(self.class_spec.targets.first_token.0),
+            total_budget_us: left(self.class_spec.targets.full_answer.0),
+            prompt_tokens: self.prompt_tokens,
             max_tokens: self.max_tokens,
-            prefix_hash: self.prefix,
+            prefix_hash: self.prefix_hash,
             repeatable: self.repeatable,
-            preemptions: self.preempted,
+            preemptions: self.preemptions,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         }
     }
 }
 
 /// The idempotency key, if the caller sent one.
-fn key(http: &HttpRequest) -> Result<Option<String>, Refused> {
+fn idempotency_key(http: &HttpRequest) -> Result<Option<String>, RequestError> {
     let Some(value) = http.headers().get(IDEMPOTENCY_KEY) else {
         return Ok(None);
     };
     let text = value.to_str().unwrap_or("");
     if text.is_empty() || text.len() > KEY_LIMIT {
         let hint = format!("{IDEMPOTENCY_KEY} takes 1 to {KEY_LIMIT} visible ASCII characters");
-        return Err(Refused::not_run(Refusal::BadRequest, &hint));
+        return Err(RequestError::not_run(Refusal::BadRequest, &hint));
     }
     Ok(Some(text.to_owned()))
 }
 
 /// Whether the caller allows the call to run again.
-fn repeatable(http: &HttpRequest) -> Result<bool, Refused> {
+fn repeatable(http: &HttpRequest) -> Result<bool, RequestError> {
     let Some(value) = http.headers().get(NO_REPEAT) else {
         return Ok(true);
     };
@@ -216,7 +216,7 @@
         // Taken for "may repeat", a misspelt mark could send a letter twice.
         _ => {
             let hint = format!("{NO_REPEAT} takes true or false");
-            Err(Refused::not_run(Refusal::BadRequest, &hint))
+            Err(RequestError::not_run(Refusal::BadRequest, &hint))
         }
     }
 }
--- a/crates/entry/src/request/body.rs
+++ b/crates/entry/src/request/body.rs
@@ -3,7 +3,7 @@
 use base::reason::Refusal;
 use serde::Deserialize;
 
-use crate::refuse::Refused;
+use crate::error::RequestError;
 
 /// Bytes of a prompt for one token, as a rough rule. The estimates correct
 /// it by what engines report.
@@ -64,8 +64,8 @@
     /// # Errors
     ///
     /// Returns the refusal to answer with.
-    pub fn parse(raw: &[u8], chat: bool) -> Result<Self, Refused> {
-        let bad = |hint: &str| Refused::not_run(Refusal::BadRequest, hint);
+    pub fn parse(raw: &[u8], chat: bool) -> Result<Self, RequestError> {
+        let bad = |hint: &str| RequestError::not_run(Refusal::BadRequest, hint);
         let body: Self = serde_json::from_slice(raw)
             .map_err(|e| bad(&format!("the body is not a completion: {e}")))?;
 
@@ -88,7 +88,7 @@
 
     /// Size of the prompt, in tokens, by a rough rule.
     #[must_use]
-    pub fn tokens(&self) -> u32 {
+    pub fn prompt_tokens(&self) -> u32 {
         let bytes: usize = self.texts().map(str::len).sum();
         u32::try_from(bytes / TOKEN_BYTES)
             .unwrap_or(u32::MAX)
@@ -97,7 +97,7 @@
 
     /// Hash of the prompt's prefix, equal for prompts that begin alike.
     #[must_use]
-    pub fn prefix(&self) -> u64 {
+    pub fn prefix_hash(&self) -> u64 {
         let mut prefix = Vec::with_capacity(PREFIX_BYTES);
         for text in self.texts() {
             let left = PREFIX_BYTES - prefix.len();
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest body limit: a start must fit into one frame of the inner protocol.
-const BODY_MOST: usize = 16 << 20;
+const MAX_BODY_LIMIT: usize = 16 << 20;
 
 /// Settings of one entry.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -29,28 +29,28 @@
     pub follow: Option<follow::Settings>,
     /// Sidecars known from the start.
     #[serde(default)]
-    pub sidecars: Vec<Known>,
+    pub sidecars: Vec<SidecarInfo>,
     /// How the entry learns which hosts there are.
-    #[serde(default)]
-    pub roster: Roster,
+    #[serde(rename = "roster", default)]
+    pub host_list: HostList,
     /// How the entry stops.
     #[serde(default)]
     pub drain: Drain,
     /// How many sidecars are asked for a slot at once.
-    #[serde(default = "default_fan")]
-    pub fan: usize,
+    #[serde(rename = "fan", default = "default_fan_out")]
+    pub fan_out: usize,
     /// How requests are placed, and how long sidecars are waited for.
     #[serde(default)]
     pub routing: Routing,
     /// How idempotency keys are claimed; the same at every entry.
     #[serde(default)]
-    pub keys: Keys,
+    pub keys: IdempotencyKeys,
     /// How long a stream to a caller may bring nothing until a comment is
     /// written, by which a caller that vanished is found.
-    #[serde(default = "default_comment")]
-    pub comment: HumanDuration,
+    #[serde(rename = "comment", default = "default_comment_interval")]
+    pub comment_interval: HumanDuration,
     /// Largest request body, in bytes.
-    #[serde(default = "default_body")]
+    #[serde(default = "default_body_limit")]
     pub body_limit: usize,
     /// Seed of the entry's random choices; drawn at random when absent.
     #[serde(default)]
@@ -67,41 +67,50 @@
     /// How servers are chosen; all but late binding are baselines.
     pub mode: PlacementMode,
     /// Age of the load reports that the baselines go by.
-    pub lag: HumanDuration,
+    #[serde(rename = "lag")]
+    pub report_lag: HumanDuration,
     /// Whether a class's retries are limited by its budget.
-    pub budget: bool,
+    #[serde(rename = "budget")]
+    pub retry_budget: bool,
     /// Longest time that a held slot is left waiting for a better one.
-    pub grace: HumanDuration,
+    #[serde(rename = "grace")]
+    pub grace_period: HumanDuration,
     /// How long one call may be held at a sidecar.
-    pub poll: HumanDuration,
+    #[serde(rename = "poll")]
+    pub poll_hold: HumanDuration,
     /// Time allowed for an answer beyond that.
-    pub margin: HumanDuration,
+    #[serde(rename = "margin")]
+    pub reply_margin: HumanDuration,
     /// Time allowed for dialling.
-    pub dial: HumanDuration,
+    #[serde(rename = "dial")]
+    pub connect_timeout: HumanDuration,
     /// A connection idle for so long is replaced before it is used again.
-    pub idle: HumanDuration,
+    #[serde(rename = "idle")]
+    pub idle_limit: HumanDuration,
     /// How long an answer in delivery is tried for when its sidecar cannot be
     /// reached.
-    pub patience: HumanDuration,
+    #[serde(rename = "patience")]
+    pub unreachable_timeout: HumanDuration,
 }
 
 /// How idempotency keys are claimed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Keys {
+pub struct IdempotencyKeys {
     /// How long a key names its first call. Half of the log's retention at
     /// the most.
     pub window: HumanDuration,
     /// Least time between two appends of one entry; claims that come
     /// meanwhile share one.
-    pub gap: HumanDuration,
+    #[serde(rename = "gap")]
+    pub append_interval: HumanDuration,
 }
 
-impl Default for Keys {
+impl Default for IdempotencyKeys {
     fn default() -> Self {
         Self {
             window: HumanDuration::secs(600),
-            gap: HumanDuration::ms(10),
+            append_interval: HumanDuration::ms(10),
         }
     }
 }
@@ -110,14 +119,14 @@
     fn default() -> Self {
         Self {
             mode: PlacementMode::default(),
-            lag: HumanDuration::ms(500),
-            budget: true,
-            grace: HumanDuration::ms(100),
-            poll: HumanDuration::ms(250),
-            margin: HumanDuration::ms(500),
-            dial: HumanDuration::ms(500),
-            idle: HumanDuration::secs(15),
-            patience: HumanDuration::secs(3),
+            report_lag: HumanDuration::ms(500),
+            retry_budget: true,
+            grace_period: HumanDuration::ms(100),
+            poll_hold: HumanDuration::ms(250),
+            reply_margin: HumanDuration::ms(500),
+            connect_timeout: HumanDuration::ms(500),
+            idle_limit: HumanDuration::secs(15),
+            unreachable_timeout: HumanDuration::secs(3),
         }
     }
 }
@@ -125,31 +134,36 @@
 /// How an entry learns which hosts there are.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Roster {
+pub struct HostList {
     /// Where the platform serves the list of hosts; without it, only the
     /// sidecars named in the settings are known.
-    pub hosts: Option<SocketAddr>,
+    #[serde(rename = "hosts")]
+    pub list_addr: Option<SocketAddr>,
     /// The region whose hosts are known.
     pub region: String,
     /// How often the list is read, on average.
-    pub poll: HumanDuration,
+    #[serde(rename = "poll")]
+    pub poll_interval: HumanDuration,
     /// Sidecars of one service that are known, on average.
-    pub subset: usize,
+    #[serde(rename = "subset")]
+    pub subset_size: usize,
     /// How many of these stand in other availability zones, at the least.
-    pub far: usize,
+    #[serde(rename = "far")]
+    pub other_zones: usize,
     /// How long a host stays that is not listed and does not answer.
-    pub forget: HumanDuration,
+    #[serde(rename = "forget")]
+    pub forget_after: HumanDuration,
 }
 
-impl Default for Roster {
+impl Default for HostList {
     fn default() -> Self {
         Self {
-            hosts: None,
+            list_addr: None,
             region: String::new(),
-            poll: HumanDuration::secs(2),
-            subset: 128,
-            far: 16,
-            forget: HumanDuration::secs(30),
+            poll_interval: HumanDuration::secs(2),
+            subset_size: 128,
+            other_zones: 16,
+            forget_after: HumanDuration::secs(30),
         }
     }
 }
@@ -162,14 +176,15 @@
     /// the balancer has seen it.
     pub linger: HumanDuration,
     /// How long requests in progress may take; what is left then is ended.
-    pub limit: HumanDuration,
+    #[serde(rename = "limit")]
+    pub time_limit: HumanDuration,
 }
 
 impl Default for Drain {
     fn default() -> Self {
         Self {
             linger: HumanDuration::secs(5),
-            limit: HumanDuration::secs(600),
+            time_limit: HumanDuration::secs(600),
         }
     }
 }
@@ -177,7 +192,7 @@
 /// A sidecar as the settings or the host list name it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Known {
+pub struct SidecarInfo {
     /// The sidecar's name.
     pub name: String,
     /// Where it listens.
@@ -203,32 +218,32 @@
         )?;
         check(
             "fan",
-            self.fan,
-            (1..=8).contains(&self.fan),
+            self.fan_out,
+            (1..=8).contains(&self.fan_out),
             "ask 1 to 8 sidecars at once",
         )?;
         check(
             "body_limit",
             self.body_limit,
-            (1024..=BODY_MOST).contains(&self.body_limit),
+            (1024..=MAX_BODY_LIMIT).contains(&self.body_limit),
             "allow 1024 to 16777216 bytes",
         )?;
         check(
             "roster.subset",
-            self.roster.subset,
-            self.roster.subset > self.roster.far,
+            self.host_list.subset_size,
+            self.host_list.subset_size > self.host_list.other_zones,
             "know more sidecars in all than in other zones (roster.far)",
         )?;
         check(
             "comment",
-            self.comment,
-            !self.comment.0.is_zero(),
+            self.comment_interval,
+            !self.comment_interval.0.is_zero(),
             "write a comment every few seconds, as in \"5s\"",
         )?;
         check(
             "roster.poll",
-            self.roster.poll,
-            !self.roster.poll.0.is_zero(),
+            self.host_list.poll_interval,
+            !self.host_list.poll_interval.0.is_zero(),
             "read the list every few seconds, as in \"2s\"",
         )?;
         check(
@@ -240,14 +255,14 @@
     }
 }
 
-fn default_fan() -> usize {
+fn default_fan_out() -> usize {
     2
 }
 
-fn default_comment() -> HumanDuration {
+fn default_comment_interval() -> HumanDuration {
     HumanDuration::secs(5)
 }
 
-fn default_body() -> usize {
+fn default_body_limit() -> usize {
     4 << 20
 }
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -11,11 +11,11 @@
 use base::stop::StopSignal;
 use bundle::{Bundle, Class, Targets};
 use bytes::Bytes;
-use entry::refuse::Refused;
-use entry::relay::{Answer, Part};
+use entry::bundle_sync::BundleSync;
+use entry::error::RequestError;
+use entry::relay::{ResponsePart, ResponseStream};
 use entry::request::Request;
-use entry::settings::{Known, Routing, Settings};
-use entry::spread::Spread;
+use entry::settings::{Routing, Settings, SidecarInfo};
 use entry::state::State;
 use policy::placement::PlacementMode;
 use tarpc::context::Context;
@@ -288,8 +288,8 @@
 /// them, and places by the given mode. For tests in which none falls silent.
 pub(crate) async fn unhurried(fakes: &[Rc<Fake>], fan: usize, mode: PlacementMode) -> Rc<State> {
     let routing = Routing {
-        margin: HumanDuration::secs(10),
-        dial: HumanDuration::secs(10),
+        reply_margin: HumanDuration::secs(10),
+        connect_timeout: HumanDuration::secs(10),
         ..quick(mode)
     };
     entry_by(fakes, fan, routing).await
@@ -300,7 +300,7 @@
     let mut sidecars = Vec::new();
     for (i, fake) in fakes.iter().enumerate() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        sidecars.push(Known {
+        sidecars.push(SidecarInfo {
             name: fake.name.to_owned(),
             addr: listener.local_addr().unwrap(),
             zone: if i == 0 { "a" } else { "b" }.to_owned(),
@@ -313,21 +313,21 @@
 }
 
 /// An entry that knows the given sidecars.
-pub(crate) fn state(sidecars: Vec<Known>, fan: usize, mode: PlacementMode) -> Rc<State> {
+pub(crate) fn state(sidecars: Vec<SidecarInfo>, fan: usize, mode: PlacementMode) -> Rc<State> {
     state_by(sidecars, fan, quick(mode))
 }
 
-fn state_by(sidecars: Vec<Known>, fan: usize, routing: Routing) -> Rc<State> {
+fn state_by(sidecars: Vec<SidecarInfo>, fan: usize, routing: Routing) -> Rc<State> {
     let settings = serde_json::json!({
         "name": "entry", "zone": "a", "listen": "127.0.0.1:0", "seed": 1,
     });
     let mut settings: Settings = serde_json::from_value(settings).unwrap();
     settings.sidecars = sidecars;
-    settings.fan = fan;
+    settings.fan_out = fan;
     settings.routing = routing;
     State::new(
         settings,
-        Spread::fixed(Bundle::default()),
+        BundleSync::fixed(Bundle::default()),
         Rc::new(SystemClock),
     )
 }
@@ -335,10 +335,10 @@
 /// Timing under which a silent connection shows soon.
 fn quick(mode: PlacementMode) -> Routing {
     Routing {
-        poll: HumanDuration::ms(100),
-        margin: HumanDuration::ms(300),
-        patience: HumanDuration::secs(1),
-        grace: HumanDuration::secs(5),
+        poll_hold: HumanDuration::ms(100),
+        reply_margin: HumanDuration::ms(300),
+        unreachable_timeout: HumanDuration::secs(1),
+        grace_period: HumanDuration::secs(5),
         mode,
         ..Routing::default()
     }
@@ -355,7 +355,7 @@
         workspace: "w".to_owned(),
         weight: 1,
         class: "class".to_owned(),
-        promise: Class {
+        class_spec: Class {
             tier: Tier(0),
             targets,
             model: "model".to_owned(),
@@ -364,12 +364,12 @@
         arrived: Instant::now(),
         stream,
         repeatable,
-        preempted: 0,
-        key: None,
+        preemptions: 0,
+        idempotency_key: None,
         claim: None,
-        prompt: 10,
+        prompt_tokens: 10,
         max_tokens: 2,
-        prefix: 0,
+        prefix_hash: 0,
         work: BackendRequest::Completion {
             body: Bytes::from_static(b"{}"),
             chat: true,
@@ -410,13 +410,13 @@
     Got { text, end }
 }
 
-async fn take(state: &Rc<State>, request: Request, text: &mut String) -> Result<(), Refused> {
+async fn take(state: &Rc<State>, request: Request, text: &mut String) -> Result<(), RequestError> {
     let granted = entry::dispatch::grant(state, &request).await?;
-    let mut answer = Answer::new(Rc::clone(state), request, granted);
+    let mut answer = ResponseStream::new(Rc::clone(state), request, granted);
     loop {
-        let (pieces, whole) = match answer.part().await? {
-            Part::Pieces(pieces) => (pieces, false),
-            Part::Whole { chunks, .. } => (chunks, true),
+        let (pieces, whole) = match answer.next_part().await? {
+            ResponsePart::Chunks(pieces) => (pieces, false),
+            ResponsePart::Complete { chunks, .. } => (chunks, true),
         };
         for piece in pieces {
             text.push_str(std::str::from_utf8(&piece.data).unwrap());
--- a/crates/entry/tests/routing/retries.rs
+++ b/crates/entry/tests/routing/retries.rs
@@ -7,7 +7,7 @@
     Fake, Got, Reserving, Running, Script, Starting, call, entry, request, state, unhurried,
 };
 use base::reason::{Executed, Refusal};
-use entry::settings::Known;
+use entry::settings::SidecarInfo;
 use policy::placement::PlacementMode;
 use rstest::rstest;
 
@@ -204,7 +204,7 @@
     assert_eq!(asked, 1000 + 5 * 4);
 
     let refused = entry::dispatch::grant(&state, &request(true, true)).await;
-    let after = refused.err().and_then(|r| r.after);
+    let after = refused.err().and_then(|r| r.retry_after);
     assert_eq!(after, Some(std::time::Duration::from_secs(7)));
 }
 
@@ -236,7 +236,7 @@
     let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = gone.local_addr().unwrap();
     drop(gone);
-    let sidecar = Known {
+    let sidecar = SidecarInfo {
         name: "gone".to_owned(),
         addr,
         zone: "a".to_owned(),
