--- a/crates/entry/src/bundle_sync.rs
+++ b/crates/entry/src/bundle_sync.rs
@@ -124,7 +124,8 @@
         let latest_seen = self.latest_seen.get();
         if self.held.is_behind(latest_seen) {
             let reached =
-                tokio::time::timeout(CATCH_UP_TIMEOUT, self.held.wait_for_version(latest_seen)).await;
+                tokio::time::timeout(CATCH_UP_TIMEOUT, self.held.wait_for_version(latest_seen))
+                    .await;
             if reached.is_err() {
                 self.latest_seen.set(BundleSequence(0));
             }
--- a/crates/entry/src/request/access.rs
+++ b/crates/entry/src/request/access.rs
@@ -18,7 +18,10 @@
 /// # Errors
 ///
 /// Returns [`Refusal::BadToken`].
-pub fn workspace<'a>(http: &HttpRequest, bundle: &'a IndexedBundle) -> Result<&'a str, RequestError> {
+pub fn workspace<'a>(
+    http: &HttpRequest,
+    bundle: &'a IndexedBundle,
+) -> Result<&'a str, RequestError> {
     let header = http
         .headers()
         .get(AUTHORIZATION)
