--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -11,7 +11,7 @@
 use bundle::{Bundle, Class, Pool, Targets, Workspace};
 use demo::host::Host;
 use entry::settings::Known;
-use standin::{Control, Ledger, silence};
+use standin::{FaultControl, Ledger, proxy};
 
 /// Port on which every daemon listens, each on an address of its own.
 const PORT: u16 = 7200;
@@ -51,7 +51,7 @@
     /// The engines.
     pub engines: Vec<SocketAddr>,
     /// Bytes that passed between the entry and the sidecars.
-    pub traffic: Control<silence::Faults>,
+    pub traffic: FaultControl<proxy::Faults>,
     hosts: Vec<Host>,
 }
 
@@ -67,7 +67,7 @@
             SocketAddr::new(IpAddr::V4(ip), PORT)
         };
 
-        let traffic = Control::new(silence::Faults::default());
+        let traffic = FaultControl::new(proxy::Faults::default());
         let mut hosts = Vec::new();
         let mut known = Vec::new();
         for i in 0..self.engines {
@@ -132,9 +132,13 @@
     }
 }
 
-fn start_link(listen: SocketAddr, target: SocketAddr, traffic: Control<silence::Faults>) -> Host {
+fn start_link(
+    listen: SocketAddr,
+    target: SocketAddr,
+    traffic: FaultControl<proxy::Faults>,
+) -> Host {
     Host::start("link", move |stop| {
-        silence::run(listen, target, traffic.clone(), stop)
+        proxy::run(listen, target, traffic.clone(), stop)
     })
 }
 
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -45,7 +45,7 @@
         Self {
             entry_us: cost::cpu("entry").as_secs_f64() * 1e6,
             sidecar_us: cost::cpu("sidecar").as_secs_f64() * 1e6,
-            link_bytes: site.traffic.get().bytes.total() as f64,
+            link_bytes: site.traffic.get().forwarded_bytes.total() as f64,
         }
     }
 
--- a/crates/claims/src/claims.rs
+++ b/crates/claims/src/claims.rs
@@ -10,7 +10,7 @@
 use base::reason::Refusal;
 use base::settings::HumanDuration;
 use bundle::Hash;
-use clients::log::{Error, Log};
+use clients::log::{Error, LogClient};
 use spdlog::debug;
 use tokio::sync::{Notify, oneshot};
 
@@ -64,7 +64,7 @@
 
 /// Claims keys for one entry.
 pub struct Claims {
-    log: Log,
+    log: LogClient,
     settings: Settings,
     clock: Rc<dyn Clock>,
     table: RefCell<Table>,
@@ -100,7 +100,7 @@
     pub fn start(settings: Settings, clock: Rc<dyn Clock>) -> Rc<Self> {
         let window_ms = u64::try_from(settings.window.0.as_millis()).unwrap_or(u64::MAX);
         let claims = Rc::new(Self {
-            log: Log::new(settings.log),
+            log: LogClient::new(settings.log),
             settings,
             clock,
             table: RefCell::new(Table::new(window_ms)),
@@ -210,13 +210,13 @@
             }
             let page = self.log.read(STREAM, from, PAGE, Duration::ZERO).await?;
             let mut table = self.table.borrow_mut();
-            table.expired(page.first);
+            table.expired(page.first_offset);
             table.limit(page.retention_ms);
             for entry in &page.records {
                 table.apply(entry.offset, entry.time_ms, &entry.body);
             }
             table.lapse(page.now_ms);
-            if table.next() >= page.end {
+            if table.next() >= page.end_offset {
                 return Ok(());
             }
         }
--- a/crates/claims/tests/failures.rs
+++ b/crates/claims/tests/failures.rs
@@ -12,8 +12,8 @@
 use base::stop::StopSignal;
 use bundle::Hash;
 use claims::{Claim, Claims, Denied, End, STREAM, Settings};
-use clients::log::Log;
-use standin::Control;
+use clients::log::LogClient;
+use standin::FaultControl;
 use standin::log::Faults;
 use tokio::net::TcpListener;
 
@@ -24,7 +24,7 @@
 /// A log that runs.
 struct World {
     addr: SocketAddr,
-    faults: Control<Faults>,
+    faults: FaultControl<Faults>,
 }
 
 fn run(test: impl AsyncFnOnce(World)) {
@@ -32,7 +32,7 @@
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let faults = Control::new(Faults::default());
+        let faults = FaultControl::new(Faults::default());
         actix_rt::spawn(standin::log::serve(
             listener,
             faults.clone(),
@@ -58,7 +58,7 @@
     }
 
     async fn records(&self) -> Vec<String> {
-        let log = Log::new(self.addr);
+        let log = LogClient::new(self.addr);
         let read = log.read(STREAM, Offset(0), 1000, Duration::ZERO);
         let page = read.await.expect("the log answers");
         page.records.into_iter().map(|e| e.body).collect()
@@ -126,10 +126,10 @@
     run(async |world| {
         let entry = world.entry("one", HumanDuration::secs(60));
         for key in ["a", "b"] {
-            world.faults.change(|f| f.lose = 1);
+            world.faults.change(|f| f.lost_replies = 1);
             assert!(claim(&entry, key).await.is_ok());
         }
-        assert_eq!(world.faults.get().lose, 0);
+        assert_eq!(world.faults.get().lost_replies, 0);
     });
 }
 
@@ -144,12 +144,12 @@
         let two = world.entry("two", HumanDuration::secs(60));
         assert!(claim(&one, "first").await.is_ok());
         world.faults.change(|f| {
-            f.lose = 1;
-            f.hold = HumanDuration::ms(100);
+            f.lost_replies = 1;
+            f.loss_delay = HumanDuration::ms(100);
         });
         let faults = world.faults.clone();
         actix_rt::spawn(async move {
-            while faults.get().lose > 0 {
+            while faults.get().lost_replies > 0 {
                 tokio::time::sleep(PAUSE).await;
             }
             faults.change(|f| f.down = true);
--- a/crates/cli/src/commands/bundle.rs
+++ b/crates/cli/src/commands/bundle.rs
@@ -10,7 +10,7 @@
 use bundle::check::check;
 use bundle::record::operators_of;
 use bundle::{Content, SecretKey};
-use clients::log::Log;
+use clients::log::LogClient;
 use follow::{Outcome as Told, Publisher, Settings};
 use serde_json::Value;
 
@@ -227,7 +227,7 @@
 /// Reads the log; `None` when it does not answer.
 async fn read(settings: &Path) -> Result<Option<Publisher>, Box<dyn std::error::Error>> {
     let settings: Settings = settings::load(settings)?;
-    let mut publisher = Publisher::new(Log::new(settings.log), settings.trust);
+    let mut publisher = Publisher::new(LogClient::new(settings.log), settings.trust);
     match publisher.read().await {
         Ok(()) => Ok(Some(publisher)),
         Err(e) => {
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -47,7 +47,7 @@
 /// Fetches what a stand-in saw.
 fn fetch(
     addr: std::net::SocketAddr,
-) -> Result<HashMap<String, standin::ledger::Seen>, Box<dyn std::error::Error>> {
+) -> Result<HashMap<String, standin::ledger::RequestCounts>, Box<dyn std::error::Error>> {
     actix_rt::System::new().block_on(async {
         let url = format!("http://{addr}/ledger");
         let sent = load::caller::client().get(url).send().await;
--- a/crates/cli/src/commands/standin.rs
+++ b/crates/cli/src/commands/standin.rs
@@ -5,7 +5,7 @@
 use base::settings;
 use bpaf::Bpaf;
 use standin::hosts::Registry;
-use standin::{Control, Ledger};
+use standin::{FaultControl, Ledger};
 
 use crate::{Outcome, daemon};
 
@@ -77,17 +77,17 @@
             }
             Part::Log { settings } => {
                 let settings: standin::log::Settings = settings::load(&settings)?;
-                let control = Control::new(settings.faults.clone());
+                let control = FaultControl::new(settings.faults.clone());
                 daemon::run(|stop| standin::log::run(settings, control, stop))
             }
             Part::Weights { settings } => {
                 let settings = settings::load(&settings)?;
-                let store = standin::weights::Store::default();
+                let store = standin::weights::WeightStore::default();
                 daemon::run(|stop| standin::weights::run(settings, store, stop))
             }
             Part::Orders { settings } => {
                 let settings = settings::load(&settings)?;
-                let record = standin::orders::Record::default();
+                let record = standin::orders::OrderState::default();
                 daemon::run(|stop| standin::orders::run(settings, record, stop))
             }
             Part::Plain { settings } => {
--- a/crates/cli/tests/processes/bundles.rs
+++ b/crates/cli/tests/processes/bundles.rs
@@ -9,12 +9,12 @@
 use demo::host::Host;
 use serde_json::{Value, json};
 use standin::log::Faults;
-use standin::{Control, log};
+use standin::{FaultControl, log};
 
 /// An operator's directory, and a log to publish to.
 struct Desk {
     dir: PathBuf,
-    faults: Control<Faults>,
+    faults: FaultControl<Faults>,
     log: Host,
 }
 
@@ -28,7 +28,7 @@
 
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let addr = listener.local_addr().expect("it has an address");
-        let faults = Control::new(Faults::default());
+        let faults = FaultControl::new(Faults::default());
         let desk = Self {
             dir,
             log: start_log(listener, &faults),
@@ -114,7 +114,7 @@
 
 /// Starts a log on a listener that stays bound from the moment its port was
 /// chosen: a port that is given back in between may be taken by another test.
-fn start_log(listener: TcpListener, faults: &Control<Faults>) -> Host {
+fn start_log(listener: TcpListener, faults: &FaultControl<Faults>) -> Host {
     let faults = faults.clone();
     Host::start("log", move |stop: StopSignal| {
         let listener = listener.try_clone();
--- a/crates/cli/tests/processes/signals.rs
+++ b/crates/cli/tests/processes/signals.rs
@@ -19,7 +19,7 @@
     fleet.entry.signal(Signal::SIGTERM);
     assert_eq!(call.end(1), End::Whole(HALF as usize));
     assert_eq!(fleet.entry.wait().code(), Some(0));
-    assert_eq!(fleet.ledger.seen("a").runs, 1);
+    assert_eq!(fleet.ledger.counts("a").runs, 1);
 }
 
 /// The sidecar that runs an answer gets SIGTERM. The caller still gets the
@@ -33,7 +33,7 @@
     fleet.sidecars[0].signal(Signal::SIGTERM);
     assert_eq!(call.end(1), End::Whole(HALF as usize));
     assert_eq!(fleet.sidecars[0].wait().code(), Some(0));
-    assert_eq!(fleet.ledger.seen("a").runs, 1);
+    assert_eq!(fleet.ledger.counts("a").runs, 1);
 }
 
 /// The only sidecar is killed in the middle of a stream. What the caller has
@@ -52,7 +52,7 @@
         panic!("the caller is told that the answer broke off");
     };
     assert_eq!(ran, "partial");
-    assert_eq!(fleet.ledger.seen("a").runs, 1);
+    assert_eq!(fleet.ledger.counts("a").runs, 1);
 }
 
 /// The sidecar of a plain service is killed while a call that must not be
@@ -63,7 +63,7 @@
     let fleet = Fleet::start("letter-kill", 2);
     let call = Call::letter(fleet.at_entry(), "a");
     until("the letter is being sent", || {
-        fleet.ledger.seen("a").runs == 1
+        fleet.ledger.counts("a").runs == 1
     });
 
     for sidecar in [1, 3] {
@@ -76,7 +76,7 @@
         (reason.as_str(), ran.as_str()),
         ("outcome_unknown", "unknown")
     );
-    assert_eq!(fleet.ledger.seen("a").runs, 1);
+    assert_eq!(fleet.ledger.counts("a").runs, 1);
 }
 
 /// The sidecar of a plain service freezes while a call that must not be
@@ -88,7 +88,7 @@
     let fleet = Fleet::start("letter-freeze", 2);
     let call = Call::letter(fleet.at_entry(), "a");
     until("the letter is being sent", || {
-        fleet.ledger.seen("a").runs == 1
+        fleet.ledger.counts("a").runs == 1
     });
 
     for sidecar in [1, 3] {
@@ -108,7 +108,7 @@
 
     let after = Call::letter(fleet.at_entry(), "b").end(0);
     assert_eq!(after, End::Whole(0));
-    assert_eq!(fleet.ledger.seen("a").runs, 1);
+    assert_eq!(fleet.ledger.counts("a").runs, 1);
 }
 
 /// A sidecar freezes before it is asked for anything. A request that reserves
@@ -124,7 +124,7 @@
 
     let after = Call::stream(fleet.at_entry(), "b", 5).end(0);
     assert_eq!(after, End::Whole(5));
-    assert_eq!(fleet.ledger.seen("a").runs, 1);
+    assert_eq!(fleet.ledger.counts("a").runs, 1);
 }
 
 /// The entry is killed in the middle of a stream. Its caller sees the
@@ -138,13 +138,13 @@
 
     fleet.entry.signal(Signal::SIGKILL);
     assert_eq!(call.end(1), End::Cut);
-    let mut made = fleet.ledger.seen("a").tokens;
+    let mut made = fleet.ledger.counts("a").output_tokens;
     let mut still = 0;
     until("no more tokens are made", || {
-        let now = fleet.ledger.seen("a").tokens;
+        let now = fleet.ledger.counts("a").output_tokens;
         still = if now == made { still + 1 } else { 0 };
         made = now;
         still > 50
     });
-    assert_eq!(fleet.ledger.seen("a").ended, 0);
+    assert_eq!(fleet.ledger.counts("a").completed_runs, 0);
 }
--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -16,26 +16,26 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 
 /// Header that names the request towards an engine or a plain service.
-pub const REQUEST_ID: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Header that carries the priority; lower numbers go first.
-pub const PRIORITY: &str = "x-priority";
+pub const PRIORITY_HEADER: &str = "x-priority";
 
 /// Time allowed until an engine answers with a header.
-const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time allowed for a new connection to an engine.
-const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Largest answer about the prefix cache, in bytes.
-const EVENTS_BYTES: usize = 4 << 20;
+const CACHE_EVENTS_LIMIT: usize = 4 << 20;
 
 /// The last event of a stream, by the usual protocol.
-const DONE: &str = "[DONE]";
+const DONE_MARKER: &str = "[DONE]";
 
 /// One model engine as its sidecar reaches it.
 #[derive(Clone)]
-pub struct Engine {
+pub struct EngineClient {
     /// Where the engine listens.
     addr: SocketAddr,
     /// The HTTP client, which makes a connection for each call.
@@ -55,7 +55,7 @@
     },
     /// The call went out and its answer did not come, so the request may run.
     #[snafu(display("step={step} peer={peer}: {detail}"))]
-    Lost {
+    NoResponse {
         /// What was wanted.
         step: &'static str,
         /// The engine.
@@ -75,7 +75,7 @@
     },
     /// The engine sent an event that does not fit its protocol.
     #[snafu(display("step=read_event peer={peer}: bad event: {source}"))]
-    Event {
+    InvalidEvent {
         /// The engine.
         peer: SocketAddr,
         /// What the parser found.
@@ -83,7 +83,7 @@
     },
     /// An event had no choice in it.
     #[snafu(display("step=read_event peer={peer}: event without a choice"))]
-    Empty {
+    MissingChoice {
         /// The engine.
         peer: SocketAddr,
     },
@@ -110,11 +110,11 @@
     /// The end of a whole answer.
     End {
         /// How many tokens the answer has.
-        count: u32,
+        token_count: u32,
         /// Why it ended.
-        finish: String,
+        finish_reason: String,
         /// Prompt tokens that the engine found in its cache.
-        cached: u32,
+        cached_tokens: u32,
     },
 }
 
@@ -148,7 +148,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// The number to ask from next time.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_seq: u64,
     /// The events, by number.
     pub events: Vec<CacheEvent>,
 }
@@ -162,7 +163,8 @@
     pub change: CacheChange,
     /// The block: the hash of the prompt's text from its start to the
     /// block's end, where a block has 1,024 bytes.
-    pub block: u64,
+    #[serde(rename = "block")]
+    pub block_hash: u64,
 }
 
 /// What happened to a block of the prefix cache.
@@ -195,7 +197,7 @@
     pub cached_tokens: u32,
 }
 
-impl Engine {
+impl EngineClient {
     /// Makes a client for the engine at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
@@ -203,12 +205,12 @@
         // it would vanish, and nobody could tell whether it ran; a request on
         // a new connection either goes out or certainly did not run.
         let connector = awc::Connector::new()
-            .timeout(DIAL_TIMEOUT)
+            .timeout(CONNECT_TIMEOUT)
             .conn_keep_alive(Duration::ZERO)
             .limit(0);
         let http = awc::Client::builder()
             .connector(connector)
-            .timeout(HEADER_TIMEOUT)
+            .timeout(RESPONSE_TIMEOUT)
             .finish();
         Self { addr, http }
     }
@@ -234,11 +236,11 @@
         let request = self
             .http
             .post(format!("http://{}/v1/completions", self.addr))
-            .insert_header((REQUEST_ID, ticket.to_string()))
-            .insert_header((PRIORITY, tier.to_string()))
+            .insert_header((REQUEST_ID_HEADER, ticket.to_string()))
+            .insert_header((PRIORITY_HEADER, tier.to_string()))
             .content_type("application/json")
             .force_close();
-        self.stream("run", request.send_body(body)).await
+        self.open_stream("run", request.send_body(body)).await
     }
 
     /// Resumes the stream of a request that the engine still runs or keeps,
@@ -255,7 +257,7 @@
     ) -> Result<impl Stream<Item = Result<Event, Error>> + use<>, Error> {
         let url = format!("http://{}/v1/streams/{ticket}?from={from}", self.addr);
         let request = self.http.get(url).force_close();
-        self.stream("resume", request.send()).await
+        self.open_stream("resume", request.send()).await
     }
 
     /// Stops a request. A request that the engine does not know is no error.
@@ -266,7 +268,8 @@
     pub async fn cancel(&self, ticket: RequestId) -> Result<(), Error> {
         let url = format!("http://{}/v1/streams/{ticket}", self.addr);
         let sent = self.http.delete(url).force_close().send().await;
-        sent.map(|_| ()).map_err(|e| self.failure("cancel", &e))
+        sent.map(|_| ())
+            .map_err(|e| self.classify_error("cancel", &e))
     }
 
     /// Asks after a stream that no request ever has. Any answer shows that
@@ -278,7 +281,8 @@
     pub async fn probe(&self) -> Result<(), Error> {
         let url = format!("http://{}/v1/streams/{}", self.addr, RequestId(0));
         let sent = self.http.get(url).force_close().send().await;
-        sent.map(|_| ()).map_err(|e| self.failure("probe", &e))
+        sent.map(|_| ())
+            .map_err(|e| self.classify_error("probe", &e))
     }
 
     /// Fetches the changes of the prefix cache from number `from` on.
@@ -291,22 +295,22 @@
         let (step, peer) = ("cache_events", self.addr);
         let url = format!("http://{}/v1/cache/events?from={from}", self.addr);
         let sent = self.http.get(url).send().await;
-        let mut response = sent.map_err(|e| self.failure(step, &e))?;
-        let body = response.body().limit(EVENTS_BYTES).await;
+        let mut response = sent.map_err(|e| self.classify_error(step, &e))?;
+        let body = response.body().limit(CACHE_EVENTS_LIMIT).await;
         let body = body.map_err(|e| {
             let detail = e.to_string();
-            LostSnafu { step, peer, detail }.build()
+            NoResponseSnafu { step, peer, detail }.build()
         })?;
-        serde_json::from_slice(&body).context(EventSnafu { peer })
+        serde_json::from_slice(&body).context(InvalidEventSnafu { peer })
     }
 
-    async fn stream(
+    async fn open_stream(
         &self,
         step: &'static str,
         sent: awc::SendClientRequest,
     ) -> Result<impl Stream<Item = Result<Event, Error>> + use<>, Error> {
         let peer = self.addr;
-        let response = sent.await.map_err(|e| self.failure(step, &e))?;
+        let response = sent.await.map_err(|e| self.classify_error(step, &e))?;
         if response.status() != StatusCode::OK {
             let status = response.status().as_u16();
             return RefusedSnafu { step, peer, status }.fail();
@@ -317,12 +321,12 @@
         let response = response.timeout(Duration::MAX);
         let events = response.eventsource().filter_map(move |event| async move {
             match event {
-                Ok(event) if event.data == DONE => None,
-                Ok(event) => Some(parse(peer, &event.data)),
+                Ok(event) if event.data == DONE_MARKER => None,
+                Ok(event) => Some(parse_event(peer, &event.data)),
                 Err(e) => {
                     let detail = e.to_string();
                     Some(
-                        LostSnafu {
+                        NoResponseSnafu {
                             step: "read_event",
                             peer,
                             detail,
@@ -336,11 +340,11 @@
     }
 
     /// Tells a request that never went out from one that may have.
-    fn failure(&self, step: &'static str, error: &SendRequestError) -> Error {
+    fn classify_error(&self, step: &'static str, error: &SendRequestError) -> Error {
         let peer = self.addr;
         match error {
             e if never_sent(e) => ConnectSnafu { step, peer }.build(),
-            other => LostSnafu {
+            other => NoResponseSnafu {
                 step,
                 peer,
                 detail: other.to_string(),
@@ -360,24 +364,24 @@
     matches!(error, SendRequestError::Connect(e) if !matches!(e, ConnectError::Disconnected))
 }
 
-fn parse(peer: SocketAddr, data: &str) -> Result<Event, Error> {
-    let chunk: Chunk = serde_json::from_str(data).context(EventSnafu { peer })?;
+fn parse_event(peer: SocketAddr, data: &str) -> Result<Event, Error> {
+    let chunk: Chunk = serde_json::from_str(data).context(InvalidEventSnafu { peer })?;
     let choice = chunk
         .choices
         .into_iter()
         .next()
-        .context(EmptySnafu { peer })?;
+        .context(MissingChoiceSnafu { peer })?;
 
-    let Some(finish) = choice.finish_reason else {
+    let Some(finish_reason) = choice.finish_reason else {
         return Ok(Event::Token {
             seq: chunk.seq,
             text: choice.text,
         });
     };
-    let cached = chunk.usage.map_or(0, |u| u.cached_tokens);
+    let cached_tokens = chunk.usage.map_or(0, |u| u.cached_tokens);
     Ok(Event::End {
-        count: chunk.seq,
-        finish,
-        cached,
+        token_count: chunk.seq,
+        finish_reason,
+        cached_tokens,
     })
 }
--- a/crates/clients/src/hosts.rs
+++ b/crates/clients/src/hosts.rs
@@ -15,13 +15,13 @@
 use snafu::Snafu;
 
 /// Time allowed for one reading of the list.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Largest list that is read, in bytes; 10,000 hosts take about 2 MB.
 const LIST_LIMIT: usize = 16 << 20;
 
 /// The list as one region's daemons read it.
-pub struct Hosts {
+pub struct HostsClient {
     /// Where the platform serves the list.
     addr: SocketAddr,
     /// Only hosts of this region are asked for.
@@ -50,8 +50,8 @@
     #[serde(default)]
     pub serves: String,
     /// Whether the host is about to go away.
-    #[serde(default)]
-    pub standing: Standing,
+    #[serde(default, rename = "standing")]
+    pub status: HostStatus,
 }
 
 /// Which daemon runs on a host.
@@ -67,7 +67,7 @@
 /// Whether a host stays.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum HostStatus {
     /// The host stays.
     #[default]
     Live,
@@ -77,7 +77,7 @@
 
 /// The list as it is served.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct List {
+pub struct HostList {
     /// The hosts, in no particular order.
     pub hosts: Vec<Host>,
 }
@@ -103,7 +103,7 @@
     },
     /// The list does not fit its format.
     #[snafu(display("step=parse_hosts peer={peer}: {source}"))]
-    Format {
+    InvalidList {
         /// The list's server.
         peer: SocketAddr,
         /// What the parser found.
@@ -111,11 +111,11 @@
     },
 }
 
-impl Hosts {
+impl HostsClient {
     /// Makes a client for the list at `addr`, for the hosts of `region`.
     #[must_use]
     pub fn new(addr: SocketAddr, region: &str) -> Self {
-        let http = awc::Client::builder().timeout(TIMEOUT).finish();
+        let http = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
         Self {
             addr,
             region: region.to_owned(),
@@ -161,8 +161,8 @@
         let tag = tag.map(str::to_owned);
         let body = response.body().limit(LIST_LIMIT).await;
         let body = body.map_err(|e| unreachable(e.to_string()))?;
-        let list: List =
-            serde_json::from_slice(&body).map_err(|source| Error::Format { peer, source })?;
+        let list: HostList =
+            serde_json::from_slice(&body).map_err(|source| Error::InvalidList { peer, source })?;
 
         // Kept only now: a list that could not be read must come again.
         *self.tag.borrow_mut() = tag;
--- a/crates/clients/src/log.rs
+++ b/crates/clients/src/log.rs
@@ -2,7 +2,7 @@
 //!
 //! The formats stand in docs/platform/log.md. The log forgets records after
 //! its retention, has outages, and may lose the reply of an append that took
-//! effect; [`Log::append`] therefore looks for its record by id before it
+//! effect; [`LogClient::append`] therefore looks for its record by id before it
 //! tries again.
 
 use std::net::SocketAddr;
@@ -15,14 +15,14 @@
 use snafu::{ResultExt, Snafu};
 
 /// Time allowed for an answer, beyond what a read may be held.
-pub const TIMEOUT: Duration = Duration::from_secs(1);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Largest answer to a read, in bytes.
-const ANSWER_LIMIT: usize = 32 << 20;
+const RESPONSE_LIMIT: usize = 32 << 20;
 
 /// The log as one process reaches it.
 #[derive(Clone)]
-pub struct Log {
+pub struct LogClient {
     /// Where the log listens.
     addr: SocketAddr,
     /// The HTTP client, which keeps connections.
@@ -31,8 +31,8 @@
 
 /// One record as the log gives it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    /// Its place in the stream.
+pub struct Record {
+    /// Its location in the stream.
     pub offset: Offset,
     /// The id that its writer gave it; need not be unique.
     pub id: String,
@@ -47,20 +47,22 @@
 pub struct Page {
     /// The offset of the oldest record that the log still has, or the next
     /// offset when it has none.
-    pub first: Offset,
+    #[serde(rename = "first")]
+    pub first_offset: Offset,
     /// The offset that the next record will get.
-    pub end: Offset,
+    #[serde(rename = "end")]
+    pub end_offset: Offset,
     /// The log's own clock, in milliseconds.
     pub now_ms: u64,
     /// How long records are kept, in milliseconds; 0 for ever.
     pub retention_ms: u64,
     /// Consecutive records, possibly none.
-    pub records: Vec<Entry>,
+    pub records: Vec<Record>,
 }
 
 /// What an append sends.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Append {
+pub struct AppendRequest {
     /// The id to find the record by.
     pub id: String,
     /// What to write.
@@ -69,7 +71,7 @@
 
 /// What an append or a search gives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct RecordLocation {
     /// Where the record stands; none when there is no such record.
     pub offset: Option<Offset>,
 }
@@ -87,7 +89,7 @@
     },
     /// No answer came. An append may have taken effect.
     #[snafu(display("step={step} peer={peer}: {detail}"))]
-    Lost {
+    NoResponse {
         /// What was wanted.
         step: &'static str,
         /// The log.
@@ -107,7 +109,7 @@
     },
     /// The answer does not fit the log's format.
     #[snafu(display("step={step} peer={peer}: bad answer: {source}"))]
-    Answer {
+    InvalidResponse {
         /// What was wanted.
         step: &'static str,
         /// The log.
@@ -117,14 +119,14 @@
     },
 }
 
-impl Log {
+impl LogClient {
     /// Makes a client for the log at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
-        let connector = awc::Connector::new().timeout(TIMEOUT).limit(0);
+        let connector = awc::Connector::new().timeout(RESPONSE_TIMEOUT).limit(0);
         let http = awc::Client::builder()
             .connector(connector)
-            .timeout(TIMEOUT)
+            .timeout(RESPONSE_TIMEOUT)
             .finish();
         Self { addr, http }
     }
@@ -141,9 +143,9 @@
     /// # Errors
     ///
     /// Returns [`Error`] when it is not known whether the record was
-    /// appended; [`Log::find`] with the same id tells later.
+    /// appended; [`LogClient::find`] with the same id tells later.
     pub async fn append(&self, stream: &str, id: &str, body: &str) -> Result<Offset, Error> {
-        match self.append_once(stream, id, body).await {
+        match self.append_unverified(stream, id, body).await {
             Ok(offset) => Ok(offset),
             // The reply may have been lost after the record was written; a
             // second append would then put it there twice.
@@ -159,16 +161,21 @@
     /// # Errors
     ///
     /// Returns [`Error`] when no reply came.
-    pub async fn append_once(&self, stream: &str, id: &str, body: &str) -> Result<Offset, Error> {
+    pub async fn append_unverified(
+        &self,
+        stream: &str,
+        id: &str,
+        body: &str,
+    ) -> Result<Offset, Error> {
         let step = "append";
         let url = format!("http://{}/v1/streams/{stream}/records", self.addr);
-        let append = Append {
+        let append = AppendRequest {
             id: id.to_owned(),
             body: body.to_owned(),
         };
         let sent = self.http.post(url).send_json(&append);
-        let place: Place = self.answer(step, sent, TIMEOUT).await?;
-        place.offset.ok_or_else(|| Error::Lost {
+        let location: RecordLocation = self.read_response(step, sent, RESPONSE_TIMEOUT).await?;
+        location.offset.ok_or_else(|| Error::NoResponse {
             step,
             peer: self.addr,
             detail: "answer without an offset".to_owned(),
@@ -182,10 +189,10 @@
     /// Returns [`Error`] when no answer came.
     pub async fn find(&self, stream: &str, id: &str) -> Result<Option<Offset>, Error> {
         let url = format!("http://{}/v1/streams/{stream}/records/{id}", self.addr);
-        let place: Place = self
-            .answer("find", self.http.get(url).send(), TIMEOUT)
+        let location: RecordLocation = self
+            .read_response("find", self.http.get(url).send(), RESPONSE_TIMEOUT)
             .await?;
-        Ok(place.offset)
+        Ok(location.offset)
     }
 
     /// Reads up to `limit` records from `from` on, or from the oldest one if
@@ -207,21 +214,21 @@
             "http://{}/v1/streams/{stream}/records?from={from}&limit={limit}&wait_ms={wait_ms}",
             self.addr
         );
-        let bound = wait + TIMEOUT;
+        let bound = wait + RESPONSE_TIMEOUT;
         let sent = self.http.get(url).timeout(bound).send();
-        self.answer("read", sent, bound).await
+        self.read_response("read", sent, bound).await
     }
 
     /// Takes in one answer. The whole call has a bound, the body included: a
     /// connection that goes silent half way would otherwise hold it for ever.
-    async fn answer<T: DeserializeOwned>(
+    async fn read_response<T: DeserializeOwned>(
         &self,
         step: &'static str,
         sent: awc::SendClientRequest,
         bound: Duration,
     ) -> Result<T, Error> {
         let peer = self.addr;
-        let lost = |detail: String| Error::Lost { step, peer, detail };
+        let lost = |detail: String| Error::NoResponse { step, peer, detail };
         let whole = async {
             let mut response = sent.await.map_err(|e| match e {
                 e if crate::engine::never_sent(&e) => Error::Connect { step, peer },
@@ -231,9 +238,9 @@
                 let status = response.status().as_u16();
                 return StatusSnafu { step, peer, status }.fail();
             }
-            let body = response.body().limit(ANSWER_LIMIT).await;
+            let body = response.body().limit(RESPONSE_LIMIT).await;
             let body = body.map_err(|e| lost(e.to_string()))?;
-            serde_json::from_slice(&body).context(AnswerSnafu { step, peer })
+            serde_json::from_slice(&body).context(InvalidResponseSnafu { step, peer })
         };
         let answered = tokio::time::timeout(bound, whole).await;
         answered.map_err(|_| lost(format!("silent for {bound:?}")))?
--- a/crates/clients/src/orders.rs
+++ b/crates/clients/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine: loading versions and adapters, changing its role. The
+//! OrdersClient to an engine: loading versions and adapters, changing its role. The
 //! format is written down in docs/platform/orders.md.
 
 use std::collections::BTreeSet;
@@ -13,14 +13,14 @@
 use crate::engine::never_sent;
 
 /// Header that carries the fencing number of an order.
-pub const FENCE: &str = "x-fencing-number";
+pub const FENCING_HEADER: &str = "x-fencing-number";
 
 /// Time allowed for an answer. An engine takes an order at once and loads
 /// after that.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One engine's orders as its sidecar gives them.
-pub struct Orders {
+pub struct OrdersClient {
     /// Where the engine takes orders.
     addr: SocketAddr,
     /// The HTTP client.
@@ -44,7 +44,7 @@
 /// What an engine has, and does.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Standing {
+pub struct EngineState {
     /// The version that it serves.
     pub version: String,
     /// The adapters that it serves.
@@ -68,7 +68,7 @@
     },
     /// No answer came; the order may have been taken.
     #[snafu(display("step={step} peer={peer}: {detail}"))]
-    Lost {
+    NoResponse {
         /// What was wanted.
         step: &'static str,
         /// The engine.
@@ -78,7 +78,7 @@
     },
     /// The engine has taken an order with a higher fencing number.
     #[snafu(display("step={step} peer={peer}: old fencing number"))]
-    Old {
+    StaleFence {
         /// What was wanted.
         step: &'static str,
         /// The engine.
@@ -102,21 +102,21 @@
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Connect { .. } => "unreachable",
-            Self::Lost { .. } => "lost",
-            Self::Old { .. } => "old_fence",
+            Self::NoResponse { .. } => "lost",
+            Self::StaleFence { .. } => "old_fence",
             Self::Refused { .. } => "refused",
         }
     }
 }
 
-impl Orders {
+impl OrdersClient {
     /// Makes a client for the engine that takes orders at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
         let connector = awc::Connector::new().conn_keep_alive(Duration::ZERO);
         let http = awc::Client::builder()
             .connector(connector)
-            .timeout(TIMEOUT)
+            .timeout(RESPONSE_TIMEOUT)
             .finish();
         Self { addr, http }
     }
@@ -126,14 +126,14 @@
     /// # Errors
     ///
     /// Returns [`Error`] when no answer came.
-    pub async fn standing(&self) -> Result<Standing, Error> {
+    pub async fn state(&self) -> Result<EngineState, Error> {
         let (step, peer) = ("read_standing", self.addr);
         let url = format!("http://{peer}/v1/orders");
         let sent = self.http.get(url).send().await;
-        let mut response = sent.map_err(|e| self.failure(step, &e))?;
-        self.check(step, response.status())?;
-        let standing = response.json().await;
-        standing.map_err(|e| Error::Lost {
+        let mut response = sent.map_err(|e| self.classify_error(step, &e))?;
+        self.check_status(step, response.status())?;
+        let state = response.json().await;
+        state.map_err(|e| Error::NoResponse {
             step,
             peer,
             detail: e.to_string(),
@@ -145,22 +145,22 @@
     /// # Errors
     ///
     /// Returns [`Error`] when the order was not taken, or may not have been.
-    pub async fn give(&self, order: &Order, fence: Offset) -> Result<(), Error> {
+    pub async fn send(&self, order: &Order, fence: Offset) -> Result<(), Error> {
         let url = format!("http://{}/v1/orders", self.addr);
         let request = self
             .http
             .post(url)
-            .insert_header((FENCE, fence.to_string()));
+            .insert_header((FENCING_HEADER, fence.to_string()));
         let sent = request.send_json(order).await;
-        let response = sent.map_err(|e| self.failure("order", &e))?;
-        self.check("order", response.status())
+        let response = sent.map_err(|e| self.classify_error("order", &e))?;
+        self.check_status("order", response.status())
     }
 
-    fn check(&self, step: &'static str, status: StatusCode) -> Result<(), Error> {
+    fn check_status(&self, step: &'static str, status: StatusCode) -> Result<(), Error> {
         let peer = self.addr;
         match status {
             status if status.is_success() => Ok(()),
-            StatusCode::CONFLICT => OldSnafu { step, peer }.fail(),
+            StatusCode::CONFLICT => StaleFenceSnafu { step, peer }.fail(),
             status => {
                 let status = status.as_u16();
                 RefusedSnafu { step, peer, status }.fail()
@@ -168,12 +168,12 @@
         }
     }
 
-    fn failure(&self, step: &'static str, error: &awc::error::SendRequestError) -> Error {
+    fn classify_error(&self, step: &'static str, error: &awc::error::SendRequestError) -> Error {
         let peer = self.addr;
         if never_sent(error) {
             return Error::Connect { step, peer };
         }
         let detail = error.to_string();
-        Error::Lost { step, peer, detail }
+        Error::NoResponse { step, peer, detail }
     }
 }
--- a/crates/clients/src/plain.rs
+++ b/crates/clients/src/plain.rs
@@ -6,21 +6,21 @@
 use base::ids::RequestId;
 use bytes::Bytes;
 
-use crate::engine::{Error, REQUEST_ID, never_sent};
+use crate::engine::{Error, REQUEST_ID_HEADER, never_sent};
 
 /// Time allowed for a new connection to a service.
-const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long an idle connection is kept. The longer it is, the more calls end
 /// with an unknown outcome because their connection had gone silent.
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Largest answer of a plain service, in bytes.
-const ANSWER_LIMIT: usize = 8 << 20;
+const RESPONSE_LIMIT: usize = 8 << 20;
 
 /// One plain service as its sidecar reaches it.
 #[derive(Clone)]
-pub struct Plain {
+pub struct PlainClient {
     /// Where the service listens.
     addr: SocketAddr,
     /// The HTTP client, which keeps connections.
@@ -29,7 +29,7 @@
 
 /// The answer of a plain service.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct ServiceResponse {
     /// The HTTP status.
     pub status: u16,
     /// The content type, empty when there is none.
@@ -38,13 +38,13 @@
     pub body: Bytes,
 }
 
-impl Plain {
+impl PlainClient {
     /// Makes a client for the service at `addr`; each call may take `timeout`.
     #[must_use]
     pub fn new(addr: SocketAddr, timeout: Duration) -> Self {
         let connector = awc::Connector::new()
-            .timeout(DIAL_TIMEOUT)
-            .conn_keep_alive(IDLE)
+            .timeout(CONNECT_TIMEOUT)
+            .conn_keep_alive(IDLE_TIMEOUT)
             .limit(0);
         let http = awc::Client::builder()
             .connector(connector)
@@ -61,7 +61,7 @@
     pub async fn probe(&self) -> Result<(), Error> {
         let peer = self.addr;
         let dialled = tokio::net::TcpStream::connect(peer);
-        match tokio::time::timeout(DIAL_TIMEOUT, dialled).await {
+        match tokio::time::timeout(CONNECT_TIMEOUT, dialled).await {
             Ok(Ok(_)) => Ok(()),
             _ => Err(Error::Connect {
                 step: "probe",
@@ -83,9 +83,9 @@
         path: &str,
         content_type: &str,
         body: Bytes,
-    ) -> Result<Answer, Error> {
+    ) -> Result<ServiceResponse, Error> {
         let peer = self.addr;
-        let lost = |detail: String| Error::Lost {
+        let no_response = |detail: String| Error::NoResponse {
             step: "call",
             peer,
             detail,
@@ -100,24 +100,24 @@
         let mut request = self
             .http
             .request(method, format!("http://{peer}{path}"))
-            .insert_header((REQUEST_ID, ticket.to_string()));
+            .insert_header((REQUEST_ID_HEADER, ticket.to_string()));
         if !content_type.is_empty() {
             request = request.content_type(content_type);
         }
 
         let mut response = request.send_body(body).await.map_err(|e| match e {
             e if never_sent(&e) => Error::Connect { step: "call", peer },
-            other => lost(other.to_string()),
+            other => no_response(other.to_string()),
         })?;
         let status = response.status().as_u16();
         let kind = response.headers().get(awc::http::header::CONTENT_TYPE);
         let content_type = kind.and_then(|v| v.to_str().ok()).unwrap_or("").to_owned();
         let body = response
             .body()
-            .limit(ANSWER_LIMIT)
+            .limit(RESPONSE_LIMIT)
             .await
-            .map_err(|e| lost(e.to_string()))?;
-        Ok(Answer {
+            .map_err(|e| no_response(e.to_string()))?;
+        Ok(ServiceResponse {
             status,
             content_type,
             body,
--- a/crates/demo/src/changes.rs
+++ b/crates/demo/src/changes.rs
@@ -6,7 +6,7 @@
 
 use base::ids::BundleSequence;
 use bundle::{Bundle, Content};
-use clients::log::Log;
+use clients::log::LogClient;
 use follow::{Outcome, Publisher};
 use serde::Deserialize;
 
@@ -137,7 +137,7 @@
     rollout: &Rollout,
 ) -> Outcome {
     let began = Instant::now();
-    let mut publisher = Publisher::new(Log::new(rollout.log), rollout.operators());
+    let mut publisher = Publisher::new(LogClient::new(rollout.log), rollout.operators());
     let mut outcome = Outcome::Unknown;
     while outcome == Outcome::Unknown && began.elapsed() < TRY_FOR {
         if publisher.read().await.is_ok() {
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -7,12 +7,12 @@
 use base::ids::Offset;
 use base::settings::HumanDuration;
 use bundle::Bundle;
-use clients::hosts::{Host as Listed, Role as Kind, Standing};
+use clients::hosts::{Host as Listed, HostStatus, Role as Kind};
 use entry::settings::{Drain, Keys, Known, Roster, Routing};
 use policy::queue::QueueSettings;
 use sidecar::settings::Backend;
 use standin::hosts::{self, Registry};
-use standin::{Control, Ledger, engine, plain, silence};
+use standin::{FaultControl, Ledger, engine, plain, proxy};
 
 use crate::arm::Arm;
 use crate::changes::{self, Change};
@@ -53,7 +53,7 @@
 pub struct Cluster {
     layout: Layout,
     /// The forwarder before the log, which counts bytes.
-    log_link: (Host, Control<silence::Faults>),
+    log_link: (Host, FaultControl<proxy::Faults>),
     /// The entries.
     pub entries: Vec<Host>,
     /// The backend servers, model engines first.
@@ -75,17 +75,17 @@
     /// The sidecar.
     pub sidecar: Host,
     /// The forwarder before the sidecar, if there is one, and its faults.
-    pub link: Option<(Host, Control<silence::Faults>)>,
+    pub link: Option<(Host, FaultControl<proxy::Faults>)>,
     /// The forwarder before the backend server, if there is one.
-    pub inner: Option<(Host, Control<silence::Faults>)>,
+    pub inner: Option<(Host, FaultControl<proxy::Faults>)>,
 }
 
 /// The faults of a backend server.
 pub enum Faults {
     /// Of a model engine.
-    Engine(Control<engine::Faults>),
+    Engine(FaultControl<engine::Faults>),
     /// Of a plain service.
-    Plain(Control<plain::Faults>),
+    Plain(FaultControl<plain::Faults>),
 }
 
 /// The part of the addresses that a kind of daemon has.
@@ -157,7 +157,7 @@
             region: self.fleet.name().to_owned(),
             role: Kind::Sidecar,
             serves: known.serves,
-            standing: Standing::Live,
+            status: HostStatus::Live,
         });
         let registry = Registry::new(sidecars.collect());
         let settings = hosts::Settings {
@@ -194,14 +194,14 @@
         let settings = engine::Settings {
             listen: self.addr(Role::Backend, i),
             slots: SLOTS,
-            step: self.fleet.step(),
-            extra: EXTRA,
-            prefill: PREFILL,
-            cache: 200_000,
-            keep: HumanDuration::secs(5),
+            step_time: self.fleet.step(),
+            request_overhead: EXTRA,
+            prefill_tokens: PREFILL,
+            cache_tokens: 200_000,
+            resume_window: HumanDuration::secs(5),
             faults: engine::Faults::default(),
         };
-        let faults = Control::new(settings.faults.clone());
+        let faults = FaultControl::new(settings.faults.clone());
         let control = faults.clone();
         let host = Host::start(&format!("engine-{i}"), move |stop| {
             engine::run_with(settings.clone(), control.clone(), ledger.clone(), stop)
@@ -212,10 +212,10 @@
     fn start_plain(&self, i: u8, ledger: Ledger) -> (Host, Faults) {
         let settings = plain::Settings {
             listen: self.addr(Role::Backend, i),
-            work: HumanDuration::ms(5),
+            call_duration: HumanDuration::ms(5),
             faults: plain::Faults::default(),
         };
-        let faults = Control::new(settings.faults.clone());
+        let faults = FaultControl::new(settings.faults.clone());
         let control = faults.clone();
         let host = Host::start(&format!("plain-{i}"), move |stop| {
             plain::run_with(settings.clone(), control.clone(), ledger.clone(), stop)
@@ -359,14 +359,14 @@
 
     /// What goes wrong with the log.
     #[must_use]
-    pub fn log_faults(&self) -> &Control<standin::log::Faults> {
+    pub fn log_faults(&self) -> &FaultControl<standin::log::Faults> {
         &self.layout.rollout.faults
     }
 
     /// What the daemons and the log cost each other in `seconds`, on one line.
     #[must_use]
     pub fn control(&self, seconds: f64) -> String {
-        let bytes = self.log_link.1.get().bytes.total() as f64;
+        let bytes = self.log_link.1.get().forwarded_bytes.total() as f64;
         let daemons = self.layout.daemons().len() as f64;
         let appends = actix_rt::System::new().block_on(self.appends());
         format!(
@@ -378,11 +378,11 @@
 
     /// Records in the log's streams.
     async fn appends(&self) -> u64 {
-        let log = clients::log::Log::new(self.layout.rollout.log);
+        let log = clients::log::LogClient::new(self.layout.rollout.log);
         let mut all = 0;
         for stream in [follow::STREAM, claims::STREAM] {
             let page = log.read(stream, Offset(0), 1, Duration::ZERO).await;
-            all += page.map_or(0, |page| page.end.0);
+            all += page.map_or(0, |page| page.end_offset.0);
         }
         all
     }
@@ -429,11 +429,11 @@
     SocketAddr::new(IpAddr::V4(ip), PORT)
 }
 
-fn start_forwarder(listen: SocketAddr, target: SocketAddr) -> (Host, Control<silence::Faults>) {
-    let faults = Control::new(silence::Faults::default());
+fn start_forwarder(listen: SocketAddr, target: SocketAddr) -> (Host, FaultControl<proxy::Faults>) {
+    let faults = FaultControl::new(proxy::Faults::default());
     let control = faults.clone();
     let host = Host::start("forwarder", move |stop| {
-        silence::run(listen, target, control.clone(), stop)
+        proxy::run(listen, target, control.clone(), stop)
     });
     (host, faults)
 }
--- a/crates/demo/src/faults.rs
+++ b/crates/demo/src/faults.rs
@@ -153,13 +153,13 @@
         match self {
             Self::Straggler { server: i, pace } => {
                 if let Some(Faults::Engine(faults)) = server(i).map(|s| &s.faults) {
-                    faults.change(|f| f.pace = *pace);
+                    faults.change(|f| f.slowdown = *pace);
                 }
             }
             Self::ReportLag { lag } => each_engine(cluster, |f| f.report_lag = *lag),
             Self::CacheEvents { lag, gap } => each_engine(cluster, |f| {
                 f.event_lag = *lag;
-                f.event_gap = *gap;
+                f.event_loss = *gap;
             }),
             Self::CrashBackend { server: i, back } => {
                 if let Some(server) = server(i) {
@@ -189,7 +189,9 @@
                 thread::sleep(time.0);
                 cluster.log_faults().change(|f| f.down = false);
             }
-            Self::LogLosesReplies { count } => cluster.log_faults().change(|f| f.lose = *count),
+            Self::LogLosesReplies { count } => {
+                cluster.log_faults().change(|f| f.lost_replies = *count)
+            }
             Self::Publish => eprintln!("{}", cluster.change(Change::Publish)),
             Self::RacePublish => eprintln!("{}", cluster.change(Change::Race)),
             Self::Rollback => eprintln!("{}", cluster.change(Change::Rollback)),
@@ -216,12 +218,12 @@
 
 type Link = Option<(
     crate::host::Host,
-    standin::Control<standin::silence::Faults>,
+    standin::FaultControl<standin::proxy::Faults>,
 )>;
 
 fn silence(link: Option<&Link>) {
     if let Some(Some((_, faults))) = link {
-        faults.change(|f| f.silenced += 1);
+        faults.change(|f| f.silence_generation += 1);
     }
 }
 
--- a/crates/demo/src/rollout.rs
+++ b/crates/demo/src/rollout.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use bundle::{Bundle, Content, Operators, SecretKey};
-use clients::log::Log;
+use clients::log::LogClient;
 use follow::{Outcome, Publisher};
 use spdlog::{debug, error};
-use standin::Control;
+use standin::FaultControl;
 use standin::log::{Faults, Settings};
 
 use crate::host::Host;
@@ -22,7 +22,7 @@
     /// Where the log listens.
     pub log: SocketAddr,
     /// What goes wrong with it.
-    pub faults: Control<Faults>,
+    pub faults: FaultControl<Faults>,
     /// Operators who may sign, two of them, so that they can race.
     pub keys: [SecretKey; 2],
 }
@@ -33,7 +33,7 @@
     pub fn new(log: SocketAddr) -> Self {
         Self {
             log,
-            faults: Control::default(),
+            faults: FaultControl::default(),
             keys: [SecretKey::random("awa"), SecretKey::random("luz")],
         }
     }
@@ -81,7 +81,7 @@
     pub async fn publish(&self, bundle: &Bundle) -> Outcome {
         let mut bundle = bundle.clone();
         bundle.operators.extend(self.operators());
-        let mut publisher = Publisher::new(Log::new(self.log), self.operators());
+        let mut publisher = Publisher::new(LogClient::new(self.log), self.operators());
         if let Err(e) = publisher.read().await {
             debug!("log unreadable", kv: { error = e.to_string().as_str() });
             return Outcome::Unknown;
--- a/crates/demo/tests/failures/drain.rs
+++ b/crates/demo/tests/failures/drain.rs
@@ -90,8 +90,8 @@
 fn check(fleet: &Fleet, answers: &[(String, Answer)], length: u32) {
     for (mark, answer) in answers {
         assert_eq!(text(answer), expected(mark, length), "{mark}: {answer:?}");
-        let seen = fleet.ledger.seen(mark);
-        assert_eq!((seen.runs, seen.ended), (1, 1), "{mark}");
+        let seen = fleet.ledger.counts(mark);
+        assert_eq!((seen.runs, seen.completed_runs), (1, 1), "{mark}");
     }
 }
 
@@ -141,8 +141,8 @@
     // Twice as many as there are slots, so that half of them wait.
     let callers = Callers::start(32, &[fleet.entry_addr(0)], LONG);
     until("all slots are taken", || {
-        let seen = fleet.ledger.all();
-        seen.values().filter(|s| s.ended < s.runs).count() == 16
+        let seen = fleet.ledger.all_counts();
+        seen.values().filter(|s| s.completed_runs < s.runs).count() == 16
     })
     .await;
     callers.on.set(false);
@@ -164,7 +164,7 @@
         ..Faults::default()
     };
     fleet.registry.control.change(|f| *f = frozen);
-    fleet.registry.leave("sidecar-0");
+    fleet.registry.mark_leaving("sidecar-0");
     let callers = Callers::start(8, &[fleet.entry_addr(0)], 20);
     callers.more(20).await;
     fleet.stop("sidecar-0").await;
@@ -186,7 +186,7 @@
     let entry = fleet.entry_addr(0);
     let long = actix_rt::spawn(async move { call(entry, "long", LONG).await });
     until("the answer is begun", || {
-        fleet.ledger.seen("long").tokens > 0
+        fleet.ledger.counts("long").output_tokens > 0
     })
     .await;
     fleet.ask("entry-0");
@@ -218,7 +218,7 @@
     let entry = fleet.entry_addr(0);
     let long = actix_rt::spawn(async move { call(entry, "long", LONG * 100).await });
     until("the answer is begun", || {
-        fleet.ledger.seen("long").tokens > 0
+        fleet.ledger.counts("long").output_tokens > 0
     })
     .await;
     fleet.stop("entry-0").await;
@@ -228,7 +228,7 @@
 
     let made = Cell::new(0);
     until("the engine stops", || {
-        let before = made.replace(fleet.ledger.seen("long").tokens);
+        let before = made.replace(fleet.ledger.counts("long").output_tokens);
         before == made.get()
     })
     .await;
@@ -248,7 +248,7 @@
     fleet.registry.control.change(|f| *f = lag);
 
     let callers = Callers::start(12, &[fleet.entry_addr(0)], LONG);
-    until("both serve", || fleet.ledger.all().len() > 10).await;
+    until("both serve", || fleet.ledger.all_counts().len() > 10).await;
     callers.on.set(false);
     fleet.ask("sidecar-0");
     fleet.stop("engine-0").await;
@@ -257,7 +257,7 @@
         match answer.status {
             200 => assert_eq!(text(&answer), expected(&mark, LONG)),
             _ if answer.body["error"]["ran"] == "no" => {
-                assert_eq!(fleet.ledger.seen(&mark).runs, 0, "{mark}: {answer:?}");
+                assert_eq!(fleet.ledger.counts(&mark).runs, 0, "{mark}: {answer:?}");
             }
             _ => assert_eq!(answer.body["error"]["ran"], "partial", "{mark}: {answer:?}"),
         }
--- a/crates/demo/tests/failures/fleet.rs
+++ b/crates/demo/tests/failures/fleet.rs
@@ -9,11 +9,11 @@
 use awc::error::{ConnectError, SendRequestError};
 use base::stop::StopSignal;
 use bundle::Bundle;
-use clients::hosts::{Host as Listed, Role, Standing};
+use clients::hosts::{Host as Listed, HostStatus, Role};
 use demo::host::Host;
 use serde_json::{Value, json};
 use standin::hosts::{Faults, Registry};
-use standin::{Control, Ledger, engine};
+use standin::{FaultControl, Ledger, engine};
 
 /// Ports that one fleet may use.
 const PORTS: u16 = 64;
@@ -32,7 +32,7 @@
     /// What the engines saw.
     pub(crate) ledger: Ledger,
     /// What is wrong with each engine.
-    pub(crate) engines: HashMap<u16, Control<engine::Faults>>,
+    pub(crate) engines: HashMap<u16, FaultControl<engine::Faults>>,
     /// The first port.
     port: u16,
     daemons: HashMap<String, Host>,
@@ -94,7 +94,7 @@
     pub(crate) fn engine(&mut self, i: u16) {
         let settings = json!({ "listen": self.addr(20 + i), "slots": 8, "step": "2ms" });
         let settings: engine::Settings = serde_json::from_value(settings).unwrap();
-        let faults = Control::new(settings.faults.clone());
+        let faults = FaultControl::new(settings.faults.clone());
         self.engines.insert(i, faults.clone());
         let ledger = self.ledger.clone();
         self.start(&format!("engine-{i}"), move |stop| {
@@ -105,7 +105,7 @@
     /// Makes the steps of all engines take so many times their usual time.
     pub(crate) fn pace(&self, pace: f64) {
         for faults in self.engines.values() {
-            faults.change(|f| f.pace = pace);
+            faults.change(|f| f.slowdown = pace);
         }
     }
 
@@ -133,7 +133,7 @@
             region: "dakar".to_owned(),
             role: Role::Sidecar,
             serves: "dossier-8b".to_owned(),
-            standing: Standing::Live,
+            status: HostStatus::Live,
         });
     }
 
--- a/crates/demo/tests/failures/membership.rs
+++ b/crates/demo/tests/failures/membership.rs
@@ -99,7 +99,7 @@
 async fn restart_while_list_frozen() {
     let mut fleet = Fleet::with(1).await;
 
-    fleet.registry.leave("sidecar-0");
+    fleet.registry.mark_leaving("sidecar-0");
     let began = Instant::now();
     while fleet.call(0, "leaving", 1).await.status == 200 {
         assert!(began.elapsed() < PATIENCE, "a leaving host takes work");
--- a/crates/demo/tests/failures/silence.rs
+++ b/crates/demo/tests/failures/silence.rs
@@ -9,7 +9,10 @@
 async fn begun(fleet: &Fleet, mark: &'static str) -> actix_rt::task::JoinHandle<Answer> {
     let entry = fleet.entry_addr(0);
     let task = actix_rt::spawn(async move { call(entry, mark, LONG).await });
-    until("the answer is begun", || fleet.ledger.seen(mark).tokens > 5).await;
+    until("the answer is begun", || {
+        fleet.ledger.counts(mark).output_tokens > 5
+    })
+    .await;
     task
 }
 
@@ -21,17 +24,17 @@
     let fleet = Fleet::with(1).await;
 
     let answer = begun(&fleet, "muted").await;
-    fleet.engines[&0].change(|f| f.muted += 1);
-    let made = fleet.ledger.seen("muted").tokens;
+    fleet.engines[&0].change(|f| f.mute_generation += 1);
+    let made = fleet.ledger.counts("muted").output_tokens;
     until("the answer goes on", || {
-        fleet.ledger.seen("muted").tokens > made + 150
+        fleet.ledger.counts("muted").output_tokens > made + 150
     })
     .await;
-    fleet.engines[&0].change(|f| f.muted += 1);
+    fleet.engines[&0].change(|f| f.mute_generation += 1);
 
     let answer = answer.await.unwrap();
     assert_eq!(text(&answer), expected("muted", LONG), "{answer:?}");
-    assert_eq!(fleet.ledger.seen("muted").runs, 1);
+    assert_eq!(fleet.ledger.counts("muted").runs, 1);
 }
 
 // An engine crashes with an answer in progress and comes back. It has lost the
@@ -51,7 +54,7 @@
     // While it is down, requests are refused as not run.
     let down = fleet.call(0, "down", 3).await;
     assert_eq!(down.body["error"]["ran"], "no", "{down:?}");
-    assert_eq!(fleet.ledger.seen("down").runs, 0);
+    assert_eq!(fleet.ledger.counts("down").runs, 0);
 
     fleet.engines[&0].change(|f| f.crashed = false);
     fleet.ready(0).await;
@@ -78,7 +81,7 @@
 #[actix_rt::test]
 async fn caller_stream_comments() {
     let fleet = Fleet::with(1).await;
-    fleet.engines[&0].change(|f| f.pace = 100.0);
+    fleet.engines[&0].change(|f| f.slowdown = 100.0);
 
     let body = stream(fleet.entry_addr(0), "slow", 2).await;
     assert!(body.contains(": waiting\n\n"), "{body}");
--- a/crates/demo/tests/rollout/common.rs
+++ b/crates/demo/tests/rollout/common.rs
@@ -186,7 +186,7 @@
 
     /// How often a letter was sent.
     pub(crate) fn sent(&self, mark: &str) -> u32 {
-        self.ledger.seen(mark).runs
+        self.ledger.counts(mark).runs
     }
 
     pub(crate) fn stop(&self) {
--- a/crates/demo/tests/whole/callers.rs
+++ b/crates/demo/tests/whole/callers.rs
@@ -49,9 +49,9 @@
     drop(stream);
 
     until("the slot is free", || running(&fleet) == 0);
-    let seen = fleet.ledger.seen("gone");
+    let seen = fleet.ledger.counts("gone");
     assert_eq!(
-        (seen.runs, seen.ended),
+        (seen.runs, seen.completed_runs),
         (1, 0),
         "the engine was stopped before the end"
     );
@@ -77,6 +77,6 @@
     });
     drop(first);
     until("the slot is free", || running(&fleet) == 0);
-    assert_eq!(fleet.ledger.seen("second").runs, 0);
+    assert_eq!(fleet.ledger.counts("second").runs, 0);
     fleet.stop();
 }
--- a/crates/demo/tests/whole/sessions.rs
+++ b/crates/demo/tests/whole/sessions.rs
@@ -87,10 +87,10 @@
             Command::Start => Ok(String::new()),
             Command::Send { .. } => send(fleet, command),
             Command::Seen(mark) => {
-                let seen = fleet.ledger.seen(mark);
+                let seen = fleet.ledger.counts(mark);
                 Ok(format!(
                     "runs={} ended={} tokens={}\n",
-                    seen.runs, seen.ended, seen.tokens
+                    seen.runs, seen.completed_runs, seen.output_tokens
                 ))
             }
             Command::Counters => {
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -7,7 +7,7 @@
 
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, WrapFuture};
 use base::ids::RequestId;
-use clients::hosts::{Error, Host as Listed, Hosts, Role, Standing};
+use clients::hosts::{Error, Host as Listed, HostStatus, HostsClient, Role};
 use metrics::{counter, gauge};
 use policy::membership::{Host, HostKind, ListOutcome, Membership, MembershipLimits};
 use policy::subset::SubsetSize;
@@ -31,7 +31,7 @@
 /// word calls gone.
 pub struct Roster {
     state: Rc<State>,
-    hosts: Option<Rc<Hosts>>,
+    hosts: Option<Rc<HostsClient>>,
     known: Membership,
     /// Whether the list could be read last time, to log changes only.
     readable: bool,
@@ -61,7 +61,7 @@
         let hosts = settings
             .roster
             .hosts
-            .map(|a| Rc::new(Hosts::new(a, region)));
+            .map(|a| Rc::new(HostsClient::new(a, region)));
         Self {
             state,
             hosts,
@@ -226,7 +226,7 @@
         addr: listed.addr,
         zone: listed.zone.clone(),
         kind,
-        leaving: listed.standing == Standing::Leaving,
+        leaving: listed.status == HostStatus::Leaving,
     }
 }
 
--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -8,7 +8,7 @@
 use base::ids::{BundleSequence, Offset};
 use bundle::{Fault, Verdict};
 use bytes::Bytes;
-use clients::log::{Error, Log, Page};
+use clients::log::{Error, LogClient, Page};
 use spdlog::{debug, info, warn};
 
 use crate::held::Held;
@@ -28,7 +28,7 @@
 /// Follows the bundle's stream for one daemon. It alone changes what the
 /// daemon holds.
 pub struct Follower {
-    log: Log,
+    log: LogClient,
     settings: Settings,
     held: Rc<Held>,
     clock: Rc<dyn Clock>,
@@ -59,7 +59,7 @@
     #[must_use]
     pub fn new(settings: Settings, held: Rc<Held>, clock: Rc<dyn Clock>) -> Self {
         Self {
-            log: Log::new(settings.log),
+            log: LogClient::new(settings.log),
             settings,
             held,
             clock,
@@ -108,7 +108,7 @@
     fn take_page(&mut self, page: &Page, ctx: &mut Context<Self>) {
         self.held.set_reachable(true);
         self.backoff = FIRST_BACKOFF;
-        self.held.with(|a| a.expired(page.first));
+        self.held.with(|a| a.expired(page.first_offset));
         for entry in &page.records {
             let verdict = self.held.judge(entry.offset, &entry.body);
             self.note(&verdict, entry.time_ms);
@@ -122,13 +122,13 @@
         // Before the end is read for the first time, a later record may beat
         // what was found so far.
         let next = self.held.with(|a| a.next());
-        if next >= page.end {
+        if next >= page.end_offset {
             self.caught_up = true;
         }
         if self.caught_up && self.held.settle() {
             self.report_lag();
         }
-        if next >= page.end {
+        if next >= page.end_offset {
             self.close_gap(page);
             self.plan_checkpoint(page);
         }
@@ -190,8 +190,8 @@
             .pass
             .get_or_insert_with(|| now + self.settings.delay.0 * GAP_DELAYS);
         if pass <= now {
-            warn!("bundle stream has a gap", kv: { first = page.first.0 });
-            self.held.with(|a| a.resume(page.first));
+            warn!("bundle stream has a gap", kv: { first = page.first_offset.0 });
+            self.held.with(|a| a.resume(page.first_offset));
             self.contradicted = true;
             self.pass = None;
         }
@@ -205,7 +205,8 @@
         let (usable, newest) = self
             .held
             .with(|a| (a.anchored() && a.head().is_some(), a.newest()));
-        let retained = newest.is_some_and(|(at, _)| at >= page.first) || page.first == Offset(0);
+        let retained =
+            newest.is_some_and(|(at, _)| at >= page.first_offset) || page.first_offset == Offset(0);
         let age = page.now_ms.saturating_sub(self.covered_ms);
         let old = page.retention_ms > 0 && age > page.retention_ms / 2;
         let needed = usable && (self.contradicted || old || !retained);
--- a/crates/follow/src/publish.rs
+++ b/crates/follow/src/publish.rs
@@ -8,7 +8,7 @@
 use base::ids::{BundleSequence, Offset};
 use bundle::record::{Header, PART_LIMIT, RECORD_LIMIT, operators_hash, operators_of, parts};
 use bundle::{Acceptor, Content, Hash, Operators, Payload, Record, SecretKey, Signed, Verdict};
-use clients::log::{Error, Log, Page};
+use clients::log::{Error, LogClient, Page};
 
 use crate::STREAM;
 
@@ -17,7 +17,7 @@
 
 /// A reader of the log that remembers which versions it read.
 pub struct Publisher {
-    log: Log,
+    log: LogClient,
     trust: Operators,
     acceptor: Acceptor,
     /// The versions that were read, oldest first.
@@ -58,7 +58,7 @@
 impl Publisher {
     /// Makes a reader of the log that has read nothing.
     #[must_use]
-    pub fn new(log: Log, trust: Operators) -> Self {
+    pub fn new(log: LogClient, trust: Operators) -> Self {
         Self {
             log,
             acceptor: Acceptor::new(trust.clone()),
@@ -93,7 +93,7 @@
                     break;
                 }
             }
-            if self.acceptor.next() >= page.end {
+            if self.acceptor.next() >= page.end_offset {
                 return Ok(());
             }
         }
@@ -121,7 +121,7 @@
                     break;
                 }
             }
-            if past.acceptor.next() >= page.end {
+            if past.acceptor.next() >= page.end_offset {
                 return Ok(None);
             }
         }
@@ -219,7 +219,7 @@
                     verdict => return Outcome::Refused(verdict),
                 }
             }
-            if self.acceptor.next() >= page.end {
+            if self.acceptor.next() >= page.end_offset {
                 return Outcome::Unknown;
             }
         }
@@ -232,7 +232,7 @@
     async fn page(&mut self) -> Result<Page, Error> {
         let from = self.acceptor.next();
         let page = self.log.read(STREAM, from, PAGE, Duration::ZERO).await?;
-        self.acceptor.expired(page.first);
+        self.acceptor.expired(page.first_offset);
         Ok(page)
     }
 
--- a/crates/follow/tests/failures/common.rs
+++ b/crates/follow/tests/failures/common.rs
@@ -12,10 +12,10 @@
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
 use bundle::{Content, Operators, SecretKey};
-use clients::log::{Log, Page};
+use clients::log::{LogClient, Page};
 use follow::{Follower, Held, Publisher, STREAM, Settings};
 use serde_json::json;
-use standin::Control;
+use standin::FaultControl;
 use standin::log::Faults;
 use tokio::net::TcpListener;
 
@@ -26,8 +26,8 @@
 /// A log that runs, and those who may publish there.
 pub(crate) struct World {
     pub(crate) addr: SocketAddr,
-    pub(crate) faults: Control<Faults>,
-    pub(crate) log: Log,
+    pub(crate) faults: FaultControl<Faults>,
+    pub(crate) log: LogClient,
 }
 
 /// One daemon's follower.
@@ -42,13 +42,13 @@
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let faults = Control::new(Faults::default());
+        let faults = FaultControl::new(Faults::default());
         actix_rt::spawn(standin::log::serve(
             listener,
             faults.clone(),
             StopSignal::new(),
         ));
-        let log = Log::new(addr);
+        let log = LogClient::new(addr);
         test(World { addr, faults, log }).await;
     });
 }
@@ -136,5 +136,8 @@
         }
         tokio::time::sleep(PAUSE).await;
     }
-    panic!("waited in vain until {what}; first={}", last.borrow().first);
+    panic!(
+        "waited in vain until {what}; first={}",
+        last.borrow().first_offset
+    );
 }
--- a/crates/follow/tests/failures/daemons.rs
+++ b/crates/follow/tests/failures/daemons.rs
@@ -42,7 +42,9 @@
         }
         publish(&world, 7, 7).await;
 
-        world.faults.change(|f| f.slow = HumanDuration::ms(20));
+        world
+            .faults
+            .change(|f| f.response_delay = HumanDuration::ms(20));
         let daemon = world.daemon();
         for _ in 0..2 {
             tokio::time::sleep(std::time::Duration::from_millis(30)).await;
@@ -153,7 +155,7 @@
         let daemons = [world.daemon(), world.daemon(), world.daemon()];
         let records = "the records of both versions have expired";
         until_log(&world, records, |p| {
-            p.first > beaten.offset && p.first < p.end
+            p.first_offset > beaten.offset && p.first_offset < p.end_offset
         })
         .await;
         let sent = world.log.append(STREAM, &beaten.id, &beaten.body);
--- a/crates/follow/tests/failures/publishing.rs
+++ b/crates/follow/tests/failures/publishing.rs
@@ -12,10 +12,10 @@
     // as 1", and the log has the record once.
     run(async |world| {
         let mut publisher = world.publisher().await;
-        world.faults.change(|f| f.lose = 1);
+        world.faults.change(|f| f.lost_replies = 1);
         let told = publisher.publish(&awa(), &content("v1"), None).await;
         assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(1))));
-        assert_eq!(world.page().await.end, Offset(1));
+        assert_eq!(world.page().await.end_offset, Offset(1));
     });
 }
 
@@ -27,12 +27,12 @@
     run(async |world| {
         let mut publisher = world.publisher().await;
         world.faults.change(|f| {
-            f.lose = 1;
-            f.hold = base::settings::HumanDuration::ms(100);
+            f.lost_replies = 1;
+            f.loss_delay = base::settings::HumanDuration::ms(100);
         });
         let faults = world.faults.clone();
         actix_rt::spawn(async move {
-            until("the reply is lost", || faults.get().lose == 0).await;
+            until("the reply is lost", || faults.get().lost_replies == 0).await;
             faults.change(|f| f.down = true);
         });
         let told = publisher.publish(&awa(), &content("v1"), None).await;
@@ -44,7 +44,7 @@
             let told = again.publish(&awa(), &content("v1"), None).await;
             assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(1))));
         }
-        assert_eq!(world.page().await.end, Offset(1));
+        assert_eq!(world.page().await.end_offset, Offset(1));
     });
 }
 
@@ -63,7 +63,7 @@
 
         for (sequence, winner, loser) in [(2, awa(), luz()), (3, luz(), awa())] {
             let (mut one, mut two) = (world.publisher().await, world.publisher().await);
-            world.faults.change(|f| f.lose = 1);
+            world.faults.change(|f| f.lost_replies = 1);
             let mark = format!("{}-{sequence}", winner.operator);
             let told = one.publish(&winner, &content(&mark), None).await;
             assert_eq!(told, Ok(Outcome::Accepted(BundleSequence(sequence))));
--- a/crates/load/src/judge.rs
+++ b/crates/load/src/judge.rs
@@ -42,7 +42,11 @@
         }
     }
 
-    report.tokens_made = ledger.all().values().map(|s| u64::from(s.tokens)).sum();
+    report.tokens_made = ledger
+        .all_counts()
+        .values()
+        .map(|s| u64::from(s.output_tokens))
+        .sum();
     report.tokens_wasted = report.tokens_made.saturating_sub(whole_tokens);
     report.wasted_share = share(report.tokens_wasted, report.tokens_made);
     report.goodput = useful as f64 / mix.seconds;
@@ -51,7 +55,7 @@
 
 /// Counts what must never happen.
 fn count_faults(report: &mut Report, outcome: &Outcome, ledger: &Ledger) {
-    let seen = ledger.seen(&outcome.arrival.mark);
+    let seen = ledger.counts(&outcome.arrival.mark);
     let told_no = |told: &Told| told.ran == "no";
     report.mixed += u64::from(outcome.mixed);
     report.doubled += u64::from(!outcome.arrival.repeatable && seen.runs > 1);
--- a/crates/load/tests/judge.rs
+++ b/crates/load/tests/judge.rs
@@ -9,7 +9,7 @@
 use load::{Arrival, Ending, Mix, Outcome, Report, judge};
 use rstest::rstest;
 use standin::Ledger;
-use standin::ledger::Account;
+use standin::ledger::RequestCounters;
 
 const TOKENS: u32 = 10;
 
@@ -83,9 +83,9 @@
 /// Judges one outcome of a request that the stand-ins saw run `runs` times.
 fn judged(outcome: Outcome, runs: u32) -> Report {
     let ledger = Ledger::default();
-    let account = ledger.account("m");
-    Account::add(&account.runs, runs);
-    Account::add(&account.tokens, runs * TOKENS);
+    let account = ledger.counters("m");
+    RequestCounters::add(&account.runs, runs);
+    RequestCounters::add(&account.output_tokens, runs * TOKENS);
     judge::judge(&mix(), 1, &[outcome], &ledger)
 }
 
--- a/crates/sidecar/src/caches.rs
+++ b/crates/sidecar/src/caches.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use base::stop::StopSignal;
-use clients::engine::{CacheChange, CacheEvents, Engine};
+use clients::engine::{CacheChange, CacheEvents, EngineClient};
 use policy::caches::{BlockChange, CacheMap};
 use spdlog::debug;
 
@@ -28,7 +28,7 @@
     }
 }
 
-async fn fetch(state: &State, engine: &Engine) {
+async fn fetch(state: &State, engine: &EngineClient) {
     let from = state.caches.borrow().next_event();
     match engine.cache_events(from).await {
         Ok(events) => take(&mut state.caches.borrow_mut(), &events),
@@ -42,7 +42,7 @@
 
 fn take(map: &mut CacheMap, events: &CacheEvents) {
     // The numbers began anew: the engine restarted with an empty cache.
-    if events.next < map.next_event() {
+    if events.next_seq < map.next_event() {
         map.reset();
     }
     for event in &events.events {
@@ -50,7 +50,7 @@
             CacheChange::Stored => BlockChange::Stored,
             CacheChange::Removed => BlockChange::Removed,
         };
-        map.apply(event.seq, change, event.block);
+        map.apply(event.seq, change, event.block_hash);
     }
-    map.advance_to(events.next);
+    map.advance_to(events.next_seq);
 }
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -9,9 +9,9 @@
 use base::clock::Clock;
 use base::ids::Offset;
 use base::settings::HumanDuration;
-use clients::log::{self, Log};
-use clients::orders::{Order, Orders};
-use clients::weights::{Permit, Weights};
+use clients::log::{self, LogClient};
+use clients::orders::{Order, OrdersClient};
+use clients::weights::{PermitResponse, WeightStoreClient};
 use policy::backoff;
 use policy::lease::{Lease, LeaseClaim, current_claim};
 use policy::loading::{self, LoadStep, LoadedModel};
@@ -71,9 +71,9 @@
     /// This life of this sidecar, as claims name it.
     holder: String,
     clock: Rc<dyn Clock>,
-    log: Log,
-    engine: Orders,
-    weights: Option<Weights>,
+    log: LogClient,
+    engine: OrdersClient,
+    weights: Option<WeightStoreClient>,
     lease: Option<Lease>,
     /// The highest fencing number that was seen in the log.
     highest: Offset,
@@ -114,7 +114,7 @@
 
 impl Record {
     /// Reads a record; one that is no claim is passed over.
-    fn parse(entry: &log::Entry) -> Option<Self> {
+    fn parse(entry: &log::Record) -> Option<Self> {
         Some(Self {
             offset: entry.offset,
             time_ms: entry.time_ms,
@@ -138,9 +138,9 @@
     #[must_use]
     pub fn new(settings: Settings, holder: String, clock: Rc<dyn Clock>) -> Self {
         Self {
-            log: Log::new(settings.log),
-            engine: Orders::new(settings.addr),
-            weights: settings.weights.map(Weights::new),
+            log: LogClient::new(settings.log),
+            engine: OrdersClient::new(settings.addr),
+            weights: settings.weights.map(WeightStoreClient::new),
             settings,
             holder,
             clock,
@@ -151,7 +151,7 @@
 
     /// Takes one step towards what is `wanted`.
     pub async fn round(&mut self, wanted: &LoadedModel) -> Round {
-        let Ok(standing) = self.engine.standing().await else {
+        let Ok(standing) = self.engine.state().await else {
             return Round::Failed;
         };
         let is = LoadedModel {
@@ -188,7 +188,7 @@
         let Some(fence) = fence.filter(|fence| *fence >= self.highest) else {
             return Round::Lapsed;
         };
-        match self.engine.give(order, fence).await {
+        match self.engine.send(order, fence).await {
             Ok(()) => {
                 let order = format!("{order:?}");
                 info!("order given", kv: { server = self.settings.server.as_str(), fence = fence.0, order = order.as_str() });
@@ -197,9 +197,8 @@
             Err(e) => {
                 warn!("order failed", kv: { server = self.settings.server.as_str(), error = e.to_string().as_str() });
                 match e {
-                    clients::orders::Error::Old { .. } | clients::orders::Error::Refused { .. } => {
-                        Round::Refused
-                    }
+                    clients::orders::Error::StaleFence { .. }
+                    | clients::orders::Error::Refused { .. } => Round::Refused,
                     // Whether it was taken shows in what the engine has.
                     _ => Round::Failed,
                 }
@@ -261,7 +260,7 @@
             };
             from = Offset(last.offset.0 + 1);
             claims.extend(page.records.iter().filter_map(Record::parse));
-            if from >= page.end {
+            if from >= page.end_offset {
                 return Ok((page.now_ms, claims));
             }
         }
@@ -277,10 +276,10 @@
         let began = self.clock.now();
         let mut attempt = 0;
         loop {
-            let after = match weights.permit(what).await {
-                Permit::Granted => return true,
-                Permit::Later(after) => after,
-                Permit::Down => Duration::ZERO,
+            let after = match weights.request_permit(what).await {
+                PermitResponse::Granted => return true,
+                PermitResponse::RetryAfter(after) => after,
+                PermitResponse::Unavailable => Duration::ZERO,
             };
             attempt += 1;
             meter::weight_wait();
--- a/crates/sidecar/src/run/engine.rs
+++ b/crates/sidecar/src/run/engine.rs
@@ -7,7 +7,7 @@
 
 use base::reason::{Executed, Refusal};
 use bytes::Bytes;
-use clients::engine::{Engine, Error, Event};
+use clients::engine::{EngineClient, Error, Event};
 use futures_util::{Stream, StreamExt};
 use spdlog::warn;
 use wire::{Chunk, ResponseEnd};
@@ -32,7 +32,7 @@
 pub(super) async fn complete(
     state: &State,
     entry: &Entry,
-    engine: &Engine,
+    engine: &EngineClient,
     body: Bytes,
 ) -> ResponseEnd {
     let mut run = Run {
@@ -58,7 +58,7 @@
 struct Run<'a> {
     state: &'a State,
     entry: &'a Entry,
-    engine: &'a Engine,
+    engine: &'a EngineClient,
     limits: Streams,
     /// The number of the next token.
     next: u32,
@@ -147,15 +147,15 @@
             match event {
                 Ok(Some(Ok(Event::Token { seq, text }))) => self.token(seq, text)?,
                 Ok(Some(Ok(Event::End {
-                    count,
-                    finish,
-                    cached,
-                }))) if count == self.next => {
+                    token_count,
+                    finish_reason,
+                    cached_tokens,
+                }))) if token_count == self.next => {
                     return Ok(ResponseEnd::Complete {
-                        chunk_count: count,
+                        chunk_count: token_count,
                         status: 200,
-                        finish_reason: finish,
-                        cached_tokens: cached,
+                        finish_reason,
+                        cached_tokens,
                     });
                 }
                 Ok(Some(Ok(Event::End { .. }))) => return Err(Fault::Gap),
--- a/crates/sidecar/src/run/mod.rs
+++ b/crates/sidecar/src/run/mod.rs
@@ -11,7 +11,7 @@
 use base::reason::{Executed, Refusal};
 use bytes::Bytes;
 use clients::engine::Error;
-use clients::plain::Plain;
+use clients::plain::PlainClient;
 use wire::{BackendRequest, Chunk, ResponseEnd};
 
 use crate::health;
@@ -41,7 +41,7 @@
 async fn call(
     state: &State,
     entry: &Entry,
-    plain: &Plain,
+    plain: &PlainClient,
     (method, path, content_type): (&str, &str, &str),
     body: Bytes,
 ) -> ResponseEnd {
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -23,8 +23,8 @@
 use base::clock::Clock;
 use base::ids::{Incarnation, RequestId};
 use base::reason::{Executed, Refusal};
-use clients::engine::Engine;
-use clients::plain::Plain;
+use clients::engine::EngineClient;
+use clients::plain::PlainClient;
 use policy::Queue;
 use policy::caches::CacheMap;
 use policy::queue::{Admission, QueueRequest, Rejection};
@@ -87,9 +87,9 @@
 /// The client of the backend server.
 pub enum Client {
     /// A model engine.
-    Engine(Engine),
+    Engine(EngineClient),
     /// A plain service.
-    Plain(Plain),
+    Plain(PlainClient),
 }
 
 impl State {
@@ -97,8 +97,10 @@
     #[must_use]
     pub fn new(settings: Settings, clock: Rc<dyn Clock>) -> Rc<Self> {
         let backend = match &settings.backend {
-            Backend::Engine { addr, .. } => Client::Engine(Engine::new(*addr)),
-            Backend::Plain { addr, timeout, .. } => Client::Plain(Plain::new(*addr, timeout.0)),
+            Backend::Engine { addr, .. } => Client::Engine(EngineClient::new(*addr)),
+            Backend::Plain { addr, timeout, .. } => {
+                Client::Plain(PlainClient::new(*addr, timeout.0))
+            }
         };
         let queue = Queue::new(settings.queue, settings.backend.slots(), clock.now());
         Rc::new(Self {
--- a/crates/sidecar/tests/caches.rs
+++ b/crates/sidecar/tests/caches.rs
@@ -21,9 +21,13 @@
     HttpResponse::Ok().json(&*http.app_data::<Events>().unwrap().borrow())
 }
 
-fn stored(seq: u64, block: u64) -> CacheEvent {
+fn stored(seq: u64, block_hash: u64) -> CacheEvent {
     let change = CacheChange::Stored;
-    CacheEvent { seq, change, block }
+    CacheEvent {
+        seq,
+        change,
+        block_hash,
+    }
 }
 
 /// Asks for slots until an offer tells of so many cached tokens.
@@ -87,11 +91,11 @@
     let told = async {
         offered(&peer, &mut tickets, 0).await;
         given.borrow_mut().events.push(stored(0, PREFIX));
-        given.borrow_mut().next = 1;
+        given.borrow_mut().next_seq = 1;
         offered(&peer, &mut tickets, 256).await;
 
         given.borrow_mut().events.push(stored(2, 8));
-        given.borrow_mut().next = 3;
+        given.borrow_mut().next_seq = 3;
         offered(&peer, &mut tickets, 0).await;
     };
     let bound = tokio::time::timeout(Duration::from_secs(30), told).await;
--- a/crates/sidecar/tests/orders.rs
+++ b/crates/sidecar/tests/orders.rs
@@ -10,13 +10,13 @@
 use base::ids::Offset;
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
-use clients::orders::{Error, Order, Orders};
+use clients::orders::{Error, Order, OrdersClient};
 use policy::loading::LoadedModel;
 use rstest::rstest;
 use sidecar::orders::{Keeper, Round, Settings};
 use standin::log::Faults as LogFaults;
-use standin::weights::Store;
-use standin::{Control, orders, weights};
+use standin::weights::WeightStore;
+use standin::{FaultControl, orders, weights};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -37,25 +37,25 @@
     engine: SocketAddr,
     log: SocketAddr,
     store: SocketAddr,
-    record: orders::Record,
-    faults: Control<LogFaults>,
-    weights: Store,
+    record: orders::OrderState,
+    faults: FaultControl<LogFaults>,
+    weights: WeightStore,
 }
 
 impl Platform {
-    fn start(checks_fencing: bool, every: HumanDuration) -> Self {
+    fn start(checks_fencing: bool, permit_interval: HumanDuration) -> Self {
         let platform = Self {
             engine: free(),
             log: free(),
             store: free(),
-            record: orders::Record::default(),
-            faults: Control::new(LogFaults::default()),
-            weights: Store::default(),
+            record: orders::OrderState::default(),
+            faults: FaultControl::new(LogFaults::default()),
+            weights: WeightStore::default(),
         };
         let settings = orders::Settings {
             listen: platform.engine,
             checks_fencing,
-            load: HumanDuration::ms(0),
+            load_time: HumanDuration::ms(0),
         };
         actix_rt::spawn(orders::run(
             settings,
@@ -64,7 +64,7 @@
         ));
         let settings = weights::Settings {
             listen: platform.store,
-            every,
+            permit_interval,
             faults: weights::Faults::default(),
         };
         actix_rt::spawn(weights::run(
@@ -115,7 +115,7 @@
             _ => None,
         };
         self.record
-            .taken()
+            .accepted()
             .into_iter()
             .filter_map(version)
             .collect()
@@ -145,7 +145,7 @@
     rounds(&mut keeper, "v1", Round::Given).await;
     rounds(&mut keeper, "v1", Round::Idle).await;
     assert_eq!(platform.versions(), ["v1"]);
-    assert_eq!(platform.weights.given(), ["v1"]);
+    assert_eq!(platform.weights.granted(), ["v1"]);
 }
 
 // A sidecar's host is replaced while the old one still runs. The engine is
@@ -161,7 +161,7 @@
     assert_eq!(platform.versions(), ["v1", "v2"]);
 
     // Numbers only grow.
-    let fences: Vec<Offset> = platform.record.taken().iter().map(|(f, _)| *f).collect();
+    let fences: Vec<Offset> = platform.record.accepted().iter().map(|(f, _)| *f).collect();
     assert!(fences.is_sorted(), "{fences:?}");
 }
 
@@ -200,12 +200,12 @@
     let mut keeper = platform.keeper("a");
     rounds(&mut keeper, "v1", Round::Given).await;
 
-    let client = Orders::new(platform.engine);
+    let client = OrdersClient::new(platform.engine);
     let order = |v: &str| Order::LoadVersion(v.to_owned());
-    client.give(&order("v2"), Offset(90)).await.unwrap();
-    let old = client.give(&order("v1"), Offset(89)).await;
+    client.send(&order("v2"), Offset(90)).await.unwrap();
+    let old = client.send(&order("v1"), Offset(89)).await;
     match checks {
-        true => assert!(matches!(old, Err(Error::Old { .. })), "{old:?}"),
+        true => assert!(matches!(old, Err(Error::StaleFence { .. })), "{old:?}"),
         false => assert!(old.is_ok(), "{old:?}"),
     }
 }
@@ -249,6 +249,6 @@
     for keeper in keepers {
         keeper.await.unwrap();
     }
-    assert_eq!(engines[0].weights.given(), ["v1"; 8]);
+    assert_eq!(engines[0].weights.granted(), ["v1"; 8]);
     assert!(engines.iter().all(|e| e.versions() == ["v1"]));
 }
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -5,11 +5,11 @@
 /// A stand-in's faults as one value that whoever runs it can change at any
 /// time; clones share it, on whatever thread they live.
 #[derive(Debug, Default)]
-pub struct Control<T> {
+pub struct FaultControl<T> {
     faults: Arc<Mutex<T>>,
 }
 
-impl<T> Clone for Control<T> {
+impl<T> Clone for FaultControl<T> {
     fn clone(&self) -> Self {
         Self {
             faults: Arc::clone(&self.faults),
@@ -17,7 +17,7 @@
     }
 }
 
-impl<T: Clone> Control<T> {
+impl<T: Clone> FaultControl<T> {
     /// Makes a control that starts with the given faults.
     #[must_use]
     pub fn new(faults: T) -> Self {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -7,11 +7,11 @@
 //!
 //! - [`batch`]: the requests and the steps.
 //! - [`cache`]: the prefix cache with limited memory, and its events.
-//! - [`answer`]: the events of an answer.
+//! - [`response`]: the events of an answer.
 
-pub mod answer;
 pub mod batch;
 pub mod cache;
+pub mod response;
 
 use std::collections::HashMap;
 use std::io;
@@ -23,15 +23,15 @@
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
 use bytes::Bytes;
-use clients::engine::{PRIORITY, REQUEST_ID};
+use clients::engine::{PRIORITY_HEADER, REQUEST_ID_HEADER};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-use crate::control::Control;
+use crate::control::FaultControl;
 use crate::ledger::Ledger;
-use batch::{Batch, Job};
+use batch::{Batch, NewRequest};
 
 /// Largest request body, in bytes.
 const BODY_LIMIT: usize = 8 << 20;
@@ -49,20 +49,20 @@
     #[serde(default = "default_slots")]
     pub slots: usize,
     /// Time of one step with one request.
-    #[serde(default = "default_step")]
-    pub step: HumanDuration,
+    #[serde(default = "default_step", rename = "step")]
+    pub step_time: HumanDuration,
     /// Time that each further request adds to a step.
-    #[serde(default = "default_extra")]
-    pub extra: HumanDuration,
+    #[serde(default = "default_extra", rename = "extra")]
+    pub request_overhead: HumanDuration,
     /// Prompt tokens computed in one step, over the whole batch.
-    #[serde(default = "default_prefill")]
-    pub prefill: u32,
+    #[serde(default = "default_prefill", rename = "prefill")]
+    pub prefill_tokens: u32,
     /// Tokens that fit into the prefix cache.
-    #[serde(default = "default_cache")]
-    pub cache: u32,
+    #[serde(default = "default_cache", rename = "cache")]
+    pub cache_tokens: u32,
     /// How long an ended stream can still be resumed.
-    #[serde(default = "default_keep")]
-    pub keep: HumanDuration,
+    #[serde(default = "default_keep", rename = "keep")]
+    pub resume_window: HumanDuration,
     /// Faults from the start on; changed by `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
@@ -77,15 +77,18 @@
     /// How old a cache event is when it is given out.
     pub event_lag: HumanDuration,
     /// Share of cache events that are never given out.
-    pub event_gap: f64,
+    #[serde(rename = "event_gap")]
+    pub event_loss: f64,
     /// By how much each step takes longer; 4 makes it four times slower.
-    pub pace: f64,
+    #[serde(rename = "pace")]
+    pub slowdown: f64,
     /// Whether it is down: connections are dropped, its state is lost, and
     /// new connections are refused.
     pub crashed: bool,
     /// Streams open when this number grows get nothing more for good, while
     /// new ones work.
-    pub muted: u32,
+    #[serde(rename = "muted")]
+    pub mute_generation: u32,
 }
 
 impl Default for Faults {
@@ -93,10 +96,10 @@
         Self {
             report_lag: HumanDuration::default(),
             event_lag: HumanDuration::default(),
-            event_gap: 0.0,
-            pace: 1.0,
+            event_loss: 0.0,
+            slowdown: 1.0,
             crashed: false,
-            muted: 0,
+            mute_generation: 0,
         }
     }
 }
@@ -131,7 +134,7 @@
 ///
 /// Returns the error when the engine cannot listen.
 pub async fn run(settings: Settings, ledger: Ledger, stop: StopSignal) -> io::Result<()> {
-    let faults = Control::new(settings.faults.clone());
+    let faults = FaultControl::new(settings.faults.clone());
     run_with(settings, faults, ledger, stop).await
 }
 
@@ -142,46 +145,46 @@
 /// Returns the error when the engine cannot listen.
 pub async fn run_with(
     settings: Settings,
-    faults: Control<Faults>,
+    faults: FaultControl<Faults>,
     ledger: Ledger,
     stop: StopSignal,
 ) -> io::Result<()> {
     loop {
-        let lived = live(&settings, &faults, &ledger, &stop);
+        let serving = run_until_stopped(&settings, &faults, &ledger, &stop);
         // All tasks of one life, connections among them, belong to a set of
         // their own. Dropping it closes the sockets as a crash would.
-        let life = LocalSet::new();
+        let tasks = LocalSet::new();
         tokio::select! {
-            ended = life.run_until(lived) => return ended,
-            () = until(&faults, |f| f.crashed) => {}
+            ended = tasks.run_until(serving) => return ended,
+            () = wait_for_faults(&faults, |f| f.crashed) => {}
         }
-        drop(life);
+        drop(tasks);
 
         tokio::select! {
-            () = until(&faults, |f| !f.crashed) => {}
+            () = wait_for_faults(&faults, |f| !f.crashed) => {}
             () = stop.wait() => return Ok(()),
         }
     }
 }
 
-/// Waits until the faults are as wanted.
-async fn until(faults: &Control<Faults>, wanted: impl Fn(&Faults) -> bool) {
-    while !wanted(&faults.get()) {
+/// Waits until the faults are as condition.
+async fn wait_for_faults(faults: &FaultControl<Faults>, condition: impl Fn(&Faults) -> bool) {
+    while !condition(&faults.get()) {
         tokio::time::sleep(CRASH_POLL).await;
     }
 }
 
 /// One life of the engine, which begins with nothing cached and nothing known.
-async fn live(
+async fn run_until_stopped(
     settings: &Settings,
-    faults: &Control<Faults>,
+    faults: &FaultControl<Faults>,
     ledger: &Ledger,
     stop: &StopSignal,
 ) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     let batch = Batch::new(settings.clone(), faults.clone(), ledger.clone());
-    actix_rt::spawn(batch::step(Rc::clone(&batch), stop.clone()));
-    actix_rt::spawn(batch::observe(Rc::clone(&batch), stop.clone()));
+    actix_rt::spawn(batch::run_steps(Rc::clone(&batch), stop.clone()));
+    actix_rt::spawn(batch::sample_load(Rc::clone(&batch), stop.clone()));
 
     let app = App::new()
         .app_data(web::PayloadConfig::new(BODY_LIMIT))
@@ -189,7 +192,7 @@
         .route("/v1/completions", web::post().to(complete))
         .route("/v1/streams/{id}", web::get().to(resume))
         .route("/v1/streams/{id}", web::delete().to(cancel))
-        .route("/v1/load", web::get().to(load))
+        .route("/v1/load", web::get().to(load_report))
         .route("/v1/cache/events", web::get().to(cache_events))
         .route("/faults", web::put().to(set_faults))
         .route("/ledger", web::get().to(show_ledger));
@@ -199,7 +202,7 @@
 /// What the stand-in reads of a request. `mark` and `length` are its own:
 /// the router passes them on without knowing them.
 #[derive(Debug, Deserialize)]
-struct Body {
+struct CompletionBody {
     #[serde(default)]
     prompt: Value,
     #[serde(default)]
@@ -230,34 +233,36 @@
     let Some(batch) = http.app_data::<Rc<Batch>>() else {
         return HttpResponse::InternalServerError().finish();
     };
-    let Ok(body) = serde_json::from_slice::<Body>(&body) else {
+    let Ok(body) = serde_json::from_slice::<CompletionBody>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
     let header = |name| http.headers().get(name).and_then(|v| v.to_str().ok());
 
     let mut text = String::new();
-    append(&mut text, &body.prompt);
+    append_text(&mut text, &body.prompt);
     for message in &body.messages {
-        append(&mut text, &message.content);
+        append_text(&mut text, &message.content);
     }
-    let request = batch.submit(&Job {
-        id: header(REQUEST_ID).unwrap_or_default(),
+    let request = batch.submit(&NewRequest {
+        id: header(REQUEST_ID_HEADER).unwrap_or_default(),
         mark: &body.mark,
-        priority: header(PRIORITY).and_then(|p| p.parse().ok()).unwrap_or(0),
-        length: body.length.min(body.max_tokens).max(1),
+        priority: header(PRIORITY_HEADER)
+            .and_then(|p| p.parse().ok())
+            .unwrap_or(0),
+        output_length: body.length.min(body.max_tokens).max(1),
         text: text.as_bytes(),
     });
-    answer::events(Rc::clone(batch), request, 0)
+    response::stream_events(Rc::clone(batch), request, 0)
 }
 
 /// Appends a prompt or content, a text or a list of texts or parts.
-fn append(out: &mut String, value: &Value) {
+fn append_text(out: &mut String, value: &Value) {
     match value {
         Value::String(text) => out.push_str(text),
-        Value::Array(items) => items.iter().for_each(|item| append(out, item)),
+        Value::Array(items) => items.iter().for_each(|item| append_text(out, item)),
         Value::Object(part) => {
             if let Some(text) = part.get("text") {
-                append(out, text);
+                append_text(out, text);
             }
         }
         _ => {}
@@ -276,7 +281,7 @@
     match batch.find(&id) {
         Some(request) => {
             let from = query.get("from").copied().unwrap_or(0);
-            answer::events(Rc::clone(batch), request, from)
+            response::stream_events(Rc::clone(batch), request, from)
         }
         None => HttpResponse::NotFound().finish(),
     }
@@ -292,7 +297,7 @@
 }
 
 /// Gives out a load report, as old as the faults say.
-async fn load(http: HttpRequest) -> HttpResponse {
+async fn load_report(http: HttpRequest) -> HttpResponse {
     match http.app_data::<Rc<Batch>>() {
         Some(batch) => HttpResponse::Ok().json(batch.report()),
         None => HttpResponse::InternalServerError().finish(),
@@ -320,7 +325,7 @@
 /// Gives out what the stand-in saw.
 async fn show_ledger(http: HttpRequest) -> HttpResponse {
     match http.app_data::<Rc<Batch>>() {
-        Some(batch) => HttpResponse::Ok().json(batch.ledger.all()),
+        Some(batch) => HttpResponse::Ok().json(batch.ledger.all_counts()),
         None => HttpResponse::InternalServerError().finish(),
     }
 }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -12,23 +12,23 @@
 pub const BLOCK_TOKENS: u32 = 256;
 
 /// Events that are kept for readers.
-const EVENTS_KEPT: usize = 10_000;
+const MAX_EVENTS: usize = 10_000;
 
 /// Blocks of prompts computed lately. A block is known by the hash of the
-/// whole prompt up to its end, so a block is found only after the same prefix.
+/// whole prompt up to its end, so a block is present only after the same prefix.
 #[derive(Debug)]
 pub struct Cache {
     /// Most blocks that fit.
-    limit: usize,
-    /// When each block was used last, as a count of uses.
-    used: HashMap<u64, u64>,
+    max_blocks: usize,
+    /// When each block was last_use last, as a count of use_count.
+    last_use: HashMap<u64, u64>,
     /// The blocks by that count, the one unused for longest first.
-    order: BTreeMap<u64, u64>,
-    uses: u64,
+    lru_order: BTreeMap<u64, u64>,
+    use_count: u64,
     /// Events with the time at which each came up.
     events: VecDeque<(Instant, CacheEvent)>,
-    /// The number of the next event.
-    next: u64,
+    /// The number of the next_seq event.
+    next_seq: u64,
 }
 
 impl Cache {
@@ -36,12 +36,12 @@
     #[must_use]
     pub fn new(tokens: u32) -> Self {
         Self {
-            limit: (tokens / BLOCK_TOKENS) as usize,
-            used: HashMap::new(),
-            order: BTreeMap::new(),
-            uses: 0,
+            max_blocks: (tokens / BLOCK_TOKENS) as usize,
+            last_use: HashMap::new(),
+            lru_order: BTreeMap::new(),
+            use_count: 0,
             events: VecDeque::new(),
-            next: 0,
+            next_seq: 0,
         }
     }
 
@@ -49,14 +49,14 @@
     /// cached before. What was not is cached from now on.
     pub fn admit(&mut self, text: &[u8], now: Instant) -> u32 {
         let mut cached = 0;
-        let mut leading = true;
+        let mut prefix_cached = true;
         for i in 1..=text.len() / BLOCK_BYTES {
             let block = rapidhash::v3::rapidhash_v3(&text[..i * BLOCK_BYTES]);
-            let found = self.touch(block);
-            leading &= found;
-            cached += if leading { BLOCK_TOKENS } else { 0 };
-            if !found {
-                self.note(CacheChange::Stored, block, now);
+            let present = self.touch(block);
+            prefix_cached &= present;
+            cached += if prefix_cached { BLOCK_TOKENS } else { 0 };
+            if !present {
+                self.push_event(CacheChange::Stored, block, now);
             }
         }
         self.evict(now);
@@ -71,36 +71,36 @@
         events.filter(|e| e.seq >= from).collect()
     }
 
-    /// Marks a block as used now; tells whether it was there before.
+    /// Marks a block as last_use now; tells whether it was there before.
     fn touch(&mut self, block: u64) -> bool {
-        self.uses += 1;
-        let before = self.used.insert(block, self.uses);
+        self.use_count += 1;
+        let before = self.last_use.insert(block, self.use_count);
         if let Some(before) = before {
-            self.order.remove(&before);
+            self.lru_order.remove(&before);
         }
-        self.order.insert(self.uses, block);
+        self.lru_order.insert(self.use_count, block);
         before.is_some()
     }
 
     fn evict(&mut self, now: Instant) {
-        while self.used.len() > self.limit {
-            let Some((_, block)) = self.order.pop_first() else {
+        while self.last_use.len() > self.max_blocks {
+            let Some((_, block)) = self.lru_order.pop_first() else {
                 return;
             };
-            self.used.remove(&block);
-            self.note(CacheChange::Removed, block, now);
+            self.last_use.remove(&block);
+            self.push_event(CacheChange::Removed, block, now);
         }
     }
 
-    fn note(&mut self, change: CacheChange, block: u64, now: Instant) {
+    fn push_event(&mut self, change: CacheChange, block_hash: u64, now: Instant) {
         let event = CacheEvent {
-            seq: self.next,
+            seq: self.next_seq,
             change,
-            block,
+            block_hash,
         };
-        self.next += 1;
+        self.next_seq += 1;
         self.events.push_back((now, event));
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/standin/src/engine/answer.rs
+++ b/crates/standin/src/engine/response.rs
@@ -10,59 +10,59 @@
 
 use super::batch::{Batch, Request};
 
-/// A reader of one answer.
-struct Reader {
+/// A stream_state of one answer.
+struct EventStream {
     batch: Rc<Batch>,
     request: Rc<Request>,
-    /// The number of the next token.
-    next: u32,
+    /// The number of the next_seq token.
+    next_seq: u32,
     /// The faults' count of mutings when the stream was opened.
-    muted: u32,
+    mute_generation: u32,
 }
 
 /// The events of a request from token number `from` on.
-pub(super) fn events(batch: Rc<Batch>, request: Rc<Request>, from: u32) -> HttpResponse {
-    let muted = batch.faults.get().muted;
-    let reader = Reader {
+pub(super) fn stream_events(batch: Rc<Batch>, request: Rc<Request>, from: u32) -> HttpResponse {
+    let mute_generation = batch.faults.get().mute_generation;
+    let stream_state = EventStream {
         batch,
         request,
-        next: from,
-        muted,
+        next_seq: from,
+        mute_generation,
     };
-    let body = stream::unfold(Some(reader), |reader| async move {
-        let mut reader = reader?;
-        let (text, over) = reader.more().await?;
-        let reader = (!over).then_some(reader);
-        Some((Ok::<_, io::Error>(Bytes::from(text)), reader))
+    let body = stream::unfold(Some(stream_state), |stream_state| async move {
+        let mut stream_state = stream_state?;
+        let (text, finished) = stream_state.next_events().await?;
+        let stream_state = (!finished).then_some(stream_state);
+        Some((Ok::<_, io::Error>(Bytes::from(text)), stream_state))
     });
     HttpResponse::Ok()
         .content_type("text/event-stream")
         .streaming(body)
 }
 
-impl Reader {
+impl EventStream {
     /// Waits for further tokens; the flag says that the answer is whole.
-    async fn more(&mut self) -> Option<(String, bool)> {
+    async fn next_events(&mut self) -> Option<(String, bool)> {
         loop {
             let changed = self.request.changed.notified();
             if self.request.cancelled.get() {
                 return None;
             }
-            if self.batch.faults.get().muted != self.muted {
+            if self.batch.faults.get().mute_generation != self.mute_generation {
                 std::future::pending::<()>().await;
             }
 
             let mut text = String::new();
-            while self.next < self.request.made.get() {
-                write_token(&mut text, &self.request, self.next);
-                self.next += 1;
+            while self.next_seq < self.request.generated.get() {
+                write_token(&mut text, &self.request, self.next_seq);
+                self.next_seq += 1;
             }
-            let over = self.request.ended.get().is_some();
-            if over {
+            let finished = self.request.ended_at.get().is_some();
+            if finished {
                 write_end(&mut text, &self.request);
             }
             if !text.is_empty() {
-                return Some((text, over));
+                return Some((text, finished));
             }
             changed.await;
         }
@@ -87,14 +87,14 @@
         text: String::new(),
         finish_reason: Some("stop".to_owned()),
     };
-    let made = request.made.get();
+    let generated = request.generated.get();
     let usage = Usage {
-        prompt_tokens: request.prompt,
-        completion_tokens: made,
-        cached_tokens: request.cached,
+        prompt_tokens: request.prompt_tokens,
+        completion_tokens: generated,
+        cached_tokens: request.cached_tokens,
     };
     let chunk = Chunk {
-        seq: made,
+        seq: generated,
         choices: vec![choice],
         usage: Some(usage),
     };
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -9,11 +9,11 @@
 use actix_web::{App, HttpRequest, HttpResponse, web};
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
-use clients::hosts::{Host, List, Standing};
+use clients::hosts::{Host, HostList, HostStatus};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-use crate::control::Control;
+use crate::control::FaultControl;
 
 /// Settings of the host list's stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -43,17 +43,17 @@
     pub outage: bool,
 }
 
-/// The hosts as they really are, with their past; clones share one record.
+/// The hosts as they really are, with their history; clones share one record.
 #[derive(Debug, Clone)]
 pub struct Registry {
-    inner: Arc<Mutex<Past>>,
+    inner: Arc<Mutex<History>>,
     /// What is wrong, changed while the list is served.
-    pub control: Control<Faults>,
+    pub control: FaultControl<Faults>,
 }
 
 /// Every version of the list, so that an old one can be served.
 #[derive(Debug)]
-struct Past {
+struct History {
     versions: Vec<(Instant, Arc<Vec<Host>>)>,
     /// The version that was served last.
     served: usize,
@@ -63,13 +63,13 @@
     /// Makes a registry with the given hosts.
     #[must_use]
     pub fn new(hosts: Vec<Host>) -> Self {
-        let past = Past {
+        let history = History {
             versions: vec![(Instant::now(), Arc::new(hosts))],
             served: 0,
         };
         Self {
-            inner: Arc::new(Mutex::new(past)),
-            control: Control::default(),
+            inner: Arc::new(Mutex::new(history)),
+            control: FaultControl::default(),
         }
     }
 
@@ -82,11 +82,11 @@
     }
 
     /// Marks a host as about to go away.
-    pub fn leave(&self, name: &str) {
+    pub fn mark_leaving(&self, name: &str) {
         self.change(|hosts| {
             let found = hosts.iter_mut().find(|h| h.name == name);
             if let Some(host) = found {
-                host.standing = Standing::Leaving;
+                host.status = HostStatus::Leaving;
             }
         });
     }
@@ -97,28 +97,28 @@
     }
 
     fn change(&self, change: impl FnOnce(&mut Vec<Host>)) {
-        let mut past = self.lock();
-        let last = past.versions.last().map(|(_, hosts)| hosts.as_ref());
+        let mut history = self.lock();
+        let last = history.versions.last().map(|(_, hosts)| hosts.as_ref());
         let mut hosts = last.cloned().unwrap_or_default();
         change(&mut hosts);
-        past.versions.push((Instant::now(), Arc::new(hosts)));
+        history.versions.push((Instant::now(), Arc::new(hosts)));
     }
 
-    /// The version that is shown now, with its number.
-    fn shown(&self, now: Instant) -> (usize, Arc<Vec<Host>>) {
+    /// The version that is visible_version now, with its number.
+    fn visible_version(&self, now: Instant) -> (usize, Arc<Vec<Host>>) {
         let faults = self.control.get();
-        let mut past = self.lock();
+        let mut history = self.lock();
         if !faults.frozen {
-            let old = |(at, _): &&(Instant, _)| now.duration_since(*at) >= faults.lag.0;
-            let count = past.versions.iter().take_while(old).count();
-            // The first version is shown however young it is.
-            past.served = count.saturating_sub(1);
+            let visible = |(at, _): &&(Instant, _)| now.duration_since(*at) >= faults.lag.0;
+            let count = history.versions.iter().take_while(visible).count();
+            // The first version is visible_version however young it is.
+            history.served = count.saturating_sub(1);
         }
-        let served = past.served;
-        (served, Arc::clone(&past.versions[served].1))
+        let served = history.served;
+        (served, Arc::clone(&history.versions[served].1))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Past> {
+    fn lock(&self) -> MutexGuard<'_, History> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -136,7 +136,7 @@
         .route("/hosts", web::get().to(list))
         .route("/hosts/{name}", web::put().to(put))
         .route("/hosts/{name}", web::delete().to(remove))
-        .route("/faults", web::put().to(faults));
+        .route("/faults", web::put().to(set_faults));
     base::http::serve(listener, app, stop).await
 }
 
@@ -156,10 +156,10 @@
         return HttpResponse::ServiceUnavailable().finish();
     }
     if faults.empty {
-        return HttpResponse::Ok().json(List::default());
+        return HttpResponse::Ok().json(HostList::default());
     }
 
-    let (version, hosts) = registry.shown(Instant::now());
+    let (version, hosts) = registry.visible_version(Instant::now());
     let tag = format!("\"{version}\"");
     let known = http.headers().get(IF_NONE_MATCH);
     if known.is_some_and(|v| v.as_bytes() == tag.as_bytes()) {
@@ -169,7 +169,7 @@
     let hosts = hosts.iter().filter(wanted).cloned().collect();
     HttpResponse::Ok()
         .insert_header((ETAG, tag))
-        .json(List { hosts })
+        .json(HostList { hosts })
 }
 
 async fn put(http: HttpRequest, name: web::Path<String>, host: web::Json<Host>) -> HttpResponse {
@@ -191,7 +191,7 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn faults(http: HttpRequest, faults: web::Json<Faults>) -> HttpResponse {
+async fn set_faults(http: HttpRequest, faults: web::Json<Faults>) -> HttpResponse {
     let Some(registry) = http.app_data::<Registry>() else {
         return HttpResponse::InternalServerError().finish();
     };
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`orders`]: the side of an engine that takes orders.
 //! - [`weights`]: the weight store.
 //! - [`plain`]: a plain service.
-//! - [`silence`]: a forwarder whose connections can go silent.
+//! - [`proxy`]: a forwarder whose connections can go silent.
 
 pub mod control;
 pub mod engine;
@@ -17,8 +17,8 @@
 pub mod log;
 pub mod orders;
 pub mod plain;
-pub mod silence;
+pub mod proxy;
 pub mod weights;
 
-pub use control::Control;
+pub use control::FaultControl;
 pub use ledger::Ledger;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,6 +1,6 @@
 //! The platform's append-only log, in memory.
 //!
-//! Faults are changed through [`Control`] by whoever runs it, or by hand with
+//! Faults are changed through [`FaultControl`] by whoever runs it, or by hand with
 //! `PUT /faults`.
 
 use std::cell::{Cell, RefCell};
@@ -15,12 +15,12 @@
 use base::ids::Offset;
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
-use clients::log::{Append, Entry, Page, Place};
+use clients::log::{AppendRequest, Page, Record, RecordLocation};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-use crate::control::Control;
+use crate::control::FaultControl;
 
 /// Largest record, in bytes.
 const RECORD_LIMIT: usize = 1 << 20;
@@ -46,21 +46,25 @@
     /// Every call fails, without effect.
     pub down: bool,
     /// Every call takes this much longer.
-    pub slow: HumanDuration,
-    /// So many of the next appends take effect and lose their reply.
-    pub lose: u32,
+    #[serde(rename = "slow")]
+    pub response_delay: HumanDuration,
+    /// So many of the next appends take effect and lost_replies their reply.
+    #[serde(rename = "lose")]
+    pub lost_replies: u32,
     /// How long a lost reply holds its caller before it fails.
-    pub hold: HumanDuration,
+    #[serde(rename = "hold")]
+    pub loss_delay: HumanDuration,
     /// How long records are kept; for ever when zero.
     pub retention: HumanDuration,
-    /// Appends allowed each second; no limit when zero.
-    pub rate: u32,
+    /// Appends count_append each second; no limit when zero.
+    #[serde(rename = "rate")]
+    pub append_rate: u32,
 }
 
 /// A running log.
-struct Log {
+struct LogState {
     streams: RefCell<HashMap<String, Stream>>,
-    control: Control<Faults>,
+    control: FaultControl<Faults>,
     /// Wakes readers that wait for a record.
     changed: Notify,
     /// The second that is being counted, and the appends in it.
@@ -72,12 +76,12 @@
 struct Stream {
     /// The offset of the oldest record.
     first: u64,
-    records: VecDeque<(Entry, Instant)>,
+    records: VecDeque<(Record, Instant)>,
 }
 
 /// The query of a read.
 #[derive(Debug, Deserialize)]
-struct Read {
+struct ReadQuery {
     #[serde(default)]
     from: u64,
     #[serde(default = "default_limit")]
@@ -95,7 +99,11 @@
 /// # Errors
 ///
 /// Returns the error when the log cannot listen.
-pub async fn run(settings: Settings, control: Control<Faults>, stop: StopSignal) -> io::Result<()> {
+pub async fn run(
+    settings: Settings,
+    control: FaultControl<Faults>,
+    stop: StopSignal,
+) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     serve(listener, control, stop).await
 }
@@ -107,10 +115,10 @@
 /// Returns the error when the log cannot be set up.
 pub async fn serve(
     listener: TcpListener,
-    control: Control<Faults>,
+    control: FaultControl<Faults>,
     stop: StopSignal,
 ) -> io::Result<()> {
-    let log = Rc::new(Log {
+    let log = Rc::new(LogState {
         streams: RefCell::default(),
         control,
         changed: Notify::new(),
@@ -120,7 +128,7 @@
         .app_data(web::PayloadConfig::new(2 * RECORD_LIMIT))
         .app_data(web::JsonConfig::default().limit(2 * RECORD_LIMIT))
         .app_data(log)
-        .route("/faults", web::put().to(faults))
+        .route("/faults", web::put().to(set_faults))
         .route("/v1/streams/{stream}/records", web::post().to(append))
         .route("/v1/streams/{stream}/records", web::get().to(read))
         .route("/v1/streams/{stream}/records/{id}", web::get().to(find));
@@ -128,8 +136,8 @@
 }
 
 /// Replaces the faults.
-async fn faults(http: HttpRequest, body: web::Json<Faults>) -> HttpResponse {
-    if let Some(log) = http.app_data::<Rc<Log>>() {
+async fn set_faults(http: HttpRequest, body: web::Json<Faults>) -> HttpResponse {
+    if let Some(log) = http.app_data::<Rc<LogState>>() {
         log.control.change(|f| *f = body.into_inner());
     }
     HttpResponse::NoContent().finish()
@@ -138,32 +146,32 @@
 async fn append(
     http: HttpRequest,
     stream: web::Path<String>,
-    body: web::Json<Append>,
+    body: web::Json<AppendRequest>,
 ) -> HttpResponse {
-    let log = match reached(&http).await {
+    let log = match reach_log(&http).await {
         Ok(log) => log,
         Err(response) => return response,
     };
-    let Append { id, body } = body.into_inner();
+    let AppendRequest { id, body } = body.into_inner();
     if body.len() > RECORD_LIMIT {
         return HttpResponse::PayloadTooLarge().finish();
     }
-    if !log.allowed() {
+    if !log.count_append() {
         return HttpResponse::TooManyRequests().finish();
     }
 
-    let offset = log.put(&stream, id, body);
-    if let Some(hold) = log.loses() {
+    let offset = log.append_record(&stream, id, body);
+    if let Some(hold) = log.take_lost_reply() {
         tokio::time::sleep(hold).await;
         return HttpResponse::GatewayTimeout().finish();
     }
-    HttpResponse::Ok().json(Place {
+    HttpResponse::Ok().json(RecordLocation {
         offset: Some(offset),
     })
 }
 
 async fn find(http: HttpRequest, path: web::Path<(String, String)>) -> HttpResponse {
-    let log = match reached(&http).await {
+    let log = match reach_log(&http).await {
         Ok(log) => log,
         Err(response) => return response,
     };
@@ -171,20 +179,24 @@
     let streams = log.expire();
     let records = streams.get(&stream).map(|s| s.records.iter());
     let found = records.into_iter().flatten().find(|(e, _)| e.id == id);
-    HttpResponse::Ok().json(Place {
+    HttpResponse::Ok().json(RecordLocation {
         offset: found.map(|(e, _)| e.offset),
     })
 }
 
-async fn read(http: HttpRequest, stream: web::Path<String>, ask: web::Query<Read>) -> HttpResponse {
-    let log = match reached(&http).await {
+async fn read(
+    http: HttpRequest,
+    stream: web::Path<String>,
+    query: web::Query<ReadQuery>,
+) -> HttpResponse {
+    let log = match reach_log(&http).await {
         Ok(log) => log,
         Err(response) => return response,
     };
-    let until = Instant::now() + Duration::from_millis(ask.wait_ms);
+    let until = Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         let changed = log.changed.notified();
-        let page = log.page(&stream, &ask);
+        let page = log.read_page(&stream, &query);
         let left = until.saturating_duration_since(Instant::now());
         if !page.records.is_empty() || left.is_zero() {
             return HttpResponse::Ok().json(page);
@@ -197,14 +209,14 @@
 }
 
 /// The log, if a call gets through to it.
-async fn reached(http: &HttpRequest) -> Result<Rc<Log>, HttpResponse> {
+async fn reach_log(http: &HttpRequest) -> Result<Rc<LogState>, HttpResponse> {
     let fail = |status| HttpResponse::new(status);
-    let log = http.app_data::<Rc<Log>>().cloned();
+    let log = http.app_data::<Rc<LogState>>().cloned();
     let log = log.ok_or_else(|| fail(StatusCode::INTERNAL_SERVER_ERROR))?;
 
-    let slow = log.control.get().slow.0;
-    if !slow.is_zero() {
-        tokio::time::sleep(slow).await;
+    let response_delay = log.control.get().response_delay.0;
+    if !response_delay.is_zero() {
+        tokio::time::sleep(response_delay).await;
     }
     match log.control.get().down {
         true => Err(fail(StatusCode::SERVICE_UNAVAILABLE)),
@@ -212,11 +224,11 @@
     }
 }
 
-impl Log {
+impl LogState {
     /// Whether the rate allows one more append now.
-    fn allowed(&self) -> bool {
-        let rate = self.control.get().rate;
-        let second = wall_ms() / 1000;
+    fn count_append(&self) -> bool {
+        let rate = self.control.get().append_rate;
+        let second = unix_time_ms() / 1000;
         let (counted, used) = self.window.get();
         let used = if counted == second { used } else { 0 };
         self.window.set((second, used + 1));
@@ -224,55 +236,56 @@
     }
 
     /// Whether the reply of this append is lost, and how long it hangs.
-    fn loses(&self) -> Option<Duration> {
+    fn take_lost_reply(&self) -> Option<Duration> {
         let faults = self.control.get();
-        let lost = faults.lose > 0;
-        self.control.change(|f| f.lose = f.lose.saturating_sub(1));
-        lost.then_some(faults.hold.0)
+        let lost = faults.lost_replies > 0;
+        self.control
+            .change(|f| f.lost_replies = f.lost_replies.saturating_sub(1));
+        lost.then_some(faults.loss_delay.0)
     }
 
-    fn put(&self, stream: &str, id: String, body: String) -> Offset {
+    fn append_record(&self, stream: &str, id: String, body: String) -> Offset {
         let mut streams = self.expire();
         let stream = streams.entry(stream.to_owned()).or_default();
-        let offset = Offset(stream.end());
-        let entry = Entry {
+        let offset = Offset(stream.end_offset());
+        let record = Record {
             offset,
             id,
-            time_ms: wall_ms(),
+            time_ms: unix_time_ms(),
             body,
         };
-        stream.records.push_back((entry, Instant::now()));
+        stream.records.push_back((record, Instant::now()));
         drop(streams);
         self.changed.notify_waiters();
         offset
     }
 
-    fn page(&self, stream: &str, ask: &Read) -> Page {
+    fn read_page(&self, stream: &str, query: &ReadQuery) -> Page {
         let streams = self.expire();
         let mut page = Page {
-            now_ms: wall_ms(),
+            now_ms: unix_time_ms(),
             retention_ms: u64::try_from(self.control.get().retention.0.as_millis()).unwrap_or(0),
             ..Page::default()
         };
         let Some(stream) = streams.get(stream) else {
             return page;
         };
-        page.first = Offset(stream.first);
-        page.end = Offset(stream.end());
+        page.first_offset = Offset(stream.first);
+        page.end_offset = Offset(stream.end_offset());
 
-        let skip = ask.from.saturating_sub(stream.first);
+        let skip = query.from.saturating_sub(stream.first);
         let mut size = 0;
-        for (entry, _) in stream
+        for (record, _) in stream
             .records
             .iter()
             .skip(usize::try_from(skip).unwrap_or(usize::MAX))
         {
-            size += entry.body.len();
-            let full = page.records.len() == ask.limit || size > PAGE_LIMIT;
+            size += record.body.len();
+            let full = page.records.len() == query.limit || size > PAGE_LIMIT;
             if full && !page.records.is_empty() {
                 break;
             }
-            page.records.push(entry.clone());
+            page.records.push(record.clone());
         }
         page
     }
@@ -299,12 +312,12 @@
 }
 
 impl Stream {
-    fn end(&self) -> u64 {
+    fn end_offset(&self) -> u64 {
         self.first + self.records.len() as u64
     }
 }
 
-fn wall_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(0))
 }
--- a/crates/standin/src/orders.rs
+++ b/crates/standin/src/orders.rs
@@ -9,7 +9,7 @@
 use base::ids::Offset;
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
-use clients::orders::{FENCE, Order, Standing};
+use clients::orders::{EngineState, FENCING_HEADER, Order};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
@@ -23,37 +23,37 @@
     #[serde(default)]
     pub checks_fencing: bool,
     /// How long one load takes.
-    #[serde(default)]
-    pub load: HumanDuration,
+    #[serde(default, rename = "load")]
+    pub load_time: HumanDuration,
 }
 
 /// What an engine was ordered; clones share it.
 #[derive(Debug, Clone, Default)]
-pub struct Record {
+pub struct OrderState {
     inner: Arc<Mutex<Inner>>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    standing: Standing,
+    engine_state: EngineState,
     /// The order that is being carried out, and when it is done.
     loading: Option<(Order, Instant)>,
-    /// The highest fencing number that came.
-    highest: u64,
-    taken: Vec<(Offset, Order)>,
+    /// The highest_fence fencing number that came.
+    highest_fence: u64,
+    accepted: Vec<(Offset, Order)>,
 }
 
-impl Record {
-    /// The orders that were taken, with their fencing numbers.
+impl OrderState {
+    /// The orders that were accepted, with their fencing numbers.
     #[must_use]
-    pub fn taken(&self) -> Vec<(Offset, Order)> {
-        self.lock().taken.clone()
+    pub fn accepted(&self) -> Vec<(Offset, Order)> {
+        self.lock().accepted.clone()
     }
 
-    /// What the engine has now.
+    /// What the engine has refresh.
     #[must_use]
-    pub fn standing(&self) -> Standing {
-        self.lock().now()
+    pub fn engine_state(&self) -> EngineState {
+        self.lock().refresh()
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -62,7 +62,7 @@
 }
 
 impl Inner {
-    fn now(&mut self) -> Standing {
+    fn refresh(&mut self) -> EngineState {
         if self
             .loading
             .as_ref()
@@ -71,16 +71,16 @@
         {
             self.finish(order);
         }
-        Standing {
+        EngineState {
             loading: self.loading.is_some(),
-            ..self.standing.clone()
+            ..self.engine_state.clone()
         }
     }
 
-    fn take(&mut self, fence: u64, order: Order, load: Duration) {
-        self.now();
-        self.highest = self.highest.max(fence);
-        self.taken.push((Offset(fence), order.clone()));
+    fn apply(&mut self, fence: u64, order: Order, load: Duration) {
+        self.refresh();
+        self.highest_fence = self.highest_fence.max(fence);
+        self.accepted.push((Offset(fence), order.clone()));
         match order {
             Order::LoadVersion(_) | Order::LoadAdapter(_) => {
                 self.loading = Some((order, Instant::now() + load));
@@ -91,14 +91,14 @@
 
     fn finish(&mut self, order: Order) {
         match order {
-            Order::LoadVersion(version) => self.standing.version = version,
+            Order::LoadVersion(version) => self.engine_state.version = version,
             Order::LoadAdapter(name) => {
-                self.standing.adapters.insert(name);
+                self.engine_state.adapters.insert(name);
             }
             Order::UnloadAdapter(name) => {
-                self.standing.adapters.remove(&name);
+                self.engine_state.adapters.remove(&name);
             }
-            Order::ChangeRole(role) => self.standing.role = role,
+            Order::ChangeRole(role) => self.engine_state.role = role,
         }
     }
 }
@@ -108,35 +108,38 @@
 /// # Errors
 ///
 /// Returns the error when the stand-in cannot listen.
-pub async fn run(settings: Settings, record: Record, stop: StopSignal) -> io::Result<()> {
+pub async fn run(settings: Settings, order_state: OrderState, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     let app = App::new()
-        .app_data((settings, record))
-        .route("/v1/orders", web::get().to(standing))
-        .route("/v1/orders", web::post().to(give));
+        .app_data((settings, order_state))
+        .route("/v1/orders", web::get().to(engine_state))
+        .route("/v1/orders", web::post().to(accept_order));
     base::http::serve(listener, app, stop).await
 }
 
-async fn standing(http: HttpRequest) -> HttpResponse {
-    let Some((_, record)) = http.app_data::<(Settings, Record)>() else {
+async fn engine_state(http: HttpRequest) -> HttpResponse {
+    let Some((_, order_state)) = http.app_data::<(Settings, OrderState)>() else {
         return HttpResponse::InternalServerError().finish();
     };
-    HttpResponse::Ok().json(record.standing())
+    HttpResponse::Ok().json(order_state.engine_state())
 }
 
-async fn give(http: HttpRequest, order: web::Json<Order>) -> HttpResponse {
-    let Some((settings, record)) = http.app_data::<(Settings, Record)>() else {
+async fn accept_order(http: HttpRequest, order: web::Json<Order>) -> HttpResponse {
+    let Some((settings, order_state)) = http.app_data::<(Settings, OrderState)>() else {
         return HttpResponse::InternalServerError().finish();
     };
-    let fence = http.headers().get(FENCE).and_then(|v| v.to_str().ok());
+    let fence = http
+        .headers()
+        .get(FENCING_HEADER)
+        .and_then(|v| v.to_str().ok());
     let Some(fence) = fence.and_then(|v| v.parse().ok()) else {
         return HttpResponse::BadRequest().finish();
     };
 
-    let mut inner = record.lock();
-    if settings.checks_fencing && fence < inner.highest {
+    let mut inner = order_state.lock();
+    if settings.checks_fencing && fence < inner.highest_fence {
         return HttpResponse::Conflict().finish();
     }
-    inner.take(fence, order.into_inner(), settings.load.0);
+    inner.apply(fence, order.into_inner(), settings.load_time.0);
     HttpResponse::Accepted().finish()
 }
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -13,8 +13,8 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-use crate::control::Control;
-use crate::ledger::{Account, Ledger};
+use crate::control::FaultControl;
+use crate::ledger::{Ledger, RequestCounters};
 
 /// How often a stand-in looks whether it should crash or come back.
 const CRASH_POLL: Duration = Duration::from_millis(5);
@@ -26,8 +26,8 @@
     /// Where it listens.
     pub listen: SocketAddr,
     /// How long one call takes.
-    #[serde(default = "default_work")]
-    pub work: HumanDuration,
+    #[serde(default = "default_work", rename = "work")]
+    pub call_duration: HumanDuration,
     /// Faults from the start on; changed by `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
@@ -51,14 +51,14 @@
 
 /// What the stand-in reads of a call.
 #[derive(Debug, Deserialize)]
-struct Body {
+struct CallBody {
     #[serde(default)]
     mark: String,
 }
 
-struct Plain {
+struct PlainService {
     settings: Settings,
-    faults: Control<Faults>,
+    faults: FaultControl<Faults>,
     ledger: Ledger,
 }
 
@@ -68,7 +68,7 @@
 ///
 /// Returns the error when the service cannot listen.
 pub async fn run(settings: Settings, ledger: Ledger, stop: StopSignal) -> io::Result<()> {
-    let faults = Control::new(settings.faults.clone());
+    let faults = FaultControl::new(settings.faults.clone());
     run_with(settings, faults, ledger, stop).await
 }
 
@@ -80,58 +80,58 @@
 /// Returns the error when the service cannot listen.
 pub async fn run_with(
     settings: Settings,
-    faults: Control<Faults>,
+    faults: FaultControl<Faults>,
     ledger: Ledger,
     stop: StopSignal,
 ) -> io::Result<()> {
     loop {
         let listener = TcpListener::bind(settings.listen).await?;
-        let plain = Rc::new(Plain {
+        let service = Rc::new(PlainService {
             settings: settings.clone(),
             faults: faults.clone(),
             ledger: ledger.clone(),
         });
         let app = App::new()
-            .app_data(plain)
+            .app_data(service)
             .route("/faults", web::put().to(set_faults))
             .route("/ledger", web::get().to(show_ledger))
-            .default_service(web::to(call));
+            .default_service(web::to(handle_call));
 
         // Dropping the life's tasks closes its sockets as a crash would.
-        let life = LocalSet::new();
+        let tasks = LocalSet::new();
         tokio::select! {
-            ended = life.run_until(base::http::serve(listener, app, stop.clone())) => return ended,
-            () = until(&faults, true) => {}
+            ended = tasks.run_until(base::http::serve(listener, app, stop.clone())) => return ended,
+            () = wait_for_crashed(&faults, true) => {}
         }
-        drop(life);
+        drop(tasks);
         tokio::select! {
-            () = until(&faults, false) => {}
+            () = wait_for_crashed(&faults, false) => {}
             () = stop.wait() => return Ok(()),
         }
     }
 }
 
 /// Waits until the service should be down, or up again.
-async fn until(faults: &Control<Faults>, crashed: bool) {
+async fn wait_for_crashed(faults: &FaultControl<Faults>, crashed: bool) {
     while faults.get().crashed != crashed {
         tokio::time::sleep(CRASH_POLL).await;
     }
 }
 
 /// Does the call's work and answers with its mark.
-async fn call(http: HttpRequest, body: Bytes) -> HttpResponse {
-    let Some(plain) = http.app_data::<Rc<Plain>>().cloned() else {
+async fn handle_call(http: HttpRequest, body: Bytes) -> HttpResponse {
+    let Some(service) = http.app_data::<Rc<PlainService>>().cloned() else {
         return HttpResponse::InternalServerError().finish();
     };
-    let mark = serde_json::from_slice::<Body>(&body)
+    let mark = serde_json::from_slice::<CallBody>(&body)
         .map(|b| b.mark)
         .unwrap_or_default();
-    let account = plain.ledger.account(&mark);
-    let faults = plain.faults.get();
+    let counters = service.ledger.counters(&mark);
+    let faults = service.faults.get();
 
-    Account::add(&account.runs, 1);
-    tokio::time::sleep(plain.settings.work.0 + faults.delay.0).await;
-    Account::add(&account.ended, 1);
+    RequestCounters::add(&counters.runs, 1);
+    tokio::time::sleep(service.settings.call_duration.0 + faults.delay.0).await;
+    RequestCounters::add(&counters.completed_runs, 1);
     if faults.silent {
         std::future::pending::<()>().await;
     }
@@ -140,17 +140,17 @@
 
 /// Changes the faults.
 async fn set_faults(http: HttpRequest, body: web::Json<Faults>) -> HttpResponse {
-    let Some(plain) = http.app_data::<Rc<Plain>>() else {
+    let Some(service) = http.app_data::<Rc<PlainService>>() else {
         return HttpResponse::InternalServerError().finish();
     };
-    plain.faults.change(|faults| *faults = body.into_inner());
+    service.faults.change(|faults| *faults = body.into_inner());
     HttpResponse::NoContent().finish()
 }
 
 /// Gives out what the stand-in saw.
 async fn show_ledger(http: HttpRequest) -> HttpResponse {
-    match http.app_data::<Rc<Plain>>() {
-        Some(plain) => HttpResponse::Ok().json(plain.ledger.all()),
+    match http.app_data::<Rc<PlainService>>() {
+        Some(service) => HttpResponse::Ok().json(service.ledger.all_counts()),
         None => HttpResponse::InternalServerError().finish(),
     }
 }
--- a/crates/standin/src/silence.rs
+++ b/crates/standin/src/proxy.rs
@@ -11,28 +11,28 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::control::Control;
+use crate::control::FaultControl;
 
-/// Most bytes passed on at once.
-const BUFFER: usize = 64 << 10;
+/// Most forwarded_bytes forwarding on at once.
+const BUFFER_BYTES: usize = 64 << 10;
 
 /// What is wrong with a forwarder.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
     /// Connections open when this number grows carry nothing more. They stay
     /// open on both sides, so neither end hears of it.
-    pub silenced: u32,
-    /// What passed, for measuring.
-    pub bytes: Bytes,
+    pub silence_generation: u32,
+    /// What forwarding, for measuring.
+    pub forwarded_bytes: ByteCounter,
 }
 
-/// Bytes that a forwarder passed on in both directions; clones share one
+/// ByteCounter that a forwarder forwarding on in both directions; clones share one
 /// count.
 #[derive(Debug, Clone, Default)]
-pub struct Bytes(Arc<AtomicU64>);
+pub struct ByteCounter(Arc<AtomicU64>);
 
-impl Bytes {
-    /// All bytes so far.
+impl ByteCounter {
+    /// All forwarded_bytes so server.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
@@ -47,7 +47,7 @@
 pub async fn run(
     listen: SocketAddr,
     target: SocketAddr,
-    faults: Control<Faults>,
+    faults: FaultControl<Faults>,
     stop: StopSignal,
 ) -> io::Result<()> {
     let listener = TcpListener::bind(listen).await?;
@@ -57,44 +57,58 @@
             () = stop.wait() => return Ok(()),
         };
         if let Ok((stream, _)) = accepted {
-            actix_rt::spawn(forward(stream, target, faults.clone(), stop.clone()));
+            actix_rt::spawn(forward_connection(
+                stream,
+                target,
+                faults.clone(),
+                stop.clone(),
+            ));
         }
     }
 }
 
-async fn forward(near: TcpStream, target: SocketAddr, faults: Control<Faults>, stop: StopSignal) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn forward_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    faults: FaultControl<Faults>,
+    stop: StopSignal,
+) {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
 
     let Faults {
-        silenced: born,
-        bytes,
+        silence_generation: initial_generation,
+        forwarded_bytes,
     } = faults.get();
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let passed = async {
+    let (client_in, client_out) = client.into_split();
+    let (server_in, server_out) = server.into_split();
+    let forwarding = async {
         tokio::join!(
-            pass(near_in, far_out, bytes.clone()),
-            pass(far_in, near_out, bytes.clone())
+            forward_bytes(client_in, server_out, forwarded_bytes.clone()),
+            forward_bytes(server_in, client_out, forwarded_bytes.clone())
         )
     };
-    let mut passed = std::pin::pin!(passed);
+    let mut forwarding = std::pin::pin!(forwarding);
     tokio::select! {
-        _ = &mut passed => return,
-        () = silenced(&faults, born) => {}
+        _ = &mut forwarding => return,
+        () = wait_for_silence(&faults, initial_generation) => {}
     }
     // Both sockets stay open and unread until the end.
     stop.wait().await;
 }
 
 /// Passes on what comes in until it ends, then closes the way out.
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, bytes: Bytes) {
-    let mut buffer = vec![0; BUFFER];
+async fn forward_bytes(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    forwarded_bytes: ByteCounter,
+) {
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
-        bytes.0.fetch_add(count as u64, Ordering::Relaxed);
+        forwarded_bytes.0.fetch_add(count as u64, Ordering::Relaxed);
         if to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
@@ -102,8 +116,8 @@
     let _ = to.shutdown().await;
 }
 
-async fn silenced(faults: &Control<Faults>, born: u32) {
-    while faults.get().silenced == born {
+async fn wait_for_silence(faults: &FaultControl<Faults>, initial_generation: u32) {
+    while faults.get().silence_generation == initial_generation {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
 }
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-use crate::control::Control;
+use crate::control::FaultControl;
 
 /// Settings of the weight store's stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -21,7 +21,8 @@
     /// Where it listens.
     pub listen: SocketAddr,
     /// Time between two permits.
-    pub every: HumanDuration,
+    #[serde(rename = "every")]
+    pub permit_interval: HumanDuration,
     /// What is wrong from the start.
     #[serde(default)]
     pub faults: Faults,
@@ -32,25 +33,26 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// How long each answer takes.
-    pub slow: HumanDuration,
-    /// Whether every call fails.
+    #[serde(rename = "slow")]
+    pub response_delay: HumanDuration,
+    /// Whether permit_interval call fails.
     pub outage: bool,
 }
 
-/// The permits given; clones share them.
+/// The permits granted; clones share them.
 #[derive(Debug, Clone, Default)]
-pub struct Store {
+pub struct WeightStore {
     /// What is wrong, changed while it runs.
-    pub control: Control<Faults>,
-    given: Arc<Mutex<Vec<(Instant, String)>>>,
+    pub control: FaultControl<Faults>,
+    granted: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-impl Store {
+impl WeightStore {
     /// What was permitted so far.
     #[must_use]
-    pub fn given(&self) -> Vec<String> {
-        let given = self.given.lock().unwrap_or_else(PoisonError::into_inner);
-        given.iter().map(|(_, what)| what.clone()).collect()
+    pub fn granted(&self) -> Vec<String> {
+        let granted = self.granted.lock().unwrap_or_else(PoisonError::into_inner);
+        granted.iter().map(|(_, what)| what.clone()).collect()
     }
 }
 
@@ -59,29 +61,31 @@
 /// # Errors
 ///
 /// Returns the error when the store cannot listen.
-pub async fn run(settings: Settings, store: Store, stop: StopSignal) -> io::Result<()> {
+pub async fn run(settings: Settings, store: WeightStore, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     store.control.change(|faults| *faults = settings.faults);
     let app = App::new()
         .app_data((settings, store))
         .route("/v1/permits/{what}", web::post().to(permit))
-        .route("/faults", web::put().to(faults));
+        .route("/faults", web::put().to(set_faults));
     base::http::serve(listener, app, stop).await
 }
 
 async fn permit(http: HttpRequest, what: web::Path<String>) -> HttpResponse {
-    let Some((settings, store)) = http.app_data::<(Settings, Store)>() else {
+    let Some((settings, store)) = http.app_data::<(Settings, WeightStore)>() else {
         return HttpResponse::InternalServerError().finish();
     };
     let faults = store.control.get();
-    tokio::time::sleep(faults.slow.0).await;
+    tokio::time::sleep(faults.response_delay.0).await;
     if faults.outage {
         return HttpResponse::ServiceUnavailable().finish();
     }
 
     let now = Instant::now();
-    let mut given = store.given.lock().unwrap_or_else(PoisonError::into_inner);
-    let next = given.last().map_or(now, |(at, _)| *at + settings.every.0);
+    let mut granted = store.granted.lock().unwrap_or_else(PoisonError::into_inner);
+    let next = granted
+        .last()
+        .map_or(now, |(at, _)| *at + settings.permit_interval.0);
     if now < next {
         // Whole seconds are all that the header can say.
         let after = (next - now).as_secs();
@@ -89,12 +93,12 @@
             .insert_header((RETRY_AFTER, after.to_string()))
             .finish();
     }
-    given.push((now, what.into_inner()));
+    granted.push((now, what.into_inner()));
     HttpResponse::Ok().finish()
 }
 
-async fn faults(http: HttpRequest, faults: web::Json<Faults>) -> HttpResponse {
-    let Some((_, store)) = http.app_data::<(Settings, Store)>() else {
+async fn set_faults(http: HttpRequest, faults: web::Json<Faults>) -> HttpResponse {
+    let Some((_, store)) = http.app_data::<(Settings, WeightStore)>() else {
         return HttpResponse::InternalServerError().finish();
     };
     store.control.change(|f| *f = faults.into_inner());
--- a/crates/standin/tests/cache.rs
+++ b/crates/standin/tests/cache.rs
@@ -62,5 +62,5 @@
     let prompt = text(b'a', 2);
     cache.admit(&prompt, now);
     let block = rapidhash::v3::rapidhash_v3(&prompt[..1024]);
-    assert_eq!(cache.events(0, now)[0].block, block);
+    assert_eq!(cache.events(0, now)[0].block_hash, block);
 }
--- a/crates/standin/tests/faults.rs
+++ b/crates/standin/tests/faults.rs
@@ -8,7 +8,7 @@
 
 use base::settings;
 use base::stop::StopSignal;
-use standin::{Control, Ledger, engine, silence};
+use standin::{FaultControl, Ledger, engine, proxy};
 
 /// Longest wait for what must come, and the wait for what must not.
 const BOUND: Duration = Duration::from_secs(10);
@@ -64,7 +64,7 @@
     let (listen, stop) = (addr(), StopSignal::new());
     let settings: engine::Settings =
         settings::parse("engine", &format!(r#"{{ "listen": "{listen}" }}"#)).expect("sound");
-    let faults = Control::new(engine::Faults::default());
+    let faults = FaultControl::new(engine::Faults::default());
     let (control, asked) = (faults.clone(), stop.clone());
     let running = on_thread(move || engine::run_with(settings, control, Ledger::default(), asked));
 
@@ -99,16 +99,16 @@
             });
         }
     });
-    let faults = Control::new(silence::Faults::default());
+    let faults = FaultControl::new(proxy::Faults::default());
     let (control, asked) = (faults.clone(), stop.clone());
-    let running = on_thread(move || silence::run(listen, target, control, asked));
+    let running = on_thread(move || proxy::run(listen, target, control, asked));
 
     let mut buffer = [0; 8];
     let mut old = connect(listen);
     old.write_all(b"one").expect("open");
     assert_eq!(old.read(&mut buffer).expect("an echo"), 3);
 
-    faults.change(|f| f.silenced += 1);
+    faults.change(|f| f.silence_generation += 1);
     old.set_read_timeout(Some(QUIET)).expect("a bound");
     let began = Instant::now();
     loop {
--- a/crates/standin/tests/hosts.rs
+++ b/crates/standin/tests/hosts.rs
@@ -5,7 +5,7 @@
 
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
-use clients::hosts::{Error, Host, Hosts, Role, Standing};
+use clients::hosts::{Error, Host, HostStatus, HostsClient, Role};
 use rstest::rstest;
 use standin::hosts::{Faults, Registry, Settings, run};
 
@@ -26,23 +26,23 @@
         region: region.to_owned(),
         role: Role::Sidecar,
         serves: "dossier-8b".to_owned(),
-        standing: Standing::Live,
+        status: HostStatus::Live,
     }
 }
 
-async fn start() -> (Registry, Hosts) {
+async fn start() -> (Registry, HostsClient) {
     let registry = Registry::new(vec![host("a", "dakar"), host("far", "thies")]);
     let settings = Settings {
         listen: free(),
         hosts: Vec::new(),
         faults: Faults::default(),
     };
-    let hosts = Hosts::new(settings.listen, "dakar");
+    let hosts = HostsClient::new(settings.listen, "dakar");
     actix_rt::spawn(run(settings, registry.clone(), StopSignal::new()));
     while hosts.read().await.is_err() {
         tokio::task::yield_now().await;
     }
-    let fresh = Hosts::new(hosts.addr(), "dakar");
+    let fresh = HostsClient::new(hosts.addr(), "dakar");
     (registry, fresh)
 }
 
@@ -61,10 +61,10 @@
     assert_eq!(now, Some(vec!["a".into(), "b".into()]));
 
     registry.remove("a");
-    registry.leave("b");
+    registry.mark_leaving("b");
     let left = hosts.read().await.unwrap().unwrap();
     assert_eq!(left.len(), 1);
-    assert_eq!(left[0].standing, Standing::Leaving);
+    assert_eq!(left[0].status, HostStatus::Leaving);
 }
 
 #[rstest]
