--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -1,7 +1,7 @@
-//! Running, resuming and cancelling completions at a model engine.
+//! HTTP client of a model engine: runs, resumes and cancels completions.
 //!
-//! An engine speaks chat completions over HTTP with server-sent events. Each
-//! event numbers its token in `seq`, so that a stream can be resumed.
+//! An engine streams completions as server-sent events. Each event carries its
+//! token's sequence number in `seq`, so that a stream can be resumed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,73 +15,74 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Header that names the request towards an engine or a plain service.
+/// Header with the request id, sent to engines and plain services.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Header that carries the priority; lower numbers go first.
+/// Header with the request's priority; lower numbers are scheduled first.
 pub const PRIORITY_HEADER: &str = "x-priority";
 
-/// Time allowed until an engine answers with a header.
+/// Timeout until an engine has sent its response headers.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time allowed for a new connection to an engine.
+/// Timeout for opening a connection to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest answer about the prefix cache, in bytes.
+/// Largest response body with cache events, in bytes.
 const CACHE_EVENTS_LIMIT: usize = 4 << 20;
 
-/// The last event of a stream, by the usual protocol.
+/// Data of the event that ends a stream, as in the OpenAI protocol.
 const DONE_MARKER: &str = "[DONE]";
 
-/// One model engine as its sidecar reaches it.
+/// Client that a sidecar uses to call its model engine.
 #[derive(Clone)]
 pub struct EngineClient {
-    /// Where the engine listens.
+    /// Address that the engine listens on.
     addr: SocketAddr,
-    /// The HTTP client, which makes a connection for each call.
+    /// HTTP client that opens a new connection for each call.
     http: awc::Client,
 }
 
-/// Why a call of an engine failed.
+/// Error of a call to an engine or a plain service.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The engine could not be reached, so the request did not run.
+    /// No connection could be opened, so the request was not executed.
     #[snafu(display("step={step} peer={peer}: no connection"))]
     Connect {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The engine.
         peer: SocketAddr,
     },
-    /// The call went out and its answer did not come, so the request may run.
+    /// The request was sent but no complete response arrived, so it may have
+    /// been executed or may still run.
     #[snafu(display("step={step} peer={peer}: {detail}"))]
     NoResponse {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The engine.
         peer: SocketAddr,
-        /// What the client reported.
+        /// Error text of the HTTP client.
         detail: String,
     },
-    /// The engine refused the call, so the request did not run.
+    /// The engine rejected the request, so it was not executed.
     #[snafu(display("step={step} peer={peer}: refused with status {status}"))]
     Refused {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The engine.
         peer: SocketAddr,
         /// The HTTP status.
         status: u16,
     },
-    /// The engine sent an event that does not fit its protocol.
-    #[snafu(display("step=read_event peer={peer}: bad event: {source}"))]
+    /// The engine sent data that is not valid JSON of the expected form.
+    #[snafu(display("step=read_event peer={peer}: invalid event: {source}"))]
     InvalidEvent {
         /// The engine.
         peer: SocketAddr,
-        /// What the parser found.
+        /// Cause reported by the JSON parser.
         source: serde_json::Error,
     },
-    /// An event had no choice in it.
+    /// An event has an empty `choices` array.
     #[snafu(display("step=read_event peer={peer}: event without a choice"))]
     MissingChoice {
         /// The engine.
@@ -90,120 +91,120 @@
 }
 
 impl Error {
-    /// Whether the request certainly did not run.
+    /// Whether the request was certainly not executed.
     #[must_use]
     pub fn not_run(&self) -> bool {
         matches!(self, Self::Connect { .. } | Self::Refused { .. })
     }
 }
 
-/// One event of a stream.
+/// Parsed event of a completion stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A token.
+    /// A generated token.
     Token {
-        /// Its number, from 0.
+        /// Sequence number of the token, starting at 0.
         seq: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The end of a whole answer.
+    /// The end of a complete response.
     End {
-        /// How many tokens the answer has.
+        /// Number of tokens in the response.
         token_count: u32,
-        /// Why it ended.
+        /// Why generation ended.
         finish_reason: String,
-        /// Prompt tokens that the engine found in its cache.
+        /// Prompt tokens that the engine found in its prefix cache.
         cached_tokens: u32,
     },
 }
 
-/// One event as the engine writes it, in the usual shape.
+/// JSON of one event, a completion chunk of the OpenAI protocol with `seq`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The token's number.
+    /// Sequence number of the token; in the last chunk the token count.
     pub seq: u32,
-    /// One choice.
+    /// Exactly one choice.
     pub choices: Vec<Choice>,
-    /// Present in the last event before the end mark.
+    /// Token counts, present only in the last chunk before `[DONE]`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// A load report as the engine writes it.
+/// JSON of an engine's load report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Requests in the batch.
     pub running: u32,
-    /// Requests that wait for room in the batch.
+    /// Requests queued for a slot in the batch.
     pub waiting: u32,
-    /// Requests that fit into the batch.
+    /// Maximum number of requests in the batch.
     pub slots: u32,
-    /// Time of a step, in microseconds.
+    /// Duration of one step, in microseconds.
     pub step_us: u32,
 }
 
-/// Cache events as the engine writes them. A number that is missing between
-/// two events means that an event was lost.
+/// JSON response with an engine's cache events. A gap between two sequence
+/// numbers means that an event was lost.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The number to ask from next time.
+    /// Sequence number to start the next fetch from.
     #[serde(rename = "next")]
     pub next_seq: u64,
-    /// The events, by number.
+    /// Events in ascending order of `seq`.
     pub events: Vec<CacheEvent>,
 }
 
-/// One change of an engine's prefix cache.
+/// Change of one block in an engine's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// The event's number; grows by one with each.
+    /// Sequence number, increased by one for each event.
     pub seq: u64,
-    /// What happened.
+    /// Kind of the change.
     pub change: CacheChange,
-    /// The block: the hash of the prompt's text from its start to the
-    /// block's end, where a block has 1,024 bytes.
+    /// Hash of the prompt text from its start to the end of the block. A block
+    /// covers 1,024 bytes.
     #[serde(rename = "block")]
     pub block_hash: u64,
 }
 
-/// What happened to a block of the prefix cache.
+/// Kind of a change in the prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// It was computed and is kept.
+    /// The block was computed and stored.
     Stored,
-    /// It was dropped to make room.
+    /// The block was evicted to free memory.
     Removed,
 }
 
-/// One choice of a [`Chunk`].
+/// Generated text of a [`Chunk`].
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Choice {
     /// The text of the token.
     pub text: String,
-    /// Why the answer ended.
+    /// Why generation ended; set only in the last chunk.
     pub finish_reason: Option<String>,
 }
 
-/// Token counts in the last event.
+/// Token counts of a complete response.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Tokens in the response.
     pub completion_tokens: u32,
-    /// Prompt tokens that were found in the cache.
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u32,
 }
 
 impl EngineClient {
-    /// Makes a client for the engine at `addr`.
+    /// Creates a client for the engine at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
-        // A kept connection may have gone silent for good. A request sent on
-        // it would vanish, and nobody could tell whether it ran; a request on
-        // a new connection either goes out or certainly did not run.
+        // Connections are not reused: an idle connection may be dead without
+        // either end noticing, and a request lost on it may or may not have been
+        // executed. If a new connection fails, the request was certainly not sent.
         let connector = awc::Connector::new()
             .timeout(CONNECT_TIMEOUT)
             .conn_keep_alive(Duration::ZERO)
@@ -215,18 +216,19 @@
         Self { addr, http }
     }
 
-    /// Where the engine listens.
+    /// Address that the engine listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Runs a completion and returns its events. `body` is the caller's JSON.
+    /// Starts a completion and returns the stream of its events. `body` is the
+    /// JSON that the caller sent.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when the engine did not accept the request;
-    /// [`Error::not_run`] tells whether it may run all the same.
+    /// Returns [`Error`] when the engine did not confirm the request.
+    /// [`Error::not_run`] tells whether it was certainly not executed.
     pub async fn run(
         &self,
         ticket: RequestId,
@@ -243,8 +245,8 @@
         self.open_stream("run", request.send_body(body)).await
     }
 
-    /// Resumes the stream of a request that the engine still runs or keeps,
-    /// from token number `from` on.
+    /// Resumes the stream of a request that is running or has recently ended,
+    /// starting at token `from`.
     ///
     /// # Errors
     ///
@@ -260,7 +262,7 @@
         self.open_stream("resume", request.send()).await
     }
 
-    /// Stops a request. A request that the engine does not know is no error.
+    /// Cancels a request. Succeeds also when the engine does not know it.
     ///
     /// # Errors
     ///
@@ -272,12 +274,12 @@
             .map_err(|e| self.classify_error("cancel", &e))
     }
 
-    /// Asks after a stream that no request ever has. Any answer shows that
-    /// the engine can be reached.
+    /// Health check: requests the stream of an id that is never used. Any
+    /// response shows that the engine is reachable.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when the engine does not answer.
+    /// Returns [`Error`] when the engine does not respond.
     pub async fn probe(&self) -> Result<(), Error> {
         let url = format!("http://{}/v1/streams/{}", self.addr, RequestId(0));
         let sent = self.http.get(url).force_close().send().await;
@@ -285,12 +287,12 @@
             .map_err(|e| self.classify_error("probe", &e))
     }
 
-    /// Fetches the changes of the prefix cache from number `from` on.
+    /// Fetches the prefix cache events with a sequence number of at least `from`.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when the engine cannot be reached or its answer does
-    /// not fit.
+    /// Returns [`Error`] when the engine cannot be reached or its response is
+    /// invalid.
     pub async fn cache_events(&self, from: u64) -> Result<CacheEvents, Error> {
         let (step, peer) = ("cache_events", self.addr);
         let url = format!("http://{}/v1/cache/events?from={from}", self.addr);
@@ -304,6 +306,7 @@
         serde_json::from_slice(&body).context(InvalidEventSnafu { peer })
     }
 
+    /// Sends a request and parses the events of its response.
     async fn open_stream(
         &self,
         step: &'static str,
@@ -316,8 +319,9 @@
             return RefusedSnafu { step, peer, status }.fail();
         }
 
-        // The client bounds a body's time by default; an answer may be long.
-        // Silence is watched by whoever reads the stream.
+        // By default the client limits the time of the whole body, but a
+        // completion may take long. The reader of the stream applies its own
+        // timeout between events.
         let response = response.timeout(Duration::MAX);
         let events = response.eventsource().filter_map(move |event| async move {
             match event {
@@ -339,7 +343,7 @@
         Ok(events)
     }
 
-    /// Tells a request that never went out from one that may have.
+    /// Distinguishes a request that was never sent from one that may have been.
     fn classify_error(&self, step: &'static str, error: &SendRequestError) -> Error {
         let peer = self.addr;
         match error {
@@ -354,16 +358,17 @@
     }
 }
 
-/// Whether a call that failed certainly never went out.
+/// Whether a failed request was certainly never sent.
 ///
-/// The client also reports a connection that closed between the request and
-/// the answer as one that was not made (`Disconnected`). Taken at its word, a
-/// request that a crashing server had begun would be told as not run, and
-/// one that must not run twice would run again.
+/// The client reports a connection that closed between request and response as
+/// a connect error (`Disconnected`), too. Treating it as never sent would report
+/// a request that a crashing server had started as not executed, and a request
+/// that must not be repeated would be executed twice.
 pub(crate) fn never_sent(error: &SendRequestError) -> bool {
     matches!(error, SendRequestError::Connect(e) if !matches!(e, ConnectError::Disconnected))
 }
 
+/// Parses the data of one server-sent event.
 fn parse_event(peer: SocketAddr, data: &str) -> Result<Event, Error> {
     let chunk: Chunk = serde_json::from_str(data).context(InvalidEventSnafu { peer })?;
     let choice = chunk
--- a/crates/clients/src/hosts.rs
+++ b/crates/clients/src/hosts.rs
@@ -1,8 +1,8 @@
-//! Reading the platform's list of hosts.
+//! Client of the platform's host list.
 //!
-//! The list lags behind reality, may be frozen, empty or out of reach, so it
-//! only proposes hosts; whether one takes work is decided by its own answers.
-//! The format is written down in docs/platform/hosts.md.
+//! The list may be stale, frozen, empty or unreachable. It therefore only names
+//! candidate hosts; whether a host accepts work is decided by its own responses.
+//! The format is specified in docs/platform/hosts.md.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,21 +14,21 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Time allowed for one reading of the list.
+/// Timeout of one request for the list.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest list that is read, in bytes; 10,000 hosts take about 2 MB.
+/// Largest accepted list, in bytes. A list of 10,000 hosts takes about 2 MB.
 const LIST_LIMIT: usize = 16 << 20;
 
-/// The list as one region's daemons read it.
+/// Client that fetches the hosts of one region.
 pub struct HostsClient {
-    /// Where the platform serves the list.
+    /// Address that the list is served at.
     addr: SocketAddr,
-    /// Only hosts of this region are asked for.
+    /// Region whose hosts are requested.
     region: String,
-    /// The HTTP client, which keeps connections.
+    /// HTTP client that reuses connections.
     http: awc::Client,
-    /// The tag of the list that was read last.
+    /// ETag of the last list that was received.
     tag: RefCell<Option<String>>,
 }
 
@@ -37,24 +37,24 @@
 pub struct Host {
     /// The daemon's name, unique in the deployment.
     pub name: String,
-    /// Where the daemon listens.
+    /// Address that the daemon listens on.
     pub addr: SocketAddr,
-    /// The availability zone that the host stands in.
+    /// Availability zone of the host.
     pub zone: String,
-    /// The region of that zone.
+    /// Region of the availability zone.
     pub region: String,
-    /// Which daemon runs there.
+    /// Daemon that runs on the host.
     pub role: Role,
-    /// The model or plain service that a sidecar's backend server offers;
-    /// empty for an entry.
+    /// Model or plain service that a sidecar's backend server provides; empty
+    /// for an entry.
     #[serde(default)]
     pub serves: String,
-    /// Whether the host is about to go away.
+    /// Whether the host is about to be removed.
     #[serde(default, rename = "standing")]
     pub status: HostStatus,
 }
 
-/// Which daemon runs on a host.
+/// Kind of daemon that runs on a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -64,55 +64,55 @@
     Sidecar,
 }
 
-/// Whether a host stays.
+/// Lifecycle status of a host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostStatus {
-    /// The host stays.
+    /// The host is in service.
     #[default]
     Live,
-    /// The host is about to go away.
+    /// The host is about to be removed.
     Leaving,
 }
 
-/// The list as it is served.
+/// JSON response with the host list.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct HostList {
     /// The hosts, in no particular order.
     pub hosts: Vec<Host>,
 }
 
-/// Why the list could not be read.
+/// Error of a request for the list.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The list's server could not be reached or broke off.
+    /// The server could not be reached or the response is incomplete.
     #[snafu(display("step=read_hosts peer={peer}: {detail}"))]
     Unreachable {
-        /// The list's server.
+        /// Server of the list.
         peer: SocketAddr,
-        /// What the client reported.
+        /// Error text of the HTTP client.
         detail: String,
     },
-    /// The list's server answered with an error.
+    /// The server responded with an error status.
     #[snafu(display("step=read_hosts peer={peer}: status {status}"))]
     Refused {
-        /// The list's server.
+        /// Server of the list.
         peer: SocketAddr,
         /// The HTTP status.
         status: u16,
     },
-    /// The list does not fit its format.
+    /// The response is not a valid list.
     #[snafu(display("step=parse_hosts peer={peer}: {source}"))]
     InvalidList {
-        /// The list's server.
+        /// Server of the list.
         peer: SocketAddr,
-        /// What the parser found.
+        /// Cause reported by the JSON parser.
         source: serde_json::Error,
     },
 }
 
 impl HostsClient {
-    /// Makes a client for the list at `addr`, for the hosts of `region`.
+    /// Creates a client that requests the hosts of `region` from `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr, region: &str) -> Self {
         let http = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
@@ -124,19 +124,19 @@
         }
     }
 
-    /// Where the platform serves the list.
+    /// Address that the list is served at.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Reads the list. `None` when it has not changed since the last reading,
-    /// which then costs only a few hundred bytes; see docs/CAPACITY.md.
+    /// Fetches the list. Returns `None` when it is unchanged since the last call;
+    /// such a response has only a few hundred bytes, see docs/CAPACITY.md.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no list came; the caller goes on with what it
-    /// knows.
+    /// Returns [`Error`] when no valid list was received. The caller continues
+    /// with the hosts that it knows.
     pub async fn read(&self) -> Result<Option<Vec<Host>>, Error> {
         let peer = self.addr;
         let url = format!("http://{peer}/hosts?region={}", self.region);
@@ -164,7 +164,7 @@
         let list: HostList =
             serde_json::from_slice(&body).map_err(|source| Error::InvalidList { peer, source })?;
 
-        // Kept only now: a list that could not be read must come again.
+        // Stored only after parsing: an invalid list must be sent again in full.
         *self.tag.borrow_mut() = tag;
         Ok(Some(list.hosts))
     }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,13 +1,13 @@
-//! Clients of everything outside the system: model engines, plain services,
-//! the log, the host list and the weight store. This is the only package
-//! that knows their formats, which docs/PLATFORM.md writes down.
+//! HTTP clients of the external services: model engines, plain services, the
+//! log, the host list and the weight store. Only this package knows their
+//! formats, which are specified in docs/PLATFORM.md.
 //!
-//! - [`engine`]: running, resuming and cancelling completions.
-//! - [`hosts`]: the lagging list of live and leaving hosts.
-//! - [`log`]: the append-only log.
-//! - [`orders`]: orders to model engines.
-//! - [`plain`]: calls of plain services.
-//! - [`weights`]: permits of the weight store.
+//! - [`engine`]: runs, resumes and cancels completions.
+//! - [`hosts`]: fetches the list of live and leaving hosts, which may be stale.
+//! - [`log`]: reads and appends records of the append-only log.
+//! - [`orders`]: sends orders to model engines.
+//! - [`plain`]: calls plain services.
+//! - [`weights`]: requests permits from the weight store.
 
 pub mod engine;
 pub mod hosts;
--- a/crates/clients/src/log.rs
+++ b/crates/clients/src/log.rs
@@ -1,9 +1,10 @@
-//! The platform's append-only log: named streams of records with offsets.
+//! Client of the platform's append-only log: named streams of records with
+//! offsets.
 //!
-//! The formats stand in docs/platform/log.md. The log forgets records after
-//! its retention, has outages, and may lose the reply of an append that took
-//! effect; [`LogClient::append`] therefore looks for its record by id before it
-//! tries again.
+//! The log deletes records after its retention time, has outages, and may lose
+//! the response to an append that took effect. [`LogClient::append`] therefore
+//! looks up its record by id before it reports an error. The formats are
+//! specified in docs/platform/log.md.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,113 +15,113 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
-/// Time allowed for an answer, beyond what a read may be held.
+/// Timeout of a call, in addition to the long-poll time of a read.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Largest answer to a read, in bytes.
+/// Largest response body, in bytes.
 const RESPONSE_LIMIT: usize = 32 << 20;
 
-/// The log as one process reaches it.
+/// Client of the log.
 #[derive(Clone)]
 pub struct LogClient {
-    /// Where the log listens.
+    /// Address that the log listens on.
     addr: SocketAddr,
-    /// The HTTP client, which keeps connections.
+    /// HTTP client that reuses connections.
     http: awc::Client,
 }
 
-/// One record as the log gives it.
+/// Record of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its location in the stream.
+    /// Position in the stream.
     pub offset: Offset,
-    /// The id that its writer gave it; need not be unique.
+    /// Id chosen by the writer; not necessarily unique.
     pub id: String,
-    /// When it was appended, in milliseconds of the log's own clock.
+    /// Time of the append by the log's clock, in milliseconds.
     pub time_ms: u64,
-    /// What was written.
+    /// Content of the record.
     pub body: String,
 }
 
-/// What a read gives.
+/// Response to a read.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The offset of the oldest record that the log still has, or the next
-    /// offset when it has none.
+    /// Offset of the oldest retained record, or the next offset when there is
+    /// none.
     #[serde(rename = "first")]
     pub first_offset: Offset,
-    /// The offset that the next record will get.
+    /// Offset that the next record will be assigned.
     #[serde(rename = "end")]
     pub end_offset: Offset,
-    /// The log's own clock, in milliseconds.
+    /// Current time of the log's clock, in milliseconds.
     pub now_ms: u64,
-    /// How long records are kept, in milliseconds; 0 for ever.
+    /// Retention time of records in milliseconds; 0 means unlimited.
     pub retention_ms: u64,
-    /// Consecutive records, possibly none.
+    /// Consecutive records, possibly empty.
     pub records: Vec<Record>,
 }
 
-/// What an append sends.
+/// Body of an append request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AppendRequest {
-    /// The id to find the record by.
+    /// Id by which the record can be looked up.
     pub id: String,
-    /// What to write.
+    /// Content of the record.
     pub body: String,
 }
 
-/// What an append or a search gives.
+/// Response to an append or a lookup by id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordLocation {
-    /// Where the record stands; none when there is no such record.
+    /// Offset of the record; `None` when no record has the id.
     pub offset: Option<Offset>,
 }
 
-/// Why a call of the log failed.
+/// Error of a call to the log.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No connection could be made, so the call had no effect.
+    /// No connection could be opened, so the call had no effect.
     #[snafu(display("step={step} peer={peer}: no connection"))]
     Connect {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The log.
         peer: SocketAddr,
     },
-    /// No answer came. An append may have taken effect.
+    /// No complete response arrived. An append may have taken effect.
     #[snafu(display("step={step} peer={peer}: {detail}"))]
     NoResponse {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The log.
         peer: SocketAddr,
-        /// What the client reported.
+        /// Error text of the HTTP client.
         detail: String,
     },
-    /// The log answered with an error. An append may have taken effect.
+    /// The log responded with an error status. An append may have taken effect.
     #[snafu(display("step={step} peer={peer}: status {status}"))]
     Status {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The log.
         peer: SocketAddr,
         /// The HTTP status.
         status: u16,
     },
-    /// The answer does not fit the log's format.
-    #[snafu(display("step={step} peer={peer}: bad answer: {source}"))]
+    /// The response body is not valid JSON of the expected form.
+    #[snafu(display("step={step} peer={peer}: invalid response: {source}"))]
     InvalidResponse {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The log.
         peer: SocketAddr,
-        /// What the parser found.
+        /// Cause reported by the JSON parser.
         source: serde_json::Error,
     },
 }
 
 impl LogClient {
-    /// Makes a client for the log at `addr`.
+    /// Creates a client for the log at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
         let connector = awc::Connector::new().timeout(RESPONSE_TIMEOUT).limit(0);
@@ -131,36 +132,37 @@
         Self { addr, http }
     }
 
-    /// Where the log listens.
+    /// Address that the log listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Appends a record and returns its offset. When no reply comes, the
-    /// record is looked for by its id, which must therefore be its own.
+    /// Appends a record and returns its offset. When the append fails, the
+    /// record is looked up by `id`, which must therefore be unique.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when it is not known whether the record was
-    /// appended; [`LogClient::find`] with the same id tells later.
+    /// Returns [`Error`] when the outcome of the append is unknown;
+    /// [`LogClient::find`] with the same id can determine it later.
     pub async fn append(&self, stream: &str, id: &str, body: &str) -> Result<Offset, Error> {
         match self.append_unverified(stream, id, body).await {
             Ok(offset) => Ok(offset),
-            // The reply may have been lost after the record was written; a
-            // second append would then put it there twice.
-            Err(failed) => match self.find(stream, id).await {
+            // The response may have been lost after the record was written. A
+            // second append would then duplicate the record.
+            Err(error) => match self.find(stream, id).await {
                 Ok(Some(offset)) => Ok(offset),
-                _ => Err(failed),
+                _ => Err(error),
             },
         }
     }
 
-    /// Appends a record without looking for it when the reply is lost.
+    /// Appends a record without looking it up when the append fails.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no reply came.
+    /// Returns [`Error`] when no valid response arrived; the record may have been
+    /// appended.
     pub async fn append_unverified(
         &self,
         stream: &str,
@@ -178,15 +180,15 @@
         location.offset.ok_or_else(|| Error::NoResponse {
             step,
             peer: self.addr,
-            detail: "answer without an offset".to_owned(),
+            detail: "response without an offset".to_owned(),
         })
     }
 
-    /// The offset of the first record with the given id.
+    /// Returns the offset of the first record with the given id.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no answer came.
+    /// Returns [`Error`] when no valid response arrived.
     pub async fn find(&self, stream: &str, id: &str) -> Result<Option<Offset>, Error> {
         let url = format!("http://{}/v1/streams/{stream}/records/{id}", self.addr);
         let location: RecordLocation = self
@@ -195,13 +197,13 @@
         Ok(location.offset)
     }
 
-    /// Reads up to `limit` records from `from` on, or from the oldest one if
-    /// that stands later. The log holds the call up to `wait` while there is
-    /// nothing to give.
+    /// Reads up to `limit` records, starting at the offset `from` or at the
+    /// oldest retained record if that is later. When there is no such record, the
+    /// log waits up to `wait` for one (long poll).
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no answer came.
+    /// Returns [`Error`] when no valid response arrived.
     pub async fn read(
         &self,
         stream: &str,
@@ -214,35 +216,35 @@
             "http://{}/v1/streams/{stream}/records?from={from}&limit={limit}&wait_ms={wait_ms}",
             self.addr
         );
-        let bound = wait + RESPONSE_TIMEOUT;
-        let sent = self.http.get(url).timeout(bound).send();
-        self.read_response("read", sent, bound).await
+        let timeout = wait + RESPONSE_TIMEOUT;
+        let sent = self.http.get(url).timeout(timeout).send();
+        self.read_response("read", sent, timeout).await
     }
 
-    /// Takes in one answer. The whole call has a bound, the body included: a
-    /// connection that goes silent half way would otherwise hold it for ever.
+    /// Sends a request and parses its response. The timeout covers the body, too:
+    /// otherwise a connection that stalls within the body would block for ever.
     async fn read_response<T: DeserializeOwned>(
         &self,
         step: &'static str,
         sent: awc::SendClientRequest,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<T, Error> {
         let peer = self.addr;
-        let lost = |detail: String| Error::NoResponse { step, peer, detail };
-        let whole = async {
+        let no_response = |detail: String| Error::NoResponse { step, peer, detail };
+        let response = async {
             let mut response = sent.await.map_err(|e| match e {
                 e if crate::engine::never_sent(&e) => Error::Connect { step, peer },
-                other => lost(other.to_string()),
+                other => no_response(other.to_string()),
             })?;
             if response.status() != StatusCode::OK {
                 let status = response.status().as_u16();
                 return StatusSnafu { step, peer, status }.fail();
             }
             let body = response.body().limit(RESPONSE_LIMIT).await;
-            let body = body.map_err(|e| lost(e.to_string()))?;
+            let body = body.map_err(|e| no_response(e.to_string()))?;
             serde_json::from_slice(&body).context(InvalidResponseSnafu { step, peer })
         };
-        let answered = tokio::time::timeout(bound, whole).await;
-        answered.map_err(|_| lost(format!("silent for {bound:?}")))?
+        let result = tokio::time::timeout(timeout, response).await;
+        result.map_err(|_| no_response(format!("timeout after {timeout:?}")))?
     }
 }
--- a/crates/clients/src/orders.rs
+++ b/crates/clients/src/orders.rs
@@ -1,5 +1,5 @@
-//! OrdersClient to an engine: loading versions and adapters, changing its role. The
-//! format is written down in docs/platform/orders.md.
+//! Client that sends orders to an engine: load a model version, load or unload an
+//! adapter, change the role. The format is specified in docs/platform/orders.md.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 
 use crate::engine::never_sent;
 
-/// Header that carries the fencing number of an order.
+/// Header with the fencing token of an order.
 pub const FENCING_HEADER: &str = "x-fencing-number";
 
-/// Time allowed for an answer. An engine takes an order at once and loads
-/// after that.
+/// Timeout of a call. An engine accepts an order at once and executes it
+/// afterwards.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One engine's orders as its sidecar gives them.
+/// Client that a sidecar uses to send orders to its engine.
 pub struct OrdersClient {
-    /// Where the engine takes orders.
+    /// Address that the engine accepts orders at.
     addr: SocketAddr,
-    /// The HTTP client.
+    /// HTTP client that opens a new connection for each call.
     http: awc::Client,
 }
 
-/// One order.
+/// Order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
@@ -37,57 +37,58 @@
     LoadAdapter(String),
     /// Unload an adapter.
     UnloadAdapter(String),
-    /// Change the role, as to prefill or decode only.
+    /// Change the role, for example to prefill only or decode only.
     ChangeRole(String),
 }
 
-/// What an engine has, and does.
+/// State of an engine that orders can change.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineState {
-    /// The version that it serves.
+    /// Model version that the engine serves.
     pub version: String,
-    /// The adapters that it serves.
+    /// Adapters that the engine serves.
     pub adapters: BTreeSet<String>,
-    /// Its role.
+    /// Role of the engine.
     pub role: String,
-    /// Whether it is loading; it serves what it has meanwhile.
+    /// Whether a load is in progress. The engine serves the previous version and
+    /// adapters meanwhile.
     pub loading: bool,
 }
 
-/// Why an order was not taken.
+/// Error of a call to an engine.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The engine could not be reached; the order was not given.
+    /// No connection could be opened, so the order was not sent.
     #[snafu(display("step={step} peer={peer}: no connection"))]
     Connect {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The engine.
         peer: SocketAddr,
     },
-    /// No answer came; the order may have been taken.
+    /// No complete response arrived; the order may have been accepted.
     #[snafu(display("step={step} peer={peer}: {detail}"))]
     NoResponse {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The engine.
         peer: SocketAddr,
-        /// What the client reported.
+        /// Error text of the HTTP client.
         detail: String,
     },
-    /// The engine has taken an order with a higher fencing number.
-    #[snafu(display("step={step} peer={peer}: old fencing number"))]
+    /// The engine has accepted an order with a higher fencing token.
+    #[snafu(display("step={step} peer={peer}: stale fencing token"))]
     StaleFence {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The engine.
         peer: SocketAddr,
     },
-    /// The engine refused the order.
+    /// The engine rejected the order.
     #[snafu(display("step={step} peer={peer}: refused with status {status}"))]
     Refused {
-        /// What was wanted.
+        /// Operation that failed.
         step: &'static str,
         /// The engine.
         peer: SocketAddr,
@@ -97,7 +98,7 @@
 }
 
 impl Error {
-    /// The word used in labels.
+    /// Value of the metric label.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -110,7 +111,7 @@
 }
 
 impl OrdersClient {
-    /// Makes a client for the engine that takes orders at `addr`.
+    /// Creates a client for the engine that accepts orders at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
         let connector = awc::Connector::new().conn_keep_alive(Duration::ZERO);
@@ -121,11 +122,11 @@
         Self { addr, http }
     }
 
-    /// What the engine has.
+    /// Fetches the state of the engine.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no answer came.
+    /// Returns [`Error`] when no valid response arrived.
     pub async fn state(&self) -> Result<EngineState, Error> {
         let (step, peer) = ("read_standing", self.addr);
         let url = format!("http://{peer}/v1/orders");
@@ -140,11 +141,11 @@
         })
     }
 
-    /// Gives an order with its fencing number.
+    /// Sends an order with its fencing token.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when the order was not taken, or may not have been.
+    /// Returns [`Error`] when the engine did not confirm the order.
     pub async fn send(&self, order: &Order, fence: Offset) -> Result<(), Error> {
         let url = format!("http://{}/v1/orders", self.addr);
         let request = self
@@ -156,6 +157,7 @@
         self.check_status("order", response.status())
     }
 
+    /// Maps an error status to its error.
     fn check_status(&self, step: &'static str, status: StatusCode) -> Result<(), Error> {
         let peer = self.addr;
         match status {
@@ -168,6 +170,7 @@
         }
     }
 
+    /// Distinguishes a request that was never sent from one that may have been.
     fn classify_error(&self, step: &'static str, error: &awc::error::SendRequestError) -> Error {
         let peer = self.addr;
         if never_sent(error) {
--- a/crates/clients/src/plain.rs
+++ b/crates/clients/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, which stand beside the model engines.
+//! HTTP client of plain services: backend servers that are not model engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,38 +8,38 @@
 
 use crate::engine::{Error, REQUEST_ID_HEADER, never_sent};
 
-/// Time allowed for a new connection to a service.
+/// Timeout for opening a connection to a service.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an idle connection is kept. The longer it is, the more calls end
-/// with an unknown outcome because their connection had gone silent.
+/// Time after which an idle connection is closed. With a longer timeout, more
+/// calls end with an unknown outcome because their connection was already dead.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest answer of a plain service, in bytes.
+/// Largest response body, in bytes.
 const RESPONSE_LIMIT: usize = 8 << 20;
 
-/// One plain service as its sidecar reaches it.
+/// Client that a sidecar uses to call its plain service.
 #[derive(Clone)]
 pub struct PlainClient {
-    /// Where the service listens.
+    /// Address that the service listens on.
     addr: SocketAddr,
-    /// The HTTP client, which keeps connections.
+    /// HTTP client that reuses connections.
     http: awc::Client,
 }
 
-/// The answer of a plain service.
+/// Response of a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The content type, empty when there is none.
+    /// Content type; empty when the response has none.
     pub content_type: String,
-    /// The body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl PlainClient {
-    /// Makes a client for the service at `addr`; each call may take `timeout`.
+    /// Creates a client for the service at `addr` with a timeout per call.
     #[must_use]
     pub fn new(addr: SocketAddr, timeout: Duration) -> Self {
         let connector = awc::Connector::new()
@@ -53,15 +53,15 @@
         Self { addr, http }
     }
 
-    /// Dials the service, which shows whether it can be reached.
+    /// Health check: opens a connection to the service and closes it.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no connection is made.
+    /// Returns [`Error`] when no connection can be opened.
     pub async fn probe(&self) -> Result<(), Error> {
         let peer = self.addr;
-        let dialled = tokio::net::TcpStream::connect(peer);
-        match tokio::time::timeout(CONNECT_TIMEOUT, dialled).await {
+        let connected = tokio::net::TcpStream::connect(peer);
+        match tokio::time::timeout(CONNECT_TIMEOUT, connected).await {
             Ok(Ok(_)) => Ok(()),
             _ => Err(Error::Connect {
                 step: "probe",
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Makes one call. `path` starts with a slash and includes the query.
+    /// Sends one request. `path` starts with a slash and includes the query.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no whole answer came; [`Error::not_run`] tells
-    /// whether the call may have run all the same.
+    /// Returns [`Error`] when no complete response arrived. [`Error::not_run`]
+    /// tells whether the request was certainly not executed.
     pub async fn call(
         &self,
         ticket: RequestId,
@@ -110,8 +110,11 @@
             other => no_response(other.to_string()),
         })?;
         let status = response.status().as_u16();
-        let kind = response.headers().get(awc::http::header::CONTENT_TYPE);
-        let content_type = kind.and_then(|v| v.to_str().ok()).unwrap_or("").to_owned();
+        let header = response.headers().get(awc::http::header::CONTENT_TYPE);
+        let content_type = header
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or("")
+            .to_owned();
         let body = response
             .body()
             .limit(RESPONSE_LIMIT)
--- a/crates/clients/src/weights.rs
+++ b/crates/clients/src/weights.rs
@@ -1,5 +1,5 @@
-//! Permits of the rate-limited weight store. The format is written down in
-//! docs/platform/weights.md.
+//! Client of the rate-limited weight store, which issues permits to load model
+//! weights. The format is specified in docs/platform/weights.md.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,37 +7,37 @@
 use awc::http::StatusCode;
 use awc::http::header::RETRY_AFTER;
 
-/// Time allowed for an answer.
+/// Timeout of a call.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The weight store as one sidecar reaches it.
+/// Client that a sidecar uses to request permits.
 pub struct WeightStoreClient {
-    /// Where the store listens.
+    /// Address that the store listens on.
     addr: SocketAddr,
-    /// The HTTP client.
+    /// HTTP client that reuses connections.
     http: awc::Client,
 }
 
-/// What became of asking for a permit.
+/// Outcome of a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitResponse {
-    /// One load may begin.
+    /// One load may start.
     Granted,
-    /// Ask again, not before the time that the store told.
+    /// Rate limit reached; retry after the delay that the store returned.
     RetryAfter(Duration),
-    /// The store does not answer.
+    /// The store is unreachable or returned an error.
     Unavailable,
 }
 
 impl WeightStoreClient {
-    /// Makes a client for the store at `addr`.
+    /// Creates a client for the store at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
         let http = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
         Self { addr, http }
     }
 
-    /// Asks for a permit to load `what`.
+    /// Requests a permit to load `what`, a model version or an adapter.
     pub async fn request_permit(&self, what: &str) -> PermitResponse {
         let url = format!("http://{}/v1/permits/{what}", self.addr);
         let Ok(response) = self.http.post(url).send().await else {
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,9 +1,9 @@
-//! Faults of a stand-in, changed while it runs.
+//! Faults of a stand-in that can be changed while it runs.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A stand-in's faults as one value that whoever runs it can change at any
-/// time; clones share it, on whatever thread they live.
+/// Shared, thread-safe handle to the faults of a stand-in. Clones refer to the
+/// same faults.
 #[derive(Debug, Default)]
 pub struct FaultControl<T> {
     faults: Arc<Mutex<T>>,
@@ -18,7 +18,7 @@
 }
 
 impl<T: Clone> FaultControl<T> {
-    /// Makes a control that starts with the given faults.
+    /// Creates a handle with the given initial faults.
     #[must_use]
     pub fn new(faults: T) -> Self {
         Self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The faults as they are now.
+    /// Returns a copy of the current faults.
     #[must_use]
     pub fn get(&self) -> T {
         self.faults
@@ -35,7 +35,7 @@
             .clone()
     }
 
-    /// Changes the faults.
+    /// Updates the faults in place.
     pub fn change(&self, change: impl FnOnce(&mut T)) {
         change(&mut self.faults.lock().unwrap_or_else(PoisonError::into_inner));
     }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,13 +1,13 @@
-//! A model engine that batches continuously.
+//! Stand-in for a model engine with continuous batching.
 //!
-//! Every step takes a while and gives each request in the batch either a part
-//! of its prompt's computation or one token. The length of an answer is a
-//! property of the request that only the stand-in reads. docs/platform/engine.md
-//! writes down what it answers.
+//! Each step takes a configured time. In a step every request in the batch either
+//! computes a part of its prompt (prefill) or generates one token (decode). The
+//! request body sets the length of the response in a field that only the
+//! stand-in reads. The HTTP interface is specified in docs/platform/engine.md.
 //!
-//! - [`batch`]: the requests and the steps.
-//! - [`cache`]: the prefix cache with limited memory, and its events.
-//! - [`response`]: the events of an answer.
+//! - [`batch`]: request queue, batch and steps.
+//! - [`cache`]: prefix cache with limited memory, and its events.
+//! - [`response`]: event stream of a response.
 
 pub mod batch;
 pub mod cache;
@@ -36,57 +36,58 @@
 /// Largest request body, in bytes.
 const BODY_LIMIT: usize = 8 << 20;
 
-/// How often a stand-in looks whether it should crash or come back.
+/// Interval at which the stand-in checks whether to crash or to restart.
 const CRASH_POLL: Duration = Duration::from_millis(5);
 
 /// Settings of an engine stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Requests that run at once; more wait inside the engine.
+    /// Maximum number of requests in the batch; further requests are queued.
     #[serde(default = "default_slots")]
     pub slots: usize,
-    /// Time of one step with one request.
+    /// Duration of a step with one request in the batch.
     #[serde(default = "default_step", rename = "step")]
     pub step_time: HumanDuration,
-    /// Time that each further request adds to a step.
+    /// Time that each further request in the batch adds to a step.
     #[serde(default = "default_extra", rename = "extra")]
     pub request_overhead: HumanDuration,
-    /// Prompt tokens computed in one step, over the whole batch.
+    /// Maximum number of prompt tokens computed in one step by the whole batch.
     #[serde(default = "default_prefill", rename = "prefill")]
     pub prefill_tokens: u32,
-    /// Tokens that fit into the prefix cache.
+    /// Capacity of the prefix cache, in tokens.
     #[serde(default = "default_cache", rename = "cache")]
     pub cache_tokens: u32,
-    /// How long an ended stream can still be resumed.
+    /// Time for which a completed stream can still be resumed.
     #[serde(default = "default_keep", rename = "keep")]
     pub resume_window: HumanDuration,
-    /// Faults from the start on; changed by `PUT /faults`.
+    /// Initial faults; can be replaced with `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
 }
 
-/// What is wrong with an engine.
+/// Faults of an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How old a load report is when it is given out.
+    /// Age of a load report when it is served.
     pub report_lag: HumanDuration,
-    /// How old a cache event is when it is given out.
+    /// Minimum age of a cache event before it is served.
     pub event_lag: HumanDuration,
-    /// Share of cache events that are never given out.
+    /// Fraction of cache events that are dropped, from 0 to 1.
     #[serde(rename = "event_gap")]
     pub event_loss: f64,
-    /// By how much each step takes longer; 4 makes it four times slower.
+    /// Factor by which each step takes longer; with 4 the engine is four times
+    /// slower.
     #[serde(rename = "pace")]
     pub slowdown: f64,
-    /// Whether it is down: connections are dropped, its state is lost, and
-    /// new connections are refused.
+    /// Whether the engine is down: open connections are closed, its state is lost
+    /// and new connections are refused.
     pub crashed: bool,
-    /// Streams open when this number grows get nothing more for good, while
-    /// new ones work.
+    /// Number whose change permanently stops the events of all open streams
+    /// without closing them; streams opened afterwards work.
     #[serde(rename = "muted")]
     pub mute_generation: u32,
 }
@@ -128,21 +129,21 @@
     HumanDuration::secs(5)
 }
 
-/// Runs an engine until `stop` is asked.
+/// Runs an engine until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the engine cannot listen.
+/// Returns an error when the engine cannot bind its address.
 pub async fn run(settings: Settings, ledger: Ledger, stop: StopSignal) -> io::Result<()> {
     let faults = FaultControl::new(settings.faults.clone());
     run_with(settings, faults, ledger, stop).await
 }
 
-/// Runs an engine whose faults are changed by `faults` until `stop` is asked.
+/// Runs an engine with the shared `faults` until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the engine cannot listen.
+/// Returns an error when the engine cannot bind its address.
 pub async fn run_with(
     settings: Settings,
     faults: FaultControl<Faults>,
@@ -151,8 +152,8 @@
 ) -> io::Result<()> {
     loop {
         let serving = run_until_stopped(&settings, &faults, &ledger, &stop);
-        // All tasks of one life, connections among them, belong to a set of
-        // their own. Dropping it closes the sockets as a crash would.
+        // All tasks of one incarnation, including its connections, run in their
+        // own task set. Dropping the set closes the sockets as a crash would.
         let tasks = LocalSet::new();
         tokio::select! {
             ended = tasks.run_until(serving) => return ended,
@@ -167,14 +168,15 @@
     }
 }
 
-/// Waits until the faults are as condition.
+/// Waits until the faults meet `condition`.
 async fn wait_for_faults(faults: &FaultControl<Faults>, condition: impl Fn(&Faults) -> bool) {
     while !condition(&faults.get()) {
         tokio::time::sleep(CRASH_POLL).await;
     }
 }
 
-/// One life of the engine, which begins with nothing cached and nothing known.
+/// Runs one incarnation of the engine, which starts with an empty cache and no
+/// requests.
 async fn run_until_stopped(
     settings: &Settings,
     faults: &FaultControl<Faults>,
@@ -199,15 +201,15 @@
     base::http::serve(listener, app, stop.clone()).await
 }
 
-/// What the stand-in reads of a request. `mark` and `length` are its own:
-/// the router passes them on without knowing them.
+/// Fields of the request body that the stand-in reads. Only the stand-in knows
+/// `mark` and `length`; the router forwards them unread.
 #[derive(Debug, Deserialize)]
 struct CompletionBody {
     #[serde(default)]
     prompt: Value,
     #[serde(default)]
     messages: Vec<Message>,
-    #[serde(default = "default_max")]
+    #[serde(default = "default_max_tokens")]
     max_tokens: u32,
     #[serde(default)]
     mark: String,
@@ -220,7 +222,7 @@
     content: Value,
 }
 
-fn default_max() -> u32 {
+fn default_max_tokens() -> u32 {
     4096
 }
 
@@ -255,7 +257,8 @@
     response::stream_events(Rc::clone(batch), request, 0)
 }
 
-/// Appends a prompt or content, a text or a list of texts or parts.
+/// Appends the text of a prompt or message content, which is a string or a list of
+/// strings or parts.
 fn append_text(out: &mut String, value: &Value) {
     match value {
         Value::String(text) => out.push_str(text),
@@ -269,7 +272,7 @@
     }
 }
 
-/// Goes on with a stream from a token number on.
+/// Resumes a stream from a token's sequence number.
 async fn resume(
     http: HttpRequest,
     id: web::Path<String>,
@@ -287,7 +290,7 @@
     }
 }
 
-/// Stops a request.
+/// Cancels a request.
 async fn cancel(http: HttpRequest, id: web::Path<String>) -> HttpResponse {
     let Some(batch) = http.app_data::<Rc<Batch>>() else {
         return HttpResponse::InternalServerError().finish();
@@ -296,7 +299,7 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Gives out a load report, as old as the faults say.
+/// Serves a load report that is delayed by the configured lag.
 async fn load_report(http: HttpRequest) -> HttpResponse {
     match http.app_data::<Rc<Batch>>() {
         Some(batch) => HttpResponse::Ok().json(batch.report()),
@@ -304,7 +307,7 @@
     }
 }
 
-/// Gives out cache events from a number on.
+/// Serves cache events from a sequence number on.
 async fn cache_events(http: HttpRequest, query: web::Query<HashMap<String, u64>>) -> HttpResponse {
     let from = query.get("from").copied().unwrap_or(0);
     match http.app_data::<Rc<Batch>>() {
@@ -313,7 +316,7 @@
     }
 }
 
-/// Changes the faults.
+/// Replaces the faults.
 async fn set_faults(http: HttpRequest, body: web::Json<Faults>) -> HttpResponse {
     let Some(batch) = http.app_data::<Rc<Batch>>() else {
         return HttpResponse::InternalServerError().finish();
@@ -322,7 +325,7 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Gives out what the stand-in saw.
+/// Serves the counts of all requests.
 async fn show_ledger(http: HttpRequest) -> HttpResponse {
     match http.app_data::<Rc<Batch>>() {
         Some(batch) => HttpResponse::Ok().json(batch.ledger.all_counts()),
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The requests of an engine and its steps.
+//! Requests of an engine, and the steps that execute them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -17,77 +17,78 @@
 use crate::control::FaultControl;
 use crate::ledger::{Ledger, RequestCounters};
 
-/// How often the load is load_samples for reports.
+/// Interval between two load samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Observations that are kept, enough for a lag of a minute.
+/// Maximum number of load samples, enough for a report lag of one minute.
 const MAX_SAMPLES: usize = 1200;
 
-/// How far the steps may lag behind their schedule and still catch up; an
-/// engine that was held up longer goes on from now.
+/// Maximum delay behind the schedule that the following steps make up for. Delay
+/// beyond it is dropped from the schedule.
 const MAX_STEP_LAG: Duration = Duration::from_millis(50);
 
-/// A running engine.
+/// Queue and batch of an engine.
 pub struct Batch {
-    /// What it was set up with.
+    /// Settings of the engine.
     pub settings: Settings,
-    /// What is wrong with it.
+    /// Faults of the engine.
     pub faults: FaultControl<Faults>,
-    /// What is noted for judging the router.
+    /// Counts of executed requests.
     pub ledger: Ledger,
-    /// Requests by their id, those that ended_at lately among them.
+    /// Requests by id, including recently completed ones.
     requests: RefCell<HashMap<String, Rc<Request>>>,
-    /// Requests that run.
+    /// Requests in the batch.
     running: RefCell<Vec<Rc<Request>>>,
-    /// Requests that wait for room in the batch, by priority.
+    /// Queued requests, ordered by priority.
     waiting: RefCell<VecDeque<Rc<Request>>>,
     cache: RefCell<Cache>,
-    /// Load as it was, for reports that lag.
+    /// Past load reports, used to serve reports with a lag.
     load_samples: RefCell<VecDeque<(Instant, LoadReport)>>,
-    /// Draws which cache events get lost.
+    /// Random generator that selects the cache events to drop.
     rng: RefCell<Pcg64Mcg>,
-    /// Wakes the stepping when there is work_available.
+    /// Notifies the step loop of a new request.
     work_available: Notify,
 }
 
-/// A request to take in.
+/// Parameters of a request to submit.
 pub struct NewRequest<'a> {
-    /// The request's id.
+    /// Request id.
     pub id: &'a str,
-    /// The caller's mark.
+    /// Mark that identifies the request in the ledger.
     pub mark: &'a str,
-    /// The priority; lower numbers go first.
+    /// Priority; lower numbers are scheduled first.
     pub priority: u8,
-    /// Tokens that the answer will have.
+    /// Number of tokens to generate.
     pub output_length: u32,
-    /// The prompt_tokens.
+    /// Text of the prompt.
     pub text: &'a [u8],
 }
 
-/// One request.
+/// A queued, running or recently completed request.
 pub struct Request {
-    /// The caller's mark.
+    /// Mark that identifies the request in the ledger.
     pub mark: String,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Prompt tokens found in the cache.
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u32,
     /// Tokens generated so far.
     pub generated: Cell<u32>,
-    /// Whether it was stopped.
+    /// Whether the request was cancelled.
     pub cancelled: Cell<bool>,
-    /// When it ended_at.
+    /// Time of completion.
     pub ended_at: Cell<Option<Instant>>,
-    /// Wakes its streams.
+    /// Notifies the request's event streams of a change.
     pub changed: Notify,
     counters: Arc<RequestCounters>,
     priority: u8,
     output_length: u32,
-    /// Prompt tokens still to compute.
+    /// Prompt tokens that remain to be computed.
     prefill_left: Cell<u32>,
 }
 
-/// Steps the batch for as long as there is work_available.
+/// Step loop: executes steps until `stop` is triggered and all requests have
+/// ended.
 pub async fn run_steps(batch: Rc<Batch>, stop: StopSignal) {
     let mut due = tokio::time::Instant::now();
     while !stop.is_triggered() || !batch.is_idle() {
@@ -101,9 +102,9 @@
             continue;
         }
 
-        // The timer is coarser than a step. Steps due by an absolute schedule
-        // take as long as they should on average, whatever one of them takes.
-        // An engine without step time makes tokens as fast as it can.
+        // The timer's resolution is coarser than a step. Scheduling steps at
+        // absolute times keeps their average duration correct. With a step time
+        // of zero, tokens are generated as fast as possible.
         let step = batch.step_duration();
         if step.is_zero() {
             tokio::task::yield_now().await;
@@ -116,7 +117,7 @@
     }
 }
 
-/// Notes the load again and again, for reports that lag.
+/// Records the load at regular intervals, to serve reports with a lag.
 pub async fn sample_load(batch: Rc<Batch>, stop: StopSignal) {
     while !stop.is_triggered() {
         batch.record_load();
@@ -125,7 +126,7 @@
 }
 
 impl Batch {
-    /// Makes an is_idle engine.
+    /// Creates an engine without requests.
     #[must_use]
     pub fn new(settings: Settings, faults: FaultControl<Faults>, ledger: Ledger) -> Rc<Self> {
         let seed = u128::from(settings.listen.port()) << 1 | 1;
@@ -143,15 +144,15 @@
         })
     }
 
-    /// Takes in a request.
-    pub fn submit(&self, job: &NewRequest<'_>) -> Rc<Request> {
-        let prompt_tokens = u32::try_from(job.text.len() / 4).unwrap_or(u32::MAX).max(1);
-        let cached_tokens = self.cache.borrow_mut().admit(job.text, Instant::now());
-        let counters = self.ledger.counters(job.mark);
+    /// Adds a request to the queue.
+    pub fn submit(&self, new: &NewRequest<'_>) -> Rc<Request> {
+        let prompt_tokens = u32::try_from(new.text.len() / 4).unwrap_or(u32::MAX).max(1);
+        let cached_tokens = self.cache.borrow_mut().admit(new.text, Instant::now());
+        let counters = self.ledger.counters(new.mark);
         RequestCounters::add(&counters.runs, 1);
 
         let request = Rc::new(Request {
-            mark: job.mark.to_owned(),
+            mark: new.mark.to_owned(),
             prompt_tokens,
             cached_tokens,
             generated: Cell::new(0),
@@ -159,27 +160,27 @@
             ended_at: Cell::new(None),
             changed: Notify::new(),
             counters,
-            priority: job.priority,
-            output_length: job.output_length,
-            // The last token of a prompt_tokens is computed in any case.
+            priority: new.priority,
+            output_length: new.output_length,
+            // The last prompt token is always computed.
             prefill_left: Cell::new(prompt_tokens.saturating_sub(cached_tokens).max(1)),
         });
-        let id = job.id.to_owned();
+        let id = new.id.to_owned();
         self.requests.borrow_mut().insert(id, Rc::clone(&request));
 
         let mut waiting = self.waiting.borrow_mut();
-        let at = waiting.partition_point(|r| r.priority <= request.priority);
-        waiting.insert(at, Rc::clone(&request));
+        let position = waiting.partition_point(|r| r.priority <= request.priority);
+        waiting.insert(position, Rc::clone(&request));
         self.work_available.notify_one();
         request
     }
 
-    /// Finds a request that runs or ended_at lately.
+    /// Finds a queued, running or recently completed request.
     pub fn find(&self, id: &str) -> Option<Rc<Request>> {
         self.requests.borrow().get(id).cloned()
     }
 
-    /// Stops a request.
+    /// Cancels a request.
     pub fn cancel(&self, id: &str) {
         if let Some(request) = self.requests.borrow_mut().remove(id) {
             request.cancelled.set(true);
@@ -187,22 +188,23 @@
         }
     }
 
-    /// The load as the faults let it be known.
+    /// Returns the load report that is as old as the configured lag.
     pub fn report(&self) -> LoadReport {
         let lag = self.faults.get().report_lag.0;
         let load_samples = self.load_samples.borrow();
-        let old = load_samples
+        let sample = load_samples
             .iter()
             .rev()
             .find(|(at, _)| at.elapsed() >= lag);
-        match old {
+        match sample {
             Some((_, report)) if !lag.is_zero() => *report,
             _ if lag.is_zero() => self.current_load(),
             _ => LoadReport::default(),
         }
     }
 
-    /// Cache events as the faults let them be known.
+    /// Returns cache events from the sequence number `from` on, subject to the
+    /// configured lag and loss.
     pub fn cache_events(&self, from: u64) -> CacheEvents {
         let faults = self.faults.get();
         let now = Instant::now();
@@ -214,7 +216,7 @@
         CacheEvents { next_seq, events }
     }
 
-    /// Notes the load as it is now.
+    /// Records a sample of the current load.
     fn record_load(&self) {
         let now = self.current_load();
         let mut load_samples = self.load_samples.borrow_mut();
@@ -224,11 +226,12 @@
         }
     }
 
-    /// Whether nothing runs or waits.
+    /// Whether there are no queued or running requests.
     fn is_idle(&self) -> bool {
         self.running.borrow().is_empty() && self.waiting.borrow().is_empty()
     }
 
+    /// Returns the current load.
     fn current_load(&self) -> LoadReport {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         let step = self.step_duration();
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Fills the batch from those that wait.
+    /// Moves queued requests into the free slots of the batch.
     fn fill_batch(&self) {
         let mut running = self.running.borrow_mut();
         let mut waiting = self.waiting.borrow_mut();
@@ -253,26 +256,26 @@
         }
     }
 
-    /// How long the next step takes.
+    /// Returns the duration of the next step.
     fn step_duration(&self) -> Duration {
         let size = self.running.borrow().len().max(1);
-        let extra = u32::try_from(size - 1).unwrap_or(0);
-        let took = self.settings.step_time.0 + self.settings.request_overhead.0 * extra;
-        took.mul_f64(self.faults.get().slowdown.clamp(0.01, 1000.0))
+        let further = u32::try_from(size - 1).unwrap_or(0);
+        let duration = self.settings.step_time.0 + self.settings.request_overhead.0 * further;
+        duration.mul_f64(self.faults.get().slowdown.clamp(0.01, 1000.0))
     }
 
-    /// Does one step's work_available.
+    /// Executes one step.
     fn execute_step(&self) {
         let mut budget = self.settings.prefill_tokens;
         let mut running = self.running.borrow_mut();
         running.sort_by_key(|r| r.priority);
         for request in running.iter().filter(|r| !r.cancelled.get()) {
-            let left = request.prefill_left.get();
-            if left > 0 {
-                let part = left.min(budget);
-                budget -= part;
-                request.prefill_left.set(left - part);
-                RequestCounters::add(&request.counters.prompt_tokens, part);
+            let remaining = request.prefill_left.get();
+            if remaining > 0 {
+                let computed = remaining.min(budget);
+                budget -= computed;
+                request.prefill_left.set(remaining - computed);
+                RequestCounters::add(&request.counters.prompt_tokens, computed);
                 continue;
             }
             request.generate_token();
@@ -287,7 +290,7 @@
 }
 
 impl Request {
-    /// Makes one token.
+    /// Generates one token.
     fn generate_token(&self) {
         self.generated.set(self.generated.get() + 1);
         RequestCounters::add(&self.counters.output_tokens, 1);
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,38 +1,39 @@
-//! The prefix cache with limited memory, and the events about it.
+//! Prefix cache with limited memory, and the events about its changes.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
 
 use clients::engine::{CacheChange, CacheEvent};
 
-/// Bytes of prompt text in one block of the cache.
+/// Size of a block, in bytes of prompt text.
 pub const BLOCK_BYTES: usize = 1024;
 
-/// Tokens in one block of the cache.
+/// Size of a block, in tokens.
 pub const BLOCK_TOKENS: u32 = 256;
 
-/// Events that are kept for readers.
+/// Maximum number of retained events.
 const MAX_EVENTS: usize = 10_000;
 
-/// Blocks of prompts computed lately. A block is known by the hash of the
-/// whole prompt up to its end, so a block is present only after the same prefix.
+/// LRU cache of prompt blocks. The key of a block is the hash of the whole prompt
+/// up to the block's end, so a block is only found after the same prefix.
 #[derive(Debug)]
 pub struct Cache {
-    /// Most blocks that fit.
+    /// Capacity, in blocks.
     max_blocks: usize,
-    /// When each block was last_use last, as a count of use_count.
+    /// Last use of each block, as a value of `use_count`.
     last_use: HashMap<u64, u64>,
-    /// The blocks by that count, the one unused for longest first.
+    /// Blocks by last use, the least recently used first.
     lru_order: BTreeMap<u64, u64>,
+    /// Logical clock, increased with each use of a block.
     use_count: u64,
-    /// Events with the time at which each came up.
+    /// Retained events, each with its time.
     events: VecDeque<(Instant, CacheEvent)>,
-    /// The number of the next_seq event.
+    /// Sequence number of the next event.
     next_seq: u64,
 }
 
 impl Cache {
-    /// Makes an empty cache for so many tokens.
+    /// Creates an empty cache with a capacity of `tokens`.
     #[must_use]
     pub fn new(tokens: u32) -> Self {
         Self {
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Uses the blocks of a prompt; returns how many of its tokens were
-    /// cached before. What was not is cached from now on.
+    /// Adds the blocks of a prompt to the cache and marks them as used. Returns how
+    /// many of its leading tokens were already cached.
     pub fn admit(&mut self, text: &[u8], now: Instant) -> u32 {
         let mut cached = 0;
         let mut prefix_cached = true;
@@ -63,25 +64,27 @@
         cached
     }
 
-    /// Events from number `from` on that came up before `until`.
+    /// Returns the events with a sequence number of at least `from` that happened
+    /// no later than `until`.
     #[must_use]
     pub fn events(&self, from: u64, until: Instant) -> Vec<CacheEvent> {
-        let due = self.events.iter().filter(|(at, _)| *at <= until);
-        let events = due.map(|(_, event)| *event);
+        let visible = self.events.iter().filter(|(at, _)| *at <= until);
+        let events = visible.map(|(_, event)| *event);
         events.filter(|e| e.seq >= from).collect()
     }
 
-    /// Marks a block as last_use now; tells whether it was there before.
+    /// Marks a block as used now; returns whether it was already cached.
     fn touch(&mut self, block: u64) -> bool {
         self.use_count += 1;
-        let before = self.last_use.insert(block, self.use_count);
-        if let Some(before) = before {
-            self.lru_order.remove(&before);
+        let previous = self.last_use.insert(block, self.use_count);
+        if let Some(previous) = previous {
+            self.lru_order.remove(&previous);
         }
         self.lru_order.insert(self.use_count, block);
-        before.is_some()
+        previous.is_some()
     }
 
+    /// Evicts the least recently used blocks while the cache exceeds its capacity.
     fn evict(&mut self, now: Instant) {
         while self.last_use.len() > self.max_blocks {
             let Some((_, block)) = self.lru_order.pop_first() else {
--- a/crates/standin/src/engine/response.rs
+++ b/crates/standin/src/engine/response.rs
@@ -1,4 +1,4 @@
-//! The events of an answer.
+//! Event stream of a response.
 
 use std::io;
 use std::rc::Rc;
@@ -10,17 +10,17 @@
 
 use super::batch::{Batch, Request};
 
-/// A stream_state of one answer.
+/// State of one client's stream of a request's events.
 struct EventStream {
     batch: Rc<Batch>,
     request: Rc<Request>,
-    /// The number of the next_seq token.
+    /// Sequence number of the next token.
     next_seq: u32,
-    /// The faults' count of mutings when the stream was opened.
+    /// Value of the fault `mute_generation` when the stream was opened.
     mute_generation: u32,
 }
 
-/// The events of a request from token number `from` on.
+/// Streams the events of a request, starting at token `from`.
 pub(super) fn stream_events(batch: Rc<Batch>, request: Rc<Request>, from: u32) -> HttpResponse {
     let mute_generation = batch.faults.get().mute_generation;
     let stream_state = EventStream {
@@ -41,7 +41,8 @@
 }
 
 impl EventStream {
-    /// Waits for further tokens; the flag says that the answer is whole.
+    /// Waits for further tokens and returns their events. The flag is set with the
+    /// last events of the response; `None` means that the request was cancelled.
     async fn next_events(&mut self) -> Option<(String, bool)> {
         loop {
             let changed = self.request.changed.notified();
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -1,4 +1,5 @@
-//! The platform's list of hosts, which lags, freezes, empties and goes out.
+//! Stand-in for the platform's host list, which can be stale, frozen, empty or
+//! unavailable.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,52 +16,53 @@
 
 use crate::control::FaultControl;
 
-/// Settings of the host list's stand-in.
+/// Settings of a host list stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Hosts that stand in the list from the start.
+    /// Hosts that are initially in the list.
     #[serde(default)]
     pub hosts: Vec<Host>,
-    /// What is wrong from the start.
+    /// Initial faults; can be replaced with `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
 }
 
-/// What is wrong with the list.
+/// Faults of the list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How far the list is behind.
+    /// Delay after which a change becomes visible.
     pub lag: HumanDuration,
-    /// Whether changes stop showing; what was last served stays.
+    /// Whether the list stays at the version that was last served.
     pub frozen: bool,
-    /// Whether the list has no hosts in it.
+    /// Whether the list is served without hosts.
     pub empty: bool,
-    /// Whether every reading fails.
+    /// Whether every request for the list fails.
     pub outage: bool,
 }
 
-/// The hosts as they really are, with their history; clones share one record.
+/// Actual hosts, independent of the faults, and their history. Clones share the
+/// same state.
 #[derive(Debug, Clone)]
 pub struct Registry {
     inner: Arc<Mutex<History>>,
-    /// What is wrong, changed while the list is served.
+    /// Faults; can be changed while the list is served.
     pub control: FaultControl<Faults>,
 }
 
-/// Every version of the list, so that an old one can be served.
+/// All versions of the list, so that an old version can be served.
 #[derive(Debug)]
 struct History {
     versions: Vec<(Instant, Arc<Vec<Host>>)>,
-    /// The version that was served last.
+    /// Index of the version that was served last.
     served: usize,
 }
 
 impl Registry {
-    /// Makes a registry with the given hosts.
+    /// Creates a registry with the given hosts.
     #[must_use]
     pub fn new(hosts: Vec<Host>) -> Self {
         let history = History {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Adds a host, or replaces the one of the same name.
+    /// Adds a host, or replaces the host with the same name.
     pub fn put(&self, host: Host) {
         self.change(|hosts| {
             hosts.retain(|h| h.name != host.name);
@@ -81,21 +83,22 @@
         });
     }
 
-    /// Marks a host as about to go away.
+    /// Marks a host as about to be removed.
     pub fn mark_leaving(&self, name: &str) {
         self.change(|hosts| {
-            let found = hosts.iter_mut().find(|h| h.name == name);
-            if let Some(host) = found {
+            let host = hosts.iter_mut().find(|h| h.name == name);
+            if let Some(host) = host {
                 host.status = HostStatus::Leaving;
             }
         });
     }
 
-    /// Takes a host out.
+    /// Removes a host.
     pub fn remove(&self, name: &str) {
         self.change(|hosts| hosts.retain(|h| h.name != name));
     }
 
+    /// Appends a version of the list with a change.
     fn change(&self, change: impl FnOnce(&mut Vec<Host>)) {
         let mut history = self.lock();
         let last = history.versions.last().map(|(_, hosts)| hosts.as_ref());
@@ -104,14 +107,14 @@
         history.versions.push((Instant::now(), Arc::new(hosts)));
     }
 
-    /// The version that is visible_version now, with its number.
+    /// Returns the index of the version to serve now, and its hosts.
     fn visible_version(&self, now: Instant) -> (usize, Arc<Vec<Host>>) {
         let faults = self.control.get();
         let mut history = self.lock();
         if !faults.frozen {
             let visible = |(at, _): &&(Instant, _)| now.duration_since(*at) >= faults.lag.0;
             let count = history.versions.iter().take_while(visible).count();
-            // The first version is visible_version however young it is.
+            // The first version is visible regardless of its age.
             history.served = count.saturating_sub(1);
         }
         let served = history.served;
@@ -123,11 +126,11 @@
     }
 }
 
-/// Serves the list until `stop` is asked.
+/// Serves the list until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the list cannot be served.
+/// Returns an error when the address cannot be bound or serving fails.
 pub async fn run(settings: Settings, registry: Registry, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     registry.control.change(|faults| *faults = settings.faults);
@@ -140,7 +143,7 @@
     base::http::serve(listener, app, stop).await
 }
 
-/// What a reader asks for.
+/// Query of a request for the list.
 #[derive(Debug, Deserialize)]
 struct Query {
     #[serde(default)]
@@ -165,8 +168,8 @@
     if known.is_some_and(|v| v.as_bytes() == tag.as_bytes()) {
         return HttpResponse::NotModified().finish();
     }
-    let wanted = |h: &&Host| query.region.is_empty() || h.region == query.region;
-    let hosts = hosts.iter().filter(wanted).cloned().collect();
+    let in_region = |h: &&Host| query.region.is_empty() || h.region == query.region;
+    let hosts = hosts.iter().filter(in_region).cloned().collect();
     HttpResponse::Ok()
         .insert_header((ETAG, tag))
         .json(HostList { hosts })
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins saw. The router is judged by this, not by what it
-//! believes itself.
+//! Counts of what the stand-ins executed for each request. The router is checked
+//! against these counts instead of its own reports.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,46 +7,47 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What all_counts stand-ins of a run saw; clones share one record.
+/// Counts of all requests that the stand-ins of a run executed. Clones share the
+/// same counts.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     inner: Arc<Mutex<HashMap<String, Arc<RequestCounters>>>>,
 }
 
-/// The counts of one request, noted without a lock.
+/// Counters of one request, updated without a lock.
 #[derive(Debug, Default)]
 pub struct RequestCounters {
-    /// How often the request started to run.
+    /// How many times execution was started.
     pub runs: AtomicU32,
-    /// Tokens made for it in all_counts runs.
+    /// Tokens generated in all runs.
     pub output_tokens: AtomicU32,
-    /// Prompt output_tokens computed for it in all_counts runs, without cached ones.
+    /// Prompt tokens computed in all runs, not counting cached ones.
     pub prompt_tokens: AtomicU32,
-    /// Runs that came to their end.
+    /// Runs that completed.
     pub completed_runs: AtomicU32,
 }
 
-/// What was counts of one request, by the caller's own mark.
+/// Counts of one request, which is identified by the mark in its body.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestCounts {
-    /// How often the request started to run.
+    /// How many times execution was started.
     pub runs: u32,
-    /// Tokens made for it in all_counts runs.
+    /// Tokens generated in all runs.
     #[serde(rename = "tokens")]
     pub output_tokens: u32,
-    /// Prompt output_tokens computed for it in all_counts runs, without cached ones.
+    /// Prompt tokens computed in all runs, not counting cached ones.
     #[serde(rename = "prompt")]
     pub prompt_tokens: u32,
-    /// Runs that came to their end.
+    /// Runs that completed.
     #[serde(rename = "ended")]
     pub completed_runs: u32,
 }
 
 impl RequestCounters {
-    /// Adds to one of the counts.
-    pub fn add(count: &AtomicU32, n: u32) {
-        count.fetch_add(n, Ordering::Relaxed);
+    /// Adds `n` to one of the counters.
+    pub fn add(counter: &AtomicU32, n: u32) {
+        counter.fetch_add(n, Ordering::Relaxed);
     }
 
     fn counts(&self) -> RequestCounts {
@@ -60,7 +61,8 @@
 }
 
 impl Ledger {
-    /// The counters of the request with the given mark.
+    /// Returns the counters of the request with the given mark, creating them if
+    /// necessary.
     #[must_use]
     pub fn counters(&self, mark: &str) -> Arc<RequestCounters> {
         let mut inner = self.lock();
@@ -70,7 +72,7 @@
         Arc::clone(inner.entry(mark.to_owned()).or_default())
     }
 
-    /// What was counts of one request.
+    /// Returns the counts of one request; all zero when it was never executed.
     #[must_use]
     pub fn counts(&self, mark: &str) -> RequestCounts {
         self.lock()
@@ -79,16 +81,16 @@
             .unwrap_or_default()
     }
 
-    /// Everything that was counts.
+    /// Returns the counts of all requests by mark.
     #[must_use]
     pub fn all_counts(&self) -> HashMap<String, RequestCounts> {
         let inner = self.lock();
         inner.iter().map(|(m, a)| (m.clone(), a.counts())).collect()
     }
 
-    /// Adds what another ledger saw.
-    pub fn merge(&self, other: &HashMap<String, RequestCounts>) {
-        for (mark, counts) in other {
+    /// Adds the counts of another ledger.
+    pub fn merge(&self, other_counts: &HashMap<String, RequestCounts>) {
+        for (mark, counts) in other_counts {
             let counters = self.counters(mark);
             RequestCounters::add(&counters.runs, counts.runs);
             RequestCounters::add(&counters.output_tokens, counts.output_tokens);
@@ -98,7 +100,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<String, Arc<RequestCounters>>> {
-        // A panic elsewhere leaves counts that are still sound.
+        // The counts remain valid after a panic in another thread.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,14 +1,15 @@
-//! Small stand-ins for the platform, with each fault as a setting.
+//! Test doubles of the platform's services, with configurable faults.
 //!
-//! - [`control`]: faults, changed while a stand-in runs.
-//! - [`engine`]: a model engine that batches continuously.
-//! - [`hosts`]: the list of hosts.
-//! - [`ledger`]: what the stand-ins saw, for judging the router.
+//! - [`control`]: faults that can be changed while a stand-in runs.
+//! - [`engine`]: a model engine with continuous batching.
+//! - [`hosts`]: the host list.
+//! - [`ledger`]: counts of what was actually executed, to check the router's
+//!   results.
 //! - [`log`]: the append-only log.
-//! - [`orders`]: the side of an engine that takes orders.
-//! - [`weights`]: the weight store.
+//! - [`orders`]: the HTTP interface of an engine that accepts orders.
 //! - [`plain`]: a plain service.
-//! - [`proxy`]: a forwarder whose connections can go silent.
+//! - [`proxy`]: a TCP proxy whose connections can stop passing data.
+//! - [`weights`]: the weight store.
 
 pub mod control;
 pub mod engine;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,7 +1,6 @@
-//! The platform's append-only log, in memory.
+//! Stand-in for the platform's append-only log, in memory.
 //!
-//! Faults are changed through [`FaultControl`] by whoever runs it, or by hand with
-//! `PUT /faults`.
+//! Faults can be changed through [`FaultControl`] or with `PUT /faults`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -22,64 +21,66 @@
 
 use crate::control::FaultControl;
 
-/// Largest record, in bytes.
+/// Maximum size of a record, in bytes.
 const RECORD_LIMIT: usize = 1 << 20;
 
-/// Most bytes of records in one answer.
+/// Maximum total size of the records in one response, in bytes.
 const PAGE_LIMIT: usize = 4 << 20;
 
 /// Settings of a log stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// The faults to start with.
+    /// Initial faults; can be replaced with `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
 }
 
-/// What goes wrong.
+/// Faults of the log.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Every call fails, without effect.
+    /// Whether every call fails without effect.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// Delay of each response.
     #[serde(rename = "slow")]
     pub response_delay: HumanDuration,
-    /// So many of the next appends take effect and lost_replies their reply.
+    /// Number of following appends that take effect although the client gets no
+    /// successful response.
     #[serde(rename = "lose")]
     pub lost_replies: u32,
-    /// How long a lost reply holds its caller before it fails.
+    /// Time after which an append with a lost response fails.
     #[serde(rename = "hold")]
     pub loss_delay: HumanDuration,
-    /// How long records are kept; for ever when zero.
+    /// Retention time of records; unlimited when zero.
     pub retention: HumanDuration,
-    /// Appends count_append each second; no limit when zero.
+    /// Maximum number of appends per second; unlimited when zero.
     #[serde(rename = "rate")]
     pub append_rate: u32,
 }
 
-/// A running log.
+/// State of a running log.
 struct LogState {
     streams: RefCell<HashMap<String, Stream>>,
     control: FaultControl<Faults>,
-    /// Wakes readers that wait for a record.
+    /// Notifies readers that wait for a record.
     changed: Notify,
-    /// The second that is being counted, and the appends in it.
+    /// Current second of Unix time, and the number of appends in it.
     window: Cell<(u64, u32)>,
 }
 
-/// One stream.
+/// Stream of records.
 #[derive(Default)]
 struct Stream {
-    /// The offset of the oldest record.
+    /// Offset of the oldest retained record.
     first: u64,
+    /// Retained records, each with the time of its append.
     records: VecDeque<(Record, Instant)>,
 }
 
-/// The query of a read.
+/// Query of a read.
 #[derive(Debug, Deserialize)]
 struct ReadQuery {
     #[serde(default)]
@@ -94,11 +95,11 @@
     100
 }
 
-/// Runs a log until `stop` is asked.
+/// Runs a log until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the log cannot listen.
+/// Returns an error when the address cannot be bound or serving fails.
 pub async fn run(
     settings: Settings,
     control: FaultControl<Faults>,
@@ -108,11 +109,11 @@
     serve(listener, control, stop).await
 }
 
-/// Runs a log on a listener that is already bound.
+/// Runs a log on a bound listener until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the log cannot be set up.
+/// Returns an error when serving fails.
 pub async fn serve(
     listener: TcpListener,
     control: FaultControl<Faults>,
@@ -161,8 +162,8 @@
     }
 
     let offset = log.append_record(&stream, id, body);
-    if let Some(hold) = log.take_lost_reply() {
-        tokio::time::sleep(hold).await;
+    if let Some(delay) = log.take_lost_reply() {
+        tokio::time::sleep(delay).await;
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(RecordLocation {
@@ -193,49 +194,51 @@
         Ok(log) => log,
         Err(response) => return response,
     };
-    let until = Instant::now() + Duration::from_millis(query.wait_ms);
+    let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         let changed = log.changed.notified();
         let page = log.read_page(&stream, &query);
-        let left = until.saturating_duration_since(Instant::now());
-        if !page.records.is_empty() || left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if !page.records.is_empty() || remaining.is_zero() {
             return HttpResponse::Ok().json(page);
         }
-        let _ = tokio::time::timeout(left, changed).await;
+        let _ = tokio::time::timeout(remaining, changed).await;
         if log.control.get().down {
             return HttpResponse::ServiceUnavailable().finish();
         }
     }
 }
 
-/// The log, if a call gets through to it.
+/// Applies the configured delay and outage to a call; returns the log when the
+/// call succeeds.
 async fn reach_log(http: &HttpRequest) -> Result<Rc<LogState>, HttpResponse> {
-    let fail = |status| HttpResponse::new(status);
+    let error = |status| HttpResponse::new(status);
     let log = http.app_data::<Rc<LogState>>().cloned();
-    let log = log.ok_or_else(|| fail(StatusCode::INTERNAL_SERVER_ERROR))?;
+    let log = log.ok_or_else(|| error(StatusCode::INTERNAL_SERVER_ERROR))?;
 
     let response_delay = log.control.get().response_delay.0;
     if !response_delay.is_zero() {
         tokio::time::sleep(response_delay).await;
     }
     match log.control.get().down {
-        true => Err(fail(StatusCode::SERVICE_UNAVAILABLE)),
+        true => Err(error(StatusCode::SERVICE_UNAVAILABLE)),
         false => Ok(log),
     }
 }
 
 impl LogState {
-    /// Whether the rate allows one more append now.
+    /// Counts an append attempt; returns whether the rate limit allows it.
     fn count_append(&self) -> bool {
         let rate = self.control.get().append_rate;
         let second = unix_time_ms() / 1000;
-        let (counted, used) = self.window.get();
-        let used = if counted == second { used } else { 0 };
+        let (window_second, used) = self.window.get();
+        let used = if window_second == second { used } else { 0 };
         self.window.set((second, used + 1));
         rate == 0 || used < rate
     }
 
-    /// Whether the reply of this append is lost, and how long it hangs.
+    /// Returns the delay before failing when the response to this append is to be
+    /// lost, and counts it as lost.
     fn take_lost_reply(&self) -> Option<Duration> {
         let faults = self.control.get();
         let lost = faults.lost_replies > 0;
@@ -290,7 +293,7 @@
         page
     }
 
-    /// Forgets what the retention has passed by.
+    /// Deletes the records that are older than the retention time.
     fn expire(&self) -> std::cell::RefMut<'_, HashMap<String, Stream>> {
         let mut streams = self.streams.borrow_mut();
         let retention = self.control.get().retention.0;
@@ -312,6 +315,7 @@
 }
 
 impl Stream {
+    /// Returns the offset of the next record.
     fn end_offset(&self) -> u64 {
         self.first + self.records.len() as u64
     }
--- a/crates/standin/src/orders.rs
+++ b/crates/standin/src/orders.rs
@@ -1,4 +1,4 @@
-//! The side of a model engine that takes orders.
+//! Stand-in for the HTTP interface at which a model engine accepts orders.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,21 +13,21 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-/// Settings of the stand-in.
+/// Settings of an order stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with a stale fencing token is rejected.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// How long one load takes.
+    /// Duration of a load.
     #[serde(default, rename = "load")]
     pub load_time: HumanDuration,
 }
 
-/// What an engine was ordered; clones share it.
+/// Accepted orders and their effect on the engine. Clones share the same state.
 #[derive(Debug, Clone, Default)]
 pub struct OrderState {
     inner: Arc<Mutex<Inner>>,
@@ -36,21 +36,21 @@
 #[derive(Debug, Default)]
 struct Inner {
     engine_state: EngineState,
-    /// The order that is being carried out, and when it is done.
+    /// Load in progress, and the time at which it completes.
     loading: Option<(Order, Instant)>,
-    /// The highest_fence fencing number that came.
+    /// Highest fencing token that was accepted.
     highest_fence: u64,
     accepted: Vec<(Offset, Order)>,
 }
 
 impl OrderState {
-    /// The orders that were accepted, with their fencing numbers.
+    /// Returns the accepted orders with their fencing tokens, in order of arrival.
     #[must_use]
     pub fn accepted(&self) -> Vec<(Offset, Order)> {
         self.lock().accepted.clone()
     }
 
-    /// What the engine has refresh.
+    /// Returns the current state of the engine.
     #[must_use]
     pub fn engine_state(&self) -> EngineState {
         self.lock().refresh()
@@ -62,6 +62,7 @@
 }
 
 impl Inner {
+    /// Completes a load that is due and returns the current state.
     fn refresh(&mut self) -> EngineState {
         if self
             .loading
@@ -77,6 +78,7 @@
         }
     }
 
+    /// Records an accepted order and executes it or starts its load.
     fn apply(&mut self, fence: u64, order: Order, load: Duration) {
         self.refresh();
         self.highest_fence = self.highest_fence.max(fence);
@@ -89,6 +91,7 @@
         }
     }
 
+    /// Changes the state as the order requires.
     fn finish(&mut self, order: Order) {
         match order {
             Order::LoadVersion(version) => self.engine_state.version = version,
@@ -103,11 +106,11 @@
     }
 }
 
-/// Takes orders until `stop` is asked.
+/// Serves orders until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the stand-in cannot listen.
+/// Returns an error when the address cannot be bound or serving fails.
 pub async fn run(settings: Settings, order_state: OrderState, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     let app = App::new()
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service, some of whose calls may not be repeated.
+//! Stand-in for a plain service, some of whose calls must not be repeated.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,32 +16,33 @@
 use crate::control::FaultControl;
 use crate::ledger::{Ledger, RequestCounters};
 
-/// How often a stand-in looks whether it should crash or come back.
+/// Interval at which the stand-in checks whether to crash or to restart.
 const CRASH_POLL: Duration = Duration::from_millis(5);
 
-/// Settings of a plain service's stand-in.
+/// Settings of a plain service stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// How long one call takes.
+    /// Duration of a call.
     #[serde(default = "default_work", rename = "work")]
     pub call_duration: HumanDuration,
-    /// Faults from the start on; changed by `PUT /faults`.
+    /// Initial faults; can be replaced with `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
 }
 
-/// What is wrong with a plain service.
+/// Faults of a plain service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Time that each call takes beyond its work.
+    /// Additional duration of each call.
     pub delay: HumanDuration,
-    /// Whether it is down: connections are dropped and refused.
+    /// Whether the service is down: open connections are closed and new ones are
+    /// refused.
     pub crashed: bool,
-    /// Whether calls take effect while their answers never come.
+    /// Whether calls take effect but are never responded to.
     pub silent: bool,
 }
 
@@ -49,7 +50,7 @@
     HumanDuration::ms(5)
 }
 
-/// What the stand-in reads of a call.
+/// Fields of the request body that the stand-in reads.
 #[derive(Debug, Deserialize)]
 struct CallBody {
     #[serde(default)]
@@ -62,22 +63,21 @@
     ledger: Ledger,
 }
 
-/// Runs a plain service until `stop` is asked.
+/// Runs a plain service until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the service cannot listen.
+/// Returns an error when the service cannot bind its address.
 pub async fn run(settings: Settings, ledger: Ledger, stop: StopSignal) -> io::Result<()> {
     let faults = FaultControl::new(settings.faults.clone());
     run_with(settings, faults, ledger, stop).await
 }
 
-/// Runs a plain service whose faults are changed by `faults` until `stop` is
-/// asked.
+/// Runs a plain service with the shared `faults` until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the service cannot listen.
+/// Returns an error when the service cannot bind its address.
 pub async fn run_with(
     settings: Settings,
     faults: FaultControl<Faults>,
@@ -97,7 +97,7 @@
             .route("/ledger", web::get().to(show_ledger))
             .default_service(web::to(handle_call));
 
-        // Dropping the life's tasks closes its sockets as a crash would.
+        // Dropping the task set closes the sockets as a crash would.
         let tasks = LocalSet::new();
         tokio::select! {
             ended = tasks.run_until(base::http::serve(listener, app, stop.clone())) => return ended,
@@ -111,14 +111,14 @@
     }
 }
 
-/// Waits until the service should be down, or up again.
+/// Waits until the fault `crashed` has the given value.
 async fn wait_for_crashed(faults: &FaultControl<Faults>, crashed: bool) {
     while faults.get().crashed != crashed {
         tokio::time::sleep(CRASH_POLL).await;
     }
 }
 
-/// Does the call's work and answers with its mark.
+/// Executes a call and responds with its mark.
 async fn handle_call(http: HttpRequest, body: Bytes) -> HttpResponse {
     let Some(service) = http.app_data::<Rc<PlainService>>().cloned() else {
         return HttpResponse::InternalServerError().finish();
@@ -138,7 +138,7 @@
     HttpResponse::Ok().json(serde_json::json!({ "mark": mark, "done": true }))
 }
 
-/// Changes the faults.
+/// Replaces the faults.
 async fn set_faults(http: HttpRequest, body: web::Json<Faults>) -> HttpResponse {
     let Some(service) = http.app_data::<Rc<PlainService>>() else {
         return HttpResponse::InternalServerError().finish();
@@ -147,7 +147,7 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Gives out what the stand-in saw.
+/// Serves the counts of all requests.
 async fn show_ledger(http: HttpRequest) -> HttpResponse {
     match http.app_data::<Rc<PlainService>>() {
         Some(service) => HttpResponse::Ok().json(service.ledger.all_counts()),
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A forwarder whose open connections can go silent for good while new ones
-//! work, as when something between two ends has lost track of them.
+//! TCP proxy whose open connections can permanently stop passing data while new
+//! connections work, as after a NAT or firewall has dropped their state.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,37 +13,37 @@
 
 use crate::control::FaultControl;
 
-/// Most forwarded_bytes forwarding on at once.
+/// Size of the buffer of each direction of a connection, in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// What is wrong with a forwarder.
+/// Faults and traffic counter of a proxy.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// Connections open when this number grows carry nothing more. They stay
-    /// open on both sides, so neither end hears of it.
+    /// Number whose change permanently stops the traffic of all open connections.
+    /// They stay open on both sides, so neither end is notified.
     pub silence_generation: u32,
-    /// What forwarding, for measuring.
+    /// Bytes forwarded so far, for measurements.
     pub forwarded_bytes: ByteCounter,
 }
 
-/// ByteCounter that a forwarder forwarding on in both directions; clones share one
-/// count.
+/// Counter of the bytes forwarded in both directions. Clones share the same
+/// counter.
 #[derive(Debug, Clone, Default)]
 pub struct ByteCounter(Arc<AtomicU64>);
 
 impl ByteCounter {
-    /// All forwarded_bytes so server.
+    /// Returns the number of bytes forwarded so far.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Forwards connections from `listen` to `target` until `stop` is asked.
+/// Forwards connections from `listen` to `target` until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the forwarder cannot listen.
+/// Returns an error when the proxy cannot bind its address.
 pub async fn run(
     listen: SocketAddr,
     target: SocketAddr,
@@ -67,6 +67,7 @@
     }
 }
 
+/// Forwards one connection until it ends or is silenced.
 async fn forward_connection(
     client: TcpStream,
     target: SocketAddr,
@@ -96,11 +97,12 @@
         _ = &mut forwarding => return,
         () = wait_for_silence(&faults, initial_generation) => {}
     }
-    // Both sockets stay open and unread until the end.
+    // Both sockets stay open, but unread, until the proxy stops.
     stop.wait().await;
 }
 
-/// Passes on what comes in until it ends, then closes the way out.
+/// Copies data until the source ends, then shuts down the write side of the
+/// destination.
 async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -116,6 +118,7 @@
     let _ = to.shutdown().await;
 }
 
+/// Waits until the silence generation differs from `initial_generation`.
 async fn wait_for_silence(faults: &FaultControl<Faults>, initial_generation: u32) {
     while faults.get().silence_generation == initial_generation {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store, which limits how many loads may begin.
+//! Stand-in for the weight store, which rate-limits the permits to load weights.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,41 +14,41 @@
 
 use crate::control::FaultControl;
 
-/// Settings of the weight store's stand-in.
+/// Settings of a weight store stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Time between two permits.
+    /// Minimum time between two permits.
     #[serde(rename = "every")]
     pub permit_interval: HumanDuration,
-    /// What is wrong from the start.
+    /// Initial faults; can be replaced with `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
 }
 
-/// What is wrong with the store.
+/// Faults of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How long each answer takes.
+    /// Delay of each response.
     #[serde(rename = "slow")]
     pub response_delay: HumanDuration,
-    /// Whether permit_interval call fails.
+    /// Whether every permit request fails.
     pub outage: bool,
 }
 
-/// The permits granted; clones share them.
+/// Granted permits and faults. Clones share the same state.
 #[derive(Debug, Clone, Default)]
 pub struct WeightStore {
-    /// What is wrong, changed while it runs.
+    /// Faults; can be changed while the store runs.
     pub control: FaultControl<Faults>,
     granted: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
 impl WeightStore {
-    /// What was permitted so far.
+    /// Returns the versions and adapters that permits were granted for.
     #[must_use]
     pub fn granted(&self) -> Vec<String> {
         let granted = self.granted.lock().unwrap_or_else(PoisonError::into_inner);
@@ -56,11 +56,11 @@
     }
 }
 
-/// Gives permits until `stop` is asked.
+/// Serves permits until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the store cannot listen.
+/// Returns an error when the address cannot be bound or serving fails.
 pub async fn run(settings: Settings, store: WeightStore, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     store.control.change(|faults| *faults = settings.faults);
@@ -87,7 +87,7 @@
         .last()
         .map_or(now, |(at, _)| *at + settings.permit_interval.0);
     if now < next {
-        // Whole seconds are all that the header can say.
+        // The `Retry-After` header holds whole seconds.
         let after = (next - now).as_secs();
         return HttpResponse::TooManyRequests()
             .insert_header((RETRY_AFTER, after.to_string()))
--- a/crates/standin/tests/hosts.rs
+++ b/crates/standin/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list's client against its stand-in.
+//! Client of the host list, tested against the stand-in.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU16, Ordering};
@@ -9,19 +9,19 @@
 use rstest::rstest;
 use standin::hosts::{Faults, Registry, Settings, run};
 
-/// An address that nobody else has: a part of loopback for each process, and
-/// below the ports that the system gives to outgoing connections.
-fn free() -> SocketAddr {
-    static PORTS: AtomicU16 = AtomicU16::new(7100);
+/// Returns an unused loopback address. Its IP address depends on the process id,
+/// and its port is below the range for outgoing connections.
+fn free_addr() -> SocketAddr {
+    static NEXT_PORT: AtomicU16 = AtomicU16::new(7100);
     let [_, _, a, b] = std::process::id().to_be_bytes();
-    let port = PORTS.fetch_add(1, Ordering::Relaxed);
+    let port = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
     (Ipv4Addr::new(127, a.max(1), b, 2), port).into()
 }
 
 fn host(name: &str, region: &str) -> Host {
     Host {
         name: name.to_owned(),
-        addr: free(),
+        addr: free_addr(),
         zone: "plateau".to_owned(),
         region: region.to_owned(),
         role: Role::Sidecar,
@@ -30,10 +30,10 @@
     }
 }
 
-async fn start() -> (Registry, HostsClient) {
+async fn start_list() -> (Registry, HostsClient) {
     let registry = Registry::new(vec![host("a", "dakar"), host("far", "thies")]);
     let settings = Settings {
-        listen: free(),
+        listen: free_addr(),
         hosts: Vec::new(),
         faults: Faults::default(),
     };
@@ -42,8 +42,8 @@
     while hosts.read().await.is_err() {
         tokio::task::yield_now().await;
     }
-    let fresh = HostsClient::new(hosts.addr(), "dakar");
-    (registry, fresh)
+    let client = HostsClient::new(hosts.addr(), "dakar");
+    (registry, client)
 }
 
 fn names(list: Option<Vec<Host>>) -> Option<Vec<String>> {
@@ -51,8 +51,8 @@
 }
 
 #[actix_rt::test]
-async fn read_own_region() {
-    let (registry, hosts) = start().await;
+async fn read_returns_own_region() {
+    let (registry, hosts) = start_list().await;
     assert_eq!(names(hosts.read().await.unwrap()), Some(vec!["a".into()]));
     assert_eq!(names(hosts.read().await.unwrap()), None);
 
@@ -72,23 +72,23 @@
 #[case::frozen(Faults { frozen: true, ..Faults::default() }, None)]
 #[case::empty(Faults { empty: true, ..Faults::default() }, Some(vec![]))]
 #[actix_rt::test]
-async fn read_faulty(#[case] faults: Faults, #[case] expected: Option<Vec<String>>) {
-    let (registry, hosts) = start().await;
+async fn read_during_fault(#[case] faults: Faults, #[case] expected: Option<Vec<String>>) {
+    let (registry, hosts) = start_list().await;
     hosts.read().await.unwrap();
     registry.control.change(|f| *f = faults);
     registry.put(host("b", "dakar"));
     assert_eq!(names(hosts.read().await.unwrap()), expected);
 
-    // Once the fault is over, the change shows.
+    // The change becomes visible when the fault ends.
     registry.control.change(|f| *f = Faults::default());
     let now = names(hosts.read().await.unwrap());
     assert_eq!(now, Some(vec!["a".into(), "b".into()]));
 }
 
 #[actix_rt::test]
-async fn read_outage() {
-    let (registry, hosts) = start().await;
+async fn read_fails_in_outage() {
+    let (registry, hosts) = start_list().await;
     registry.control.change(|f| f.outage = true);
-    let failed = hosts.read().await;
-    assert!(matches!(failed, Err(Error::Refused { status: 503, .. })));
+    let result = hosts.read().await;
+    assert!(matches!(result, Err(Error::Refused { status: 503, .. })));
 }
