--- a/crates/clients/src/plain.rs
+++ b/crates/clients/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, which stand beside the model engines.
+//! HTTP client of plain services: backend servers that are not model engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,45 +6,45 @@
 use base::ids::RequestId;
 use bytes::Bytes;
 
-use crate::engine::{Error, REQUEST_ID, never_sent};
+use crate::engine::{Error, REQUEST_ID_HEADER, never_sent};
 
-/// Time allowed for a new connection to a service.
-const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for opening a connection to a service.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an idle connection is kept. The longer it is, the more calls end
-/// with an unknown outcome because their connection had gone silent.
-const IDLE: Duration = Duration::from_secs(5);
+/// Time after which an idle connection is closed. With a longer timeout, more
+/// calls end with an unknown outcome because their connection was already dead.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest answer of a plain service, in bytes.
-const ANSWER_LIMIT: usize = 8 << 20;
+/// Largest response body, in bytes.
+const RESPONSE_LIMIT: usize = 8 << 20;
 
-/// One plain service as its sidecar reaches it.
+/// Client that a sidecar uses to call its plain service.
 #[derive(Clone)]
-pub struct Plain {
-    /// Where the service listens.
+pub struct PlainClient {
+    /// Address that the service listens on.
     addr: SocketAddr,
-    /// The HTTP client, which keeps connections.
+    /// HTTP client that reuses connections.
     http: awc::Client,
 }
 
-/// The answer of a plain service.
+/// Response of a plain service.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct ServiceResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The content type, empty when there is none.
+    /// Content type; empty when the response has none.
     pub content_type: String,
-    /// The body.
+    /// Response body.
     pub body: Bytes,
 }
 
-impl Plain {
-    /// Makes a client for the service at `addr`; each call may take `timeout`.
+impl PlainClient {
+    /// Creates a client for the service at `addr` with a timeout per call.
     #[must_use]
     pub fn new(addr: SocketAddr, timeout: Duration) -> Self {
         let connector = awc::Connector::new()
-            .timeout(DIAL_TIMEOUT)
-            .conn_keep_alive(IDLE)
+            .timeout(CONNECT_TIMEOUT)
+            .conn_keep_alive(IDLE_TIMEOUT)
             .limit(0);
         let http = awc::Client::builder()
             .connector(connector)
@@ -53,15 +53,15 @@
         Self { addr, http }
     }
 
-    /// Dials the service, which shows whether it can be reached.
+    /// Health check: opens a connection to the service and closes it.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no connection is made.
+    /// Returns [`Error`] when no connection can be opened.
     pub async fn probe(&self) -> Result<(), Error> {
         let peer = self.addr;
-        let dialled = tokio::net::TcpStream::connect(peer);
-        match tokio::time::timeout(DIAL_TIMEOUT, dialled).await {
+        let connected = tokio::net::TcpStream::connect(peer);
+        match tokio::time::timeout(CONNECT_TIMEOUT, connected).await {
             Ok(Ok(_)) => Ok(()),
             _ => Err(Error::Connect {
                 step: "probe",
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Makes one call. `path` starts with a slash and includes the query.
+    /// Sends one request. `path` starts with a slash and includes the query.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when no whole answer came; [`Error::not_run`] tells
-    /// whether the call may have run all the same.
+    /// Returns [`Error`] when no complete response arrived. [`Error::not_run`]
+    /// tells whether the request was certainly not executed.
     pub async fn call(
         &self,
         ticket: RequestId,
@@ -83,9 +83,9 @@
         path: &str,
         content_type: &str,
         body: Bytes,
-    ) -> Result<Answer, Error> {
+    ) -> Result<ServiceResponse, Error> {
         let peer = self.addr;
-        let lost = |detail: String| Error::Lost {
+        let no_response = |detail: String| Error::NoResponse {
             step: "call",
             peer,
             detail,
@@ -100,24 +100,27 @@
         let mut request = self
             .http
             .request(method, format!("http://{peer}{path}"))
-            .insert_header((REQUEST_ID, ticket.to_string()));
+            .insert_header((REQUEST_ID_HEADER, ticket.to_string()));
         if !content_type.is_empty() {
             request = request.content_type(content_type);
         }
 
         let mut response = request.send_body(body).await.map_err(|e| match e {
             e if never_sent(&e) => Error::Connect { step: "call", peer },
-            other => lost(other.to_string()),
+            other => no_response(other.to_string()),
         })?;
         let status = response.status().as_u16();
-        let kind = response.headers().get(awc::http::header::CONTENT_TYPE);
-        let content_type = kind.and_then(|v| v.to_str().ok()).unwrap_or("").to_owned();
+        let header = response.headers().get(awc::http::header::CONTENT_TYPE);
+        let content_type = header
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or("")
+            .to_owned();
         let body = response
             .body()
-            .limit(ANSWER_LIMIT)
+            .limit(RESPONSE_LIMIT)
             .await
-            .map_err(|e| lost(e.to_string()))?;
-        Ok(Answer {
+            .map_err(|e| no_response(e.to_string()))?;
+        Ok(ServiceResponse {
             status,
             content_type,
             body,
--- a/crates/clients/src/weights.rs
+++ b/crates/clients/src/weights.rs
@@ -1,5 +1,5 @@
-//! Permits of the rate-limited weight store. The format is written down in
-//! docs/platform/weights.md.
+//! Client of the rate-limited weight store, which issues permits to load model
+//! weights. The format is specified in docs/platform/weights.md.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,48 +7,50 @@
 use awc::http::StatusCode;
 use awc::http::header::RETRY_AFTER;
 
-/// Time allowed for an answer.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a call.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The weight store as one sidecar reaches it.
-pub struct Weights {
-    /// Where the store listens.
+/// Client that a sidecar uses to request permits.
+pub struct WeightStoreClient {
+    /// Address that the store listens on.
     addr: SocketAddr,
-    /// The HTTP client.
+    /// HTTP client that reuses connections.
     http: awc::Client,
 }
 
-/// What became of asking for a permit.
+/// Outcome of a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Permit {
-    /// One load may begin.
+pub enum PermitResponse {
+    /// One load may start.
     Granted,
-    /// Ask again, not before the time that the store told.
-    Later(Duration),
-    /// The store does not answer.
-    Down,
+    /// Rate limit reached; retry after the delay that the store returned.
+    RetryAfter(Duration),
+    /// The store is unreachable or returned an error.
+    Unavailable,
 }
 
-impl Weights {
-    /// Makes a client for the store at `addr`.
+impl WeightStoreClient {
+    /// Creates a client for the store at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
-        let http = awc::Client::builder().timeout(TIMEOUT).finish();
+        let http = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
         Self { addr, http }
     }
 
-    /// Asks for a permit to load `what`.
-    pub async fn permit(&self, what: &str) -> Permit {
+    /// Requests a permit to load `what`, a model version or an adapter.
+    pub async fn request_permit(&self, what: &str) -> PermitResponse {
         let url = format!("http://{}/v1/permits/{what}", self.addr);
         let Ok(response) = self.http.post(url).send().await else {
-            return Permit::Down;
+            return PermitResponse::Unavailable;
         };
         let after = response.headers().get(RETRY_AFTER);
         let after = after.and_then(|v| v.to_str().ok()?.parse().ok());
         match response.status() {
-            status if status.is_success() => Permit::Granted,
-            StatusCode::TOO_MANY_REQUESTS => Permit::Later(Duration::from_secs(after.unwrap_or(1))),
-            _ => Permit::Down,
+            status if status.is_success() => PermitResponse::Granted,
+            StatusCode::TOO_MANY_REQUESTS => {
+                PermitResponse::RetryAfter(Duration::from_secs(after.unwrap_or(1)))
+            }
+            _ => PermitResponse::Unavailable,
         }
     }
 }
--- a/crates/demo/src/changes.rs
+++ b/crates/demo/src/changes.rs
@@ -6,7 +6,7 @@
 
 use base::ids::BundleSequence;
 use bundle::{Bundle, Content};
-use clients::log::Log;
+use clients::log::LogClient;
 use follow::{PublishOutcome, Publisher};
 use serde::Deserialize;
 
@@ -137,7 +137,7 @@
     rollout: &Rollout,
 ) -> PublishOutcome {
     let began = Instant::now();
-    let mut publisher = Publisher::new(Log::new(rollout.log), rollout.operators());
+    let mut publisher = Publisher::new(LogClient::new(rollout.log), rollout.operators());
     let mut outcome = PublishOutcome::Unknown;
     while outcome == PublishOutcome::Unknown && began.elapsed() < TRY_FOR {
         if publisher.read_to_end().await.is_ok() {
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -7,7 +7,7 @@
 
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, WrapFuture};
 use base::ids::RequestId;
-use clients::hosts::{Error, Host as Listed, Hosts, Role, Standing};
+use clients::hosts::{Error, Host as Listed, HostStatus, HostsClient, Role};
 use metrics::{counter, gauge};
 use policy::membership::{Host, HostKind, ListOutcome, Membership, MembershipLimits};
 use policy::subset::SubsetSize;
@@ -31,7 +31,7 @@
 /// word calls gone.
 pub struct MembershipActor {
     state: Rc<State>,
-    list_client: Option<Rc<Hosts>>,
+    list_client: Option<Rc<HostsClient>>,
     membership: Membership,
     /// Whether the list could be read last time, to log changes only.
     list_readable: bool,
@@ -61,7 +61,7 @@
         let list_client = settings
             .host_list
             .list_addr
-            .map(|a| Rc::new(Hosts::new(a, region)));
+            .map(|a| Rc::new(HostsClient::new(a, region)));
         Self {
             state,
             list_client,
@@ -226,7 +226,7 @@
         addr: listed.addr,
         zone: listed.zone.clone(),
         kind,
-        leaving: listed.standing == Standing::Leaving,
+        leaving: listed.status == HostStatus::Leaving,
     }
 }
 
--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -8,7 +8,7 @@
 use base::ids::{BundleSequence, Offset};
 use bundle::{RecordError, Verdict};
 use bytes::Bytes;
-use clients::log::{Error, Log, Page};
+use clients::log::{Error, LogClient, Page};
 use spdlog::{debug, info, warn};
 
 use crate::settings::Settings;
@@ -28,7 +28,7 @@
 /// Follows the bundle's stream for one daemon. It alone changes what the
 /// daemon holds.
 pub struct Follower {
-    log: Log,
+    log: LogClient,
     settings: Settings,
     held: Rc<BundleState>,
     clock: Rc<dyn Clock>,
@@ -59,7 +59,7 @@
     #[must_use]
     pub fn new(settings: Settings, held: Rc<BundleState>, clock: Rc<dyn Clock>) -> Self {
         Self {
-            log: Log::new(settings.log),
+            log: LogClient::new(settings.log),
             settings,
             held,
             clock,
@@ -113,7 +113,7 @@
     fn take_page(&mut self, page: &Page, ctx: &mut Context<Self>) {
         self.held.set_reachable(true);
         self.backoff = FIRST_BACKOFF;
-        self.held.with_acceptor(|a| a.skip_expired(page.first));
+        self.held.with_acceptor(|a| a.skip_expired(page.first_offset));
         for entry in &page.records {
             let verdict = self.held.apply_record(entry.offset, &entry.body);
             self.record_verdict(&verdict, entry.time_ms);
@@ -127,13 +127,13 @@
         // Before the end is read for the first time, a later record may beat
         // what was found so far.
         let next = self.held.with_acceptor(|a| a.next_offset());
-        if next >= page.end {
+        if next >= page.end_offset {
             self.caught_up = true;
         }
         if self.caught_up && self.held.activate_head() {
             self.report_lag();
         }
-        if next >= page.end {
+        if next >= page.end_offset {
             self.close_gap(page);
             self.plan_checkpoint(page);
         }
@@ -197,8 +197,8 @@
             .gap_deadline
             .get_or_insert_with(|| now + self.settings.checkpoint_delay.0 * GAP_DELAYS);
         if pass <= now {
-            warn!("bundle stream has a gap", kv: { first = page.first.0 });
-            self.held.with_acceptor(|a| a.skip_gap(page.first));
+            warn!("bundle stream has a gap", kv: { first = page.first_offset.0 });
+            self.held.with_acceptor(|a| a.skip_gap(page.first_offset));
             self.checkpoint_stale = true;
             self.gap_deadline = None;
         }
@@ -215,7 +215,8 @@
                 a.newest_checkpoint(),
             )
         });
-        let retained = newest.is_some_and(|(at, _)| at >= page.first) || page.first == Offset(0);
+        let retained =
+            newest.is_some_and(|(at, _)| at >= page.first_offset) || page.first_offset == Offset(0);
         let age = page.now_ms.saturating_sub(self.checkpoint_ms);
         let old = page.retention_ms > 0 && age > page.retention_ms / 2;
         let needed = usable && (self.checkpoint_stale || old || !retained);
--- a/crates/follow/src/publish.rs
+++ b/crates/follow/src/publish.rs
@@ -12,7 +12,7 @@
 use bundle::{
     Acceptor, Content, Hash, Operators, Payload, Record, SecretKey, SignedHeader, Verdict,
 };
-use clients::log::{Error, Log, Page};
+use clients::log::{Error, LogClient, Page};
 
 use crate::STREAM;
 
@@ -21,7 +21,7 @@
 
 /// A reader of the log that remembers which versions it read.
 pub struct Publisher {
-    log: Log,
+    log: LogClient,
     trust: Operators,
     acceptor: Acceptor,
     /// The versions that were read, oldest first.
@@ -62,7 +62,7 @@
 impl Publisher {
     /// Makes a reader of the log that has read nothing.
     #[must_use]
-    pub fn new(log: Log, trust: Operators) -> Self {
+    pub fn new(log: LogClient, trust: Operators) -> Self {
         Self {
             log,
             acceptor: Acceptor::new(trust.clone()),
@@ -97,7 +97,7 @@
                     break;
                 }
             }
-            if self.acceptor.next_offset() >= page.end {
+            if self.acceptor.next_offset() >= page.end_offset {
                 return Ok(());
             }
         }
@@ -128,7 +128,7 @@
                     break;
                 }
             }
-            if past.acceptor.next_offset() >= page.end {
+            if past.acceptor.next_offset() >= page.end_offset {
                 return Ok(None);
             }
         }
@@ -228,7 +228,7 @@
                     verdict => return PublishOutcome::Refused(verdict),
                 }
             }
-            if self.acceptor.next_offset() >= page.end {
+            if self.acceptor.next_offset() >= page.end_offset {
                 return PublishOutcome::Unknown;
             }
         }
@@ -241,7 +241,7 @@
     async fn page(&mut self) -> Result<Page, Error> {
         let from = self.acceptor.next_offset();
         let page = self.log.read(STREAM, from, PAGE, Duration::ZERO).await?;
-        self.acceptor.skip_expired(page.first);
+        self.acceptor.skip_expired(page.first_offset);
         Ok(page)
     }
 
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -9,9 +9,9 @@
 use base::clock::Clock;
 use base::ids::Offset;
 use base::settings::HumanDuration;
-use clients::log::{self, Log};
-use clients::orders::{Order, Orders};
-use clients::weights::{Permit, Weights};
+use clients::log::{self, LogClient};
+use clients::orders::{Order, OrdersClient};
+use clients::weights::{PermitResponse, WeightStoreClient};
 use policy::backoff;
 use policy::lease::{Lease, LeaseClaim, current_claim};
 use policy::loading::{self, LoadStep, LoadedModel};
@@ -74,9 +74,9 @@
     /// Identifies this sidecar process in claims.
     holder: String,
     clock: Rc<dyn Clock>,
-    log: Log,
-    engine: Orders,
-    weight_store: Option<Weights>,
+    log: LogClient,
+    engine: OrdersClient,
+    weight_store: Option<WeightStoreClient>,
     lease: Option<Lease>,
     /// The highest fencing token that was seen in the log.
     highest_token: Offset,
@@ -117,7 +117,7 @@
 
 impl ClaimRecord {
     /// Parses a log record; returns `None` if it is not a claim.
-    fn parse(log_entry: &log::Entry) -> Option<Self> {
+    fn parse(log_entry: &log::Record) -> Option<Self> {
         Some(Self {
             offset: log_entry.offset,
             time_ms: log_entry.time_ms,
@@ -142,9 +142,9 @@
     #[must_use]
     pub fn new(settings: Settings, holder: String, clock: Rc<dyn Clock>) -> Self {
         Self {
-            log: Log::new(settings.log),
-            engine: Orders::new(settings.addr),
-            weight_store: settings.weight_store.map(Weights::new),
+            log: LogClient::new(settings.log),
+            engine: OrdersClient::new(settings.addr),
+            weight_store: settings.weight_store.map(WeightStoreClient::new),
             settings,
             holder,
             clock,
@@ -155,7 +155,7 @@
 
     /// Orders the next step from the engine's current state to the `desired` one.
     pub async fn reconcile(&mut self, desired: &LoadedModel) -> ReconcileOutcome {
-        let Ok(status) = self.engine.standing().await else {
+        let Ok(status) = self.engine.state().await else {
             return ReconcileOutcome::Failed;
         };
         let current = LoadedModel {
@@ -192,7 +192,7 @@
         let Some(fencing_token) = fencing_token.filter(|token| *token >= self.highest_token) else {
             return ReconcileOutcome::LeaseExpired;
         };
-        match self.engine.give(order, fencing_token).await {
+        match self.engine.send(order, fencing_token).await {
             Ok(()) => {
                 let order = format!("{order:?}");
                 info!("order sent to engine", kv: { server = self.settings.server.as_str(), fence = fencing_token.0, order = order.as_str() });
@@ -201,9 +201,8 @@
             Err(e) => {
                 warn!("order failed", kv: { server = self.settings.server.as_str(), error = e.to_string().as_str() });
                 match e {
-                    clients::orders::Error::Old { .. } | clients::orders::Error::Refused { .. } => {
-                        ReconcileOutcome::Refused
-                    }
+                    clients::orders::Error::StaleFence { .. }
+                    | clients::orders::Error::Refused { .. } => ReconcileOutcome::Refused,
                     // The order may have been accepted; the engine's state
                     // shows that at the next reconciliation.
                     _ => ReconcileOutcome::Failed,
@@ -275,7 +274,7 @@
             };
             from = Offset(last.offset.0 + 1);
             claims.extend(page.records.iter().filter_map(ClaimRecord::parse));
-            if from >= page.end {
+            if from >= page.end_offset {
                 return Ok((page.now_ms, claims));
             }
         }
@@ -292,10 +291,10 @@
         let started_at = self.clock.now();
         let mut attempt = 0;
         loop {
-            let retry_after = match weights.permit(name).await {
-                Permit::Granted => return true,
-                Permit::Later(retry_after) => retry_after,
-                Permit::Down => Duration::ZERO,
+            let retry_after = match weights.request_permit(name).await {
+                PermitResponse::Granted => return true,
+                PermitResponse::RetryAfter(retry_after) => retry_after,
+                PermitResponse::Unavailable => Duration::ZERO,
             };
             attempt += 1;
             metrics::permit_wait();
--- a/crates/sidecar/src/run/engine.rs
+++ b/crates/sidecar/src/run/engine.rs
@@ -7,7 +7,7 @@
 
 use base::reason::{Executed, Refusal};
 use bytes::Bytes;
-use clients::engine::{Engine, Error, Event};
+use clients::engine::{EngineClient, Error, Event};
 use futures_util::{Stream, StreamExt};
 use spdlog::warn;
 use wire::{Chunk, ResponseEnd};
@@ -34,7 +34,7 @@
 pub(super) async fn complete(
     state: &State,
     request: &Request,
-    engine: &Engine,
+    engine: &EngineClient,
     body: Bytes,
 ) -> ResponseEnd {
     let mut run = EngineRun {
@@ -60,7 +60,7 @@
 struct EngineRun<'a> {
     state: &'a State,
     request: &'a Request,
-    engine: &'a Engine,
+    engine: &'a EngineClient,
     settings: StreamSettings,
     /// The sequence number of the next token.
     next_seq: u32,
@@ -152,15 +152,15 @@
             match event {
                 Ok(Some(Ok(Event::Token { seq, text }))) => self.relay_token(seq, text)?,
                 Ok(Some(Ok(Event::End {
-                    count,
-                    finish,
-                    cached,
-                }))) if count == self.next_seq => {
+                    token_count,
+                    finish_reason,
+                    cached_tokens,
+                }))) if token_count == self.next_seq => {
                     return Ok(ResponseEnd::Complete {
-                        chunk_count: count,
+                        chunk_count: token_count,
                         status: 200,
-                        finish_reason: finish,
-                        cached_tokens: cached,
+                        finish_reason,
+                        cached_tokens,
                     });
                 }
                 Ok(Some(Ok(Event::End { .. }))) => return Err(StreamFault::Gap),
--- a/crates/sidecar/src/run/mod.rs
+++ b/crates/sidecar/src/run/mod.rs
@@ -11,7 +11,7 @@
 use base::reason::{Executed, Refusal};
 use bytes::Bytes;
 use clients::engine::Error;
-use clients::plain::Plain;
+use clients::plain::PlainClient;
 use wire::{BackendRequest, Chunk, ResponseEnd};
 
 use crate::health;
@@ -50,7 +50,7 @@
 async fn call(
     state: &State,
     request: &Request,
-    plain: &Plain,
+    plain: &PlainClient,
     (method, path, content_type): (&str, &str, &str),
     body: Bytes,
 ) -> ResponseEnd {
--- a/crates/sidecar/tests/cache_events.rs
+++ b/crates/sidecar/tests/cache_events.rs
@@ -21,9 +21,13 @@
     HttpResponse::Ok().json(&*http.app_data::<PublishedEvents>().unwrap().borrow())
 }
 
-fn stored(seq: u64, block: u64) -> CacheEvent {
+fn stored(seq: u64, block_hash: u64) -> CacheEvent {
     let change = CacheChange::Stored;
-    CacheEvent { seq, change, block }
+    CacheEvent {
+        seq,
+        change,
+        block_hash,
+    }
 }
 
 /// Reserves slots until a reply reports `expected` cached tokens.
@@ -87,11 +91,11 @@
     let checks = async {
         expect_cached_tokens(&peer, &mut last_ticket, 0).await;
         published.borrow_mut().events.push(stored(0, PREFIX));
-        published.borrow_mut().next = 1;
+        published.borrow_mut().next_seq = 1;
         expect_cached_tokens(&peer, &mut last_ticket, 256).await;
 
         published.borrow_mut().events.push(stored(2, 8));
-        published.borrow_mut().next = 3;
+        published.borrow_mut().next_seq = 3;
         expect_cached_tokens(&peer, &mut last_ticket, 0).await;
     };
     let result = tokio::time::timeout(Duration::from_secs(30), checks).await;
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,15 +1,15 @@
-//! Faults of a stand-in, changed while it runs.
+//! Faults of a stand-in that can be changed while it runs.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A stand-in's faults as one value that whoever runs it can change at any
-/// time; clones share it, on whatever thread they live.
+/// Shared, thread-safe handle to the faults of a stand-in. Clones refer to the
+/// same faults.
 #[derive(Debug, Default)]
-pub struct Control<T> {
+pub struct FaultControl<T> {
     faults: Arc<Mutex<T>>,
 }
 
-impl<T> Clone for Control<T> {
+impl<T> Clone for FaultControl<T> {
     fn clone(&self) -> Self {
         Self {
             faults: Arc::clone(&self.faults),
@@ -17,8 +17,8 @@
     }
 }
 
-impl<T: Clone> Control<T> {
-    /// Makes a control that starts with the given faults.
+impl<T: Clone> FaultControl<T> {
+    /// Creates a handle with the given initial faults.
     #[must_use]
     pub fn new(faults: T) -> Self {
         Self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The faults as they are now.
+    /// Returns a copy of the current faults.
     #[must_use]
     pub fn get(&self) -> T {
         self.faults
@@ -35,7 +35,7 @@
             .clone()
     }
 
-    /// Changes the faults.
+    /// Updates the faults in place.
     pub fn change(&self, change: impl FnOnce(&mut T)) {
         change(&mut self.faults.lock().unwrap_or_else(PoisonError::into_inner));
     }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The requests of an engine and its steps.
+//! Requests of an engine, and the steps that execute them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -14,172 +14,173 @@
 
 use super::cache::Cache;
 use super::{Faults, Settings};
-use crate::control::Control;
-use crate::ledger::{Account, Ledger};
+use crate::control::FaultControl;
+use crate::ledger::{Ledger, RequestCounters};
 
-/// How often the load is observed for reports.
-const OBSERVE: Duration = Duration::from_millis(50);
+/// Interval between two load samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Observations that are kept, enough for a lag of a minute.
-const OBSERVED: usize = 1200;
+/// Maximum number of load samples, enough for a report lag of one minute.
+const MAX_SAMPLES: usize = 1200;
 
-/// How far the steps may lag behind their schedule and still catch up; an
-/// engine that was held up longer goes on from now.
-const CATCH_UP: Duration = Duration::from_millis(50);
+/// Maximum delay behind the schedule that the following steps make up for. Delay
+/// beyond it is dropped from the schedule.
+const MAX_STEP_LAG: Duration = Duration::from_millis(50);
 
-/// A running engine.
+/// Queue and batch of an engine.
 pub struct Batch {
-    /// What it was set up with.
+    /// Settings of the engine.
     pub settings: Settings,
-    /// What is wrong with it.
-    pub faults: Control<Faults>,
-    /// What is noted for judging the router.
+    /// Faults of the engine.
+    pub faults: FaultControl<Faults>,
+    /// Counts of executed requests.
     pub ledger: Ledger,
-    /// Requests by their id, those that ended lately among them.
+    /// Requests by id, including recently completed ones.
     requests: RefCell<HashMap<String, Rc<Request>>>,
-    /// Requests that run.
+    /// Requests in the batch.
     running: RefCell<Vec<Rc<Request>>>,
-    /// Requests that wait for room in the batch, by priority.
+    /// Queued requests, ordered by priority.
     waiting: RefCell<VecDeque<Rc<Request>>>,
     cache: RefCell<Cache>,
-    /// Load as it was, for reports that lag.
-    observed: RefCell<VecDeque<(Instant, LoadReport)>>,
-    /// Draws which cache events get lost.
+    /// Past load reports, used to serve reports with a lag.
+    load_samples: RefCell<VecDeque<(Instant, LoadReport)>>,
+    /// Random generator that selects the cache events to drop.
     rng: RefCell<Pcg64Mcg>,
-    /// Wakes the stepping when there is work.
-    work: Notify,
+    /// Notifies the step loop of a new request.
+    work_available: Notify,
 }
 
-/// A request to take in.
-pub struct Job<'a> {
-    /// The request's id.
+/// Parameters of a request to submit.
+pub struct NewRequest<'a> {
+    /// Request id.
     pub id: &'a str,
-    /// The caller's mark.
+    /// Mark that identifies the request in the ledger.
     pub mark: &'a str,
-    /// The priority; lower numbers go first.
+    /// Priority; lower numbers are scheduled first.
     pub priority: u8,
-    /// Tokens that the answer will have.
-    pub length: u32,
-    /// The prompt.
+    /// Number of tokens to generate.
+    pub output_length: u32,
+    /// Text of the prompt.
     pub text: &'a [u8],
 }
 
-/// One request.
+/// A queued, running or recently completed request.
 pub struct Request {
-    /// The caller's mark.
+    /// Mark that identifies the request in the ledger.
     pub mark: String,
-    /// Prompt tokens.
-    pub prompt: u32,
-    /// Prompt tokens found in the cache.
-    pub cached: u32,
-    /// Tokens made so far.
-    pub made: Cell<u32>,
-    /// Whether it was stopped.
+    /// Number of prompt tokens.
+    pub prompt_tokens: u32,
+    /// Prompt tokens found in the prefix cache.
+    pub cached_tokens: u32,
+    /// Tokens generated so far.
+    pub generated: Cell<u32>,
+    /// Whether the request was cancelled.
     pub cancelled: Cell<bool>,
-    /// When it ended.
-    pub ended: Cell<Option<Instant>>,
-    /// Wakes its streams.
+    /// Time of completion.
+    pub ended_at: Cell<Option<Instant>>,
+    /// Notifies the request's event streams of a change.
     pub changed: Notify,
-    account: Arc<Account>,
+    counters: Arc<RequestCounters>,
     priority: u8,
-    length: u32,
-    /// Prompt tokens still to compute.
-    prefill: Cell<u32>,
+    output_length: u32,
+    /// Prompt tokens that remain to be computed.
+    prefill_left: Cell<u32>,
 }
 
-/// Steps the batch for as long as there is work.
-pub async fn step(batch: Rc<Batch>, stop: StopSignal) {
+/// Step loop: executes steps until `stop` is triggered and all requests have
+/// ended.
+pub async fn run_steps(batch: Rc<Batch>, stop: StopSignal) {
     let mut due = tokio::time::Instant::now();
-    while !stop.is_triggered() || !batch.idle() {
-        batch.fill();
-        if batch.idle() {
+    while !stop.is_triggered() || !batch.is_idle() {
+        batch.fill_batch();
+        if batch.is_idle() {
             tokio::select! {
-                () = batch.work.notified() => {}
+                () = batch.work_available.notified() => {}
                 () = stop.wait() => {}
             }
             due = tokio::time::Instant::now();
             continue;
         }
 
-        // The timer is coarser than a step. Steps due by an absolute schedule
-        // take as long as they should on average, whatever one of them takes.
-        // An engine without step time makes tokens as fast as it can.
-        let step = batch.step_time();
+        // The timer's resolution is coarser than a step. Scheduling steps at
+        // absolute times keeps their average duration correct. With a step time
+        // of zero, tokens are generated as fast as possible.
+        let step = batch.step_duration();
         if step.is_zero() {
             tokio::task::yield_now().await;
-            batch.advance();
+            batch.execute_step();
             continue;
         }
-        due = due.max(tokio::time::Instant::now() - CATCH_UP) + step;
+        due = due.max(tokio::time::Instant::now() - MAX_STEP_LAG) + step;
         tokio::time::sleep_until(due).await;
-        batch.advance();
+        batch.execute_step();
     }
 }
 
-/// Notes the load again and again, for reports that lag.
-pub async fn observe(batch: Rc<Batch>, stop: StopSignal) {
+/// Records the load at regular intervals, to serve reports with a lag.
+pub async fn sample_load(batch: Rc<Batch>, stop: StopSignal) {
     while !stop.is_triggered() {
-        batch.note_load();
-        tokio::time::sleep(OBSERVE).await;
+        batch.record_load();
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
     }
 }
 
 impl Batch {
-    /// Makes an idle engine.
+    /// Creates an engine without requests.
     #[must_use]
-    pub fn new(settings: Settings, faults: Control<Faults>, ledger: Ledger) -> Rc<Self> {
+    pub fn new(settings: Settings, faults: FaultControl<Faults>, ledger: Ledger) -> Rc<Self> {
         let seed = u128::from(settings.listen.port()) << 1 | 1;
         Rc::new(Self {
-            cache: RefCell::new(Cache::new(settings.cache)),
+            cache: RefCell::new(Cache::new(settings.cache_tokens)),
             settings,
             faults,
             ledger,
             requests: RefCell::default(),
             running: RefCell::default(),
             waiting: RefCell::default(),
-            observed: RefCell::default(),
+            load_samples: RefCell::default(),
             rng: RefCell::new(Pcg64Mcg::new(seed)),
-            work: Notify::new(),
+            work_available: Notify::new(),
         })
     }
 
-    /// Takes in a request.
-    pub fn submit(&self, job: &Job<'_>) -> Rc<Request> {
-        let prompt = u32::try_from(job.text.len() / 4).unwrap_or(u32::MAX).max(1);
-        let cached = self.cache.borrow_mut().admit(job.text, Instant::now());
-        let account = self.ledger.account(job.mark);
-        Account::add(&account.runs, 1);
+    /// Adds a request to the queue.
+    pub fn submit(&self, new: &NewRequest<'_>) -> Rc<Request> {
+        let prompt_tokens = u32::try_from(new.text.len() / 4).unwrap_or(u32::MAX).max(1);
+        let cached_tokens = self.cache.borrow_mut().admit(new.text, Instant::now());
+        let counters = self.ledger.counters(new.mark);
+        RequestCounters::add(&counters.runs, 1);
 
         let request = Rc::new(Request {
-            mark: job.mark.to_owned(),
-            prompt,
-            cached,
-            made: Cell::new(0),
+            mark: new.mark.to_owned(),
+            prompt_tokens,
+            cached_tokens,
+            generated: Cell::new(0),
             cancelled: Cell::new(false),
-            ended: Cell::new(None),
+            ended_at: Cell::new(None),
             changed: Notify::new(),
-            account,
-            priority: job.priority,
-            length: job.length,
-            // The last token of a prompt is computed in any case.
-            prefill: Cell::new(prompt.saturating_sub(cached).max(1)),
+            counters,
+            priority: new.priority,
+            output_length: new.output_length,
+            // The last prompt token is always computed.
+            prefill_left: Cell::new(prompt_tokens.saturating_sub(cached_tokens).max(1)),
         });
-        let id = job.id.to_owned();
+        let id = new.id.to_owned();
         self.requests.borrow_mut().insert(id, Rc::clone(&request));
 
         let mut waiting = self.waiting.borrow_mut();
-        let at = waiting.partition_point(|r| r.priority <= request.priority);
-        waiting.insert(at, Rc::clone(&request));
-        self.work.notify_one();
+        let position = waiting.partition_point(|r| r.priority <= request.priority);
+        waiting.insert(position, Rc::clone(&request));
+        self.work_available.notify_one();
         request
     }
 
-    /// Finds a request that runs or ended lately.
+    /// Finds a queued, running or recently completed request.
     pub fn find(&self, id: &str) -> Option<Rc<Request>> {
         self.requests.borrow().get(id).cloned()
     }
 
-    /// Stops a request.
+    /// Cancels a request.
     pub fn cancel(&self, id: &str) {
         if let Some(request) = self.requests.borrow_mut().remove(id) {
             request.cancelled.set(true);
@@ -187,48 +188,53 @@
         }
     }
 
-    /// The load as the faults let it be known.
+    /// Returns the load report that is as old as the configured lag.
     pub fn report(&self) -> LoadReport {
         let lag = self.faults.get().report_lag.0;
-        let observed = self.observed.borrow();
-        let old = observed.iter().rev().find(|(at, _)| at.elapsed() >= lag);
-        match old {
+        let load_samples = self.load_samples.borrow();
+        let sample = load_samples
+            .iter()
+            .rev()
+            .find(|(at, _)| at.elapsed() >= lag);
+        match sample {
             Some((_, report)) if !lag.is_zero() => *report,
-            _ if lag.is_zero() => self.now(),
+            _ if lag.is_zero() => self.current_load(),
             _ => LoadReport::default(),
         }
     }
 
-    /// Cache events as the faults let them be known.
+    /// Returns cache events from the sequence number `from` on, subject to the
+    /// configured lag and loss.
     pub fn cache_events(&self, from: u64) -> CacheEvents {
         let faults = self.faults.get();
         let now = Instant::now();
         let until = now.checked_sub(faults.event_lag.0).unwrap_or(now);
         let mut events = self.cache.borrow().events(from, until);
-        let next = events.last().map_or(from, |e| e.seq + 1);
+        let next_seq = events.last().map_or(from, |e| e.seq + 1);
         let mut rng = self.rng.borrow_mut();
-        events.retain(|_| rng.random::<f64>() >= faults.event_gap);
-        CacheEvents { next, events }
+        events.retain(|_| rng.random::<f64>() >= faults.event_loss);
+        CacheEvents { next_seq, events }
     }
 
-    /// Notes the load as it is now.
-    fn note_load(&self) {
-        let now = self.now();
-        let mut observed = self.observed.borrow_mut();
-        observed.push_back((Instant::now(), now));
-        if observed.len() > OBSERVED {
-            observed.pop_front();
+    /// Records a sample of the current load.
+    fn record_load(&self) {
+        let now = self.current_load();
+        let mut load_samples = self.load_samples.borrow_mut();
+        load_samples.push_back((Instant::now(), now));
+        if load_samples.len() > MAX_SAMPLES {
+            load_samples.pop_front();
         }
     }
 
-    /// Whether nothing runs or waits.
-    fn idle(&self) -> bool {
+    /// Whether there are no queued or running requests.
+    fn is_idle(&self) -> bool {
         self.running.borrow().is_empty() && self.waiting.borrow().is_empty()
     }
 
-    fn now(&self) -> LoadReport {
+    /// Returns the current load.
+    fn current_load(&self) -> LoadReport {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        let step = self.step_time();
+        let step = self.step_duration();
         LoadReport {
             running: count(self.running.borrow().len()),
             waiting: count(self.waiting.borrow().len()),
@@ -237,8 +243,8 @@
         }
     }
 
-    /// Fills the batch from those that wait.
-    fn fill(&self) {
+    /// Moves queued requests into the free slots of the batch.
+    fn fill_batch(&self) {
         let mut running = self.running.borrow_mut();
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|r| !r.cancelled.get());
@@ -250,47 +256,47 @@
         }
     }
 
-    /// How long the next step takes.
-    fn step_time(&self) -> Duration {
+    /// Returns the duration of the next step.
+    fn step_duration(&self) -> Duration {
         let size = self.running.borrow().len().max(1);
-        let extra = u32::try_from(size - 1).unwrap_or(0);
-        let took = self.settings.step.0 + self.settings.extra.0 * extra;
-        took.mul_f64(self.faults.get().pace.clamp(0.01, 1000.0))
+        let further = u32::try_from(size - 1).unwrap_or(0);
+        let duration = self.settings.step_time.0 + self.settings.request_overhead.0 * further;
+        duration.mul_f64(self.faults.get().slowdown.clamp(0.01, 1000.0))
     }
 
-    /// Does one step's work.
-    fn advance(&self) {
-        let mut budget = self.settings.prefill;
+    /// Executes one step.
+    fn execute_step(&self) {
+        let mut budget = self.settings.prefill_tokens;
         let mut running = self.running.borrow_mut();
         running.sort_by_key(|r| r.priority);
         for request in running.iter().filter(|r| !r.cancelled.get()) {
-            let left = request.prefill.get();
-            if left > 0 {
-                let part = left.min(budget);
-                budget -= part;
-                request.prefill.set(left - part);
-                Account::add(&request.account.prompt, part);
+            let remaining = request.prefill_left.get();
+            if remaining > 0 {
+                let computed = remaining.min(budget);
+                budget -= computed;
+                request.prefill_left.set(remaining - computed);
+                RequestCounters::add(&request.counters.prompt_tokens, computed);
                 continue;
             }
-            request.make();
+            request.generate_token();
         }
-        running.retain(|r| r.ended.get().is_none() && !r.cancelled.get());
+        running.retain(|r| r.ended_at.get().is_none() && !r.cancelled.get());
         drop(running);
 
-        let keep = self.settings.keep.0;
-        let kept = |r: &Rc<Request>| r.ended.get().is_none_or(|at| at.elapsed() < keep);
-        self.requests.borrow_mut().retain(|_, r| kept(r));
+        let window = self.settings.resume_window.0;
+        let resumable = |r: &Rc<Request>| r.ended_at.get().is_none_or(|at| at.elapsed() < window);
+        self.requests.borrow_mut().retain(|_, r| resumable(r));
     }
 }
 
 impl Request {
-    /// Makes one token.
-    fn make(&self) {
-        self.made.set(self.made.get() + 1);
-        Account::add(&self.account.tokens, 1);
-        if self.made.get() >= self.length {
-            self.ended.set(Some(Instant::now()));
-            Account::add(&self.account.ended, 1);
+    /// Generates one token.
+    fn generate_token(&self) {
+        self.generated.set(self.generated.get() + 1);
+        RequestCounters::add(&self.counters.output_tokens, 1);
+        if self.generated.get() >= self.output_length {
+            self.ended_at.set(Some(Instant::now()));
+            RequestCounters::add(&self.counters.completed_runs, 1);
         }
         self.changed.notify_waiters();
     }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,106 +1,109 @@
-//! The prefix cache with limited memory, and the events about it.
+//! Prefix cache with limited memory, and the events about its changes.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
 
 use clients::engine::{CacheChange, CacheEvent};
 
-/// Bytes of prompt text in one block of the cache.
+/// Size of a block, in bytes of prompt text.
 pub const BLOCK_BYTES: usize = 1024;
 
-/// Tokens in one block of the cache.
+/// Size of a block, in tokens.
 pub const BLOCK_TOKENS: u32 = 256;
 
-/// Events that are kept for readers.
-const EVENTS_KEPT: usize = 10_000;
+/// Maximum number of retained events.
+const MAX_EVENTS: usize = 10_000;
 
-/// Blocks of prompts computed lately. A block is known by the hash of the
-/// whole prompt up to its end, so a block is found only after the same prefix.
+/// LRU cache of prompt blocks. The key of a block is the hash of the whole prompt
+/// up to the block's end, so a block is only found after the same prefix.
 #[derive(Debug)]
 pub struct Cache {
-    /// Most blocks that fit.
-    limit: usize,
-    /// When each block was used last, as a count of uses.
-    used: HashMap<u64, u64>,
-    /// The blocks by that count, the one unused for longest first.
-    order: BTreeMap<u64, u64>,
-    uses: u64,
-    /// Events with the time at which each came up.
+    /// Capacity, in blocks.
+    max_blocks: usize,
+    /// Last use of each block, as a value of `use_count`.
+    last_use: HashMap<u64, u64>,
+    /// Blocks by last use, the least recently used first.
+    lru_order: BTreeMap<u64, u64>,
+    /// Logical clock, increased with each use of a block.
+    use_count: u64,
+    /// Retained events, each with its time.
     events: VecDeque<(Instant, CacheEvent)>,
-    /// The number of the next event.
-    next: u64,
+    /// Sequence number of the next event.
+    next_seq: u64,
 }
 
 impl Cache {
-    /// Makes an empty cache for so many tokens.
+    /// Creates an empty cache with a capacity of `tokens`.
     #[must_use]
     pub fn new(tokens: u32) -> Self {
         Self {
-            limit: (tokens / BLOCK_TOKENS) as usize,
-            used: HashMap::new(),
-            order: BTreeMap::new(),
-            uses: 0,
+            max_blocks: (tokens / BLOCK_TOKENS) as usize,
+            last_use: HashMap::new(),
+            lru_order: BTreeMap::new(),
+            use_count: 0,
             events: VecDeque::new(),
-            next: 0,
+            next_seq: 0,
         }
     }
 
-    /// Uses the blocks of a prompt; returns how many of its tokens were
-    /// cached before. What was not is cached from now on.
+    /// Adds the blocks of a prompt to the cache and marks them as used. Returns how
+    /// many of its leading tokens were already cached.
     pub fn admit(&mut self, text: &[u8], now: Instant) -> u32 {
         let mut cached = 0;
-        let mut leading = true;
+        let mut prefix_cached = true;
         for i in 1..=text.len() / BLOCK_BYTES {
             let block = rapidhash::v3::rapidhash_v3(&text[..i * BLOCK_BYTES]);
-            let found = self.touch(block);
-            leading &= found;
-            cached += if leading { BLOCK_TOKENS } else { 0 };
-            if !found {
-                self.note(CacheChange::Stored, block, now);
+            let present = self.touch(block);
+            prefix_cached &= present;
+            cached += if prefix_cached { BLOCK_TOKENS } else { 0 };
+            if !present {
+                self.push_event(CacheChange::Stored, block, now);
             }
         }
         self.evict(now);
         cached
     }
 
-    /// Events from number `from` on that came up before `until`.
+    /// Returns the events with a sequence number of at least `from` that happened
+    /// no later than `until`.
     #[must_use]
     pub fn events(&self, from: u64, until: Instant) -> Vec<CacheEvent> {
-        let due = self.events.iter().filter(|(at, _)| *at <= until);
-        let events = due.map(|(_, event)| *event);
+        let visible = self.events.iter().filter(|(at, _)| *at <= until);
+        let events = visible.map(|(_, event)| *event);
         events.filter(|e| e.seq >= from).collect()
     }
 
-    /// Marks a block as used now; tells whether it was there before.
+    /// Marks a block as used now; returns whether it was already cached.
     fn touch(&mut self, block: u64) -> bool {
-        self.uses += 1;
-        let before = self.used.insert(block, self.uses);
-        if let Some(before) = before {
-            self.order.remove(&before);
+        self.use_count += 1;
+        let previous = self.last_use.insert(block, self.use_count);
+        if let Some(previous) = previous {
+            self.lru_order.remove(&previous);
         }
-        self.order.insert(self.uses, block);
-        before.is_some()
+        self.lru_order.insert(self.use_count, block);
+        previous.is_some()
     }
 
+    /// Evicts the least recently used blocks while the cache exceeds its capacity.
     fn evict(&mut self, now: Instant) {
-        while self.used.len() > self.limit {
-            let Some((_, block)) = self.order.pop_first() else {
+        while self.last_use.len() > self.max_blocks {
+            let Some((_, block)) = self.lru_order.pop_first() else {
                 return;
             };
-            self.used.remove(&block);
-            self.note(CacheChange::Removed, block, now);
+            self.last_use.remove(&block);
+            self.push_event(CacheChange::Removed, block, now);
         }
     }
 
-    fn note(&mut self, change: CacheChange, block: u64, now: Instant) {
+    fn push_event(&mut self, change: CacheChange, block_hash: u64, now: Instant) {
         let event = CacheEvent {
-            seq: self.next,
+            seq: self.next_seq,
             change,
-            block,
+            block_hash,
         };
-        self.next += 1;
+        self.next_seq += 1;
         self.events.push_back((now, event));
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -1,4 +1,5 @@
-//! The platform's list of hosts, which lags, freezes, empties and goes out.
+//! Stand-in for the platform's host list, which can be stale, frozen, empty or
+//! unavailable.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,71 +10,72 @@
 use actix_web::{App, HttpRequest, HttpResponse, web};
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
-use clients::hosts::{Host, List, Standing};
+use clients::hosts::{Host, HostList, HostStatus};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-use crate::control::Control;
+use crate::control::FaultControl;
 
-/// Settings of the host list's stand-in.
+/// Settings of a host list stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Hosts that stand in the list from the start.
+    /// Hosts that are initially in the list.
     #[serde(default)]
     pub hosts: Vec<Host>,
-    /// What is wrong from the start.
+    /// Initial faults; can be replaced with `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
 }
 
-/// What is wrong with the list.
+/// Faults of the list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How far the list is behind.
+    /// Delay after which a change becomes visible.
     pub lag: HumanDuration,
-    /// Whether changes stop showing; what was last served stays.
+    /// Whether the list stays at the version that was last served.
     pub frozen: bool,
-    /// Whether the list has no hosts in it.
+    /// Whether the list is served without hosts.
     pub empty: bool,
-    /// Whether every reading fails.
+    /// Whether every request for the list fails.
     pub outage: bool,
 }
 
-/// The hosts as they really are, with their past; clones share one record.
+/// Actual hosts, independent of the faults, and their history. Clones share the
+/// same state.
 #[derive(Debug, Clone)]
 pub struct Registry {
-    inner: Arc<Mutex<Past>>,
-    /// What is wrong, changed while the list is served.
-    pub control: Control<Faults>,
+    inner: Arc<Mutex<History>>,
+    /// Faults; can be changed while the list is served.
+    pub control: FaultControl<Faults>,
 }
 
-/// Every version of the list, so that an old one can be served.
+/// All versions of the list, so that an old version can be served.
 #[derive(Debug)]
-struct Past {
+struct History {
     versions: Vec<(Instant, Arc<Vec<Host>>)>,
-    /// The version that was served last.
+    /// Index of the version that was served last.
     served: usize,
 }
 
 impl Registry {
-    /// Makes a registry with the given hosts.
+    /// Creates a registry with the given hosts.
     #[must_use]
     pub fn new(hosts: Vec<Host>) -> Self {
-        let past = Past {
+        let history = History {
             versions: vec![(Instant::now(), Arc::new(hosts))],
             served: 0,
         };
         Self {
-            inner: Arc::new(Mutex::new(past)),
-            control: Control::default(),
+            inner: Arc::new(Mutex::new(history)),
+            control: FaultControl::default(),
         }
     }
 
-    /// Adds a host, or replaces the one of the same name.
+    /// Adds a host, or replaces the host with the same name.
     pub fn put(&self, host: Host) {
         self.change(|hosts| {
             hosts.retain(|h| h.name != host.name);
@@ -81,53 +83,54 @@
         });
     }
 
-    /// Marks a host as about to go away.
-    pub fn leave(&self, name: &str) {
+    /// Marks a host as about to be removed.
+    pub fn mark_leaving(&self, name: &str) {
         self.change(|hosts| {
-            let found = hosts.iter_mut().find(|h| h.name == name);
-            if let Some(host) = found {
-                host.standing = Standing::Leaving;
+            let host = hosts.iter_mut().find(|h| h.name == name);
+            if let Some(host) = host {
+                host.status = HostStatus::Leaving;
             }
         });
     }
 
-    /// Takes a host out.
+    /// Removes a host.
     pub fn remove(&self, name: &str) {
         self.change(|hosts| hosts.retain(|h| h.name != name));
     }
 
+    /// Appends a version of the list with a change.
     fn change(&self, change: impl FnOnce(&mut Vec<Host>)) {
-        let mut past = self.lock();
-        let last = past.versions.last().map(|(_, hosts)| hosts.as_ref());
+        let mut history = self.lock();
+        let last = history.versions.last().map(|(_, hosts)| hosts.as_ref());
         let mut hosts = last.cloned().unwrap_or_default();
         change(&mut hosts);
-        past.versions.push((Instant::now(), Arc::new(hosts)));
+        history.versions.push((Instant::now(), Arc::new(hosts)));
     }
 
-    /// The version that is shown now, with its number.
-    fn shown(&self, now: Instant) -> (usize, Arc<Vec<Host>>) {
+    /// Returns the index of the version to serve now, and its hosts.
+    fn visible_version(&self, now: Instant) -> (usize, Arc<Vec<Host>>) {
         let faults = self.control.get();
-        let mut past = self.lock();
+        let mut history = self.lock();
         if !faults.frozen {
-            let old = |(at, _): &&(Instant, _)| now.duration_since(*at) >= faults.lag.0;
-            let count = past.versions.iter().take_while(old).count();
-            // The first version is shown however young it is.
-            past.served = count.saturating_sub(1);
+            let visible = |(at, _): &&(Instant, _)| now.duration_since(*at) >= faults.lag.0;
+            let count = history.versions.iter().take_while(visible).count();
+            // The first version is visible regardless of its age.
+            history.served = count.saturating_sub(1);
         }
-        let served = past.served;
-        (served, Arc::clone(&past.versions[served].1))
+        let served = history.served;
+        (served, Arc::clone(&history.versions[served].1))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Past> {
+    fn lock(&self) -> MutexGuard<'_, History> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Serves the list until `stop` is asked.
+/// Serves the list until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the list cannot be served.
+/// Returns an error when the address cannot be bound or serving fails.
 pub async fn run(settings: Settings, registry: Registry, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     registry.control.change(|faults| *faults = settings.faults);
@@ -136,11 +139,11 @@
         .route("/hosts", web::get().to(list))
         .route("/hosts/{name}", web::put().to(put))
         .route("/hosts/{name}", web::delete().to(remove))
-        .route("/faults", web::put().to(faults));
+        .route("/faults", web::put().to(set_faults));
     base::http::serve(listener, app, stop).await
 }
 
-/// What a reader asks for.
+/// Query of a request for the list.
 #[derive(Debug, Deserialize)]
 struct Query {
     #[serde(default)]
@@ -156,20 +159,20 @@
         return HttpResponse::ServiceUnavailable().finish();
     }
     if faults.empty {
-        return HttpResponse::Ok().json(List::default());
+        return HttpResponse::Ok().json(HostList::default());
     }
 
-    let (version, hosts) = registry.shown(Instant::now());
+    let (version, hosts) = registry.visible_version(Instant::now());
     let tag = format!("\"{version}\"");
     let known = http.headers().get(IF_NONE_MATCH);
     if known.is_some_and(|v| v.as_bytes() == tag.as_bytes()) {
         return HttpResponse::NotModified().finish();
     }
-    let wanted = |h: &&Host| query.region.is_empty() || h.region == query.region;
-    let hosts = hosts.iter().filter(wanted).cloned().collect();
+    let in_region = |h: &&Host| query.region.is_empty() || h.region == query.region;
+    let hosts = hosts.iter().filter(in_region).cloned().collect();
     HttpResponse::Ok()
         .insert_header((ETAG, tag))
-        .json(List { hosts })
+        .json(HostList { hosts })
 }
 
 async fn put(http: HttpRequest, name: web::Path<String>, host: web::Json<Host>) -> HttpResponse {
@@ -191,7 +194,7 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn faults(http: HttpRequest, faults: web::Json<Faults>) -> HttpResponse {
+async fn set_faults(http: HttpRequest, faults: web::Json<Faults>) -> HttpResponse {
     let Some(registry) = http.app_data::<Registry>() else {
         return HttpResponse::InternalServerError().finish();
     };
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins saw. The router is judged by this, not by what it
-//! believes itself.
+//! Counts of what the stand-ins executed for each request. The router is checked
+//! against these counts instead of its own reports.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,92 +7,100 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What all stand-ins of a run saw; clones share one record.
+/// Counts of all requests that the stand-ins of a run executed. Clones share the
+/// same counts.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    inner: Arc<Mutex<HashMap<String, Arc<Account>>>>,
+    inner: Arc<Mutex<HashMap<String, Arc<RequestCounters>>>>,
 }
 
-/// The counts of one request, noted without a lock.
+/// Counters of one request, updated without a lock.
 #[derive(Debug, Default)]
-pub struct Account {
-    /// How often the request started to run.
+pub struct RequestCounters {
+    /// How many times execution was started.
     pub runs: AtomicU32,
-    /// Tokens made for it in all runs.
-    pub tokens: AtomicU32,
-    /// Prompt tokens computed for it in all runs, without cached ones.
-    pub prompt: AtomicU32,
-    /// Runs that came to their end.
-    pub ended: AtomicU32,
+    /// Tokens generated in all runs.
+    pub output_tokens: AtomicU32,
+    /// Prompt tokens computed in all runs, not counting cached ones.
+    pub prompt_tokens: AtomicU32,
+    /// Runs that completed.
+    pub completed_runs: AtomicU32,
 }
 
-/// What was seen of one request, by the caller's own mark.
+/// Counts of one request, which is identified by the mark in its body.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Seen {
-    /// How often the request started to run.
+pub struct RequestCounts {
+    /// How many times execution was started.
     pub runs: u32,
-    /// Tokens made for it in all runs.
-    pub tokens: u32,
-    /// Prompt tokens computed for it in all runs, without cached ones.
-    pub prompt: u32,
-    /// Runs that came to their end.
-    pub ended: u32,
+    /// Tokens generated in all runs.
+    #[serde(rename = "tokens")]
+    pub output_tokens: u32,
+    /// Prompt tokens computed in all runs, not counting cached ones.
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: u32,
+    /// Runs that completed.
+    #[serde(rename = "ended")]
+    pub completed_runs: u32,
 }
 
-impl Account {
-    /// Adds to one of the counts.
-    pub fn add(count: &AtomicU32, n: u32) {
-        count.fetch_add(n, Ordering::Relaxed);
+impl RequestCounters {
+    /// Adds `n` to one of the counters.
+    pub fn add(counter: &AtomicU32, n: u32) {
+        counter.fetch_add(n, Ordering::Relaxed);
     }
 
-    fn seen(&self) -> Seen {
-        Seen {
+    fn counts(&self) -> RequestCounts {
+        RequestCounts {
             runs: self.runs.load(Ordering::Relaxed),
-            tokens: self.tokens.load(Ordering::Relaxed),
-            prompt: self.prompt.load(Ordering::Relaxed),
-            ended: self.ended.load(Ordering::Relaxed),
+            output_tokens: self.output_tokens.load(Ordering::Relaxed),
+            prompt_tokens: self.prompt_tokens.load(Ordering::Relaxed),
+            completed_runs: self.completed_runs.load(Ordering::Relaxed),
         }
     }
 }
 
 impl Ledger {
-    /// The account of the request with the given mark.
+    /// Returns the counters of the request with the given mark, creating them if
+    /// necessary.
     #[must_use]
-    pub fn account(&self, mark: &str) -> Arc<Account> {
+    pub fn counters(&self, mark: &str) -> Arc<RequestCounters> {
         let mut inner = self.lock();
-        if let Some(account) = inner.get(mark) {
-            return Arc::clone(account);
+        if let Some(counters) = inner.get(mark) {
+            return Arc::clone(counters);
         }
         Arc::clone(inner.entry(mark.to_owned()).or_default())
     }
 
-    /// What was seen of one request.
+    /// Returns the counts of one request; all zero when it was never executed.
     #[must_use]
-    pub fn seen(&self, mark: &str) -> Seen {
-        self.lock().get(mark).map(|a| a.seen()).unwrap_or_default()
+    pub fn counts(&self, mark: &str) -> RequestCounts {
+        self.lock()
+            .get(mark)
+            .map(|a| a.counts())
+            .unwrap_or_default()
     }
 
-    /// Everything that was seen.
+    /// Returns the counts of all requests by mark.
     #[must_use]
-    pub fn all(&self) -> HashMap<String, Seen> {
+    pub fn all_counts(&self) -> HashMap<String, RequestCounts> {
         let inner = self.lock();
-        inner.iter().map(|(m, a)| (m.clone(), a.seen())).collect()
+        inner.iter().map(|(m, a)| (m.clone(), a.counts())).collect()
     }
 
-    /// Adds what another ledger saw.
-    pub fn merge(&self, other: &HashMap<String, Seen>) {
-        for (mark, seen) in other {
-            let account = self.account(mark);
-            Account::add(&account.runs, seen.runs);
-            Account::add(&account.tokens, seen.tokens);
-            Account::add(&account.prompt, seen.prompt);
-            Account::add(&account.ended, seen.ended);
+    /// Adds the counts of another ledger.
+    pub fn merge(&self, other_counts: &HashMap<String, RequestCounts>) {
+        for (mark, counts) in other_counts {
+            let counters = self.counters(mark);
+            RequestCounters::add(&counters.runs, counts.runs);
+            RequestCounters::add(&counters.output_tokens, counts.output_tokens);
+            RequestCounters::add(&counters.prompt_tokens, counts.prompt_tokens);
+            RequestCounters::add(&counters.completed_runs, counts.completed_runs);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, Arc<Account>>> {
-        // A panic elsewhere leaves counts that are still sound.
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, Arc<RequestCounters>>> {
+        // The counts remain valid after a panic in another thread.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/standin/src/orders.rs
+++ b/crates/standin/src/orders.rs
@@ -1,4 +1,4 @@
-//! The side of a model engine that takes orders.
+//! Stand-in for the HTTP interface at which a model engine accepts orders.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,51 +9,51 @@
 use base::ids::Offset;
 use base::settings::HumanDuration;
 use base::stop::StopSignal;
-use clients::orders::{FENCE, Order, Standing};
+use clients::orders::{EngineState, FENCING_HEADER, Order};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-/// Settings of the stand-in.
+/// Settings of an order stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with a stale fencing token is rejected.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// How long one load takes.
-    #[serde(default)]
-    pub load: HumanDuration,
+    /// Duration of a load.
+    #[serde(default, rename = "load")]
+    pub load_time: HumanDuration,
 }
 
-/// What an engine was ordered; clones share it.
+/// Accepted orders and their effect on the engine. Clones share the same state.
 #[derive(Debug, Clone, Default)]
-pub struct Record {
+pub struct OrderState {
     inner: Arc<Mutex<Inner>>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    standing: Standing,
-    /// The order that is being carried out, and when it is done.
+    engine_state: EngineState,
+    /// Load in progress, and the time at which it completes.
     loading: Option<(Order, Instant)>,
-    /// The highest fencing number that came.
-    highest: u64,
-    taken: Vec<(Offset, Order)>,
+    /// Highest fencing token that was accepted.
+    highest_fence: u64,
+    accepted: Vec<(Offset, Order)>,
 }
 
-impl Record {
-    /// The orders that were taken, with their fencing numbers.
+impl OrderState {
+    /// Returns the accepted orders with their fencing tokens, in order of arrival.
     #[must_use]
-    pub fn taken(&self) -> Vec<(Offset, Order)> {
-        self.lock().taken.clone()
+    pub fn accepted(&self) -> Vec<(Offset, Order)> {
+        self.lock().accepted.clone()
     }
 
-    /// What the engine has now.
+    /// Returns the current state of the engine.
     #[must_use]
-    pub fn standing(&self) -> Standing {
-        self.lock().now()
+    pub fn engine_state(&self) -> EngineState {
+        self.lock().refresh()
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -62,7 +62,8 @@
 }
 
 impl Inner {
-    fn now(&mut self) -> Standing {
+    /// Completes a load that is due and returns the current state.
+    fn refresh(&mut self) -> EngineState {
         if self
             .loading
             .as_ref()
@@ -71,16 +72,17 @@
         {
             self.finish(order);
         }
-        Standing {
+        EngineState {
             loading: self.loading.is_some(),
-            ..self.standing.clone()
+            ..self.engine_state.clone()
         }
     }
 
-    fn take(&mut self, fence: u64, order: Order, load: Duration) {
-        self.now();
-        self.highest = self.highest.max(fence);
-        self.taken.push((Offset(fence), order.clone()));
+    /// Records an accepted order and executes it or starts its load.
+    fn apply(&mut self, fence: u64, order: Order, load: Duration) {
+        self.refresh();
+        self.highest_fence = self.highest_fence.max(fence);
+        self.accepted.push((Offset(fence), order.clone()));
         match order {
             Order::LoadVersion(_) | Order::LoadAdapter(_) => {
                 self.loading = Some((order, Instant::now() + load));
@@ -89,54 +91,58 @@
         }
     }
 
+    /// Changes the state as the order requires.
     fn finish(&mut self, order: Order) {
         match order {
-            Order::LoadVersion(version) => self.standing.version = version,
+            Order::LoadVersion(version) => self.engine_state.version = version,
             Order::LoadAdapter(name) => {
-                self.standing.adapters.insert(name);
+                self.engine_state.adapters.insert(name);
             }
             Order::UnloadAdapter(name) => {
-                self.standing.adapters.remove(&name);
+                self.engine_state.adapters.remove(&name);
             }
-            Order::ChangeRole(role) => self.standing.role = role,
+            Order::ChangeRole(role) => self.engine_state.role = role,
         }
     }
 }
 
-/// Takes orders until `stop` is asked.
+/// Serves orders until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the stand-in cannot listen.
-pub async fn run(settings: Settings, record: Record, stop: StopSignal) -> io::Result<()> {
+/// Returns an error when the address cannot be bound or serving fails.
+pub async fn run(settings: Settings, order_state: OrderState, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     let app = App::new()
-        .app_data((settings, record))
-        .route("/v1/orders", web::get().to(standing))
-        .route("/v1/orders", web::post().to(give));
+        .app_data((settings, order_state))
+        .route("/v1/orders", web::get().to(engine_state))
+        .route("/v1/orders", web::post().to(accept_order));
     base::http::serve(listener, app, stop).await
 }
 
-async fn standing(http: HttpRequest) -> HttpResponse {
-    let Some((_, record)) = http.app_data::<(Settings, Record)>() else {
+async fn engine_state(http: HttpRequest) -> HttpResponse {
+    let Some((_, order_state)) = http.app_data::<(Settings, OrderState)>() else {
         return HttpResponse::InternalServerError().finish();
     };
-    HttpResponse::Ok().json(record.standing())
+    HttpResponse::Ok().json(order_state.engine_state())
 }
 
-async fn give(http: HttpRequest, order: web::Json<Order>) -> HttpResponse {
-    let Some((settings, record)) = http.app_data::<(Settings, Record)>() else {
+async fn accept_order(http: HttpRequest, order: web::Json<Order>) -> HttpResponse {
+    let Some((settings, order_state)) = http.app_data::<(Settings, OrderState)>() else {
         return HttpResponse::InternalServerError().finish();
     };
-    let fence = http.headers().get(FENCE).and_then(|v| v.to_str().ok());
+    let fence = http
+        .headers()
+        .get(FENCING_HEADER)
+        .and_then(|v| v.to_str().ok());
     let Some(fence) = fence.and_then(|v| v.parse().ok()) else {
         return HttpResponse::BadRequest().finish();
     };
 
-    let mut inner = record.lock();
-    if settings.checks_fencing && fence < inner.highest {
+    let mut inner = order_state.lock();
+    if settings.checks_fencing && fence < inner.highest_fence {
         return HttpResponse::Conflict().finish();
     }
-    inner.take(fence, order.into_inner(), settings.load.0);
+    inner.apply(fence, order.into_inner(), settings.load_time.0);
     HttpResponse::Accepted().finish()
 }
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store, which limits how many loads may begin.
+//! Stand-in for the weight store, which rate-limits the permits to load weights.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,89 +12,93 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-use crate::control::Control;
+use crate::control::FaultControl;
 
-/// Settings of the weight store's stand-in.
+/// Settings of a weight store stand-in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Time between two permits.
-    pub every: HumanDuration,
-    /// What is wrong from the start.
+    /// Minimum time between two permits.
+    #[serde(rename = "every")]
+    pub permit_interval: HumanDuration,
+    /// Initial faults; can be replaced with `PUT /faults`.
     #[serde(default)]
     pub faults: Faults,
 }
 
-/// What is wrong with the store.
+/// Faults of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How long each answer takes.
-    pub slow: HumanDuration,
-    /// Whether every call fails.
+    /// Delay of each response.
+    #[serde(rename = "slow")]
+    pub response_delay: HumanDuration,
+    /// Whether every permit request fails.
     pub outage: bool,
 }
 
-/// The permits given; clones share them.
+/// Granted permits and faults. Clones share the same state.
 #[derive(Debug, Clone, Default)]
-pub struct Store {
-    /// What is wrong, changed while it runs.
-    pub control: Control<Faults>,
-    given: Arc<Mutex<Vec<(Instant, String)>>>,
+pub struct WeightStore {
+    /// Faults; can be changed while the store runs.
+    pub control: FaultControl<Faults>,
+    granted: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-impl Store {
-    /// What was permitted so far.
+impl WeightStore {
+    /// Returns the versions and adapters that permits were granted for.
     #[must_use]
-    pub fn given(&self) -> Vec<String> {
-        let given = self.given.lock().unwrap_or_else(PoisonError::into_inner);
-        given.iter().map(|(_, what)| what.clone()).collect()
+    pub fn granted(&self) -> Vec<String> {
+        let granted = self.granted.lock().unwrap_or_else(PoisonError::into_inner);
+        granted.iter().map(|(_, what)| what.clone()).collect()
     }
 }
 
-/// Gives permits until `stop` is asked.
+/// Serves permits until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// Returns the error when the store cannot listen.
-pub async fn run(settings: Settings, store: Store, stop: StopSignal) -> io::Result<()> {
+/// Returns an error when the address cannot be bound or serving fails.
+pub async fn run(settings: Settings, store: WeightStore, stop: StopSignal) -> io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     store.control.change(|faults| *faults = settings.faults);
     let app = App::new()
         .app_data((settings, store))
         .route("/v1/permits/{what}", web::post().to(permit))
-        .route("/faults", web::put().to(faults));
+        .route("/faults", web::put().to(set_faults));
     base::http::serve(listener, app, stop).await
 }
 
 async fn permit(http: HttpRequest, what: web::Path<String>) -> HttpResponse {
-    let Some((settings, store)) = http.app_data::<(Settings, Store)>() else {
+    let Some((settings, store)) = http.app_data::<(Settings, WeightStore)>() else {
         return HttpResponse::InternalServerError().finish();
     };
     let faults = store.control.get();
-    tokio::time::sleep(faults.slow.0).await;
+    tokio::time::sleep(faults.response_delay.0).await;
     if faults.outage {
         return HttpResponse::ServiceUnavailable().finish();
     }
 
     let now = Instant::now();
-    let mut given = store.given.lock().unwrap_or_else(PoisonError::into_inner);
-    let next = given.last().map_or(now, |(at, _)| *at + settings.every.0);
+    let mut granted = store.granted.lock().unwrap_or_else(PoisonError::into_inner);
+    let next = granted
+        .last()
+        .map_or(now, |(at, _)| *at + settings.permit_interval.0);
     if now < next {
-        // Whole seconds are all that the header can say.
+        // The `Retry-After` header holds whole seconds.
         let after = (next - now).as_secs();
         return HttpResponse::TooManyRequests()
             .insert_header((RETRY_AFTER, after.to_string()))
             .finish();
     }
-    given.push((now, what.into_inner()));
+    granted.push((now, what.into_inner()));
     HttpResponse::Ok().finish()
 }
 
-async fn faults(http: HttpRequest, faults: web::Json<Faults>) -> HttpResponse {
-    let Some((_, store)) = http.app_data::<(Settings, Store)>() else {
+async fn set_faults(http: HttpRequest, faults: web::Json<Faults>) -> HttpResponse {
+    let Some((_, store)) = http.app_data::<(Settings, WeightStore)>() else {
         return HttpResponse::InternalServerError().finish();
     };
     store.control.change(|f| *f = faults.into_inner());
