--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -113,7 +113,8 @@
     fn take_page(&mut self, page: &Page, ctx: &mut Context<Self>) {
         self.held.set_reachable(true);
         self.backoff = FIRST_BACKOFF;
-        self.held.with_acceptor(|a| a.skip_expired(page.first_offset));
+        self.held
+            .with_acceptor(|a| a.skip_expired(page.first_offset));
         for entry in &page.records {
             let verdict = self.held.apply_record(entry.offset, &entry.body);
             self.record_verdict(&verdict, entry.time_ms);
