--- a/crates/bench/src/callers.rs
+++ b/crates/bench/src/callers.rs
@@ -8,7 +8,7 @@
 
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
-use load::arrivals::Kind;
+use load::arrivals::RequestKind;
 use load::balancer::Balancer;
 use load::{Arrival, Ending, caller};
 use serde_json::json;
@@ -33,19 +33,19 @@
 
 /// One request.
 #[must_use]
-pub fn arrival(number: u64, answer: u32) -> Arrival {
+pub fn arrival(number: u64, answer_tokens: u32) -> Arrival {
     Arrival {
         at: Duration::ZERO,
         class: CLASS.to_owned(),
-        kind: Kind::Completion,
+        kind: RequestKind::Completion,
         token: TOKEN.to_owned(),
         mark: format!("m{number}"),
-        prompt: 16,
-        shared: 0,
-        prefix: 0,
-        answer,
+        prompt_tokens: 16,
+        prefix_tokens: 0,
+        prefix_index: 0,
+        answer_tokens,
         stream: true,
-        leaves: None,
+        abandon_after: None,
         repeatable: true,
         keyed: false,
     }
@@ -77,7 +77,7 @@
 /// One thread's part of the requests.
 fn part(entry: SocketAddr, next: &Arc<AtomicU64>, count: u64, open: u64, answer: u32) -> Tally {
     actix_rt::System::new().block_on(async {
-        let http = caller::client();
+        let http = caller::http_client();
         let balancer = Arc::new(Balancer::new(&[entry]));
         let loops: Vec<_> = (0..open)
             .map(|_| {
@@ -91,8 +91,8 @@
                             return tally;
                         }
                         let sent = arrival(number, answer);
-                        let outcome = caller::call(http.clone(), &balancer, sent).await;
-                        let whole = outcome.ending == Ending::Whole && !outcome.mixed;
+                        let outcome = caller::send_request(http.clone(), &balancer, sent).await;
+                        let whole = outcome.ending == Ending::Completed && !outcome.corrupted;
                         tally.whole += u64::from(whole);
                         tally.failed += u64::from(!whole);
                         tally.tokens += u64::from(outcome.tokens);
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -97,7 +97,7 @@
     let ways = [Way::Direct(site.engines[0]), Way::Entry(site.entry)];
     let mut times = [histogram()?, histogram()?];
     actix_rt::System::new().block_on(async {
-        let http = load::caller::client();
+        let http = load::caller::http_client();
         for number in 0..PAIRS {
             for (way, times) in ways.iter().zip(&mut times) {
                 let (first, rest) = way.open(&http, number, 2).await?;
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -9,7 +9,7 @@
 use base::ids::Tier;
 use base::settings::{self, HumanDuration};
 use bundle::{Bundle, Class, Pool, Targets, Workspace};
-use demo::host::Host;
+use demo::daemon::Daemon;
 use entry::settings::Known;
 use standin::{Control, Ledger, silence};
 
@@ -52,7 +52,7 @@
     pub engines: Vec<SocketAddr>,
     /// Bytes that passed between the entry and the sidecars.
     pub traffic: Control<silence::Faults>,
-    hosts: Vec<Host>,
+    hosts: Vec<Daemon>,
 }
 
 impl Layout {
@@ -93,13 +93,13 @@
         }
     }
 
-    fn start_engine(self, listen: SocketAddr) -> Host {
+    fn start_engine(self, listen: SocketAddr) -> Daemon {
         let text = format!(
             r#"{{ "listen": "{listen}", "slots": {}, "step": "{}", "extra": "0us" }}"#,
             self.slots, self.step
         );
         let engine: Option<standin::engine::Settings> = settings::parse("engine", &text).ok();
-        Host::start("engine", move |stop| {
+        Daemon::start("engine", move |stop| {
             let settings = engine.clone();
             async move {
                 let settings = settings.ok_or_else(|| std::io::Error::other("bad settings"))?;
@@ -108,14 +108,14 @@
         })
     }
 
-    fn start_sidecar(self, i: u8, listen: SocketAddr, engine: SocketAddr) -> Host {
+    fn start_sidecar(self, i: u8, listen: SocketAddr, engine: SocketAddr) -> Daemon {
         let text = format!(
             r#"{{ "name": "sidecar-{i}", "zone": "a", "listen": "{listen}", "log_level": "error",
                   "backend": {{ "engine": {{ "addr": "{engine}", "slots": {} }} }} }}"#,
             self.slots
         );
         let sidecar: Option<sidecar::Settings> = settings::parse("sidecar", &text).ok();
-        Host::start("sidecar", move |stop| {
+        Daemon::start("sidecar", move |stop| {
             let settings = sidecar.clone();
             async move {
                 let settings = settings.ok_or_else(|| std::io::Error::other("bad settings"))?;
@@ -128,22 +128,22 @@
 impl Site {
     /// Ends everything.
     pub fn end(self) {
-        self.hosts.iter().for_each(Host::crash);
+        self.hosts.iter().for_each(Daemon::crash);
     }
 }
 
-fn start_link(listen: SocketAddr, target: SocketAddr, traffic: Control<silence::Faults>) -> Host {
-    Host::start("link", move |stop| {
+fn start_link(listen: SocketAddr, target: SocketAddr, traffic: Control<silence::Faults>) -> Daemon {
+    Daemon::start("link", move |stop| {
         silence::run(listen, target, traffic.clone(), stop)
     })
 }
 
-fn start_entry(listen: SocketAddr, known: Vec<Known>) -> Host {
+fn start_entry(listen: SocketAddr, known: Vec<Known>) -> Daemon {
     let text = format!(
         r#"{{ "name": "entry", "zone": "a", "listen": "{listen}", "log_level": "error", "seed": 1 }}"#
     );
     let parsed: Option<entry::Settings> = settings::parse("entry", &text).ok();
-    Host::start("entry", move |stop| {
+    Daemon::start("entry", move |stop| {
         let (settings, known) = (parsed.clone(), known.clone());
         async move {
             let mut settings = settings.ok_or_else(|| std::io::Error::other("bad settings"))?;
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -189,7 +189,7 @@
     way: Way,
 ) -> Result<Held<impl futures_util::Stream + use<>>, String> {
     let before = cost::memory();
-    let http = load::caller::client();
+    let http = load::caller::http_client();
     let opening = (0..count).map(|number| {
         let http = http.clone();
         actix_rt::spawn(async move { way.open(&http, number, 10_000).await })
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -6,7 +6,7 @@
 
 use base::settings;
 use bpaf::Bpaf;
-use load::{Ending, Report, Run};
+use load::{Ending, Report, RunResult};
 use standin::Ledger;
 
 use crate::Outcome;
@@ -27,7 +27,7 @@
     pub(crate) fn run(self) -> Outcome {
         let settings: load::Settings = settings::load(&self.settings)?;
         let ledger = Ledger::default();
-        let arrivals = settings.mix.arrivals();
+        let arrivals = settings.workload.arrivals();
         let outcomes = load::drive::drive(&arrivals, &settings.entries, true);
         for addr in &settings.ledgers {
             ledger.merge(&fetch(*addr)?);
@@ -36,9 +36,10 @@
             println!("no ledgers given: doubled, false_not_run and tokens_made cannot be told");
         }
 
-        let report = load::judge::judge(&settings.mix, arrivals.len(), &outcomes, &ledger);
+        let report =
+            load::evaluation::evaluate(&settings.workload, arrivals.len(), &outcomes, &ledger);
         println!("{report}");
-        let run = Run { report, outcomes };
+        let run = RunResult { report, outcomes };
         print_lost(&run);
         finish(&run.report, self.report.as_deref())
     }
@@ -50,7 +51,7 @@
 ) -> Result<HashMap<String, standin::ledger::Seen>, Box<dyn std::error::Error>> {
     actix_rt::System::new().block_on(async {
         let url = format!("http://{addr}/ledger");
-        let sent = load::caller::client().get(url).send().await;
+        let sent = load::caller::http_client().get(url).send().await;
         let mut response = sent.map_err(|e| format!("step=fetch_ledger peer={addr}: {e}"))?;
         Ok(response.json().limit(1 << 30).await?)
     })
@@ -60,7 +61,7 @@
 const SHOWN: usize = 10;
 
 /// Prints what became of lost requests, if any.
-pub(crate) fn print_lost(run: &Run) {
+pub(crate) fn print_lost(run: &RunResult) {
     let lost = run.outcomes.iter().filter_map(|o| match &o.ending {
         Ending::Lost(reason) => Some((o, reason)),
         _ => None,
@@ -73,7 +74,7 @@
             arrival.at.as_secs_f64(),
             (arrival.at + outcome.total).as_secs_f64(),
             outcome.tokens,
-            arrival.answer,
+            arrival.answer_tokens,
             arrival.stream
         );
     }
@@ -84,7 +85,7 @@
     if let Some(path) = path {
         std::fs::write(path, serde_json::to_string_pretty(report)?)?;
     }
-    Ok(match report.sound() {
+    Ok(match report.is_correct() {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     })
--- a/crates/cli/tests/processes/bundles.rs
+++ b/crates/cli/tests/processes/bundles.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use base::stop::StopSignal;
-use demo::host::Host;
+use demo::daemon::Daemon;
 use serde_json::{Value, json};
 use standin::log::Faults;
 use standin::{Control, log};
@@ -15,7 +15,7 @@
 struct Desk {
     dir: PathBuf,
     faults: Control<Faults>,
-    log: Host,
+    log: Daemon,
 }
 
 impl Desk {
@@ -107,16 +107,16 @@
 
 impl Drop for Desk {
     fn drop(&mut self) {
-        self.log.end();
+        self.log.stop();
         let _ = fs::remove_dir_all(&self.dir);
     }
 }
 
 /// Starts a log on a listener that stays bound from the moment its port was
 /// chosen: a port that is given back in between may be taken by another test.
-fn start_log(listener: TcpListener, faults: &Control<Faults>) -> Host {
+fn start_log(listener: TcpListener, faults: &Control<Faults>) -> Daemon {
     let faults = faults.clone();
-    Host::start("log", move |stop: StopSignal| {
+    Daemon::start("log", move |stop: StopSignal| {
         let listener = listener.try_clone();
         let faults = faults.clone();
         async move {
--- a/crates/cli/tests/processes/fleet.rs
+++ b/crates/cli/tests/processes/fleet.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use demo::host::Host;
+use demo::daemon::Daemon;
 use nix::sys::signal::{self, Signal};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
@@ -28,7 +28,7 @@
     net: [u8; 2],
     dir: PathBuf,
     pub(crate) ledger: Ledger,
-    hosts: Vec<Host>,
+    hosts: Vec<Daemon>,
     pub(crate) entry: Process,
     pub(crate) sidecars: Vec<Process>,
 }
@@ -113,8 +113,8 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.hosts.iter().for_each(Host::ask);
-        self.hosts.drain(..).for_each(|host| host.end());
+        self.hosts.iter().for_each(Daemon::request_stop);
+        self.hosts.drain(..).for_each(|host| host.stop());
         // Left over files do no harm.
         let _ = std::fs::remove_dir_all(&self.dir);
     }
@@ -130,17 +130,17 @@
 }
 
 /// The stand-ins of one host: an engine and a plain service.
-fn backends(net: [u8; 2], i: u8, ledger: &Ledger) -> [Host; 2] {
+fn backends(net: [u8; 2], i: u8, ledger: &Ledger) -> [Daemon; 2] {
     let settings: standin::engine::Settings =
         parse(json!({ "listen": addr(net, 4, i), "step": "5ms" }));
     let seen = ledger.clone();
-    let engine = Host::start("engine", move |stop| {
+    let engine = Daemon::start("engine", move |stop| {
         standin::engine::run(settings.clone(), seen.clone(), stop)
     });
     let settings: standin::plain::Settings =
         parse(json!({ "listen": addr(net, 5, i), "work": "300ms" }));
     let seen = ledger.clone();
-    let plain = Host::start("plain", move |stop| {
+    let plain = Daemon::start("plain", move |stop| {
         standin::plain::run(settings.clone(), seen.clone(), stop)
     });
     [engine, plain]
--- a/crates/demo/src/arm.rs
+++ b/crates/demo/src/arm.rs
@@ -14,7 +14,8 @@
 pub enum Arm {
     /// The shipped policy: late binding, tiers, admission and retry budgets.
     #[default]
-    Late,
+    #[serde(rename = "late")]
+    LateBinding,
     /// One server at random is asked.
     Random,
     /// The server with the least load by late reports is asked.
@@ -30,47 +31,48 @@
     /// The less loaded of two by late reports, first come, first served,
     /// without admission and retry budget: what a router without late binding
     /// and tiers does.
-    Plain,
+    #[serde(rename = "plain")]
+    Baseline,
 }
 
 impl Arm {
     /// Every arm.
     pub const ALL: [Self; 8] = [
-        Self::Late,
+        Self::LateBinding,
         Self::Random,
         Self::LeastLoaded,
         Self::TwoChoices,
         Self::Fifo,
         Self::NoAdmission,
         Self::NoRetryBudget,
-        Self::Plain,
+        Self::Baseline,
     ];
 
     /// The arm's name.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Late => "late",
+            Self::LateBinding => "late",
             Self::Random => "random",
             Self::LeastLoaded => "least_loaded",
             Self::TwoChoices => "two_choices",
             Self::Fifo => "fifo",
             Self::NoAdmission => "no_admission",
             Self::NoRetryBudget => "no_retry_budget",
-            Self::Plain => "plain",
+            Self::Baseline => "plain",
         }
     }
 
     /// Sets an entry up for the arm.
-    pub fn entry(self, settings: &mut entry::Settings) {
+    pub fn configure_entry(self, settings: &mut entry::Settings) {
         let routing = &mut settings.routing;
         match self {
-            Self::Late | Self::Fifo | Self::NoAdmission => {}
+            Self::LateBinding | Self::Fifo | Self::NoAdmission => {}
             Self::Random => routing.mode = PlacementMode::Random,
             Self::LeastLoaded => routing.mode = PlacementMode::LeastLoaded,
             Self::TwoChoices => routing.mode = PlacementMode::TwoChoices,
             Self::NoRetryBudget => routing.budget = false,
-            Self::Plain => {
+            Self::Baseline => {
                 routing.mode = PlacementMode::TwoChoices;
                 routing.budget = false;
             }
@@ -78,11 +80,11 @@
     }
 
     /// Sets a sidecar up for the arm.
-    pub fn sidecar(self, settings: &mut sidecar::Settings) {
+    pub fn configure_sidecar(self, settings: &mut sidecar::Settings) {
         match self {
-            Self::Fifo | Self::Plain => settings.queue.policy = QueuePolicy::Fifo,
+            Self::Fifo | Self::Baseline => settings.queue.policy = QueuePolicy::Fifo,
             Self::NoAdmission => settings.queue.policy = QueuePolicy::NoAdmission,
-            Self::Late
+            Self::LateBinding
             | Self::Random
             | Self::LeastLoaded
             | Self::TwoChoices
--- a/crates/demo/src/changes.rs
+++ b/crates/demo/src/changes.rs
@@ -39,7 +39,12 @@
 /// Makes a change and waits until it is in force everywhere; says how long
 /// that took, on one line.
 #[must_use]
-pub fn make(change: Change, rollout: &Rollout, bundle: &Bundle, daemons: &[SocketAddr]) -> String {
+pub fn apply_change(
+    change: Change,
+    rollout: &Rollout,
+    bundle: &Bundle,
+    daemons: &[SocketAddr],
+) -> String {
     actix_rt::System::new().block_on(async {
         let outcomes = match change {
             Change::Publish => vec![publish(rollout, 0, &marked(bundle, "one")).await],
@@ -71,7 +76,7 @@
 /// Waits until a daemon that was just replaced goes by the newest version
 /// that any of the others has; says how long that took, on one line.
 #[must_use]
-pub fn caught_up(daemon: SocketAddr, others: &[SocketAddr]) -> String {
+pub fn wait_for_catch_up(daemon: SocketAddr, others: &[SocketAddr]) -> String {
     actix_rt::System::new().block_on(async {
         let http = awc::Client::default();
         let mut newest = BundleSequence::default();
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -16,8 +16,10 @@
 
 use crate::arm::Arm;
 use crate::changes::{self, Change};
-use crate::fleet::{ENTRIES, EXTRA, Fleet, PLAINS, PREFILL, SLOTS};
-use crate::host::Host;
+use crate::daemon::Daemon;
+use crate::fleet::{
+    ENGINE_SLOTS, ENTRY_COUNT, Fleet, PLAIN_SERVERS, PREFILL_TOKENS, STEP_PER_REQUEST,
+};
 use crate::rollout::Rollout;
 
 /// Port on which every daemon listens, each on an address of its own.
@@ -42,7 +44,7 @@
     pub arm: Arm,
     /// Whether entries and sidecars are reached through forwarders whose
     /// connections can go silent.
-    pub forwarded: bool,
+    pub needs_forwarders: bool,
     /// The platform's log, through which the bundle is published.
     pub rollout: Rollout,
     /// The first two numbers of all addresses.
@@ -53,15 +55,15 @@
 pub struct Cluster {
     layout: Layout,
     /// The forwarder before the log, which counts bytes.
-    log_link: (Host, Control<silence::Faults>),
+    log_link: (Daemon, Control<silence::Faults>),
     /// The entries.
-    pub entries: Vec<Host>,
+    pub entries: Vec<Daemon>,
     /// The backend servers, model engines first.
     pub servers: Vec<Server>,
     /// The platform's list of hosts, and what really is there.
-    pub hosts: (Host, Registry),
+    pub hosts: (Daemon, Registry),
     /// The platform's log.
-    pub log: Host,
+    pub log: Daemon,
     /// What the stand-ins saw.
     pub ledger: Ledger,
 }
@@ -69,15 +71,15 @@
 /// A backend server's host: the backend server and the sidecar beside it.
 pub struct Server {
     /// The backend server.
-    pub backend: Host,
+    pub backend: Daemon,
     /// Its faults.
     pub faults: Faults,
     /// The sidecar.
-    pub sidecar: Host,
+    pub sidecar: Daemon,
     /// The forwarder before the sidecar, if there is one, and its faults.
-    pub link: Option<(Host, Control<silence::Faults>)>,
+    pub sidecar_link: Option<(Daemon, Control<silence::Faults>)>,
     /// The forwarder before the backend server, if there is one.
-    pub inner: Option<(Host, Control<silence::Faults>)>,
+    pub backend_link: Option<(Daemon, Control<silence::Faults>)>,
 }
 
 /// The faults of a backend server.
@@ -114,7 +116,7 @@
             bundle,
             seed,
             arm: Arm::default(),
-            forwarded: false,
+            needs_forwarders: false,
             rollout: Rollout::new(addr(net, Role::Log, 0)),
             net,
         }
@@ -123,7 +125,9 @@
     /// Where the entries listen.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
-        (0..ENTRIES).map(|i| self.addr(Role::Entry, i)).collect()
+        (0..ENTRY_COUNT)
+            .map(|i| self.addr(Role::Entry, i))
+            .collect()
     }
 
     /// Starts every daemon and stand-in.
@@ -132,11 +136,11 @@
         let ledger = Ledger::default();
         let log = self.rollout.start();
         let log_link = start_forwarder(self.addr(Role::LogLink, 0), self.rollout.log);
-        let count = self.fleet.engines() + PLAINS;
+        let count = self.fleet.engine_count() + PLAIN_SERVERS;
         let hosts = self.start_hosts();
         let servers = (0..count).map(|i| self.start_server(i, &ledger)).collect();
-        let entries = (0..ENTRIES).map(|i| self.start_entry(i)).collect();
-        self.rollout.begin(&self.bundle, &self.daemons());
+        let entries = (0..ENTRY_COUNT).map(|i| self.start_entry(i)).collect();
+        self.rollout.publish_initial(&self.bundle, &self.daemons());
         Cluster {
             layout: self,
             log,
@@ -148,8 +152,8 @@
         }
     }
 
-    fn start_hosts(&self) -> (Host, Registry) {
-        let count = self.fleet.engines() + PLAINS;
+    fn start_hosts(&self) -> (Daemon, Registry) {
+        let count = self.fleet.engine_count() + PLAIN_SERVERS;
         let sidecars = (0..count).map(|i| self.known(i)).map(|known| Listed {
             name: known.name,
             addr: known.addr,
@@ -166,50 +170,50 @@
             faults: hosts::Faults::default(),
         };
         let served = registry.clone();
-        let host = Host::start("hosts", move |stop| {
+        let host = Daemon::start("hosts", move |stop| {
             hosts::run(settings.clone(), served.clone(), stop)
         });
         (host, registry)
     }
 
     fn start_server(&self, i: u8, ledger: &Ledger) -> Server {
-        let (backend, faults) = match i < self.fleet.engines() {
+        let (backend, faults) = match i < self.fleet.engine_count() {
             true => self.start_engine(i, ledger.clone()),
             false => self.start_plain(i, ledger.clone()),
         };
         let forward = |from, to| {
-            self.forwarded
+            self.needs_forwarders
                 .then(|| start_forwarder(self.addr(from, i), self.addr(to, i)))
         };
         Server {
             backend,
             faults,
             sidecar: self.start_sidecar(i),
-            link: forward(Role::Link, Role::Sidecar),
-            inner: forward(Role::Inner, Role::Backend),
+            sidecar_link: forward(Role::Link, Role::Sidecar),
+            backend_link: forward(Role::Inner, Role::Backend),
         }
     }
 
-    fn start_engine(&self, i: u8, ledger: Ledger) -> (Host, Faults) {
+    fn start_engine(&self, i: u8, ledger: Ledger) -> (Daemon, Faults) {
         let settings = engine::Settings {
             listen: self.addr(Role::Backend, i),
-            slots: SLOTS,
-            step: self.fleet.step(),
-            extra: EXTRA,
-            prefill: PREFILL,
+            slots: ENGINE_SLOTS,
+            step: self.fleet.step_time(),
+            extra: STEP_PER_REQUEST,
+            prefill: PREFILL_TOKENS,
             cache: 200_000,
             keep: HumanDuration::secs(5),
             faults: engine::Faults::default(),
         };
         let faults = Control::new(settings.faults.clone());
         let control = faults.clone();
-        let host = Host::start(&format!("engine-{i}"), move |stop| {
+        let host = Daemon::start(&format!("engine-{i}"), move |stop| {
             engine::run_with(settings.clone(), control.clone(), ledger.clone(), stop)
         });
         (host, Faults::Engine(faults))
     }
 
-    fn start_plain(&self, i: u8, ledger: Ledger) -> (Host, Faults) {
+    fn start_plain(&self, i: u8, ledger: Ledger) -> (Daemon, Faults) {
         let settings = plain::Settings {
             listen: self.addr(Role::Backend, i),
             work: HumanDuration::ms(5),
@@ -217,21 +221,24 @@
         };
         let faults = Control::new(settings.faults.clone());
         let control = faults.clone();
-        let host = Host::start(&format!("plain-{i}"), move |stop| {
+        let host = Daemon::start(&format!("plain-{i}"), move |stop| {
             plain::run_with(settings.clone(), control.clone(), ledger.clone(), stop)
         });
         (host, Faults::Plain(faults))
     }
 
-    fn start_sidecar(&self, i: u8) -> Host {
-        let role = if self.forwarded {
+    fn start_sidecar(&self, i: u8) -> Daemon {
+        let role = if self.needs_forwarders {
             Role::Inner
         } else {
             Role::Backend
         };
         let addr = self.addr(role, i);
-        let backend = match i < self.fleet.engines() {
-            true => Backend::Engine { addr, slots: SLOTS },
+        let backend = match i < self.fleet.engine_count() {
+            true => Backend::Engine {
+                addr,
+                slots: ENGINE_SLOTS,
+            },
             false => Backend::Plain {
                 addr,
                 slots: PLAIN_SLOTS,
@@ -256,13 +263,13 @@
             queue: QueueSettings::default(),
             log_level: base::logging::Level::Warn,
         };
-        self.arm.sidecar(&mut settings);
-        Host::start(&known.name, move |stop| {
+        self.arm.configure_sidecar(&mut settings);
+        Daemon::start(&known.name, move |stop| {
             sidecar::run(settings.clone(), stop)
         })
     }
 
-    fn start_entry(&self, i: u8) -> Host {
+    fn start_entry(&self, i: u8) -> Daemon {
         let name = format!("entry-{i}");
         let mut settings = entry::Settings {
             name: name.clone(),
@@ -289,25 +296,25 @@
             seed: Some(self.seed + u64::from(i)),
             log_level: base::logging::Level::Warn,
         };
-        self.arm.entry(&mut settings);
-        Host::start(&name, move |stop| entry::run(settings.clone(), None, stop))
+        self.arm.configure_entry(&mut settings);
+        Daemon::start(&name, move |stop| entry::run(settings.clone(), None, stop))
     }
 
     /// What daemons need to follow the log. They reach it through a forwarder
     /// that counts their bytes.
     fn follow(&self) -> follow::Settings {
-        let mut settings = self.rollout.follow();
+        let mut settings = self.rollout.follow_settings();
         settings.log = self.addr(Role::LogLink, 0);
         settings
     }
 
     /// A backend server's sidecar as entries know it.
     fn known(&self, i: u8) -> Known {
-        let serves = match i < self.fleet.engines() {
+        let serves = match i < self.fleet.engine_count() {
             true => self.fleet.model(),
             false => self.fleet.service(),
         };
-        let role = if self.forwarded {
+        let role = if self.needs_forwarders {
             Role::Link
         } else {
             Role::Sidecar
@@ -326,8 +333,8 @@
 
     /// The operators' addresses of all daemons.
     fn daemons(&self) -> Vec<SocketAddr> {
-        let count = self.fleet.engines() + PLAINS;
-        let entries = (0..ENTRIES).map(|i| self.operators(Role::Entry, i));
+        let count = self.fleet.engine_count() + PLAIN_SERVERS;
+        let entries = (0..ENTRY_COUNT).map(|i| self.operators(Role::Entry, i));
         let sidecars = (0..count).map(|i| self.operators(Role::Sidecar, i));
         entries.chain(sidecars).collect()
     }
@@ -341,9 +348,14 @@
 impl Cluster {
     /// Changes the bundle; says what became of that.
     #[must_use]
-    pub fn change(&self, change: Change) -> String {
+    pub fn apply_change(&self, apply_change: Change) -> String {
         let layout = &self.layout;
-        changes::make(change, &layout.rollout, &layout.bundle, &layout.daemons())
+        changes::apply_change(
+            apply_change,
+            &layout.rollout,
+            &layout.bundle,
+            &layout.daemons(),
+        )
     }
 
     /// Ends an entry gracefully and starts a fresh one in its place; says how
@@ -351,10 +363,10 @@
     #[must_use]
     pub fn replace_entry(&self, i: u8) -> Option<String> {
         let host = self.entries.get(usize::from(i))?;
-        host.end();
-        host.begin();
+        host.stop();
+        host.restart();
         let fresh = self.layout.operators(Role::Entry, i);
-        Some(changes::caught_up(fresh, &self.layout.daemons()))
+        Some(changes::wait_for_catch_up(fresh, &self.layout.daemons()))
     }
 
     /// What goes wrong with the log.
@@ -365,7 +377,7 @@
 
     /// What the daemons and the log cost each other in `seconds`, on one line.
     #[must_use]
-    pub fn control(&self, seconds: f64) -> String {
+    pub fn control_traffic(&self, seconds: f64) -> String {
         let bytes = self.log_link.1.get().bytes.total() as f64;
         let daemons = self.layout.daemons().len() as f64;
         let appends = actix_rt::System::new().block_on(self.appends());
@@ -394,8 +406,8 @@
     }
 
     /// Ends every daemon gracefully, callers' side first.
-    pub fn end(self) {
-        let stages: [Vec<&Host>; 3] = [
+    pub fn stop(self) {
+        let stages: [Vec<&Daemon>; 3] = [
             self.entries.iter().collect(),
             self.servers.iter().map(|s| &s.sidecar).collect(),
             self.servers
@@ -405,18 +417,18 @@
                 .collect(),
         ];
         for stage in stages {
-            stage.iter().for_each(|host| host.ask());
-            stage.iter().for_each(|host| host.end());
+            stage.iter().for_each(|host| host.request_stop());
+            stage.iter().for_each(|host| host.stop());
         }
-        self.log_link.0.end();
-        self.log.end();
+        self.log_link.0.stop();
+        self.log.stop();
     }
 }
 
 impl Server {
     /// The stand-ins of the platform.
-    fn outer(&self) -> Vec<&Host> {
-        let forwarders = self.link.iter().chain(&self.inner);
+    fn outer(&self) -> Vec<&Daemon> {
+        let forwarders = self.sidecar_link.iter().chain(&self.backend_link);
         forwarders
             .map(|(host, _)| host)
             .chain([&self.backend])
@@ -429,10 +441,10 @@
     SocketAddr::new(IpAddr::V4(ip), PORT)
 }
 
-fn start_forwarder(listen: SocketAddr, target: SocketAddr) -> (Host, Control<silence::Faults>) {
+fn start_forwarder(listen: SocketAddr, target: SocketAddr) -> (Daemon, Control<silence::Faults>) {
     let faults = Control::new(silence::Faults::default());
     let control = faults.clone();
-    let host = Host::start("forwarder", move |stop| {
+    let host = Daemon::start("forwarder", move |stop| {
         silence::run(listen, target, control.clone(), stop)
     });
     (host, faults)
--- a/crates/demo/src/compare.rs
+++ b/crates/demo/src/compare.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-use load::{Mix, Report, Run, judge};
+use load::{Report, RunResult, Workload, evaluation};
 use serde::{Deserialize, Serialize};
 
 use crate::Options;
@@ -54,11 +54,11 @@
     /// Tokens a second in target.
     pub goodput: f64,
     /// Goodput as a share of the oracle's.
-    pub of_oracle: f64,
+    pub oracle_share: f64,
     /// Share of tokens wasted.
     pub wasted: f64,
     /// The most of the four things that must never happen.
-    pub faults: u64,
+    pub violations: u64,
     /// The fewest answers of a lower class in any window.
     pub least_served: Option<u64>,
 }
@@ -75,8 +75,8 @@
     for seed in seeds {
         let mut options = options.clone();
         options.seed = *seed;
-        let mix = options.mix();
-        let bound = oracle(&options, &mix);
+        let workload = options.workload();
+        let bound = oracle(&options, &workload);
         comparison.oracle.insert(*seed, bound.goodput);
         eprintln!(
             "seed={seed} oracle: {:.0} tokens/s in target, of {:.0} offered, at a capacity of {:.0}",
@@ -86,7 +86,7 @@
         for arm in &mut comparison.arms {
             options.arm = arm.arm;
             let run = crate::run(&options);
-            let run = ArmRun::new(&mix, run);
+            let run = ArmRun::new(&workload, run);
             eprintln!("arm={} {}", arm.arm, run.report);
             arm.runs.insert(*seed, run);
         }
@@ -95,9 +95,9 @@
 }
 
 impl ArmRun {
-    fn new(mix: &Mix, run: Run) -> Self {
+    fn new(workload: &Workload, run: RunResult) -> Self {
         Self {
-            least_served: least_served(mix, &run),
+            least_served: least_served(workload, &run),
             report: run.report,
         }
     }
@@ -125,15 +125,15 @@
         let of_oracle = |(seed, run): (&u64, &ArmRun)| {
             run.report.goodput / oracle.get(seed).copied().unwrap_or(f64::INFINITY)
         };
-        let faults = |r: &Report| r.doubled + r.lost + r.mixed + r.false_not_run;
+        let faults = |r: &Report| r.duplicated + r.lost + r.corrupted + r.false_not_run;
         Medians {
             top: median(runs().map(|r| share(r.top()))),
             misses: median(runs().map(|r| (r.top().0 - r.top().1) as f64)),
             lower: median(runs().map(|r| share(sum(r, |tier| tier > 0)))),
             goodput: median(runs().map(|r| r.report.goodput)),
-            of_oracle: median(self.runs.iter().map(of_oracle)),
+            oracle_share: median(self.runs.iter().map(of_oracle)),
             wasted: median(runs().map(|r| r.report.wasted_share)),
-            faults: runs().map(|r| faults(&r.report)).max().unwrap_or(0),
+            violations: runs().map(|r| faults(&r.report)).max().unwrap_or(0),
             least_served: runs().filter_map(|r| r.least_served).min(),
         }
     }
@@ -151,17 +151,17 @@
 }
 
 /// The fewest answers of a lower-tier class that ended whole in any window.
-fn least_served(mix: &Mix, run: &Run) -> Option<u64> {
+fn least_served(workload: &Workload, run: &RunResult) -> Option<u64> {
     let mut least = None;
-    for (name, _) in mix.classes.iter().filter(|(_, flow)| flow.tier > 0) {
+    for (name, _) in workload.classes.iter().filter(|(_, flow)| flow.tier > 0) {
         let of_class = run.outcomes.iter().filter(|o| &o.arrival.class == name);
         let ends: Vec<f64> = of_class
-            .filter(|o| judge::ended_whole(o))
+            .filter(|o| evaluation::is_complete(o))
             .map(|o| (o.arrival.at + o.total).as_secs_f64())
             .collect();
 
         let mut from = 0.0;
-        while from + WINDOW <= mix.seconds {
+        while from + WINDOW <= workload.seconds {
             let inside = |end: &&f64| (from..from + WINDOW).contains(*end);
             let count = ends.iter().filter(inside).count() as u64;
             least = Some(least.map_or(count, |l: u64| l.min(count)));
@@ -199,9 +199,9 @@
                 m.misses,
                 m.lower,
                 m.goodput,
-                m.of_oracle,
+                m.oracle_share,
                 m.wasted,
-                m.faults,
+                m.violations,
                 least
             )?;
         }
--- a/crates/demo/src/host.rs
+++ b/crates/demo/src/daemon.rs
@@ -16,7 +16,7 @@
 type Body = dyn Fn(StopSignal) -> Pin<Box<dyn Future<Output = io::Result<()>>>> + Send + Sync;
 
 /// A daemon that can be stopped, started again, crashed and paused.
-pub struct Host {
+pub struct Daemon {
     name: String,
     body: Arc<Body>,
     life: Mutex<Option<Life>>,
@@ -33,7 +33,7 @@
     thread: JoinHandle<()>,
 }
 
-impl Host {
+impl Daemon {
     /// Starts a daemon on a new thread. `body` makes its future there, since
     /// a daemon's state never leaves its thread.
     pub fn start<F, Fut>(name: &str, body: F) -> Self
@@ -46,7 +46,7 @@
             body: Arc::new(move |stop| Box::pin(body(stop))),
             life: Mutex::new(None),
         };
-        host.begin();
+        host.restart();
         host
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Starts a new life, if none runs.
-    pub fn begin(&self) {
+    pub fn restart(&self) {
         let mut life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
         if life.is_none() {
             *life = spawn(&self.name, Arc::clone(&self.body));
@@ -66,13 +66,13 @@
 
     /// Whether the daemon has ended.
     #[must_use]
-    pub fn ended(&self) -> bool {
+    pub fn has_stopped(&self) -> bool {
         let life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
         life.as_ref().is_none_or(|life| life.thread.is_finished())
     }
 
     /// Asks the daemon to end, without waiting for it.
-    pub fn ask(&self) {
+    pub fn request_stop(&self) {
         let life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(life) = life.as_ref() {
             life.stop.trigger();
@@ -80,8 +80,8 @@
     }
 
     /// Ends the daemon gracefully and waits until it has.
-    pub fn end(&self) {
-        self.ask();
+    pub fn stop(&self) {
+        self.request_stop();
         self.join();
     }
 
--- a/crates/demo/src/faults.rs
+++ b/crates/demo/src/faults.rs
@@ -17,13 +17,13 @@
 #[serde(deny_unknown_fields)]
 pub struct FaultPlan {
     /// What happens, in order of time.
-    pub events: Vec<Event>,
+    pub events: Vec<ScheduledFault>,
 }
 
 /// One fault and its time.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Event {
+pub struct ScheduledFault {
     /// When, from the start of the load.
     pub at: HumanDuration,
     /// What.
@@ -59,14 +59,16 @@
         /// The backend server.
         server: usize,
         /// When it comes back, if it does.
-        back: Option<HumanDuration>,
+        #[serde(rename = "back")]
+        restart_after: Option<HumanDuration>,
     },
     /// A backend server's host crashes, with its sidecar.
     CrashHost {
         /// The backend server.
         server: usize,
         /// When it comes back, if it does.
-        back: Option<HumanDuration>,
+        #[serde(rename = "back")]
+        restart_after: Option<HumanDuration>,
     },
     /// A sidecar stands still.
     PauseSidecar {
@@ -118,8 +120,8 @@
 impl FaultPlan {
     /// Whether the plan needs forwarders whose connections can go silent.
     #[must_use]
-    pub fn forwarded(&self) -> bool {
-        let silence = |e: &Event| {
+    pub fn needs_forwarders(&self) -> bool {
+        let silence = |e: &ScheduledFault| {
             matches!(
                 e.fault,
                 Fault::SilenceSidecar { .. } | Fault::SilenceBackend { .. }
@@ -161,14 +163,20 @@
                 f.event_lag = *lag;
                 f.event_gap = *gap;
             }),
-            Self::CrashBackend { server: i, back } => {
+            Self::CrashBackend {
+                server: i,
+                restart_after,
+            } => {
                 if let Some(server) = server(i) {
-                    crash(&[&server.backend], *back);
+                    crash(&[&server.backend], *restart_after);
                 }
             }
-            Self::CrashHost { server: i, back } => {
+            Self::CrashHost {
+                server: i,
+                restart_after,
+            } => {
                 if let Some(server) = server(i) {
-                    crash(&[&server.backend, &server.sidecar], *back);
+                    crash(&[&server.backend, &server.sidecar], *restart_after);
                 }
             }
             Self::PauseSidecar { server: i, time } => {
@@ -176,8 +184,8 @@
                     server.sidecar.pause(time.0);
                 }
             }
-            Self::SilenceSidecar { server: i } => silence(server(i).map(|s| &s.link)),
-            Self::SilenceBackend { server: i } => silence(server(i).map(|s| &s.inner)),
+            Self::SilenceSidecar { server: i } => silence(server(i).map(|s| &s.sidecar_link)),
+            Self::SilenceBackend { server: i } => silence(server(i).map(|s| &s.backend_link)),
             Self::ReplaceEntry { entry } => {
                 if let Some(line) = cluster.replace_entry(*entry) {
                     eprintln!("{line}");
@@ -190,9 +198,9 @@
                 cluster.log_faults().change(|f| f.down = false);
             }
             Self::LogLosesReplies { count } => cluster.log_faults().change(|f| f.lose = *count),
-            Self::Publish => eprintln!("{}", cluster.change(Change::Publish)),
-            Self::RacePublish => eprintln!("{}", cluster.change(Change::Race)),
-            Self::Rollback => eprintln!("{}", cluster.change(Change::Rollback)),
+            Self::Publish => eprintln!("{}", cluster.apply_change(Change::Publish)),
+            Self::RacePublish => eprintln!("{}", cluster.apply_change(Change::Race)),
+            Self::Rollback => eprintln!("{}", cluster.apply_change(Change::Rollback)),
             Self::RollingRestart => rolling_restart(cluster),
         }
     }
@@ -206,16 +214,16 @@
     }
 }
 
-fn crash(hosts: &[&crate::host::Host], back: Option<HumanDuration>) {
-    hosts.iter().for_each(|host| host.crash());
-    if let Some(back) = back {
-        thread::sleep(back.0);
-        hosts.iter().for_each(|host| host.begin());
+fn crash(daemons: &[&crate::daemon::Daemon], restart_after: Option<HumanDuration>) {
+    daemons.iter().for_each(|daemon| daemon.crash());
+    if let Some(delay) = restart_after {
+        thread::sleep(delay.0);
+        daemons.iter().for_each(|daemon| daemon.restart());
     }
 }
 
 type Link = Option<(
-    crate::host::Host,
+    crate::daemon::Daemon,
     standin::Control<standin::silence::Faults>,
 )>;
 
@@ -228,8 +236,8 @@
 fn rolling_restart(cluster: &Cluster) {
     let sidecars = cluster.servers.iter().map(|s| &s.sidecar);
     for host in sidecars.chain(&cluster.entries) {
-        host.end();
+        host.stop();
         thread::sleep(RESTART_GAP);
-        host.begin();
+        host.restart();
     }
 }
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -7,25 +7,25 @@
 use serde::{Deserialize, Serialize};
 
 /// Requests that an engine runs at once.
-pub const SLOTS: usize = 8;
+pub const ENGINE_SLOTS: usize = 8;
 
 /// Time that each further request adds to an engine's step.
-pub const EXTRA: HumanDuration = HumanDuration(Duration::from_micros(250));
+pub const STEP_PER_REQUEST: HumanDuration = HumanDuration(Duration::from_micros(250));
 
 /// Prompt tokens that an engine computes in one step.
-pub const PREFILL: u32 = 1024;
+pub const PREFILL_TOKENS: u32 = 1024;
 
 /// Plain services' backend servers in each fleet.
-pub const PLAINS: u8 = 3;
+pub const PLAIN_SERVERS: u8 = 3;
 
 /// Entries in each fleet.
-pub const ENTRIES: u8 = 2;
+pub const ENTRY_COUNT: u8 = 2;
 
 /// Workspaces in each fleet.
-pub const WORKSPACES: u8 = 10;
+pub const WORKSPACE_COUNT: u8 = 10;
 
 /// Calls of plain services a second, about 5% of all requests.
-pub const CALLS: f64 = 8.0;
+pub const CALLS_PER_SECOND: f64 = 8.0;
 
 /// One of the two users' fleets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
 
 /// One class of completions as a fleet's callers use it.
 #[derive(Debug, Clone, Copy)]
-pub struct ClassSize {
+pub struct ClassProfile {
     /// Its name.
     pub name: &'static str,
     /// Its tier.
@@ -47,15 +47,15 @@
     /// Its part of the engines' capacity at the usual rate.
     pub share: f64,
     /// Median tokens of a prompt's own part.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// Tokens of a prompt's shared prefix.
-    pub shared: u32,
+    pub prefix_tokens: u32,
     /// How many shared prefixes there are.
-    pub prefixes: u32,
+    pub prefix_count: u32,
     /// Median tokens of an answer.
-    pub answer: f64,
+    pub answer_tokens: f64,
     /// Spread of the sizes.
-    pub spread: f64,
+    pub sigma: f64,
     /// Target until the first token, in milliseconds.
     pub first_ms: u64,
     /// Target between tokens, in milliseconds.
@@ -97,7 +97,7 @@
 
     /// How many model engines it has.
     #[must_use]
-    pub fn engines(self) -> u8 {
+    pub fn engine_count(self) -> u8 {
         match self {
             Self::Teranga => 18,
             Self::Tallerazul => 12,
@@ -106,7 +106,7 @@
 
     /// Time of an engine's step with one request.
     #[must_use]
-    pub fn step(self) -> HumanDuration {
+    pub fn step_time(self) -> HumanDuration {
         match self {
             Self::Teranga => HumanDuration::ms(3),
             Self::Tallerazul => HumanDuration::ms(4),
@@ -152,7 +152,7 @@
     /// Its classes of completions. At the usual rates they take 70% of the
     /// engines' capacity.
     #[must_use]
-    pub fn classes(self) -> [ClassSize; 3] {
+    pub fn classes(self) -> [ClassProfile; 3] {
         match self {
             Self::Teranga => [
                 size(
@@ -212,18 +212,18 @@
     /// Tokens a second that one engine makes with a full batch.
     #[must_use]
     pub fn engine_rate(self) -> f64 {
-        let step = self.step().0 + EXTRA.0 * (SLOTS as u32 - 1);
-        SLOTS as f64 / step.as_secs_f64()
+        let step = self.step_time().0 + STEP_PER_REQUEST.0 * (ENGINE_SLOTS as u32 - 1);
+        ENGINE_SLOTS as f64 / step.as_secs_f64()
     }
 }
 
-impl ClassSize {
+impl ClassProfile {
     /// Steps of one slot that a request takes on average: one for each token
     /// of the answer and one for each part of the prompt's computation.
     #[must_use]
-    pub fn cost(&self) -> f64 {
-        let mean = (self.spread * self.spread / 2.0).exp();
-        self.answer * mean + (self.prompt * mean / f64::from(PREFILL)).ceil()
+    pub fn mean_steps(&self) -> f64 {
+        let mean = (self.sigma * self.sigma / 2.0).exp();
+        self.answer_tokens * mean + (self.prompt_tokens * mean / f64::from(PREFILL_TOKENS)).ceil()
     }
 }
 
@@ -231,19 +231,19 @@
     name: &'static str,
     tier: u8,
     share: f64,
-    (prompt, shared, prefixes): (f64, u32, u32),
-    (answer, spread): (f64, f64),
+    (prompt_tokens, prefix_tokens, prefix_count): (f64, u32, u32),
+    (answer_tokens, sigma): (f64, f64),
     (first_ms, gap_ms, whole_ms): (u64, u64, u64),
-) -> ClassSize {
-    ClassSize {
+) -> ClassProfile {
+    ClassProfile {
         name,
         tier,
         share,
-        prompt,
-        shared,
-        prefixes,
-        answer,
-        spread,
+        prompt_tokens,
+        prefix_tokens,
+        prefix_count,
+        answer_tokens,
+        sigma,
         first_ms,
         gap_ms,
         whole_ms,
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`plan`]: what a fleet declares and what its callers send.
 //! - [`changes`]: changes of the bundle while a demo runs.
 //! - [`cluster`]: the daemons and stand-ins.
-//! - [`host`]: one daemon on a thread of its own.
+//! - [`daemon`]: one daemon on a thread of its own.
 //! - [`rollout`]: the log and publishing the bundle through it.
 //! - [`faults`]: faults brought about at set times.
 
@@ -15,9 +15,9 @@
 pub mod changes;
 pub mod cluster;
 pub mod compare;
+pub mod daemon;
 pub mod faults;
 pub mod fleet;
-pub mod host;
 pub mod oracle;
 pub mod plan;
 pub mod rollout;
@@ -26,11 +26,11 @@
 use std::time::{Duration, Instant};
 
 use base::settings::HumanDuration;
-use load::{Mix, Run};
+use load::{RunResult, Workload};
 
 pub use arm::Arm;
 use cluster::Layout;
-use faults::{Event, Fault, FaultPlan};
+use faults::{Fault, FaultPlan, ScheduledFault};
 pub use fleet::Fleet;
 
 /// Time for the daemons to start listening.
@@ -68,8 +68,8 @@
 impl Options {
     /// The load.
     #[must_use]
-    pub fn mix(&self) -> Mix {
-        plan::mix(self.fleet, self.seed, self.seconds, self.burst)
+    pub fn workload(&self) -> Workload {
+        plan::workload(self.fleet, self.seed, self.seconds, self.burst)
     }
 
     /// All faults with their times.
@@ -78,7 +78,7 @@
         let mut plan = self.faults.clone();
         let mut add = |at: f64, fault| {
             let at = HumanDuration(Duration::from_secs_f64(at));
-            plan.events.push(Event { at, fault });
+            plan.events.push(ScheduledFault { at, fault });
         };
         if self.straggler {
             let pace = STRAGGLER_PACE;
@@ -88,8 +88,14 @@
             add(0.0, Fault::ReportLag { lag: REPORT_LAG });
         }
         if self.crash {
-            let (server, back) = (1, None);
-            add(self.seconds * 0.45, Fault::CrashHost { server, back });
+            let (server, restart_after) = (1, None);
+            add(
+                self.seconds * 0.45,
+                Fault::CrashHost {
+                    server,
+                    restart_after,
+                },
+            );
         }
         plan
     }
@@ -97,11 +103,11 @@
 
 /// Runs a fleet under load and reports on it.
 #[must_use]
-pub fn run(options: &Options) -> Run {
-    let mix = options.mix();
+pub fn run(options: &Options) -> RunResult {
+    let workload = options.workload();
     let faults = options.fault_plan();
     let mut layout = Layout::new(options.fleet, plan::bundle(options.fleet), options.seed);
-    layout.forwarded = faults.forwarded();
+    layout.needs_forwarders = faults.needs_forwarders();
     layout.arm = options.arm;
 
     let entries = layout.entries();
@@ -110,10 +116,10 @@
     let began = Instant::now();
     let run = thread::scope(|scope| {
         scope.spawn(|| faults.run(&cluster));
-        load::run(&mix, &entries, &cluster.ledger, options.progress)
+        load::run(&workload, &entries, &cluster.ledger, options.progress)
     });
     let took = began.elapsed().as_secs_f64();
-    eprintln!("{}", cluster.control(took));
-    cluster.end();
+    eprintln!("{}", cluster.control_traffic(took));
+    cluster.stop();
     run
 }
--- a/crates/demo/src/oracle.rs
+++ b/crates/demo/src/oracle.rs
@@ -10,8 +10,8 @@
 
 use std::collections::BTreeMap;
 
-use load::Mix;
-use load::arrivals::Kind;
+use load::Workload;
+use load::arrivals::RequestKind;
 
 use crate::Options;
 use crate::faults::Fault;
@@ -35,23 +35,23 @@
 
 /// Works out what an oracle could make of a run.
 #[must_use]
-pub fn oracle(options: &Options, mix: &Mix) -> Oracle {
-    let arrivals: Vec<_> = mix
+pub fn oracle(options: &Options, workload: &Workload) -> Oracle {
+    let arrivals: Vec<_> = workload
         .arrivals()
         .into_iter()
-        .filter(|a| a.kind == Kind::Completion)
+        .filter(|a| a.kind == RequestKind::Completion)
         .collect();
-    let offered: f64 = arrivals.iter().map(|a| f64::from(a.answer)).sum();
+    let offered: f64 = arrivals.iter().map(|a| f64::from(a.answer_tokens)).sum();
 
     let mut waiting: BTreeMap<Key, f64> = BTreeMap::new();
     let (mut next, mut now, mut done, mut room) = (0, 0.0, 0.0, 0.0);
     while next < arrivals.len() || !waiting.is_empty() {
         now += SLICE;
         while let Some(arrival) = arrivals.get(next).filter(|a| a.at.as_secs_f64() < now) {
-            let flow = &mix.classes[&arrival.class];
+            let flow = &workload.classes[&arrival.class];
             let due = arrival.at.as_secs_f64() * 1000.0 + flow.first_ms;
             let key = (flow.tier, whole(due), next);
-            waiting.insert(key, f64::from(arrival.answer));
+            waiting.insert(key, f64::from(arrival.answer_tokens));
             next += 1;
         }
         let late = whole((now - SLICE) * 1000.0);
@@ -70,25 +70,29 @@
     }
     Oracle {
         capacity: capacity(options, 0.0),
-        offered: offered / mix.seconds,
-        goodput: done / mix.seconds,
+        offered: offered / workload.seconds,
+        goodput: done / workload.seconds,
     }
 }
 
 /// Tokens a second of all engines at a time of the run, in seconds, without
 /// those lost to stragglers and crashes.
 fn capacity(options: &Options, now: f64) -> f64 {
-    let mut pace = vec![1.0; usize::from(options.fleet.engines())];
+    let mut pace = vec![1.0; usize::from(options.fleet.engine_count())];
     for event in options.fault_plan().events {
         if event.at.0.as_secs_f64() > now {
             continue;
         }
         match event.fault {
             Fault::Straggler { server, pace: p } if server < pace.len() => pace[server] = 1.0 / p,
-            Fault::CrashHost { server, back: None }
-            | Fault::CrashBackend { server, back: None }
-                if server < pace.len() =>
-            {
+            Fault::CrashHost {
+                server,
+                restart_after: None,
+            }
+            | Fault::CrashBackend {
+                server,
+                restart_after: None,
+            } if server < pace.len() => {
                 pace[server] = 0.0;
             }
             _ => {}
--- a/crates/demo/src/plan.rs
+++ b/crates/demo/src/plan.rs
@@ -5,10 +5,10 @@
 use base::ids::Tier;
 use base::settings::HumanDuration;
 use bundle::{Bundle, Class, Pool, Service, Targets, Workspace};
-use load::Mix;
-use load::arrivals::{Burst, Flow, Kind, Sender};
+use load::Workload;
+use load::arrivals::{Burst, ClassWorkload, RequestKind, WeightedWorkspace};
 
-use crate::fleet::{CALLS, ClassSize, Fleet, WORKSPACES};
+use crate::fleet::{CALLS_PER_SECOND, ClassProfile, Fleet, WORKSPACE_COUNT};
 
 /// By how much the bursting class's rate is multiplied.
 const BURST_TIMES: f64 = 5.0;
@@ -47,7 +47,7 @@
     bundle.classes.insert(fleet.call_class().to_owned(), calls);
 
     let classes: BTreeSet<_> = bundle.classes.keys().cloned().collect();
-    for i in 0..WORKSPACES {
+    for i in 0..WORKSPACE_COUNT {
         let workspace = Workspace {
             tokens: BTreeSet::from([bundle::lookup::token_hash(&token(i))]),
             classes: classes.clone(),
@@ -70,8 +70,8 @@
 
 /// What a fleet's callers send.
 #[must_use]
-pub fn mix(fleet: Fleet, seed: u64, seconds: f64, burst: bool) -> Mix {
-    let capacity = fleet.engine_rate() * f64::from(fleet.engines());
+pub fn workload(fleet: Fleet, seed: u64, seconds: f64, burst: bool) -> Workload {
+    let capacity = fleet.engine_rate() * f64::from(fleet.engine_count());
     let mut classes: BTreeMap<_, _> = fleet
         .classes()
         .iter()
@@ -81,11 +81,11 @@
 
     let burst = burst.then(|| Burst {
         class: fleet.burst_class().to_owned(),
-        times: BURST_TIMES,
+        factor: BURST_TIMES,
         from: seconds / 3.0,
         until: seconds * 2.0 / 3.0,
     });
-    Mix {
+    Workload {
         fleet: fleet.name().to_owned(),
         seed,
         seconds,
@@ -94,7 +94,7 @@
     }
 }
 
-fn class(size: &ClassSize, model: &str) -> Class {
+fn class(size: &ClassProfile, model: &str) -> Class {
     let targets = Targets {
         first_token: HumanDuration::ms(size.first_ms),
         token_gap: HumanDuration::ms(size.gap_ms),
@@ -107,45 +107,45 @@
     }
 }
 
-fn flow(size: &ClassSize, capacity: f64) -> Flow {
+fn flow(size: &ClassProfile, capacity: f64) -> ClassWorkload {
     let lower = |share| if size.tier > 0 { share } else { 0.0 };
-    Flow {
+    ClassWorkload {
         tier: size.tier,
-        rate: size.share * capacity / size.cost(),
-        kind: Kind::Completion,
-        prompt: size.prompt,
-        shared: size.shared,
-        prefixes: size.prefixes,
-        answer: size.answer,
-        spread: size.spread,
+        rate: size.share * capacity / size.mean_steps(),
+        kind: RequestKind::Completion,
+        prompt_tokens: size.prompt_tokens,
+        prefix_tokens: size.prefix_tokens,
+        prefix_count: size.prefix_count,
+        answer_tokens: size.answer_tokens,
+        sigma: size.sigma,
         workspaces: senders(),
-        whole: lower(WHOLE),
-        leaving: lower(LEAVING),
-        once: lower(ONCE),
-        keyed: 0.0,
+        nonstreaming_share: lower(WHOLE),
+        abandon_share: lower(LEAVING),
+        nonrepeatable_share: lower(ONCE),
+        keyed_share: 0.0,
         first_ms: size.first_ms as f64,
         gap_ms: size.gap_ms as f64,
         whole_ms: size.whole_ms as f64,
     }
 }
 
-fn calls(fleet: Fleet) -> Flow {
-    Flow {
+fn calls(fleet: Fleet) -> ClassWorkload {
+    ClassWorkload {
         tier: 1,
-        rate: CALLS,
-        kind: Kind::Call {
+        rate: CALLS_PER_SECOND,
+        kind: RequestKind::Call {
             service: fleet.service().to_owned(),
         },
-        prompt: 0.0,
-        shared: 0,
-        prefixes: 1,
-        answer: 0.0,
-        spread: 0.0,
+        prompt_tokens: 0.0,
+        prefix_tokens: 0,
+        prefix_count: 1,
+        answer_tokens: 0.0,
+        sigma: 0.0,
         workspaces: senders(),
-        whole: 0.0,
-        leaving: 0.0,
-        once: 1.0,
-        keyed: 1.0,
+        nonstreaming_share: 0.0,
+        abandon_share: 0.0,
+        nonrepeatable_share: 1.0,
+        keyed_share: 1.0,
         first_ms: CALL_MS as f64,
         gap_ms: CALL_MS as f64,
         whole_ms: CALL_MS as f64,
@@ -153,17 +153,17 @@
 }
 
 /// The workspaces: one large, one middling, the rest small.
-fn senders() -> Vec<Sender> {
+fn senders() -> Vec<WeightedWorkspace> {
     let weight = |i| match i {
         0 => 6.0,
         1 => 3.0,
         _ => 1.0,
     };
-    let sender = |i| Sender {
+    let sender = |i| WeightedWorkspace {
         token: token(i),
         weight: weight(i),
     };
-    (0..WORKSPACES).map(sender).collect()
+    (0..WORKSPACE_COUNT).map(sender).collect()
 }
 
 /// The bearer token of a workspace.
--- a/crates/demo/src/rollout.rs
+++ b/crates/demo/src/rollout.rs
@@ -10,7 +10,7 @@
 use standin::Control;
 use standin::log::{Faults, Settings};
 
-use crate::host::Host;
+use crate::daemon::Daemon;
 
 /// How often a daemon is asked whether it is ready, and the pause between.
 const TRIES: u32 = 500;
@@ -40,28 +40,28 @@
 
     /// Starts the log.
     #[must_use]
-    pub fn start(&self) -> Host {
+    pub fn start(&self) -> Daemon {
         let settings = Settings {
             listen: self.log,
             faults: Faults::default(),
         };
         let faults = self.faults.clone();
-        Host::start("log", move |stop| {
+        Daemon::start("log", move |stop| {
             standin::log::run(settings.clone(), faults.clone(), stop)
         })
     }
 
     /// What daemons need to follow the log.
     #[must_use]
-    pub fn follow(&self) -> follow::Settings {
+    pub fn follow_settings(&self) -> follow::Settings {
         follow::Settings::new(self.log, self.operators())
     }
 
     /// Publishes a first bundle and waits until every daemon goes by one.
-    pub fn begin(&self, bundle: &Bundle, daemons: &[SocketAddr]) {
+    pub fn publish_initial(&self, bundle: &Bundle, daemons: &[SocketAddr]) {
         actix_rt::System::new().block_on(async {
             self.published(bundle).await;
-            ready(daemons).await;
+            wait_until_ready(daemons).await;
         });
     }
 
@@ -100,7 +100,7 @@
 }
 
 /// Waits until every daemon is ready, by its operators' address.
-pub async fn ready(daemons: &[SocketAddr]) {
+pub async fn wait_until_ready(daemons: &[SocketAddr]) {
     let http = awc::Client::default();
     for daemon in daemons {
         let url = format!("http://{daemon}/health/ready");
--- a/crates/demo/tests/failures/fleet.rs
+++ b/crates/demo/tests/failures/fleet.rs
@@ -10,7 +10,7 @@
 use base::stop::StopSignal;
 use bundle::Bundle;
 use clients::hosts::{Host as Listed, Role, Standing};
-use demo::host::Host;
+use demo::daemon::Daemon;
 use serde_json::{Value, json};
 use standin::hosts::{Faults, Registry};
 use standin::{Control, Ledger, engine};
@@ -35,7 +35,7 @@
     pub(crate) engines: HashMap<u16, Control<engine::Faults>>,
     /// The first port.
     port: u16,
-    daemons: HashMap<String, Host>,
+    daemons: HashMap<String, Daemon>,
 }
 
 /// What a caller got.
@@ -87,7 +87,8 @@
         F: Fn(StopSignal) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = std::io::Result<()>> + 'static,
     {
-        self.daemons.insert(name.to_owned(), Host::start(name, run));
+        self.daemons
+            .insert(name.to_owned(), Daemon::start(name, run));
     }
 
     /// Starts an engine.
@@ -175,13 +176,13 @@
 
     /// Asks a daemon to stop, as SIGTERM does.
     pub(crate) fn ask(&self, name: &str) {
-        self.daemons[name].ask();
+        self.daemons[name].request_stop();
     }
 
     /// Waits until a daemon has ended.
     pub(crate) async fn ended(&mut self, name: &str) {
         let host = self.daemons.remove(name).unwrap();
-        until("the daemon ends", || host.ended()).await;
+        until("the daemon ends", || host.has_stopped()).await;
     }
 
     /// Sends a request and takes in its whole answer.
@@ -234,8 +235,8 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         // Entries need their sidecars to drain, so all stop together.
-        self.daemons.values().for_each(Host::ask);
-        self.daemons.values().for_each(Host::end);
+        self.daemons.values().for_each(Daemon::request_stop);
+        self.daemons.values().for_each(Daemon::stop);
     }
 }
 
--- a/crates/demo/tests/rollout/bundles.rs
+++ b/crates/demo/tests/rollout/bundles.rs
@@ -12,12 +12,12 @@
     let fleet = Fleet::start(&[]);
     fleet.down(true);
     fleet.one.crash();
-    fleet.one.begin();
+    fleet.one.restart();
     fleet.until_ready(Role::One);
     assert_eq!(fleet.sequence(Role::One), 1);
 
     fleet.sidecar.crash();
-    fleet.sidecar.begin();
+    fleet.sidecar.restart();
     fleet.until_answers(Role::Sidecar);
     // A call with a key needs the log, so it only brings the versions level.
     until("the sidecar goes by the bundle", || {
--- a/crates/demo/tests/rollout/common.rs
+++ b/crates/demo/tests/rollout/common.rs
@@ -10,7 +10,7 @@
 use base::logging::{self, Level};
 use base::settings;
 use bundle::Bundle;
-use demo::host::Host;
+use demo::daemon::Daemon;
 use demo::rollout::Rollout;
 use follow::Outcome;
 use serde_json::{Value, json};
@@ -47,10 +47,10 @@
     net: [u8; 2],
     pub(crate) ledger: Ledger,
     pub(crate) rollout: Rollout,
-    pub(crate) sidecar: Host,
-    pub(crate) one: Host,
-    pub(crate) two: Host,
-    others: [Host; 2],
+    pub(crate) sidecar: Daemon,
+    pub(crate) one: Daemon,
+    pub(crate) two: Daemon,
+    others: [Daemon; 2],
     /// Published versions, so that each differs.
     versions: AtomicU32,
 }
@@ -71,7 +71,7 @@
         let net = [a.wrapping_mul(17).wrapping_add(b).max(1), number];
         let rollout = Rollout::new(addr(net, Role::Log));
         let follow = |role: Role| {
-            let mut follow = rollout.follow();
+            let mut follow = rollout.follow_settings();
             if cut.iter().any(|c| *c as u8 == role as u8) {
                 follow.log = addr(net, Role::Nobody);
             }
@@ -191,25 +191,25 @@
 
     pub(crate) fn stop(&self) {
         for host in [&self.one, &self.two, &self.sidecar] {
-            host.end();
+            host.stop();
         }
-        self.others.iter().for_each(Host::end);
+        self.others.iter().for_each(Daemon::stop);
     }
 }
 
 /// Time in which a caller gets an answer, whatever happens.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-fn plain(net: [u8; 2], ledger: &Ledger) -> Host {
+fn plain(net: [u8; 2], ledger: &Ledger) -> Daemon {
     let text = json!({ "listen": addr(net, Role::Plain), "work": "50ms" }).to_string();
     let settings: standin::plain::Settings = settings::parse("plain", &text).expect("sound");
     let ledger = ledger.clone();
-    Host::start("plain", move |stop| {
+    Daemon::start("plain", move |stop| {
         standin::plain::run(settings.clone(), ledger.clone(), stop)
     })
 }
 
-fn sidecar(net: [u8; 2], follow: &Value) -> Host {
+fn sidecar(net: [u8; 2], follow: &Value) -> Daemon {
     let plain = json!({ "addr": addr(net, Role::Plain), "slots": 8, "timeout": "5s" });
     let text = json!({
         "name": "s", "zone": "z", "log_level": "off",
@@ -220,10 +220,10 @@
     });
     let text = text.to_string();
     let settings: sidecar::Settings = settings::parse("sidecar", &text).expect("sound");
-    Host::start("sidecar", move |stop| sidecar::run(settings.clone(), stop))
+    Daemon::start("sidecar", move |stop| sidecar::run(settings.clone(), stop))
 }
 
-fn entry(net: [u8; 2], role: Role, follow: &Value) -> Host {
+fn entry(net: [u8; 2], role: Role, follow: &Value) -> Daemon {
     let sidecar = json!({
         "name": "s", "zone": "z", "serves": "letters",
         "addr": addr(net, Role::Sidecar),
@@ -237,7 +237,7 @@
     });
     let text = text.to_string();
     let settings: entry::Settings = settings::parse("entry", &text).expect("sound");
-    Host::start("entry", move |stop| {
+    Daemon::start("entry", move |stop| {
         entry::run(settings.clone(), None, stop)
     })
 }
--- a/crates/demo/tests/rollout/keys.rs
+++ b/crates/demo/tests/rollout/keys.rs
@@ -96,7 +96,7 @@
     let fleet = Fleet::start(&[]);
     assert_eq!(fleet.letter(Role::One, "k", "letter").status, 200);
     fleet.one.crash();
-    fleet.one.begin();
+    fleet.one.restart();
     fleet.until_ready(Role::One);
     for role in [Role::One, Role::Two] {
         let told = fleet.letter(role, "k", "letter");
--- a/crates/demo/tests/whole/common.rs
+++ b/crates/demo/tests/whole/common.rs
@@ -10,7 +10,7 @@
 use base::logging::{self, Level};
 use base::settings::{self, HumanDuration};
 use bundle::Bundle;
-use demo::host::Host;
+use demo::daemon::Daemon;
 use entry::settings::Known;
 use serde_json::Value;
 use sidecar::settings::Backend;
@@ -43,7 +43,7 @@
     net: [u8; 2],
     /// What the stand-ins saw.
     pub(crate) ledger: Ledger,
-    hosts: Vec<Host>,
+    hosts: Vec<Daemon>,
 }
 
 impl Small {
@@ -71,8 +71,8 @@
 
     /// Stops everything and waits until it has ended.
     pub(crate) fn stop(&mut self) {
-        self.hosts.iter().for_each(Host::ask);
-        self.hosts.drain(..).for_each(|host| host.end());
+        self.hosts.iter().for_each(Daemon::request_stop);
+        self.hosts.drain(..).for_each(|host| host.stop());
     }
 
     /// Where callers reach the entry.
@@ -108,7 +108,7 @@
         let settings: standin::engine::Settings =
             settings::parse("engine", &text).expect("the settings are sound");
         let ledger = self.ledger.clone();
-        let engine = Host::start("engine", move |stop| {
+        let engine = Daemon::start("engine", move |stop| {
             standin::engine::run(settings.clone(), ledger.clone(), stop)
         });
 
@@ -116,7 +116,7 @@
         let settings: standin::plain::Settings =
             settings::parse("plain", &text).expect("the settings are sound");
         let ledger = self.ledger.clone();
-        let plain = Host::start("plain", move |stop| {
+        let plain = Daemon::start("plain", move |stop| {
             standin::plain::run(settings.clone(), ledger.clone(), stop)
         });
         self.hosts.extend([engine, plain]);
@@ -125,13 +125,13 @@
     fn start_daemons(&mut self, slots: usize) {
         for role in [ENGINE_SIDECAR, PLAIN_SIDECAR] {
             let settings = self.sidecar(role, slots);
-            self.hosts.push(Host::start("sidecar", move |stop| {
+            self.hosts.push(Daemon::start("sidecar", move |stop| {
                 sidecar::run(settings.clone(), stop)
             }));
         }
         let bundle: Bundle = settings::parse("bundle.json", BUNDLE).expect("the bundle is sound");
         let settings = self.entry_settings();
-        self.hosts.push(Host::start("entry", move |stop| {
+        self.hosts.push(Daemon::start("entry", move |stop| {
             entry::run(settings.clone(), Some(bundle.clone()), stop)
         }));
     }
--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -13,7 +13,7 @@
 /// The arrivals of a run, by class.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Mix {
+pub struct Workload {
     /// The fleet's name, for the report.
     pub fleet: String,
     /// Seed of all random numbers.
@@ -21,7 +21,7 @@
     /// How long requests arrive, in seconds.
     pub seconds: f64,
     /// The classes by name.
-    pub classes: BTreeMap<String, Flow>,
+    pub classes: BTreeMap<String, ClassWorkload>,
     /// A part of the run in which one class comes more often.
     #[serde(default)]
     pub burst: Option<Burst>,
@@ -34,7 +34,8 @@
     /// The class.
     pub class: String,
     /// By how much its usual rate is multiplied.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub factor: f64,
     /// When it begins, in seconds from the start of the run.
     pub from: f64,
     /// When it ends, in seconds from the start of the run.
@@ -44,44 +45,44 @@
 /// The arrivals of one class.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Flow {
+pub struct ClassWorkload {
     /// The tier, for the report.
     pub tier: u8,
     /// Requests a second outside bursts.
     pub rate: f64,
     /// What is asked for.
     #[serde(default)]
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Median tokens of a prompt, without its shared prefix.
-    #[serde(default)]
-    pub prompt: f64,
+    #[serde(rename = "prompt", default)]
+    pub prompt_tokens: f64,
     /// Tokens of the prefix that many prompts share.
-    #[serde(default)]
-    pub shared: u32,
+    #[serde(rename = "shared", default)]
+    pub prefix_tokens: u32,
     /// How many different shared prefixes there are.
-    #[serde(default = "one")]
-    pub prefixes: u32,
+    #[serde(rename = "prefixes", default = "one")]
+    pub prefix_count: u32,
     /// Median tokens of an answer.
-    #[serde(default)]
-    pub answer: f64,
+    #[serde(rename = "answer", default)]
+    pub answer_tokens: f64,
     /// Spread of prompt and answer, as the standard deviation of the
     /// logarithm.
-    #[serde(default)]
-    pub spread: f64,
+    #[serde(rename = "spread", default)]
+    pub sigma: f64,
     /// The workspaces that ask.
-    pub workspaces: Vec<Sender>,
+    pub workspaces: Vec<WeightedWorkspace>,
     /// Share of callers that take the answer whole.
-    #[serde(default)]
-    pub whole: f64,
+    #[serde(rename = "whole", default)]
+    pub nonstreaming_share: f64,
     /// Share of callers that go away before the answer ends.
-    #[serde(default)]
-    pub leaving: f64,
+    #[serde(rename = "leaving", default)]
+    pub abandon_share: f64,
     /// Share of requests that may not run twice.
-    #[serde(default)]
-    pub once: f64,
+    #[serde(rename = "once", default)]
+    pub nonrepeatable_share: f64,
     /// Share of requests that carry an idempotency key.
-    #[serde(default)]
-    pub keyed: f64,
+    #[serde(rename = "keyed", default)]
+    pub keyed_share: f64,
     /// Target until the first token, in milliseconds.
     pub first_ms: f64,
     /// Target between tokens, in milliseconds, as a mean over the answer.
@@ -93,7 +94,7 @@
 /// A workspace that asks.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Sender {
+pub struct WeightedWorkspace {
     /// The bearer token.
     pub token: String,
     /// Its part of the class's requests, relative to the others.
@@ -103,7 +104,7 @@
 /// What a class asks for.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
-pub enum Kind {
+pub enum RequestKind {
     /// A completion by a model engine.
     #[default]
     Completion,
@@ -122,30 +123,30 @@
     /// The class.
     pub class: String,
     /// What is asked for.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// The bearer token to use.
     pub token: String,
     /// The caller's own mark, by which stand-ins know the request.
     pub mark: String,
     /// Tokens of the prompt, without its shared prefix.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens of the prompt's shared prefix.
-    pub shared: u32,
+    pub prefix_tokens: u32,
     /// Which shared prefix.
-    pub prefix: u32,
+    pub prefix_index: u32,
     /// Tokens of the answer.
-    pub answer: u32,
+    pub answer_tokens: u32,
     /// Whether the answer is taken as it is made.
     pub stream: bool,
     /// After how many tokens the caller goes away, if it does.
-    pub leaves: Option<u32>,
+    pub abandon_after: Option<u32>,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Whether the request carries an idempotency key.
     pub keyed: bool,
 }
 
-impl Mix {
+impl Workload {
     /// Draws all arrivals, in order of time. A burst adds to the usual
     /// arrivals and leaves those as they are.
     #[must_use]
@@ -158,7 +159,7 @@
 
             let burst = self.burst.as_ref().filter(|b| &b.class == name);
             if let Some(burst) = burst {
-                let rate = flow.rate * (burst.times - 1.0).max(0.0);
+                let rate = flow.rate * (burst.factor - 1.0).max(0.0);
                 let part = (burst.from, burst.until.min(self.seconds));
                 let seed = seed | 1 << 101;
                 all.extend(drawn(name, flow, rate, part, "b", seed));
@@ -172,7 +173,7 @@
 /// Draws the arrivals of one class in one part of the run.
 fn drawn(
     class: &str,
-    flow: &Flow,
+    flow: &ClassWorkload,
     rate: f64,
     (from, until): (f64, f64),
     kind: &str,
@@ -194,35 +195,41 @@
 
 /// Draws one arrival. Every number is drawn whether it is needed or not, so
 /// that a changed share leaves all the others as they are.
-fn one_arrival(class: &str, flow: &Flow, at: f64, mark: String, rng: &mut Pcg64Mcg) -> Arrival {
-    let prompt = size(rng, flow.prompt, flow.spread);
-    let answer = size(rng, flow.answer, flow.spread);
-    let prefix = rng.random_range(0..flow.prefixes.max(1));
+fn one_arrival(
+    class: &str,
+    flow: &ClassWorkload,
+    at: f64,
+    mark: String,
+    rng: &mut Pcg64Mcg,
+) -> Arrival {
+    let prompt_tokens = size(rng, flow.prompt_tokens, flow.sigma);
+    let answer_tokens = size(rng, flow.answer_tokens, flow.sigma);
+    let prefix_index = rng.random_range(0..flow.prefix_count.max(1));
     let token = sender(&flow.workspaces, rng.random());
-    let stream = rng.random::<f64>() >= flow.whole;
-    let leaving = rng.random::<f64>() < flow.leaving;
-    let leaves_after = rng.random_range(0..answer.max(1));
-    let repeatable = rng.random::<f64>() >= flow.once;
-    let keyed = rng.random::<f64>() < flow.keyed;
+    let stream = rng.random::<f64>() >= flow.nonstreaming_share;
+    let leaving = rng.random::<f64>() < flow.abandon_share;
+    let leaves_after = rng.random_range(0..answer_tokens.max(1));
+    let repeatable = rng.random::<f64>() >= flow.nonrepeatable_share;
+    let keyed = rng.random::<f64>() < flow.keyed_share;
     Arrival {
         at: Duration::from_secs_f64(at),
         class: class.to_owned(),
         kind: flow.kind.clone(),
         token,
         mark,
-        prompt,
-        shared: flow.shared,
-        prefix,
-        answer,
+        prompt_tokens,
+        prefix_tokens: flow.prefix_tokens,
+        prefix_index,
+        answer_tokens,
         stream,
-        leaves: (leaving && stream).then_some(leaves_after),
+        abandon_after: (leaving && stream).then_some(leaves_after),
         repeatable,
         keyed,
     }
 }
 
 /// The bearer token of the workspace at `draw`, a number below 1, of all.
-fn sender(workspaces: &[Sender], draw: f64) -> String {
+fn sender(workspaces: &[WeightedWorkspace], draw: f64) -> String {
     let total: f64 = workspaces.iter().map(|w| w.weight).sum();
     let mut left = draw * total;
     for workspace in workspaces {
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -42,7 +42,7 @@
     /// The entries in the order in which one caller tries them: each once,
     /// those passed over last.
     #[must_use]
-    pub fn order(&self) -> Vec<SocketAddr> {
+    pub fn candidates(&self) -> Vec<SocketAddr> {
         let now = self.now();
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
         let count = self.entries.len();
@@ -53,7 +53,7 @@
     }
 
     /// Notes that an entry refused a connection or is not ready.
-    pub fn failed(&self, entry: SocketAddr) {
+    pub fn mark_failed(&self, entry: SocketAddr) {
         let until = self.now() + u64::try_from(PASS_OVER.as_millis()).unwrap_or(0);
         for target in self.entries.iter().filter(|t| t.addr == entry) {
             target.until.store(until, Ordering::Relaxed);
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::arrivals::{Arrival, Kind};
+use crate::arrivals::{Arrival, RequestKind};
 use crate::balancer::Balancer;
 
 /// Longest time that a caller waits for a header.
@@ -41,13 +41,13 @@
     pub arrival: Arrival,
     /// From sending to the first token; `None` when the answer was taken
     /// whole.
-    pub first: Option<Duration>,
+    pub ttft: Option<Duration>,
     /// From sending to the end.
     pub total: Duration,
     /// Tokens received.
     pub tokens: u32,
     /// Whether a token was another request's or out of order.
-    pub mixed: bool,
+    pub corrupted: bool,
     /// How it ended.
     pub ending: Ending,
 }
@@ -56,20 +56,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
     /// With the whole answer.
-    Whole,
+    Completed,
     /// With an HTTP status that says why, before any part of the answer.
-    Refused(Told),
+    Refused(ErrorReply),
     /// With an error event in the stream, after the request was accepted.
-    Broken(Told),
+    StreamFailed(ErrorReply),
     /// The caller went away by itself.
-    Left,
+    Abandoned,
     /// Without an end, for the reason in words.
     Lost(String),
 }
 
 /// What a caller was told about a request that did not end whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct ErrorReply {
     /// The reason's word.
     pub reason: String,
     /// What was said about having run.
@@ -82,10 +82,10 @@
     pub fn lost(arrival: Arrival, reason: &str) -> Self {
         Self {
             arrival,
-            first: None,
+            ttft: None,
             total: Duration::ZERO,
             tokens: 0,
-            mixed: false,
+            corrupted: false,
             ending: Ending::Lost(reason.to_owned()),
         }
     }
@@ -93,7 +93,7 @@
 
 /// Makes the HTTP client that all callers of a thread share.
 #[must_use]
-pub fn client() -> awc::Client {
+pub fn http_client() -> awc::Client {
     let connector = awc::Connector::new().limit(0);
     awc::Client::builder()
         .connector(connector)
@@ -102,7 +102,7 @@
 }
 
 /// Sends one request and takes in its answer.
-pub async fn call(http: awc::Client, balancer: &Balancer, arrival: Arrival) -> Outcome {
+pub async fn send_request(http: awc::Client, balancer: &Balancer, arrival: Arrival) -> Outcome {
     let began = Instant::now();
     let mut outcome = Outcome::lost(arrival, "not sent");
     outcome.ending = take(&http, balancer, &mut outcome, began).await;
@@ -126,15 +126,15 @@
             return Ending::Lost(format!("status {} without a reason", response.status()));
         };
         if NOT_READY.contains(&told.reason.as_str()) {
-            balancer.failed(entry);
+            balancer.mark_failed(entry);
         }
         return Ending::Refused(told);
     }
 
     match (&outcome.arrival.kind, outcome.arrival.stream) {
-        (Kind::Completion, true) => stream(response, outcome, began).await,
-        (Kind::Completion, false) => whole(response, outcome).await,
-        (Kind::Call { .. }, _) => called(response, outcome).await,
+        (RequestKind::Completion, true) => stream(response, outcome, began).await,
+        (RequestKind::Completion, false) => whole(response, outcome).await,
+        (RequestKind::Call { .. }, _) => called(response, outcome).await,
     }
 }
 
@@ -146,14 +146,14 @@
     balancer: &Balancer,
     arrival: &Arrival,
 ) -> Result<(SocketAddr, awc::ClientResponse), Ending> {
-    for entry in balancer.order() {
+    for entry in balancer.candidates() {
         match request(http, entry, arrival).await {
             Ok(response) => return Ok((entry, response)),
             // Reported also for a request that went out and got no answer.
             Err(SendRequestError::Connect(ConnectError::Disconnected)) => {
                 return Err(Ending::Lost("the connection closed".to_owned()));
             }
-            Err(SendRequestError::Connect(_)) => balancer.failed(entry),
+            Err(SendRequestError::Connect(_)) => balancer.mark_failed(entry),
             Err(e) => return Err(Ending::Lost(format!("no answer: {e}"))),
         }
     }
@@ -166,8 +166,8 @@
     arrival: &Arrival,
 ) -> Result<awc::ClientResponse, SendRequestError> {
     let path = match &arrival.kind {
-        Kind::Completion => "chat/completions".to_owned(),
-        Kind::Call { service } => format!("services/{service}/send"),
+        RequestKind::Completion => "chat/completions".to_owned(),
+        RequestKind::Call { service } => format!("services/{service}/send"),
     };
     let mut request = http
         .post(format!("http://{entry}/v1/{path}"))
@@ -183,15 +183,16 @@
 }
 
 fn body(arrival: &Arrival) -> Value {
-    if arrival.kind != Kind::Completion {
+    if arrival.kind != RequestKind::Completion {
         return json!({ "mark": arrival.mark });
     }
     // A token is four bytes to the stand-ins.
-    let shared = format!("{:<4}", arrival.prefix % 1000).repeat(arrival.shared as usize);
+    let shared =
+        format!("{:<4}", arrival.prefix_index % 1000).repeat(arrival.prefix_tokens as usize);
     let own = format!(
         "{} {}",
         arrival.mark,
-        "word".repeat(arrival.prompt as usize)
+        "word".repeat(arrival.prompt_tokens as usize)
     );
     json!({
         "model": arrival.class,
@@ -201,7 +202,7 @@
             { "role": "user", "content": own },
         ],
         "mark": arrival.mark,
-        "length": arrival.answer,
+        "length": arrival.answer_tokens,
     })
 }
 
@@ -210,8 +211,12 @@
     let mut events = std::pin::pin!(response.timeout(Duration::MAX).eventsource());
     let mut finished = false;
     loop {
-        if outcome.arrival.leaves.is_some_and(|n| outcome.tokens >= n) {
-            return Ending::Left;
+        if outcome
+            .arrival
+            .abandon_after
+            .is_some_and(|n| outcome.tokens >= n)
+        {
+            return Ending::Abandoned;
         }
         let event = match tokio::time::timeout(EVENT_TIMEOUT, events.next()).await {
             Ok(Some(Ok(event))) => event,
@@ -221,7 +226,7 @@
         };
         if event.data == "[DONE]" {
             return match finished {
-                true => Ending::Whole,
+                true => Ending::Completed,
                 false => Ending::Lost("end mark without a finish".to_owned()),
             };
         }
@@ -231,7 +236,7 @@
         };
         if event.error.is_some() {
             return match told(&json!({ "error": event.error })) {
-                Some(told) => Ending::Broken(told),
+                Some(told) => Ending::StreamFailed(told),
                 None => Ending::Lost("error without a reason".to_owned()),
             };
         }
@@ -242,8 +247,8 @@
             finished = true;
             continue;
         }
-        outcome.first.get_or_insert_with(|| began.elapsed());
-        outcome.mixed |= choice.delta.content != token(&outcome.arrival, outcome.tokens);
+        outcome.ttft.get_or_insert_with(|| began.elapsed());
+        outcome.corrupted |= choice.delta.content != token(&outcome.arrival, outcome.tokens);
         outcome.tokens += 1;
     }
 }
@@ -261,8 +266,8 @@
     let own: String = (0..outcome.tokens)
         .map(|i| token(&outcome.arrival, i))
         .collect();
-    outcome.mixed = text != own;
-    Ending::Whole
+    outcome.corrupted = text != own;
+    Ending::Completed
 }
 
 /// Takes in a plain service's answer.
@@ -270,8 +275,8 @@
     let Ok(body) = response.json::<Value>().await else {
         return Ending::Lost("plain answer broke off".to_owned());
     };
-    outcome.mixed = body["mark"] != outcome.arrival.mark.as_str();
-    Ending::Whole
+    outcome.corrupted = body["mark"] != outcome.arrival.mark.as_str();
+    Ending::Completed
 }
 
 /// The text that the stand-in makes as token number `i` of a request.
@@ -279,10 +284,10 @@
     format!("{}:{i} ", arrival.mark)
 }
 
-fn told(body: &Value) -> Option<Told> {
+fn told(body: &Value) -> Option<ErrorReply> {
     let word = |key: &str| body["error"][key].as_str().unwrap_or("").to_owned();
     let (reason, ran) = (word("type"), word("ran"));
-    (!reason.is_empty()).then_some(Told { reason, ran })
+    (!reason.is_empty()).then_some(ErrorReply { reason, ran })
 }
 
 #[derive(Debug, Deserialize)]
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -70,7 +70,7 @@
     start: Instant,
 ) -> Vec<Outcome> {
     actix_rt::System::new().block_on(async {
-        let http = caller::client();
+        let http = caller::http_client();
         let mut calls = Vec::with_capacity(part.len());
         for arrival in part {
             tokio::time::sleep_until((start + arrival.at).into()).await;
@@ -78,7 +78,7 @@
             let (http, balancer) = (http.clone(), Arc::clone(balancer));
             let (counts, sent) = (Arc::clone(counts), arrival.clone());
             let call = actix_rt::spawn(async move {
-                let outcome = caller::call(http, &balancer, arrival).await;
+                let outcome = caller::send_request(http, &balancer, arrival).await;
                 counts.note(&outcome.ending);
                 outcome
             });
@@ -101,11 +101,11 @@
 impl Counts {
     fn note(&self, ending: &Ending) {
         let count = match ending {
-            Ending::Whole => &self.whole,
+            Ending::Completed => &self.whole,
             Ending::Refused(_) => &self.refused,
-            Ending::Broken(_) => &self.broken,
+            Ending::StreamFailed(_) => &self.broken,
             Ending::Lost(_) => &self.lost,
-            Ending::Left => return,
+            Ending::Abandoned => return,
         };
         count.fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/load/src/judge.rs
+++ b/crates/load/src/evaluation.rs
@@ -6,8 +6,8 @@
 use hdrhistogram::Histogram;
 use standin::Ledger;
 
-use crate::arrivals::{Flow, Kind, Mix};
-use crate::caller::{Ending, Outcome, Told};
+use crate::arrivals::{ClassWorkload, RequestKind, Workload};
+use crate::caller::{Ending, ErrorReply, Outcome};
 use crate::report::{ClassReport, Quantiles, Report};
 
 /// Longest time that is told apart, in microseconds.
@@ -16,69 +16,73 @@
 /// Judges the outcomes of `sent` requests. A request without an outcome is
 /// lost.
 #[must_use]
-pub fn judge(mix: &Mix, sent: usize, outcomes: &[Outcome], ledger: &Ledger) -> Report {
+pub fn evaluate(workload: &Workload, sent: usize, outcomes: &[Outcome], ledger: &Ledger) -> Report {
     let mut report = Report {
-        seed: mix.seed,
-        fleet: mix.fleet.clone(),
-        seconds: mix.seconds,
+        seed: workload.seed,
+        fleet: workload.fleet.clone(),
+        seconds: workload.seconds,
         ..Report::default()
     };
     report.lost = sent.saturating_sub(outcomes.len()) as u64;
 
     let (mut useful, mut whole_tokens) = (0, 0);
-    for (name, flow) in &mix.classes {
+    for (name, class_workload) in &workload.classes {
         let of_class: Vec<_> = outcomes
             .iter()
             .filter(|o| &o.arrival.class == name)
             .collect();
-        let class = class_report(flow, &of_class);
+        let class = class_report(class_workload, &of_class);
         report.classes.insert(name.clone(), class);
 
         for outcome in of_class {
             count_faults(&mut report, outcome, ledger);
             let tokens = u64::from(outcome.tokens);
-            whole_tokens += if ended_whole(outcome) { tokens } else { 0 };
-            useful += if in_target(flow, outcome) { tokens } else { 0 };
+            whole_tokens += if is_complete(outcome) { tokens } else { 0 };
+            useful += if met_targets(class_workload, outcome) {
+                tokens
+            } else {
+                0
+            };
         }
     }
 
     report.tokens_made = ledger.all().values().map(|s| u64::from(s.tokens)).sum();
     report.tokens_wasted = report.tokens_made.saturating_sub(whole_tokens);
     report.wasted_share = share(report.tokens_wasted, report.tokens_made);
-    report.goodput = useful as f64 / mix.seconds;
+    report.goodput = useful as f64 / workload.seconds;
     report
 }
 
 /// Counts what must never happen.
 fn count_faults(report: &mut Report, outcome: &Outcome, ledger: &Ledger) {
     let seen = ledger.seen(&outcome.arrival.mark);
-    let told_no = |told: &Told| told.ran == "no";
-    report.mixed += u64::from(outcome.mixed);
-    report.doubled += u64::from(!outcome.arrival.repeatable && seen.runs > 1);
+    let told_no = |told: &ErrorReply| told.ran == "no";
+    report.corrupted += u64::from(outcome.corrupted);
+    report.duplicated += u64::from(!outcome.arrival.repeatable && seen.runs > 1);
     match &outcome.ending {
         Ending::Lost(_) => report.lost += 1,
-        Ending::Whole => report.lost += u64::from(!ended_whole(outcome)),
-        Ending::Refused(told) | Ending::Broken(told) => {
+        Ending::Completed => report.lost += u64::from(!is_complete(outcome)),
+        Ending::Refused(told) | Ending::StreamFailed(told) => {
             report.false_not_run += u64::from(told_no(told) && seen.runs > 0);
         }
-        Ending::Left => {}
+        Ending::Abandoned => {}
     }
 }
 
 /// Whether the answer was said to be whole and has as many tokens as the
 /// stand-in was told to make.
 #[must_use]
-pub fn ended_whole(outcome: &Outcome) -> bool {
+pub fn is_complete(outcome: &Outcome) -> bool {
     let enough = match outcome.arrival.kind {
-        Kind::Completion => outcome.tokens == outcome.arrival.answer,
-        Kind::Call { .. } => true,
+        RequestKind::Completion => outcome.tokens == outcome.arrival.answer_tokens,
+        RequestKind::Call { .. } => true,
     };
-    outcome.ending == Ending::Whole && enough
+    outcome.ending == Ending::Completed && enough
 }
 
-fn class_report(flow: &Flow, outcomes: &[&Outcome]) -> ClassReport {
+fn class_report(class_workload: &ClassWorkload, outcomes: &[&Outcome]) -> ClassReport {
     let mut report = ClassReport {
-        tier: flow.tier,
+        tier: class_workload.tier,
         ..ClassReport::default()
     };
     let (mut first, mut gap) = (Times::new(), Times::new());
@@ -88,13 +92,13 @@
             Ending::Refused(told) => {
                 *report.refused.entry(told.reason.clone()).or_default() += 1;
             }
-            Ending::Whole | Ending::Broken(_) | Ending::Left | Ending::Lost(_) => {
+            Ending::Completed | Ending::StreamFailed(_) | Ending::Abandoned | Ending::Lost(_) => {
                 report.accepted += 1;
             }
         }
-        report.whole += u64::from(ended_whole(outcome));
-        report.in_target += u64::from(in_target(flow, outcome));
-        if let Some(ttft) = outcome.first {
+        report.whole += u64::from(is_complete(outcome));
+        report.in_target += u64::from(met_targets(class_workload, outcome));
+        if let Some(ttft) = outcome.ttft {
             first.add(ttft);
             gap.add(mean_gap(outcome));
         }
@@ -108,19 +112,21 @@
 /// Whether the answer was whole and met each target. A caller that takes its
 /// answer whole sees no first token and no gaps.
 #[must_use]
-pub fn in_target(flow: &Flow, outcome: &Outcome) -> bool {
+pub fn met_targets(class_workload: &ClassWorkload, outcome: &Outcome) -> bool {
     let ms = |d: Duration| d.as_secs_f64() * 1000.0;
-    let streamed = outcome.arrival.stream && outcome.arrival.kind == Kind::Completion;
+    let streamed = outcome.arrival.stream && outcome.arrival.kind == RequestKind::Completion;
     let in_time = !streamed
-        || outcome.first.is_some_and(|f| ms(f) <= flow.first_ms)
-            && ms(mean_gap(outcome)) <= flow.gap_ms;
-    ended_whole(outcome) && in_time && ms(outcome.total) <= flow.whole_ms
+        || outcome
+            .ttft
+            .is_some_and(|f| ms(f) <= class_workload.first_ms)
+            && ms(mean_gap(outcome)) <= class_workload.gap_ms;
+    is_complete(outcome) && in_time && ms(outcome.total) <= class_workload.whole_ms
 }
 
 /// Mean time between two tokens of an answer.
 fn mean_gap(outcome: &Outcome) -> Duration {
     let gaps = outcome.tokens.saturating_sub(1).max(1);
-    let first = outcome.first.unwrap_or_default();
+    let first = outcome.ttft.unwrap_or_default();
     outcome.total.saturating_sub(first) / gaps
 }
 
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -4,14 +4,14 @@
 //! - [`balancer`]: which entry a caller is sent to.
 //! - [`caller`]: one caller's request and its outcome.
 //! - [`drive`]: sending all of them at their times.
-//! - [`judge`]: what the outcomes come to by what the stand-ins saw.
+//! - [`evaluation`]: what the outcomes come to by what the stand-ins saw.
 //! - [`report`]: the report as it is written and printed.
 
 pub mod arrivals;
 pub mod balancer;
 pub mod caller;
 pub mod drive;
-pub mod judge;
+pub mod evaluation;
 pub mod report;
 
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 use standin::Ledger;
 
-pub use arrivals::{Arrival, Mix};
+pub use arrivals::{Arrival, Workload};
 pub use caller::{Ending, Outcome};
 pub use report::Report;
 
@@ -34,24 +34,30 @@
     #[serde(default)]
     pub ledgers: Vec<SocketAddr>,
     /// What to send.
-    pub mix: Mix,
+    #[serde(rename = "mix")]
+    pub workload: Workload,
 }
 
 /// What a run came to, with each outcome.
 #[derive(Debug, Clone)]
-pub struct Run {
+pub struct RunResult {
     /// The report.
     pub report: Report,
     /// The outcomes it was judged from.
     pub outcomes: Vec<Outcome>,
 }
 
-/// Sends the mix's arrivals to the entries and judges the outcomes. Blocks
+/// Sends the workload's arrivals to the entries and judges the outcomes. Blocks
 /// the calling thread until the run is over.
 #[must_use]
-pub fn run(mix: &Mix, entries: &[SocketAddr], ledger: &Ledger, progress: bool) -> Run {
-    let arrivals = mix.arrivals();
+pub fn run(
+    workload: &Workload,
+    entries: &[SocketAddr],
+    ledger: &Ledger,
+    progress: bool,
+) -> RunResult {
+    let arrivals = workload.arrivals();
     let outcomes = drive::drive(&arrivals, entries, progress);
-    let report = judge::judge(mix, arrivals.len(), &outcomes, ledger);
-    Run { report, outcomes }
+    let report = evaluation::evaluate(workload, arrivals.len(), &outcomes, ledger);
+    RunResult { report, outcomes }
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -25,11 +25,13 @@
     /// Wasted tokens as a share of those made.
     pub wasted_share: f64,
     /// Non-repeatable requests that ran twice.
-    pub doubled: u64,
+    #[serde(rename = "doubled")]
+    pub duplicated: u64,
     /// Requests that ended neither whole nor with a refusal.
     pub lost: u64,
     /// Answers with a piece not their own or out of order.
-    pub mixed: u64,
+    #[serde(rename = "mixed")]
+    pub corrupted: u64,
     /// Requests told not to have run that ran.
     pub false_not_run: u64,
 }
@@ -71,8 +73,8 @@
 impl Report {
     /// Whether nothing was doubled, lost, mixed or falsely called not run.
     #[must_use]
-    pub fn sound(&self) -> bool {
-        self.doubled + self.lost + self.mixed + self.false_not_run == 0
+    pub fn is_correct(&self) -> bool {
+        self.duplicated + self.lost + self.corrupted + self.false_not_run == 0
     }
 }
 
@@ -124,7 +126,7 @@
         write!(
             f,
             "doubled={} lost={} mixed={} false_not_run={}",
-            self.doubled, self.lost, self.mixed, self.false_not_run
+            self.duplicated, self.lost, self.corrupted, self.false_not_run
         )
     }
 }
