--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -48,7 +48,7 @@
     /// The platform's log, through which the bundle is published.
     pub rollout: Rollout,
     /// The first two numbers of all addresses.
-    net: [u8; 2],
+    subnet: [u8; 2],
 }
 
 /// A fleet that runs.
@@ -96,8 +96,8 @@
     Entry = 1,
     Sidecar = 2,
     Backend = 3,
-    Link = 4,
-    Inner = 5,
+    SidecarLink = 4,
+    BackendLink = 5,
     Log = 6,
     LogLink = 7,
     Hosts = 8,
@@ -118,7 +118,7 @@
             arm: Arm::default(),
             needs_forwarders: false,
             rollout: Rollout::new(addr(net, Role::Log, 0)),
-            net,
+            subnet: net,
         }
     }
 
@@ -140,7 +140,8 @@
         let hosts = self.start_hosts();
         let servers = (0..count).map(|i| self.start_server(i, &ledger)).collect();
         let entries = (0..ENTRY_COUNT).map(|i| self.start_entry(i)).collect();
-        self.rollout.publish_initial(&self.bundle, &self.daemons());
+        self.rollout
+            .publish_initial(&self.bundle, &self.operators_addrs());
         Cluster {
             layout: self,
             log,
@@ -154,15 +155,17 @@
 
     fn start_hosts(&self) -> (Daemon, Registry) {
         let count = self.fleet.engine_count() + PLAIN_SERVERS;
-        let sidecars = (0..count).map(|i| self.known(i)).map(|known| Listed {
-            name: known.name,
-            addr: known.addr,
-            zone: known.zone,
-            region: self.fleet.name().to_owned(),
-            role: Kind::Sidecar,
-            serves: known.serves,
-            standing: Standing::Live,
-        });
+        let sidecars = (0..count)
+            .map(|i| self.sidecar_record(i))
+            .map(|known| Listed {
+                name: known.name,
+                addr: known.addr,
+                zone: known.zone,
+                region: self.fleet.name().to_owned(),
+                role: Kind::Sidecar,
+                serves: known.serves,
+                standing: Standing::Live,
+            });
         let registry = Registry::new(sidecars.collect());
         let settings = hosts::Settings {
             listen: self.addr(Role::Hosts, 0),
@@ -189,8 +192,8 @@
             backend,
             faults,
             sidecar: self.start_sidecar(i),
-            sidecar_link: forward(Role::Link, Role::Sidecar),
-            backend_link: forward(Role::Inner, Role::Backend),
+            sidecar_link: forward(Role::SidecarLink, Role::Sidecar),
+            backend_link: forward(Role::BackendLink, Role::Backend),
         }
     }
 
@@ -229,7 +232,7 @@
 
     fn start_sidecar(&self, i: u8) -> Daemon {
         let role = if self.needs_forwarders {
-            Role::Inner
+            Role::BackendLink
         } else {
             Role::Backend
         };
@@ -245,12 +248,12 @@
                 timeout: HumanDuration::secs(5),
             },
         };
-        let known = self.known(i);
+        let known = self.sidecar_record(i);
         let mut settings = sidecar::Settings {
             name: known.name.clone(),
             zone: known.zone,
             listen: self.addr(Role::Sidecar, i),
-            operators: Some(self.operators(Role::Sidecar, i)),
+            operators: Some(self.operators_addr(Role::Sidecar, i)),
             follow: Some(self.follow()),
             backend,
             hold: HumanDuration::ms(250),
@@ -275,7 +278,7 @@
             name: name.clone(),
             zone: self.fleet.zones()[usize::from(i)].to_owned(),
             listen: self.addr(Role::Entry, i),
-            operators: Some(self.operators(Role::Entry, i)),
+            operators: Some(self.operators_addr(Role::Entry, i)),
             follow: Some(self.follow()),
             sidecars: Vec::new(),
             roster: Roster {
@@ -309,13 +312,13 @@
     }
 
     /// A backend server's sidecar as entries know it.
-    fn known(&self, i: u8) -> Known {
+    fn sidecar_record(&self, i: u8) -> Known {
         let serves = match i < self.fleet.engine_count() {
             true => self.fleet.model(),
             false => self.fleet.service(),
         };
         let role = if self.needs_forwarders {
-            Role::Link
+            Role::SidecarLink
         } else {
             Role::Sidecar
         };
@@ -328,19 +331,19 @@
     }
 
     fn addr(&self, role: Role, i: u8) -> SocketAddr {
-        addr(self.net, role, i)
+        addr(self.subnet, role, i)
     }
 
     /// The operators' addresses of all daemons.
-    fn daemons(&self) -> Vec<SocketAddr> {
+    fn operators_addrs(&self) -> Vec<SocketAddr> {
         let count = self.fleet.engine_count() + PLAIN_SERVERS;
-        let entries = (0..ENTRY_COUNT).map(|i| self.operators(Role::Entry, i));
-        let sidecars = (0..count).map(|i| self.operators(Role::Sidecar, i));
+        let entries = (0..ENTRY_COUNT).map(|i| self.operators_addr(Role::Entry, i));
+        let sidecars = (0..count).map(|i| self.operators_addr(Role::Sidecar, i));
         entries.chain(sidecars).collect()
     }
 
     /// The operators' address of a daemon.
-    fn operators(&self, role: Role, i: u8) -> SocketAddr {
+    fn operators_addr(&self, role: Role, i: u8) -> SocketAddr {
         SocketAddr::new(self.addr(role, i).ip(), OPERATORS_PORT)
     }
 }
@@ -354,7 +357,7 @@
             apply_change,
             &layout.rollout,
             &layout.bundle,
-            &layout.daemons(),
+            &layout.operators_addrs(),
         )
     }
 
@@ -365,8 +368,11 @@
         let host = self.entries.get(usize::from(i))?;
         host.stop();
         host.restart();
-        let fresh = self.layout.operators(Role::Entry, i);
-        Some(changes::wait_for_catch_up(fresh, &self.layout.daemons()))
+        let fresh = self.layout.operators_addr(Role::Entry, i);
+        Some(changes::wait_for_catch_up(
+            fresh,
+            &self.layout.operators_addrs(),
+        ))
     }
 
     /// What goes wrong with the log.
@@ -379,8 +385,8 @@
     #[must_use]
     pub fn control_traffic(&self, seconds: f64) -> String {
         let bytes = self.log_link.1.get().bytes.total() as f64;
-        let daemons = self.layout.daemons().len() as f64;
-        let appends = actix_rt::System::new().block_on(self.appends());
+        let daemons = self.layout.operators_addrs().len() as f64;
+        let appends = actix_rt::System::new().block_on(self.count_appends());
         format!(
             "log appends={appends} appends_per_second={:.2} bytes_per_second_per_daemon={:.0}",
             appends as f64 / seconds,
@@ -389,7 +395,7 @@
     }
 
     /// Records in the log's streams.
-    async fn appends(&self) -> u64 {
+    async fn count_appends(&self) -> u64 {
         let log = clients::log::Log::new(self.layout.rollout.log);
         let mut all = 0;
         for stream in [follow::STREAM, claims::STREAM] {
@@ -412,7 +418,7 @@
             self.servers.iter().map(|s| &s.sidecar).collect(),
             self.servers
                 .iter()
-                .flat_map(Server::outer)
+                .flat_map(Server::backend_side)
                 .chain([&self.hosts.0])
                 .collect(),
         ];
@@ -427,7 +433,7 @@
 
 impl Server {
     /// The stand-ins of the platform.
-    fn outer(&self) -> Vec<&Daemon> {
+    fn backend_side(&self) -> Vec<&Daemon> {
         let forwarders = self.sidecar_link.iter().chain(&self.backend_link);
         forwarders
             .map(|(host, _)| host)
--- a/crates/demo/src/compare.rs
+++ b/crates/demo/src/compare.rs
@@ -12,7 +12,7 @@
 
 /// Length of the windows in which each lower class has to be served, in
 /// seconds.
-const WINDOW: f64 = 10.0;
+const WINDOW_S: f64 = 10.0;
 
 /// The runs of all arms.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -103,13 +103,13 @@
     }
 
     /// Top-tier requests offered and in target.
-    fn top(&self) -> (u64, u64) {
-        sum(self, |tier| tier == 0)
+    fn top_tier(&self) -> (u64, u64) {
+        sum_tiers(self, |tier| tier == 0)
     }
 }
 
 /// Requests offered and in target of the tiers that `chosen` picks.
-fn sum(run: &ArmRun, chosen: impl Fn(u8) -> bool) -> (u64, u64) {
+fn sum_tiers(run: &ArmRun, chosen: impl Fn(u8) -> bool) -> (u64, u64) {
     let classes = run.report.classes.values().filter(|c| chosen(c.tier));
     classes.fold((0, 0), |(offered, met), c| {
         (offered + c.offered, met + c.in_target)
@@ -127,9 +127,9 @@
         };
         let faults = |r: &Report| r.duplicated + r.lost + r.corrupted + r.false_not_run;
         Medians {
-            top: median(runs().map(|r| share(r.top()))),
-            misses: median(runs().map(|r| (r.top().0 - r.top().1) as f64)),
-            lower: median(runs().map(|r| share(sum(r, |tier| tier > 0)))),
+            top: median(runs().map(|r| share(r.top_tier()))),
+            misses: median(runs().map(|r| (r.top_tier().0 - r.top_tier().1) as f64)),
+            lower: median(runs().map(|r| share(sum_tiers(r, |tier| tier > 0)))),
             goodput: median(runs().map(|r| r.report.goodput)),
             oracle_share: median(self.runs.iter().map(of_oracle)),
             wasted: median(runs().map(|r| r.report.wasted_share)),
@@ -161,8 +161,8 @@
             .collect();
 
         let mut from = 0.0;
-        while from + WINDOW <= workload.seconds {
-            let inside = |end: &&f64| (from..from + WINDOW).contains(*end);
+        while from + WINDOW_S <= workload.seconds {
+            let inside = |end: &&f64| (from..from + WINDOW_S).contains(*end);
             let count = ends.iter().filter(inside).count() as u64;
             least = Some(least.map_or(count, |l: u64| l.min(count)));
             from += 1.0;
--- a/crates/demo/src/daemon.rs
+++ b/crates/demo/src/daemon.rs
@@ -13,17 +13,17 @@
 /// How often a host looks whether it should pause.
 const PAUSE_POLL: Duration = Duration::from_millis(5);
 
-type Body = dyn Fn(StopSignal) -> Pin<Box<dyn Future<Output = io::Result<()>>>> + Send + Sync;
+type RunFn = dyn Fn(StopSignal) -> Pin<Box<dyn Future<Output = io::Result<()>>>> + Send + Sync;
 
 /// A daemon that can be stopped, started again, crashed and paused.
 pub struct Daemon {
     name: String,
-    body: Arc<Body>,
-    life: Mutex<Option<Life>>,
+    run: Arc<RunFn>,
+    instance: Mutex<Option<Instance>>,
 }
 
 /// One life of a daemon.
-struct Life {
+struct Instance {
     /// Asks it to end when everything in progress has.
     stop: StopSignal,
     /// Ends it at once.
@@ -43,8 +43,8 @@
     {
         let host = Self {
             name: name.to_owned(),
-            body: Arc::new(move |stop| Box::pin(body(stop))),
-            life: Mutex::new(None),
+            run: Arc::new(move |stop| Box::pin(body(stop))),
+            instance: Mutex::new(None),
         };
         host.restart();
         host
@@ -58,22 +58,22 @@
 
     /// Starts a new life, if none runs.
     pub fn restart(&self) {
-        let mut life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
         if life.is_none() {
-            *life = spawn(&self.name, Arc::clone(&self.body));
+            *life = spawn(&self.name, Arc::clone(&self.run));
         }
     }
 
     /// Whether the daemon has ended.
     #[must_use]
     pub fn has_stopped(&self) -> bool {
-        let life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
+        let life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
         life.as_ref().is_none_or(|life| life.thread.is_finished())
     }
 
     /// Asks the daemon to end, without waiting for it.
     pub fn request_stop(&self) {
-        let life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
+        let life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(life) = life.as_ref() {
             life.stop.trigger();
         }
@@ -88,7 +88,7 @@
     /// Drops everything that the daemon has at once: its state, its tasks and
     /// its connections.
     pub fn crash(&self) {
-        let life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
+        let life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(life) = life.as_ref() {
             life.kill.trigger();
         }
@@ -98,7 +98,7 @@
 
     /// Makes the daemon's thread stand still for `time`, beginning soon.
     pub fn pause(&self, time: Duration) {
-        let life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
+        let life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(life) = life.as_ref() {
             let ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
             life.pause.store(ms, Ordering::Relaxed);
@@ -107,7 +107,7 @@
 
     fn join(&self) {
         let life = self
-            .life
+            .instance
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .take();
@@ -118,7 +118,7 @@
     }
 }
 
-fn spawn(name: &str, body: Arc<Body>) -> Option<Life> {
+fn spawn(name: &str, body: Arc<RunFn>) -> Option<Instance> {
     let (stop, kill) = (StopSignal::new(), StopSignal::new());
     let pause = Arc::new(AtomicU64::new(0));
     let (thread_stop, thread_kill) = (stop.clone(), kill.clone());
@@ -131,7 +131,7 @@
                 tokio::select! {
                     ended = body(thread_stop) => ended,
                     () = thread_kill.wait() => Ok(()),
-                    () = stand_still(&thread_pause) => Ok(()),
+                    () = block_when_paused(&thread_pause) => Ok(()),
                 }
             });
             if let Err(e) = ended {
@@ -141,7 +141,7 @@
     };
     let thread = thread::Builder::new().name(name.to_owned()).spawn(run);
     let thread = thread.ok()?;
-    Some(Life {
+    Some(Instance {
         stop,
         kill,
         pause,
@@ -150,7 +150,7 @@
 }
 
 /// Blocks the daemon's thread whenever it is asked to; never ends.
-async fn stand_still(pause: &AtomicU64) {
+async fn block_when_paused(pause: &AtomicU64) {
     loop {
         let ms = pause.swap(0, Ordering::Relaxed);
         if ms > 0 {
--- a/crates/demo/src/faults.rs
+++ b/crates/demo/src/faults.rs
@@ -10,7 +10,7 @@
 use crate::cluster::{Cluster, Faults, Server};
 
 /// Time between a daemon's end and its next life in a rolling restart.
-const RESTART_GAP: Duration = Duration::from_millis(50);
+const RESTART_DELAY: Duration = Duration::from_millis(50);
 
 /// Faults with their times.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -158,8 +158,8 @@
                     faults.change(|f| f.pace = *pace);
                 }
             }
-            Self::ReportLag { lag } => each_engine(cluster, |f| f.report_lag = *lag),
-            Self::CacheEvents { lag, gap } => each_engine(cluster, |f| {
+            Self::ReportLag { lag } => change_engines(cluster, |f| f.report_lag = *lag),
+            Self::CacheEvents { lag, gap } => change_engines(cluster, |f| {
                 f.event_lag = *lag;
                 f.event_gap = *gap;
             }),
@@ -168,7 +168,7 @@
                 restart_after,
             } => {
                 if let Some(server) = server(i) {
-                    crash(&[&server.backend], *restart_after);
+                    crash_and_restart(&[&server.backend], *restart_after);
                 }
             }
             Self::CrashHost {
@@ -176,7 +176,7 @@
                 restart_after,
             } => {
                 if let Some(server) = server(i) {
-                    crash(&[&server.backend, &server.sidecar], *restart_after);
+                    crash_and_restart(&[&server.backend, &server.sidecar], *restart_after);
                 }
             }
             Self::PauseSidecar { server: i, time } => {
@@ -184,8 +184,12 @@
                     server.sidecar.pause(time.0);
                 }
             }
-            Self::SilenceSidecar { server: i } => silence(server(i).map(|s| &s.sidecar_link)),
-            Self::SilenceBackend { server: i } => silence(server(i).map(|s| &s.backend_link)),
+            Self::SilenceSidecar { server: i } => {
+                silence_connections(server(i).map(|s| &s.sidecar_link))
+            }
+            Self::SilenceBackend { server: i } => {
+                silence_connections(server(i).map(|s| &s.backend_link))
+            }
             Self::ReplaceEntry { entry } => {
                 if let Some(line) = cluster.replace_entry(*entry) {
                     eprintln!("{line}");
@@ -206,7 +210,7 @@
     }
 }
 
-fn each_engine(cluster: &Cluster, change: impl Fn(&mut standin::engine::Faults)) {
+fn change_engines(cluster: &Cluster, change: impl Fn(&mut standin::engine::Faults)) {
     for Server { faults, .. } in &cluster.servers {
         if let Faults::Engine(faults) = faults {
             faults.change(&change);
@@ -214,7 +218,7 @@
     }
 }
 
-fn crash(daemons: &[&crate::daemon::Daemon], restart_after: Option<HumanDuration>) {
+fn crash_and_restart(daemons: &[&crate::daemon::Daemon], restart_after: Option<HumanDuration>) {
     daemons.iter().for_each(|daemon| daemon.crash());
     if let Some(delay) = restart_after {
         thread::sleep(delay.0);
@@ -227,7 +231,7 @@
     standin::Control<standin::silence::Faults>,
 )>;
 
-fn silence(link: Option<&Link>) {
+fn silence_connections(link: Option<&Link>) {
     if let Some(Some((_, faults))) = link {
         faults.change(|f| f.silenced += 1);
     }
@@ -237,7 +241,7 @@
     let sidecars = cluster.servers.iter().map(|s| &s.sidecar);
     for host in sidecars.chain(&cluster.entries) {
         host.stop();
-        thread::sleep(RESTART_GAP);
+        thread::sleep(RESTART_DELAY);
         host.restart();
     }
 }
--- a/crates/demo/src/oracle.rs
+++ b/crates/demo/src/oracle.rs
@@ -17,7 +17,7 @@
 use crate::faults::Fault;
 
 /// One step of the arithmetic, in seconds.
-const SLICE: f64 = 0.05;
+const TIME_STEP_S: f64 = 0.05;
 
 /// What an oracle could make.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -31,7 +31,7 @@
 }
 
 /// A request that waits, in order of tier and due time.
-type Key = (u8, u64, usize);
+type QueueKey = (u8, u64, usize);
 
 /// Works out what an oracle could make of a run.
 #[must_use]
@@ -43,10 +43,10 @@
         .collect();
     let offered: f64 = arrivals.iter().map(|a| f64::from(a.answer_tokens)).sum();
 
-    let mut waiting: BTreeMap<Key, f64> = BTreeMap::new();
+    let mut waiting: BTreeMap<QueueKey, f64> = BTreeMap::new();
     let (mut next, mut now, mut done, mut room) = (0, 0.0, 0.0, 0.0);
     while next < arrivals.len() || !waiting.is_empty() {
-        now += SLICE;
+        now += TIME_STEP_S;
         while let Some(arrival) = arrivals.get(next).filter(|a| a.at.as_secs_f64() < now) {
             let flow = &workload.classes[&arrival.class];
             let due = arrival.at.as_secs_f64() * 1000.0 + flow.first_ms;
@@ -54,12 +54,12 @@
             waiting.insert(key, f64::from(arrival.answer_tokens));
             next += 1;
         }
-        let late = whole((now - SLICE) * 1000.0);
+        let late = whole((now - TIME_STEP_S) * 1000.0);
         waiting.retain(|(_, due, _), _| *due >= late);
 
         // Room left over at the end of a slice is lost; work begun is paid
         // for by the slices after it.
-        room = f64::min(room, 0.0) + capacity(options, now) * SLICE;
+        room = f64::min(room, 0.0) + capacity(options, now) * TIME_STEP_S;
         while room > 0.0 {
             let Some((_, answer)) = waiting.pop_first() else {
                 break;
--- a/crates/demo/src/plan.rs
+++ b/crates/demo/src/plan.rs
@@ -11,33 +11,33 @@
 use crate::fleet::{CALLS_PER_SECOND, ClassProfile, Fleet, WORKSPACE_COUNT};
 
 /// By how much the bursting class's rate is multiplied.
-const BURST_TIMES: f64 = 5.0;
+const BURST_FACTOR: f64 = 5.0;
 
 /// Share of callers of lower tiers that take the answer whole.
-const WHOLE: f64 = 0.2;
+const NONSTREAMING_SHARE: f64 = 0.2;
 
 /// Share of callers of lower tiers that go away before the answer ends. Those
 /// of the top tier stay, so that each top-tier miss is the router's.
-const LEAVING: f64 = 0.005;
+const ABANDON_SHARE: f64 = 0.005;
 
 /// Share of lower-tier completions that may not run twice.
-const ONCE: f64 = 0.05;
+const NONREPEATABLE_SHARE: f64 = 0.05;
 
 /// Targets of plain services' calls, in milliseconds.
-const CALL_MS: u64 = 3_000;
+const CALL_TARGET_MS: u64 = 3_000;
 
 /// The bundle that a fleet's operators declare.
 #[must_use]
 pub fn bundle(fleet: Fleet) -> Bundle {
     let mut bundle = Bundle::default();
     for size in fleet.classes() {
-        let class = class(&size, fleet.model());
+        let class = completion_class(&size, fleet.model());
         bundle.classes.insert(size.name.to_owned(), class);
     }
     let targets = Targets {
-        first_token: HumanDuration::ms(CALL_MS),
-        token_gap: HumanDuration::ms(CALL_MS),
-        whole: HumanDuration::ms(CALL_MS),
+        first_token: HumanDuration::ms(CALL_TARGET_MS),
+        token_gap: HumanDuration::ms(CALL_TARGET_MS),
+        whole: HumanDuration::ms(CALL_TARGET_MS),
     };
     let calls = Class {
         tier: Tier(1),
@@ -75,13 +75,13 @@
     let mut classes: BTreeMap<_, _> = fleet
         .classes()
         .iter()
-        .map(|size| (size.name.to_owned(), flow(size, capacity)))
+        .map(|size| (size.name.to_owned(), completion_workload(size, capacity)))
         .collect();
-    classes.insert(fleet.call_class().to_owned(), calls(fleet));
+    classes.insert(fleet.call_class().to_owned(), call_workload(fleet));
 
     let burst = burst.then(|| Burst {
         class: fleet.burst_class().to_owned(),
-        factor: BURST_TIMES,
+        factor: BURST_FACTOR,
         from: seconds / 3.0,
         until: seconds * 2.0 / 3.0,
     });
@@ -94,7 +94,7 @@
     }
 }
 
-fn class(size: &ClassProfile, model: &str) -> Class {
+fn completion_class(size: &ClassProfile, model: &str) -> Class {
     let targets = Targets {
         first_token: HumanDuration::ms(size.first_ms),
         token_gap: HumanDuration::ms(size.gap_ms),
@@ -107,7 +107,7 @@
     }
 }
 
-fn flow(size: &ClassProfile, capacity: f64) -> ClassWorkload {
+fn completion_workload(size: &ClassProfile, capacity: f64) -> ClassWorkload {
     let lower = |share| if size.tier > 0 { share } else { 0.0 };
     ClassWorkload {
         tier: size.tier,
@@ -118,10 +118,10 @@
         prefix_count: size.prefix_count,
         answer_tokens: size.answer_tokens,
         sigma: size.sigma,
-        workspaces: senders(),
-        nonstreaming_share: lower(WHOLE),
-        abandon_share: lower(LEAVING),
-        nonrepeatable_share: lower(ONCE),
+        workspaces: weighted_workspaces(),
+        nonstreaming_share: lower(NONSTREAMING_SHARE),
+        abandon_share: lower(ABANDON_SHARE),
+        nonrepeatable_share: lower(NONREPEATABLE_SHARE),
         keyed_share: 0.0,
         first_ms: size.first_ms as f64,
         gap_ms: size.gap_ms as f64,
@@ -129,7 +129,7 @@
     }
 }
 
-fn calls(fleet: Fleet) -> ClassWorkload {
+fn call_workload(fleet: Fleet) -> ClassWorkload {
     ClassWorkload {
         tier: 1,
         rate: CALLS_PER_SECOND,
@@ -141,19 +141,19 @@
         prefix_count: 1,
         answer_tokens: 0.0,
         sigma: 0.0,
-        workspaces: senders(),
+        workspaces: weighted_workspaces(),
         nonstreaming_share: 0.0,
         abandon_share: 0.0,
         nonrepeatable_share: 1.0,
         keyed_share: 1.0,
-        first_ms: CALL_MS as f64,
-        gap_ms: CALL_MS as f64,
-        whole_ms: CALL_MS as f64,
+        first_ms: CALL_TARGET_MS as f64,
+        gap_ms: CALL_TARGET_MS as f64,
+        whole_ms: CALL_TARGET_MS as f64,
     }
 }
 
 /// The workspaces: one large, one middling, the rest small.
-fn senders() -> Vec<WeightedWorkspace> {
+fn weighted_workspaces() -> Vec<WeightedWorkspace> {
     let weight = |i| match i {
         0 => 6.0,
         1 => 3.0,
--- a/crates/demo/src/rollout.rs
+++ b/crates/demo/src/rollout.rs
@@ -13,8 +13,8 @@
 use crate::daemon::Daemon;
 
 /// How often a daemon is asked whether it is ready, and the pause between.
-const TRIES: u32 = 500;
-const PAUSE: Duration = Duration::from_millis(10);
+const MAX_ATTEMPTS: u32 = 500;
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The log of a demo and the operators who publish there.
 #[derive(Debug, Clone)]
@@ -60,18 +60,18 @@
     /// Publishes a first bundle and waits until every daemon goes by one.
     pub fn publish_initial(&self, bundle: &Bundle, daemons: &[SocketAddr]) {
         actix_rt::System::new().block_on(async {
-            self.published(bundle).await;
+            self.publish_until_accepted(bundle).await;
             wait_until_ready(daemons).await;
         });
     }
 
     /// Tries to publish until the log, which may only just start, takes it.
-    async fn published(&self, bundle: &Bundle) {
-        for _ in 0..TRIES {
+    async fn publish_until_accepted(&self, bundle: &Bundle) {
+        for _ in 0..MAX_ATTEMPTS {
             if matches!(self.publish(bundle).await, Outcome::Accepted(_)) {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         error!("bundle not published", kv: { log = self.log.to_string().as_str() });
     }
@@ -104,12 +104,12 @@
     let http = awc::Client::default();
     for daemon in daemons {
         let url = format!("http://{daemon}/health/ready");
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let answer = http.get(&url).send().await;
             if answer.is_ok_and(|a| a.status().is_success()) {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Most tokens of a prompt or an answer.
-const LONGEST: f64 = 16_384.0;
+const MAX_TOKENS: f64 = 16_384.0;
 
 /// The arrivals of a run, by class.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -155,14 +155,14 @@
         for (i, (name, flow)) in self.classes.iter().enumerate() {
             let seed = u128::from(self.seed) << 16 | (i as u128) << 1 | 1 << 100;
             let usual = (0.0, self.seconds);
-            all.extend(drawn(name, flow, flow.rate, usual, "u", seed));
+            all.extend(draw_arrivals(name, flow, flow.rate, usual, "u", seed));
 
             let burst = self.burst.as_ref().filter(|b| &b.class == name);
             if let Some(burst) = burst {
                 let rate = flow.rate * (burst.factor - 1.0).max(0.0);
                 let part = (burst.from, burst.until.min(self.seconds));
                 let seed = seed | 1 << 101;
-                all.extend(drawn(name, flow, rate, part, "b", seed));
+                all.extend(draw_arrivals(name, flow, rate, part, "b", seed));
             }
         }
         all.sort_by_key(|a| a.at);
@@ -171,7 +171,7 @@
 }
 
 /// Draws the arrivals of one class in one part of the run.
-fn drawn(
+fn draw_arrivals(
     class: &str,
     flow: &ClassWorkload,
     rate: f64,
@@ -189,23 +189,23 @@
             return all;
         }
         let mark = format!("{class}-{kind}{}", all.len());
-        all.push(one_arrival(class, flow, at, mark, &mut rng));
+        all.push(draw_arrival(class, flow, at, mark, &mut rng));
     }
 }
 
 /// Draws one arrival. Every number is drawn whether it is needed or not, so
 /// that a changed share leaves all the others as they are.
-fn one_arrival(
+fn draw_arrival(
     class: &str,
     flow: &ClassWorkload,
     at: f64,
     mark: String,
     rng: &mut Pcg64Mcg,
 ) -> Arrival {
-    let prompt_tokens = size(rng, flow.prompt_tokens, flow.sigma);
-    let answer_tokens = size(rng, flow.answer_tokens, flow.sigma);
+    let prompt_tokens = draw_tokens(rng, flow.prompt_tokens, flow.sigma);
+    let answer_tokens = draw_tokens(rng, flow.answer_tokens, flow.sigma);
     let prefix_index = rng.random_range(0..flow.prefix_count.max(1));
-    let token = sender(&flow.workspaces, rng.random());
+    let token = pick_token(&flow.workspaces, rng.random());
     let stream = rng.random::<f64>() >= flow.nonstreaming_share;
     let leaving = rng.random::<f64>() < flow.abandon_share;
     let leaves_after = rng.random_range(0..answer_tokens.max(1));
@@ -229,7 +229,7 @@
 }
 
 /// The bearer token of the workspace at `draw`, a number below 1, of all.
-fn sender(workspaces: &[WeightedWorkspace], draw: f64) -> String {
+fn pick_token(workspaces: &[WeightedWorkspace], draw: f64) -> String {
     let total: f64 = workspaces.iter().map(|w| w.weight).sum();
     let mut left = draw * total;
     for workspace in workspaces {
@@ -242,10 +242,10 @@
 }
 
 /// Draws a size from a lognormal distribution.
-fn size(rng: &mut Pcg64Mcg, median: f64, spread: f64) -> u32 {
+fn draw_tokens(rng: &mut Pcg64Mcg, median: f64, spread: f64) -> u32 {
     let (u, v): (f64, f64) = (1.0 - rng.random::<f64>(), rng.random());
     let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
-    let size = (median * (spread * normal).exp()).clamp(1.0, LONGEST);
+    let size = (median * (spread * normal).exp()).clamp(1.0, MAX_TOKENS);
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -6,22 +6,22 @@
 
 /// How long an entry is passed over that refused a connection or said that it
 /// takes nothing; about the interval of a balancer's health checks.
-const PASS_OVER: Duration = Duration::from_secs(1);
+const COOLDOWN: Duration = Duration::from_secs(1);
 
 /// Sends callers to entries in turn and passes over those that are down or
 /// not ready. The caller that found out keeps its refusal.
 #[derive(Debug)]
 pub struct Balancer {
     entries: Vec<Target>,
-    turn: AtomicUsize,
-    began: Instant,
+    next: AtomicUsize,
+    started: Instant,
 }
 
 #[derive(Debug)]
 struct Target {
     addr: SocketAddr,
     /// Until when it is passed over, in milliseconds from the start.
-    until: AtomicU64,
+    cooldown_until: AtomicU64,
 }
 
 impl Balancer {
@@ -30,12 +30,12 @@
     pub fn new(entries: &[SocketAddr]) -> Self {
         let target = |addr: &SocketAddr| Target {
             addr: *addr,
-            until: AtomicU64::new(0),
+            cooldown_until: AtomicU64::new(0),
         };
         Self {
             entries: entries.iter().map(target).collect(),
-            turn: AtomicUsize::new(0),
-            began: Instant::now(),
+            next: AtomicUsize::new(0),
+            started: Instant::now(),
         }
     }
 
@@ -44,23 +44,23 @@
     #[must_use]
     pub fn candidates(&self) -> Vec<SocketAddr> {
         let now = self.now();
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+        let turn = self.next.fetch_add(1, Ordering::Relaxed);
         let count = self.entries.len();
         let turned = (0..count).map(|i| &self.entries[(turn + i) % count]);
         let (up, down): (Vec<_>, Vec<_>) =
-            turned.partition(|t| t.until.load(Ordering::Relaxed) <= now);
+            turned.partition(|t| t.cooldown_until.load(Ordering::Relaxed) <= now);
         up.into_iter().chain(down).map(|t| t.addr).collect()
     }
 
     /// Notes that an entry refused a connection or is not ready.
     pub fn mark_failed(&self, entry: SocketAddr) {
-        let until = self.now() + u64::try_from(PASS_OVER.as_millis()).unwrap_or(0);
+        let until = self.now() + u64::try_from(COOLDOWN.as_millis()).unwrap_or(0);
         for target in self.entries.iter().filter(|t| t.addr == entry) {
-            target.until.store(until, Ordering::Relaxed);
+            target.cooldown_until.store(until, Ordering::Relaxed);
         }
     }
 
     fn now(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -26,10 +26,10 @@
 const NO_REPEAT: &str = "x-no-repeat";
 
 /// Header that carries the idempotency key.
-const KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Header that names the request class.
-const CLASS: &str = "x-request-class";
+const REQUEST_CLASS: &str = "x-request-class";
 
 /// Refusals that tell that an entry takes nothing at all.
 const NOT_READY: [&str; 2] = ["draining", "no_bundle"];
@@ -105,24 +105,24 @@
 pub async fn send_request(http: awc::Client, balancer: &Balancer, arrival: Arrival) -> Outcome {
     let began = Instant::now();
     let mut outcome = Outcome::lost(arrival, "not sent");
-    outcome.ending = take(&http, balancer, &mut outcome, began).await;
+    outcome.ending = receive(&http, balancer, &mut outcome, began).await;
     outcome.total = began.elapsed();
     outcome
 }
 
-async fn take(
+async fn receive(
     http: &awc::Client,
     balancer: &Balancer,
     outcome: &mut Outcome,
     began: Instant,
 ) -> Ending {
-    let (entry, mut response) = match send(http, balancer, &outcome.arrival).await {
+    let (entry, mut response) = match send_with_failover(http, balancer, &outcome.arrival).await {
         Ok(sent) => sent,
         Err(ending) => return ending,
     };
     if !response.status().is_success() {
         let body = response.json::<Value>().await.unwrap_or_default();
-        let Some(told) = told(&body) else {
+        let Some(told) = parse_error(&body) else {
             return Ending::Lost(format!("status {} without a reason", response.status()));
         };
         if NOT_READY.contains(&told.reason.as_str()) {
@@ -132,22 +132,22 @@
     }
 
     match (&outcome.arrival.kind, outcome.arrival.stream) {
-        (RequestKind::Completion, true) => stream(response, outcome, began).await,
-        (RequestKind::Completion, false) => whole(response, outcome).await,
-        (RequestKind::Call { .. }, _) => called(response, outcome).await,
+        (RequestKind::Completion, true) => read_stream(response, outcome, began).await,
+        (RequestKind::Completion, false) => read_completion(response, outcome).await,
+        (RequestKind::Call { .. }, _) => read_call(response, outcome).await,
     }
 }
 
 /// Sends the request to one entry after the other, as a balancer does: only a
 /// connection that could not be made leads to the next, since the request
 /// certainly never went out on it.
-async fn send(
+async fn send_with_failover(
     http: &awc::Client,
     balancer: &Balancer,
     arrival: &Arrival,
 ) -> Result<(SocketAddr, awc::ClientResponse), Ending> {
     for entry in balancer.candidates() {
-        match request(http, entry, arrival).await {
+        match post(http, entry, arrival).await {
             Ok(response) => return Ok((entry, response)),
             // Reported also for a request that went out and got no answer.
             Err(SendRequestError::Connect(ConnectError::Disconnected)) => {
@@ -160,7 +160,7 @@
     Err(Ending::Lost("no entry accepts connections".to_owned()))
 }
 
-async fn request(
+async fn post(
     http: &awc::Client,
     entry: SocketAddr,
     arrival: &Arrival,
@@ -171,13 +171,13 @@
     };
     let mut request = http
         .post(format!("http://{entry}/v1/{path}"))
-        .insert_header((CLASS, arrival.class.as_str()))
+        .insert_header((REQUEST_CLASS, arrival.class.as_str()))
         .bearer_auth(&arrival.token);
     if !arrival.repeatable {
         request = request.insert_header((NO_REPEAT, "1"));
     }
     if arrival.keyed {
-        request = request.insert_header((KEY, arrival.mark.as_str()));
+        request = request.insert_header((IDEMPOTENCY_KEY, arrival.mark.as_str()));
     }
     request.send_json(&body(arrival)).await
 }
@@ -207,7 +207,11 @@
 }
 
 /// Takes in an answer as it is made.
-async fn stream(response: awc::ClientResponse, outcome: &mut Outcome, began: Instant) -> Ending {
+async fn read_stream(
+    response: awc::ClientResponse,
+    outcome: &mut Outcome,
+    began: Instant,
+) -> Ending {
     let mut events = std::pin::pin!(response.timeout(Duration::MAX).eventsource());
     let mut finished = false;
     loop {
@@ -231,11 +235,11 @@
             };
         }
 
-        let Ok(event) = serde_json::from_str::<Event>(&event.data) else {
+        let Ok(event) = serde_json::from_str::<StreamEvent>(&event.data) else {
             return Ending::Lost("event that is no JSON".to_owned());
         };
         if event.error.is_some() {
-            return match told(&json!({ "error": event.error })) {
+            return match parse_error(&json!({ "error": event.error })) {
                 Some(told) => Ending::StreamFailed(told),
                 None => Ending::Lost("error without a reason".to_owned()),
             };
@@ -248,13 +252,14 @@
             continue;
         }
         outcome.ttft.get_or_insert_with(|| began.elapsed());
-        outcome.corrupted |= choice.delta.content != token(&outcome.arrival, outcome.tokens);
+        outcome.corrupted |=
+            choice.delta.content != expected_token(&outcome.arrival, outcome.tokens);
         outcome.tokens += 1;
     }
 }
 
 /// Takes in an answer that comes at once.
-async fn whole(mut response: awc::ClientResponse, outcome: &mut Outcome) -> Ending {
+async fn read_completion(mut response: awc::ClientResponse, outcome: &mut Outcome) -> Ending {
     let Ok(body) = response.json::<Value>().limit(ANSWER_LIMIT).await else {
         return Ending::Lost("whole answer broke off".to_owned());
     };
@@ -264,14 +269,14 @@
     let count = text.split_inclusive(' ').count();
     outcome.tokens = u32::try_from(count).unwrap_or(u32::MAX);
     let own: String = (0..outcome.tokens)
-        .map(|i| token(&outcome.arrival, i))
+        .map(|i| expected_token(&outcome.arrival, i))
         .collect();
     outcome.corrupted = text != own;
     Ending::Completed
 }
 
 /// Takes in a plain service's answer.
-async fn called(mut response: awc::ClientResponse, outcome: &mut Outcome) -> Ending {
+async fn read_call(mut response: awc::ClientResponse, outcome: &mut Outcome) -> Ending {
     let Ok(body) = response.json::<Value>().await else {
         return Ending::Lost("plain answer broke off".to_owned());
     };
@@ -280,18 +285,18 @@
 }
 
 /// The text that the stand-in makes as token number `i` of a request.
-fn token(arrival: &Arrival, i: u32) -> String {
+fn expected_token(arrival: &Arrival, i: u32) -> String {
     format!("{}:{i} ", arrival.mark)
 }
 
-fn told(body: &Value) -> Option<ErrorReply> {
+fn parse_error(body: &Value) -> Option<ErrorReply> {
     let word = |key: &str| body["error"][key].as_str().unwrap_or("").to_owned();
     let (reason, ran) = (word("type"), word("ran"));
     (!reason.is_empty()).then_some(ErrorReply { reason, ran })
 }
 
 #[derive(Debug, Deserialize)]
-struct Event {
+struct StreamEvent {
     #[serde(default)]
     choices: Vec<Choice>,
     error: Option<Value>,
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -18,7 +18,7 @@
 const THREADS: usize = 4;
 
 /// How often progress is shown.
-const SHOW: Duration = Duration::from_secs(1);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Counts of a run as it goes on.
 #[derive(Debug, Default)]
@@ -48,7 +48,7 @@
         .collect();
     let shown = progress.then(|| {
         let (counts, over) = (Arc::clone(&counts), Arc::clone(&over));
-        thread::spawn(move || show(&counts, &over, start))
+        thread::spawn(move || print_progress(&counts, &over, start))
     });
 
     let mut outcomes = Vec::with_capacity(arrivals.len());
@@ -79,7 +79,7 @@
             let (counts, sent) = (Arc::clone(counts), arrival.clone());
             let call = actix_rt::spawn(async move {
                 let outcome = caller::send_request(http, &balancer, arrival).await;
-                counts.note(&outcome.ending);
+                counts.record(&outcome.ending);
                 outcome
             });
             calls.push((sent, call));
@@ -99,7 +99,7 @@
 }
 
 impl Counts {
-    fn note(&self, ending: &Ending) {
+    fn record(&self, ending: &Ending) {
         let count = match ending {
             Ending::Completed => &self.whole,
             Ending::Refused(_) => &self.refused,
@@ -112,10 +112,10 @@
 }
 
 /// Prints a line of progress every second.
-fn show(counts: &Counts, over: &AtomicBool, start: Instant) {
+fn print_progress(counts: &Counts, over: &AtomicBool, start: Instant) {
     let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
     while !over.load(Ordering::Relaxed) {
-        thread::sleep(SHOW);
+        thread::sleep(PROGRESS_INTERVAL);
         eprintln!(
             "second={} sent={} whole={} refused={} broken={} lost={}",
             start.elapsed().as_secs(),
--- a/crates/load/src/evaluation.rs
+++ b/crates/load/src/evaluation.rs
@@ -11,7 +11,7 @@
 use crate::report::{ClassReport, Quantiles, Report};
 
 /// Longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// Judges the outcomes of `sent` requests. A request without an outcome is
 /// lost.
@@ -35,7 +35,7 @@
         report.classes.insert(name.clone(), class);
 
         for outcome in of_class {
-            count_faults(&mut report, outcome, ledger);
+            count_violations(&mut report, outcome, ledger);
             let tokens = u64::from(outcome.tokens);
             whole_tokens += if is_complete(outcome) { tokens } else { 0 };
             useful += if met_targets(class_workload, outcome) {
@@ -48,13 +48,13 @@
 
     report.tokens_made = ledger.all().values().map(|s| u64::from(s.tokens)).sum();
     report.tokens_wasted = report.tokens_made.saturating_sub(whole_tokens);
-    report.wasted_share = share(report.tokens_wasted, report.tokens_made);
+    report.wasted_share = ratio(report.tokens_wasted, report.tokens_made);
     report.goodput = useful as f64 / workload.seconds;
     report
 }
 
 /// Counts what must never happen.
-fn count_faults(report: &mut Report, outcome: &Outcome, ledger: &Ledger) {
+fn count_violations(report: &mut Report, outcome: &Outcome, ledger: &Ledger) {
     let seen = ledger.seen(&outcome.arrival.mark);
     let told_no = |told: &ErrorReply| told.ran == "no";
     report.corrupted += u64::from(outcome.corrupted);
@@ -85,7 +85,7 @@
         tier: class_workload.tier,
         ..ClassReport::default()
     };
-    let (mut first, mut gap) = (Times::new(), Times::new());
+    let (mut first, mut gap) = (LatencyHistogram::new(), LatencyHistogram::new());
     for outcome in outcomes {
         report.offered += 1;
         match &outcome.ending {
@@ -99,11 +99,11 @@
         report.whole += u64::from(is_complete(outcome));
         report.in_target += u64::from(met_targets(class_workload, outcome));
         if let Some(ttft) = outcome.ttft {
-            first.add(ttft);
-            gap.add(mean_gap(outcome));
+            first.record(ttft);
+            gap.record(mean_gap(outcome));
         }
     }
-    report.attainment = share(report.in_target, report.offered);
+    report.attainment = ratio(report.in_target, report.offered);
     report.ttft_ms = first.quantiles();
     report.gap_ms = gap.quantiles();
     report
@@ -130,7 +130,7 @@
     outcome.total.saturating_sub(first) / gaps
 }
 
-fn share(part: u64, whole: u64) -> f64 {
+fn ratio(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 0.0;
     }
@@ -138,14 +138,14 @@
 }
 
 /// Times in microseconds, with three significant digits.
-struct Times(Option<Histogram<u64>>);
+struct LatencyHistogram(Option<Histogram<u64>>);
 
-impl Times {
+impl LatencyHistogram {
     fn new() -> Self {
-        Self(Histogram::new_with_bounds(1, LONGEST_US, 3).ok())
+        Self(Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).ok())
     }
 
-    fn add(&mut self, time: Duration) {
+    fn record(&mut self, time: Duration) {
         let us = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         if let Some(histogram) = &mut self.0 {
             histogram.saturating_record(us);
