--- a/crates/demo/src/arm.rs
+++ b/crates/demo/src/arm.rs
@@ -1,4 +1,4 @@
-//! The policies that a comparison sets side by side.
+//! The routing policies that a comparison runs.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -7,8 +7,8 @@
 use policy::queue::QueuePolicy;
 use serde::{Deserialize, Serialize};
 
-/// A policy of the router: the shipped one, or one in which exactly one thing
-/// is as a plain router has it, or one in which all are.
+/// A routing policy: the shipped one, a variant with one feature replaced by
+/// its simpler alternative, or a baseline with all features replaced.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Arm {
@@ -16,27 +16,30 @@
     #[default]
     #[serde(rename = "late")]
     LateBinding,
-    /// One server at random is asked.
+    /// Sends to a random server.
     Random,
-    /// The server with the least load by late reports is asked.
+    /// Sends to the server with the least load in the last, possibly stale,
+    /// load reports.
     LeastLoaded,
-    /// The less loaded of two by late reports is asked.
+    /// Sends to the less loaded of two random servers, by the last load
+    /// reports.
     TwoChoices,
-    /// Queues go first come, first served, without tiers.
+    /// Serves queues first come, first served, without tiers.
     Fifo,
-    /// Queues hold what cannot meet its target until that has passed.
+    /// Queues requests that cannot meet their target, until it has passed,
+    /// instead of refusing them.
     NoAdmission,
-    /// Retries are not limited by a budget.
+    /// Retries without a budget.
     NoRetryBudget,
-    /// The less loaded of two by late reports, first come, first served,
-    /// without admission and retry budget: what a router without late binding
-    /// and tiers does.
+    /// A router without late binding and tiers: sends to the less loaded of
+    /// two by load reports, first come, first served, without admission
+    /// control and retry budget.
     #[serde(rename = "plain")]
     Baseline,
 }
 
 impl Arm {
-    /// Every arm.
+    /// All arms.
     pub const ALL: [Self; 8] = [
         Self::LateBinding,
         Self::Random,
@@ -48,7 +51,7 @@
         Self::Baseline,
     ];
 
-    /// The arm's name.
+    /// The arm's name on the command line and in reports.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Sets an entry up for the arm.
+    /// Applies the arm to an entry's settings.
     pub fn configure_entry(self, settings: &mut entry::Settings) {
         let routing = &mut settings.routing;
         match self {
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Sets a sidecar up for the arm.
+    /// Applies the arm to a sidecar's settings.
     pub fn configure_sidecar(self, settings: &mut sidecar::Settings) {
         match self {
             Self::Fifo | Self::Baseline => settings.queue.policy = QueuePolicy::Fifo,
@@ -106,7 +109,7 @@
         let found = Self::ALL.into_iter().find(|arm| arm.as_str() == text);
         found.ok_or_else(|| {
             let known: Vec<_> = Self::ALL.iter().map(|a| a.as_str()).collect();
-            format!("no arm {text:?}; expected one of {}", known.join(", "))
+            format!("unknown arm {text:?}; expected one of {}", known.join(", "))
         })
     }
 }
--- a/crates/demo/src/changes.rs
+++ b/crates/demo/src/changes.rs
@@ -1,4 +1,5 @@
-//! Changes of the bundle while a demo runs, and how fast they are in force.
+//! Changes of the bundle during a run, and the time until all daemons apply
+//! them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,32 +13,32 @@
 
 use crate::rollout::Rollout;
 
-/// How long a publication is tried, and the pause between tries.
+/// Time limit of a publication's retries, and the interval between them.
 const PUBLISH_TIMEOUT: Duration = Duration::from_secs(15);
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long every daemon has to come up to a change.
+/// Time limit for all daemons to apply a change.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a daemon shows of the bundle that it goes by.
+/// The part of a daemon's status about the bundle that it applies.
 #[derive(Debug, Deserialize)]
 struct DaemonStatus {
     sequence: BundleSequence,
 }
 
-/// What an operator changes.
+/// A change of the bundle by operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// One operator publishes.
+    /// One operator publishes a bundle.
     Publish,
-    /// Two operators publish at once.
+    /// Two operators publish different bundles at the same time.
     Race,
-    /// One operator goes back to the first version.
+    /// One operator rolls back to the first version.
     Rollback,
 }
 
-/// Makes a change and waits until it is in force everywhere; says how long
-/// that took, on one line.
+/// Makes a change and waits until all daemons apply it. Returns one line with
+/// the outcomes and the time it took.
 #[must_use]
 pub fn apply_change(
     change: Change,
@@ -55,17 +56,17 @@
                 vec![one, two]
             }
         };
-        let won = outcomes.iter().find_map(|outcome| match outcome {
+        let accepted = outcomes.iter().find_map(|outcome| match outcome {
             Outcome::Accepted(sequence) => Some(*sequence),
             _ => None,
         });
-        let Some(sequence) = won else {
+        let Some(sequence) = accepted else {
             return format!("change={change:?} outcomes={outcomes:?} in_force=never");
         };
         match wait_in_force(sequence, daemons).await {
-            Some(took) => format!(
+            Some(elapsed) => format!(
                 "change={change:?} outcomes={outcomes:?} in_force_everywhere={:.3}s daemons={}",
-                took.as_secs_f64(),
+                elapsed.as_secs_f64(),
                 daemons.len()
             ),
             None => format!("change={change:?} outcomes={outcomes:?} in_force=late"),
@@ -73,8 +74,8 @@
     })
 }
 
-/// Waits until a daemon that was just replaced goes by the newest version
-/// that any of the others has; says how long that took, on one line.
+/// Waits until a daemon that was just replaced applies the newest version that
+/// any other daemon has. Returns one line with the time it took.
 #[must_use]
 pub fn wait_for_catch_up(daemon: SocketAddr, others: &[SocketAddr]) -> String {
     actix_rt::System::new().block_on(async {
@@ -84,16 +85,17 @@
             newest = newest.max(fetch_sequence(&http, *other).await.unwrap_or_default());
         }
         match wait_in_force(newest, &[daemon]).await {
-            Some(took) => format!(
+            Some(elapsed) => format!(
                 "replaced={daemon} version={newest} in_force={:.3}s",
-                took.as_secs_f64()
+                elapsed.as_secs_f64()
             ),
             None => format!("replaced={daemon} version={newest} in_force=late"),
         }
     })
 }
 
-/// A bundle that differs from all others by one workspace that nobody uses.
+/// The bundle with an added, unused workspace, so that it differs from all
+/// others.
 fn with_marker(bundle: &Bundle, mark: &str) -> Bundle {
     let mut bundle = bundle.clone();
     let workspace = bundle::Workspace {
@@ -135,16 +137,16 @@
     .await
 }
 
-/// Tries for as long as the outcome is unknown, as an operator who is told to
-/// look again does.
+/// Retries while the outcome is unknown, as an operator does who is told to
+/// check the log again.
 async fn publish_with_retries(
     mut publish: impl AsyncFnMut(&mut Publisher) -> Outcome,
     rollout: &Rollout,
 ) -> Outcome {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut publisher = Publisher::new(Log::new(rollout.log), rollout.operators());
     let mut outcome = Outcome::Unknown;
-    while outcome == Outcome::Unknown && began.elapsed() < PUBLISH_TIMEOUT {
+    while outcome == Outcome::Unknown && started.elapsed() < PUBLISH_TIMEOUT {
         if publisher.read().await.is_ok() {
             outcome = publish(&mut publisher).await;
         }
@@ -153,29 +155,30 @@
     outcome
 }
 
-/// Time until every daemon that answers goes by the version or a later one.
-async fn wait_in_force(sought: BundleSequence, daemons: &[SocketAddr]) -> Option<Duration> {
-    let began = Instant::now();
+/// Waits until all daemons report this version or a later one and returns the
+/// time it took; `None` at the timeout.
+async fn wait_in_force(target: BundleSequence, daemons: &[SocketAddr]) -> Option<Duration> {
+    let started = Instant::now();
     let http = awc::Client::default();
     for daemon in daemons {
         loop {
-            let shown = fetch_sequence(&http, *daemon).await;
-            if shown.is_some_and(|shown| shown >= sought) {
+            let sequence = fetch_sequence(&http, *daemon).await;
+            if sequence.is_some_and(|sequence| sequence >= target) {
                 break;
             }
-            if began.elapsed() > IN_FORCE_TIMEOUT {
+            if started.elapsed() > IN_FORCE_TIMEOUT {
                 return None;
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
-    Some(began.elapsed())
+    Some(started.elapsed())
 }
 
-/// The version that a daemon goes by, if it answers.
+/// The version that a daemon applies, if it answers.
 async fn fetch_sequence(http: &awc::Client, daemon: SocketAddr) -> Option<BundleSequence> {
     let url = format!("http://{daemon}/status");
     let mut answer = http.get(url).send().await.ok()?;
-    let shown: DaemonStatus = answer.json().await.ok()?;
-    Some(shown.sequence)
+    let status: DaemonStatus = answer.json().await.ok()?;
+    Some(status.sequence)
 }
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -1,13 +1,13 @@
-//! A fleet's daemons and stand-ins, each on a thread and an address of its
-//! own on loopback.
+//! A fleet's daemons and stand-ins, each on its own thread and loopback
+//! address.
 
-use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::subnet::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
 use base::ids::Offset;
 use base::settings::HumanDuration;
 use bundle::Bundle;
-use clients::hosts::{Host as Listed, Role as Kind, Standing};
+use clients::hosts::{Host as ListedHost, Role as HostRole, Standing};
 use entry::settings::{Drain, Keys, Known, Roster, Routing};
 use policy::queue::QueueSettings;
 use sidecar::settings::Backend;
@@ -22,75 +22,76 @@
 };
 use crate::rollout::Rollout;
 
-/// Port on which every daemon listens, each on an address of its own.
+/// Port on which every daemon listens; their addresses differ.
 const PORT: u16 = 7100;
 
-/// Port of every daemon's operators' address.
+/// Port of every daemon's operators' endpoints.
 const OPERATORS_PORT: u16 = 7101;
 
-/// Calls that a plain service takes at once.
+/// Number of concurrent calls of a plain service.
 const PLAIN_SLOTS: usize = 16;
 
-/// How a fleet is laid out.
+/// The configuration of a fleet.
 #[derive(Debug, Clone)]
 pub struct Layout {
-    /// Whose fleet.
+    /// The user's fleet.
     pub fleet: Fleet,
-    /// The bundle in force.
+    /// The bundle published at the start.
     pub bundle: Bundle,
     /// Seed of the daemons' random choices.
     pub seed: u64,
-    /// The router's policy.
+    /// The routing policy.
     pub arm: Arm,
-    /// Whether entries and sidecars are reached through forwarders whose
-    /// connections can go silent.
+    /// Whether sidecars and backend servers are reached through forwarders
+    /// that can silence their connections.
     pub needs_forwarders: bool,
     /// The platform's log, through which the bundle is published.
     pub rollout: Rollout,
-    /// The first two numbers of all addresses.
+    /// The first two octets of all addresses.
     subnet: [u8; 2],
 }
 
-/// A fleet that runs.
+/// A running fleet.
 pub struct Cluster {
     layout: Layout,
-    /// The forwarder before the log, which counts bytes.
+    /// The forwarder in front of the log, which counts bytes.
     log_link: (Daemon, Control<silence::Faults>),
     /// The entries.
     pub entries: Vec<Daemon>,
     /// The backend servers, model engines first.
     pub servers: Vec<Server>,
-    /// The platform's list of hosts, and what really is there.
+    /// The platform's list of hosts, and the registry that it serves.
     pub hosts: (Daemon, Registry),
     /// The platform's log.
     pub log: Daemon,
-    /// What the stand-ins saw.
+    /// The requests that the stand-ins ran.
     pub ledger: Ledger,
 }
 
-/// A backend server's host: the backend server and the sidecar beside it.
+/// A backend server's host: the backend server and its sidecar.
 pub struct Server {
     /// The backend server.
     pub backend: Daemon,
-    /// Its faults.
+    /// The control of its faults.
     pub faults: Faults,
     /// The sidecar.
     pub sidecar: Daemon,
-    /// The forwarder before the sidecar, if there is one, and its faults.
+    /// The forwarder in front of the sidecar, if there is one, and its faults.
     pub sidecar_link: Option<(Daemon, Control<silence::Faults>)>,
-    /// The forwarder before the backend server, if there is one.
+    /// The forwarder in front of the backend server, if there is one, and its
+    /// faults.
     pub backend_link: Option<(Daemon, Control<silence::Faults>)>,
 }
 
-/// The faults of a backend server.
+/// The control of a backend server's faults.
 pub enum Faults {
-    /// Of a model engine.
+    /// Faults of a model engine.
     Engine(Control<engine::Faults>),
-    /// Of a plain service.
+    /// Faults of a plain service.
     Plain(Control<plain::Faults>),
 }
 
-/// The part of the addresses that a kind of daemon has.
+/// The kinds of daemons; the number is the third octet of their addresses.
 #[derive(Debug, Clone, Copy)]
 enum Role {
     Entry = 1,
@@ -104,25 +105,25 @@
 }
 
 impl Layout {
-    /// Lays out a fleet.
+    /// Configures a fleet with the shipped policy.
     #[must_use]
     pub fn new(fleet: Fleet, bundle: Bundle, seed: u64) -> Self {
-        // Each process has a part of loopback of its own, so that several
-        // demos can run side by side.
+        // Each process uses its own subnet of loopback, so that several demos
+        // can run at the same time.
         let [_, _, a, b] = std::process::id().to_be_bytes();
-        let net = [127, a.wrapping_add(b).max(1)];
+        let subnet = [127, a.wrapping_add(b).max(1)];
         Self {
             fleet,
             bundle,
             seed,
             arm: Arm::default(),
             needs_forwarders: false,
-            rollout: Rollout::new(addr(net, Role::Log, 0)),
-            subnet: net,
+            rollout: Rollout::new(addr(subnet, Role::Log, 0)),
+            subnet: subnet,
         }
     }
 
-    /// Where the entries listen.
+    /// Addresses at which the entries listen.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
         (0..ENTRY_COUNT)
@@ -130,7 +131,8 @@
             .collect()
     }
 
-    /// Starts every daemon and stand-in.
+    /// Starts all daemons and stand-ins, publishes the bundle and waits until
+    /// the daemons are ready.
     #[must_use]
     pub fn start(self) -> Cluster {
         let ledger = Ledger::default();
@@ -157,13 +159,13 @@
         let count = self.fleet.engine_count() + PLAIN_SERVERS;
         let sidecars = (0..count)
             .map(|i| self.sidecar_record(i))
-            .map(|known| Listed {
-                name: known.name,
-                addr: known.addr,
-                zone: known.zone,
+            .map(|record| ListedHost {
+                name: record.name,
+                addr: record.addr,
+                zone: record.zone,
                 region: self.fleet.name().to_owned(),
-                role: Kind::Sidecar,
-                serves: known.serves,
+                role: HostRole::Sidecar,
+                serves: record.serves,
                 standing: Standing::Live,
             });
         let registry = Registry::new(sidecars.collect());
@@ -173,10 +175,10 @@
             faults: hosts::Faults::default(),
         };
         let served = registry.clone();
-        let host = Daemon::start("hosts", move |stop| {
+        let daemon = Daemon::start("hosts", move |stop| {
             hosts::run(settings.clone(), served.clone(), stop)
         });
-        (host, registry)
+        (daemon, registry)
     }
 
     fn start_server(&self, i: u8, ledger: &Ledger) -> Server {
@@ -210,10 +212,10 @@
         };
         let faults = Control::new(settings.faults.clone());
         let control = faults.clone();
-        let host = Daemon::start(&format!("engine-{i}"), move |stop| {
+        let daemon = Daemon::start(&format!("engine-{i}"), move |stop| {
             engine::run_with(settings.clone(), control.clone(), ledger.clone(), stop)
         });
-        (host, Faults::Engine(faults))
+        (daemon, Faults::Engine(faults))
     }
 
     fn start_plain(&self, i: u8, ledger: Ledger) -> (Daemon, Faults) {
@@ -224,10 +226,10 @@
         };
         let faults = Control::new(settings.faults.clone());
         let control = faults.clone();
-        let host = Daemon::start(&format!("plain-{i}"), move |stop| {
+        let daemon = Daemon::start(&format!("plain-{i}"), move |stop| {
             plain::run_with(settings.clone(), control.clone(), ledger.clone(), stop)
         });
-        (host, Faults::Plain(faults))
+        (daemon, Faults::Plain(faults))
     }
 
     fn start_sidecar(&self, i: u8) -> Daemon {
@@ -248,10 +250,10 @@
                 timeout: HumanDuration::secs(5),
             },
         };
-        let known = self.sidecar_record(i);
+        let record = self.sidecar_record(i);
         let mut settings = sidecar::Settings {
-            name: known.name.clone(),
-            zone: known.zone,
+            name: record.name.clone(),
+            zone: record.zone,
             listen: self.addr(Role::Sidecar, i),
             operators: Some(self.operators_addr(Role::Sidecar, i)),
             follow: Some(self.follow()),
@@ -267,7 +269,7 @@
             log_level: base::logging::Level::Warn,
         };
         self.arm.configure_sidecar(&mut settings);
-        Daemon::start(&known.name, move |stop| {
+        Daemon::start(&record.name, move |stop| {
             sidecar::run(settings.clone(), stop)
         })
     }
@@ -287,7 +289,8 @@
                 ..Roster::default()
             },
             drain: Drain {
-                // The demo's callers go on to the next entry at once.
+                // The load generator tries the next entry at once, so the
+                // entry need not linger for a slow load balancer.
                 linger: HumanDuration::ms(100),
                 ..Drain::default()
             },
@@ -303,15 +306,15 @@
         Daemon::start(&name, move |stop| entry::run(settings.clone(), None, stop))
     }
 
-    /// What daemons need to follow the log. They reach it through a forwarder
-    /// that counts their bytes.
+    /// The daemons' settings for following the log, which they reach through
+    /// a forwarder that counts their bytes.
     fn follow(&self) -> follow::Settings {
         let mut settings = self.rollout.follow_settings();
         settings.log = self.addr(Role::LogLink, 0);
         settings
     }
 
-    /// A backend server's sidecar as entries know it.
+    /// A backend server's sidecar as listed for the entries.
     fn sidecar_record(&self, i: u8) -> Known {
         let serves = match i < self.fleet.engine_count() {
             true => self.fleet.model(),
@@ -334,7 +337,7 @@
         addr(self.subnet, role, i)
     }
 
-    /// The operators' addresses of all daemons.
+    /// The operators' addresses of all entries and sidecars.
     fn operators_addrs(&self) -> Vec<SocketAddr> {
         let count = self.fleet.engine_count() + PLAIN_SERVERS;
         let entries = (0..ENTRY_COUNT).map(|i| self.operators_addr(Role::Entry, i));
@@ -342,14 +345,14 @@
         entries.chain(sidecars).collect()
     }
 
-    /// The operators' address of a daemon.
+    /// The operators' address of one daemon.
     fn operators_addr(&self, role: Role, i: u8) -> SocketAddr {
         SocketAddr::new(self.addr(role, i).ip(), OPERATORS_PORT)
     }
 }
 
 impl Cluster {
-    /// Changes the bundle; says what became of that.
+    /// Changes the bundle and returns one line about the result.
     #[must_use]
     pub fn apply_change(&self, apply_change: Change) -> String {
         let layout = &self.layout;
@@ -361,13 +364,13 @@
         )
     }
 
-    /// Ends an entry gracefully and starts a fresh one in its place; says how
-    /// soon that has the bundle in force.
+    /// Stops an entry gracefully and starts a new one in its place. Returns one
+    /// line with the time until that applies the newest bundle.
     #[must_use]
     pub fn replace_entry(&self, i: u8) -> Option<String> {
-        let host = self.entries.get(usize::from(i))?;
-        host.stop();
-        host.restart();
+        let daemon = self.entries.get(usize::from(i))?;
+        daemon.stop();
+        daemon.restart();
         let fresh = self.layout.operators_addr(Role::Entry, i);
         Some(changes::wait_for_catch_up(
             fresh,
@@ -375,13 +378,13 @@
         ))
     }
 
-    /// What goes wrong with the log.
+    /// The control of the log's faults.
     #[must_use]
     pub fn log_faults(&self) -> &Control<standin::log::Faults> {
         &self.layout.rollout.faults
     }
 
-    /// What the daemons and the log cost each other in `seconds`, on one line.
+    /// The traffic between daemons and log over `seconds`, on one line.
     #[must_use]
     pub fn control_traffic(&self, seconds: f64) -> String {
         let bytes = self.log_link.1.get().bytes.total() as f64;
@@ -394,7 +397,7 @@
         )
     }
 
-    /// Records in the log's streams.
+    /// The number of records in the log's streams.
     async fn count_appends(&self) -> u64 {
         let log = clients::log::Log::new(self.layout.rollout.log);
         let mut all = 0;
@@ -405,13 +408,14 @@
         all
     }
 
-    /// Whose fleet it is.
+    /// The user's fleet that runs.
     #[must_use]
     pub fn fleet(&self) -> Fleet {
         self.layout.fleet
     }
 
-    /// Ends every daemon gracefully, callers' side first.
+    /// Stops all daemons gracefully: entries first, then sidecars, then the
+    /// stand-ins, so that requests in progress can complete.
     pub fn stop(self) {
         let stages: [Vec<&Daemon>; 3] = [
             self.entries.iter().collect(),
@@ -423,8 +427,8 @@
                 .collect(),
         ];
         for stage in stages {
-            stage.iter().for_each(|host| host.request_stop());
-            stage.iter().for_each(|host| host.stop());
+            stage.iter().for_each(|daemon| daemon.request_stop());
+            stage.iter().for_each(|daemon| daemon.stop());
         }
         self.log_link.0.stop();
         self.log.stop();
@@ -432,26 +436,26 @@
 }
 
 impl Server {
-    /// The stand-ins of the platform.
+    /// The backend server and the forwarders.
     fn backend_side(&self) -> Vec<&Daemon> {
         let forwarders = self.sidecar_link.iter().chain(&self.backend_link);
         forwarders
-            .map(|(host, _)| host)
+            .map(|(daemon, _)| daemon)
             .chain([&self.backend])
             .collect()
     }
 }
 
-fn addr(net: [u8; 2], role: Role, i: u8) -> SocketAddr {
-    let ip = Ipv4Addr::new(net[0], net[1], role as u8, i + 1);
+fn addr(subnet: [u8; 2], role: Role, i: u8) -> SocketAddr {
+    let ip = Ipv4Addr::new(subnet[0], subnet[1], role as u8, i + 1);
     SocketAddr::new(IpAddr::V4(ip), PORT)
 }
 
 fn start_forwarder(listen: SocketAddr, target: SocketAddr) -> (Daemon, Control<silence::Faults>) {
     let faults = Control::new(silence::Faults::default());
     let control = faults.clone();
-    let host = Daemon::start("forwarder", move |stop| {
+    let daemon = Daemon::start("forwarder", move |stop| {
         silence::run(listen, target, control.clone(), stop)
     });
-    (host, faults)
+    (daemon, faults)
 }
--- a/crates/demo/src/compare.rs
+++ b/crates/demo/src/compare.rs
@@ -1,4 +1,4 @@
-//! Arms of a comparison, side by side on the same seeded arrivals.
+//! Runs of several policies on the same seeded requests.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -10,16 +10,16 @@
 use crate::arm::Arm;
 use crate::oracle::{Oracle, oracle};
 
-/// Length of the windows in which each lower class has to be served, in
-/// seconds.
+/// Length of the windows over which the answers of each lower-tier class are
+/// counted, in seconds.
 const WINDOW_S: f64 = 10.0;
 
 /// The runs of all arms.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The arms in the order in which they ran.
+    /// The arms in their order of execution.
     pub arms: Vec<ArmRuns>,
-    /// Goodput that an oracle would reach, by seed.
+    /// The oracle's goodput in tokens per second, by seed.
     pub oracle: BTreeMap<u64, f64>,
 }
 
@@ -28,7 +28,7 @@
 pub struct ArmRuns {
     /// The arm.
     pub arm: Arm,
-    /// Its runs by seed.
+    /// The runs by seed.
     pub runs: BTreeMap<u64, ArmRun>,
 }
 
@@ -37,33 +37,35 @@
 pub struct ArmRun {
     /// The report.
     pub report: Report,
-    /// The fewest answers of a lower-tier class that ended whole in any
-    /// window of ten seconds; absent when the run is shorter.
+    /// The smallest number of complete answers of any lower-tier class in any
+    /// window of ten seconds; `None` if the run is shorter.
     pub least_served: Option<u64>,
 }
 
 /// Medians over the seeds of one arm.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Medians {
-    /// Share of top-tier requests in target.
+    /// Share of top-tier requests that met their targets.
     pub top: f64,
-    /// Top-tier requests not in target.
+    /// Number of top-tier requests that missed a target.
     pub misses: f64,
-    /// Share of lower-tier completions in target.
+    /// Share of lower-tier requests that met their targets.
     pub lower: f64,
-    /// Tokens a second in target.
+    /// Tokens per second of answers that met their targets.
     pub goodput: f64,
     /// Goodput as a share of the oracle's.
     pub oracle_share: f64,
-    /// Share of tokens wasted.
+    /// Share of the generated tokens that were wasted.
     pub wasted: f64,
-    /// The most of the four things that must never happen.
+    /// The largest number of guarantee violations in one run: duplicated,
+    /// lost and corrupted requests, and false statements of not having run.
     pub violations: u64,
-    /// The fewest answers of a lower class in any window.
+    /// The smallest number of complete answers of any lower-tier class in any
+    /// window, over all runs.
     pub least_served: Option<u64>,
 }
 
-/// Runs the arms in turn for each seed.
+/// Runs all arms one after the other for each seed.
 #[must_use]
 pub fn compare(options: &Options, arms: &[Arm], seeds: &[u64]) -> Comparison {
     let mut comparison = Comparison::default();
@@ -102,13 +104,14 @@
         }
     }
 
-    /// Top-tier requests offered and in target.
+    /// Numbers of top-tier requests offered and within their targets.
     fn top_tier(&self) -> (u64, u64) {
         sum_tiers(self, |tier| tier == 0)
     }
 }
 
-/// Requests offered and in target of the tiers that `chosen` picks.
+/// Numbers of requests offered and within their targets, over the tiers that
+/// `chosen` accepts.
 fn sum_tiers(run: &ArmRun, chosen: impl Fn(u8) -> bool) -> (u64, u64) {
     let classes = run.report.classes.values().filter(|c| chosen(c.tier));
     classes.fold((0, 0), |(offered, met), c| {
@@ -117,7 +120,8 @@
 }
 
 impl ArmRuns {
-    /// The arm's medians, against the oracle's goodput by seed.
+    /// The medians over the arm's runs; `oracle` is the oracle's goodput by
+    /// seed.
     #[must_use]
     pub fn medians(&self, oracle: &BTreeMap<u64, f64>) -> Medians {
         let runs = || self.runs.values();
@@ -150,7 +154,8 @@
     }
 }
 
-/// The fewest answers of a lower-tier class that ended whole in any window.
+/// The smallest number of complete answers of any lower-tier class in any
+/// window. Windows start at every full second.
 fn least_served(workload: &Workload, run: &RunResult) -> Option<u64> {
     let mut least = None;
     for (name, _) in workload.classes.iter().filter(|(_, flow)| flow.tier > 0) {
--- a/crates/demo/src/daemon.rs
+++ b/crates/demo/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon on a thread of its own, as it would have a host of its own.
+//! One daemon on its own thread, which stands for its own host.
 
 use std::io;
 use std::pin::Pin;
@@ -10,7 +10,7 @@
 use base::stop::StopSignal;
 use spdlog::error;
 
-/// How often a host looks whether it should pause.
+/// Interval at which a daemon's thread checks for a requested pause.
 const PAUSE_POLL: Duration = Duration::from_millis(5);
 
 type RunFn = dyn Fn(StopSignal) -> Pin<Box<dyn Future<Output = io::Result<()>>>> + Send + Sync;
@@ -22,32 +22,32 @@
     instance: Mutex<Option<Instance>>,
 }
 
-/// One life of a daemon.
+/// A running instance of a daemon.
 struct Instance {
-    /// Asks it to end when everything in progress has.
+    /// Requests a graceful stop, after the requests in progress.
     stop: StopSignal,
-    /// Ends it at once.
+    /// Stops it at once.
     kill: StopSignal,
-    /// Time for which its thread should stand still, in milliseconds.
+    /// Requested pause of its thread, in milliseconds; 0 for none.
     pause: Arc<AtomicU64>,
     thread: JoinHandle<()>,
 }
 
 impl Daemon {
-    /// Starts a daemon on a new thread. `body` makes its future there, since
-    /// a daemon's state never leaves its thread.
-    pub fn start<F, Fut>(name: &str, body: F) -> Self
+    /// Starts a daemon on a new thread. `run` creates the daemon's future on
+    /// that thread, since the future cannot move between threads.
+    pub fn start<F, Fut>(name: &str, run: F) -> Self
     where
         F: Fn(StopSignal) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = io::Result<()>> + 'static,
     {
-        let host = Self {
+        let daemon = Self {
             name: name.to_owned(),
-            run: Arc::new(move |stop| Box::pin(body(stop))),
+            run: Arc::new(move |stop| Box::pin(run(stop))),
             instance: Mutex::new(None),
         };
-        host.restart();
-        host
+        daemon.restart();
+        daemon
     }
 
     /// The daemon's name.
@@ -56,90 +56,94 @@
         &self.name
     }
 
-    /// Starts a new life, if none runs.
+    /// Starts a new instance, unless one exists.
     pub fn restart(&self) {
-        let mut life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
-        if life.is_none() {
-            *life = spawn(&self.name, Arc::clone(&self.run));
+        let mut instance = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
+        if instance.is_none() {
+            *instance = spawn(&self.name, Arc::clone(&self.run));
         }
     }
 
-    /// Whether the daemon has ended.
+    /// Whether the daemon has stopped.
     #[must_use]
     pub fn has_stopped(&self) -> bool {
-        let life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
-        life.as_ref().is_none_or(|life| life.thread.is_finished())
+        let instance = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
+        instance
+            .as_ref()
+            .is_none_or(|instance| instance.thread.is_finished())
     }
 
-    /// Asks the daemon to end, without waiting for it.
+    /// Requests a graceful stop without waiting for it.
     pub fn request_stop(&self) {
-        let life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(life) = life.as_ref() {
-            life.stop.trigger();
+        let instance = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(instance) = instance.as_ref() {
+            instance.stop.trigger();
         }
     }
 
-    /// Ends the daemon gracefully and waits until it has.
+    /// Stops the daemon gracefully and waits until it has stopped.
     pub fn stop(&self) {
         self.request_stop();
         self.join();
     }
 
-    /// Drops everything that the daemon has at once: its state, its tasks and
-    /// its connections.
+    /// Stops the daemon at once, dropping its state, tasks and connections.
     pub fn crash(&self) {
-        let life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(life) = life.as_ref() {
-            life.kill.trigger();
+        let instance = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(instance) = instance.as_ref() {
+            instance.kill.trigger();
         }
-        drop(life);
+        drop(instance);
         self.join();
     }
 
-    /// Makes the daemon's thread stand still for `time`, beginning soon.
+    /// Blocks the daemon's thread for `time`, starting within a few
+    /// milliseconds.
     pub fn pause(&self, time: Duration) {
-        let life = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(life) = life.as_ref() {
+        let instance = self.instance.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(instance) = instance.as_ref() {
             let ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-            life.pause.store(ms, Ordering::Relaxed);
+            instance.pause.store(ms, Ordering::Relaxed);
         }
     }
 
     fn join(&self) {
-        let life = self
+        let instance = self
             .instance
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .take();
-        if let Some(life) = life {
-            // A panic was printed by the thread itself.
-            let _ = life.thread.join();
+        if let Some(instance) = instance {
+            // The thread itself has printed any panic.
+            let _ = instance.thread.join();
         }
     }
 }
 
-fn spawn(name: &str, body: Arc<RunFn>) -> Option<Instance> {
+fn spawn(name: &str, run: Arc<RunFn>) -> Option<Instance> {
     let (stop, kill) = (StopSignal::new(), StopSignal::new());
     let pause = Arc::new(AtomicU64::new(0));
     let (thread_stop, thread_kill) = (stop.clone(), kill.clone());
-    let (thread_pause, shown) = (Arc::clone(&pause), name.to_owned());
+    let (thread_pause, daemon_name) = (Arc::clone(&pause), name.to_owned());
 
-    let run = move || {
+    let thread_main = move || {
         base::telemetry::with_recorder(|| {
             let system = actix_rt::System::new();
-            let ended = system.block_on(async {
+            let result = system.block_on(async {
                 tokio::select! {
-                    ended = body(thread_stop) => ended,
+                    result = run(thread_stop) => result,
                     () = thread_kill.wait() => Ok(()),
                     () = block_when_paused(&thread_pause) => Ok(()),
                 }
             });
-            if let Err(e) = ended {
-                error!("daemon failed", kv: { name = shown.as_str(), error = e.to_string().as_str() });
+            if let Err(e) = result {
+                error!("daemon failed", kv: { name = daemon_name.as_str(), error = e.to_string().as_str() });
             }
         });
     };
-    let thread = thread::Builder::new().name(name.to_owned()).spawn(run);
+    let thread = thread::Builder::new()
+        .name(name.to_owned())
+        .spawn(thread_main);
     let thread = thread.ok()?;
     Some(Instance {
         stop,
@@ -149,7 +153,7 @@
     })
 }
 
-/// Blocks the daemon's thread whenever it is asked to; never ends.
+/// Blocks the daemon's thread whenever a pause is requested; never returns.
 async fn block_when_paused(pause: &AtomicU64) {
     loop {
         let ms = pause.swap(0, Ordering::Relaxed);
--- a/crates/demo/src/faults.rs
+++ b/crates/demo/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults brought about at set times of a run.
+//! Faults injected at set times of a run.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -9,29 +9,28 @@
 use crate::changes::Change;
 use crate::cluster::{Cluster, Faults, Server};
 
-/// Time between a daemon's end and its next life in a rolling restart.
+/// Time between a daemon's stop and its start in a rolling restart.
 const RESTART_DELAY: Duration = Duration::from_millis(50);
 
-/// Faults with their times.
+/// The faults of a run.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultPlan {
-    /// What happens, in order of time.
+    /// The faults with their times.
     pub events: Vec<ScheduledFault>,
 }
 
-/// One fault and its time.
+/// A fault and its time.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledFault {
-    /// When, from the start of the load.
+    /// Time of the fault, from the start of the load.
     pub at: HumanDuration,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// What goes wrong. Backend servers are named by their number, model engines
-/// first.
+/// A fault. Backend servers are given by their index, model engines first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Fault {
@@ -39,86 +38,88 @@
     Straggler {
         /// The backend server.
         server: usize,
-        /// By how much; 1 ends it.
+        /// The factor; 1 ends the fault.
         pace: f64,
     },
-    /// All load reports lag.
+    /// The load reports of all engines are delayed.
     ReportLag {
-        /// By how much.
+        /// The delay.
         lag: HumanDuration,
     },
-    /// Cache events of all engines come late and with gaps.
+    /// Cache events of all engines are delayed, and some are dropped.
     CacheEvents {
-        /// By how much.
+        /// The delay.
         lag: HumanDuration,
-        /// Share that never comes.
+        /// Share of events that are dropped.
         gap: f64,
     },
-    /// A backend server crashes; its sidecar lives on.
+    /// A backend server crashes; its sidecar keeps running.
     CrashBackend {
         /// The backend server.
         server: usize,
-        /// When it comes back, if it does.
+        /// Time after the crash at which it restarts; `None` for never.
         #[serde(rename = "back")]
         restart_after: Option<HumanDuration>,
     },
-    /// A backend server's host crashes, with its sidecar.
+    /// A backend server's host crashes, including the sidecar.
     CrashHost {
         /// The backend server.
         server: usize,
-        /// When it comes back, if it does.
+        /// Time after the crash at which it restarts; `None` for never.
         #[serde(rename = "back")]
         restart_after: Option<HumanDuration>,
     },
-    /// A sidecar stands still.
+    /// A sidecar's thread is blocked.
     PauseSidecar {
-        /// The backend server that it stands beside.
+        /// The sidecar's backend server.
         server: usize,
-        /// For how long.
+        /// Duration.
         time: HumanDuration,
     },
-    /// Open connections to a sidecar go silent for good.
+    /// Open connections to a sidecar stop carrying data, without being closed.
     SilenceSidecar {
-        /// The backend server that it stands beside.
+        /// The sidecar's backend server.
         server: usize,
     },
-    /// Open connections to a backend server go silent for good.
+    /// Open connections to a backend server stop carrying data, without being
+    /// closed.
     SilenceBackend {
         /// The backend server.
         server: usize,
     },
-    /// An entry ends gracefully and a fresh one takes its place.
+    /// An entry stops gracefully and a new one takes its place.
     ReplaceEntry {
         /// The entry.
         entry: u8,
     },
-    /// The platform's list of hosts goes wrong.
+    /// The platform's list of hosts is faulty.
     HostList {
-        /// In what way; empty ends it.
+        /// The faults of the list; no faults end it.
         faults: standin::hosts::Faults,
     },
-    /// The log answers nobody.
+    /// The log answers no requests.
     LogOutage {
-        /// For how long.
+        /// Duration.
         time: HumanDuration,
     },
-    /// Replies of the log are lost after the appends took effect.
+    /// Appends to the log take effect, but their replies are lost.
     LogLosesReplies {
-        /// Of how many appends.
+        /// Number of appends.
         count: u32,
     },
     /// An operator publishes a changed bundle.
     Publish,
     /// Two operators publish different bundles at once.
     RacePublish,
-    /// An operator goes back to the first version of the bundle.
+    /// An operator rolls back to the first version of the bundle.
     Rollback,
-    /// Every sidecar and entry in turn ends gracefully and starts again.
+    /// All sidecars and then all entries are restarted gracefully, one at a
+    /// time.
     RollingRestart,
 }
 
 impl FaultPlan {
-    /// Whether the plan needs forwarders whose connections can go silent.
+    /// Whether the plan silences connections, which needs forwarders.
     #[must_use]
     pub fn needs_forwarders(&self) -> bool {
         let silence = |e: &ScheduledFault| {
@@ -130,7 +131,7 @@
         self.events.iter().any(silence)
     }
 
-    /// Brings the faults about at their times; returns after the last.
+    /// Injects the faults at their times; returns after the last.
     pub fn run(&self, cluster: &Cluster) {
         let start = Instant::now();
         thread::scope(|scope| {
@@ -184,12 +185,8 @@
                     server.sidecar.pause(time.0);
                 }
             }
-            Self::SilenceSidecar { server: i } => {
-                silence_connections(server(i).map(|s| &s.sidecar_link))
-            }
-            Self::SilenceBackend { server: i } => {
-                silence_connections(server(i).map(|s| &s.backend_link))
-            }
+            Self::SilenceSidecar { server: i } => silence_link(server(i).map(|s| &s.sidecar_link)),
+            Self::SilenceBackend { server: i } => silence_link(server(i).map(|s| &s.backend_link)),
             Self::ReplaceEntry { entry } => {
                 if let Some(line) = cluster.replace_entry(*entry) {
                     eprintln!("{line}");
@@ -231,7 +228,7 @@
     standin::Control<standin::silence::Faults>,
 )>;
 
-fn silence_connections(link: Option<&Link>) {
+fn silence_link(link: Option<&Link>) {
     if let Some(Some((_, faults))) = link {
         faults.change(|f| f.silenced += 1);
     }
@@ -239,9 +236,9 @@
 
 fn rolling_restart(cluster: &Cluster) {
     let sidecars = cluster.servers.iter().map(|s| &s.sidecar);
-    for host in sidecars.chain(&cluster.entries) {
-        host.stop();
+    for daemon in sidecars.chain(&cluster.entries) {
+        daemon.stop();
         thread::sleep(RESTART_DELAY);
-        host.restart();
+        daemon.restart();
     }
 }
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The two users' fleets, in the sizes of the brief.
+//! The fleets of the two users, with the sizes that their requirements give.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -6,28 +6,28 @@
 use base::settings::HumanDuration;
 use serde::{Deserialize, Serialize};
 
-/// Requests that an engine runs at once.
+/// Number of concurrent requests of an engine.
 pub const ENGINE_SLOTS: usize = 8;
 
-/// Time that each further request adds to an engine's step.
+/// Time that each request after the first adds to an engine's step.
 pub const STEP_PER_REQUEST: HumanDuration = HumanDuration(Duration::from_micros(250));
 
-/// Prompt tokens that an engine computes in one step.
+/// Prompt tokens that an engine prefills in one step.
 pub const PREFILL_TOKENS: u32 = 1024;
 
-/// Plain services' backend servers in each fleet.
+/// Number of plain services' backend servers in each fleet.
 pub const PLAIN_SERVERS: u8 = 3;
 
-/// Entries in each fleet.
+/// Number of entries in each fleet.
 pub const ENTRY_COUNT: u8 = 2;
 
-/// Workspaces in each fleet.
+/// Number of workspaces in each fleet.
 pub const WORKSPACE_COUNT: u8 = 10;
 
-/// Calls of plain services a second, about 5% of all requests.
+/// Calls of plain services per second, about 5% of all requests.
 pub const CALLS_PER_SECOND: f64 = 8.0;
 
-/// One of the two users' fleets.
+/// The fleet of one of the two users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fleet {
@@ -37,30 +37,30 @@
     Tallerazul,
 }
 
-/// One class of completions as a fleet's callers use it.
+/// The load profile of one class of completions.
 #[derive(Debug, Clone, Copy)]
 pub struct ClassProfile {
-    /// Its name.
+    /// The class's name.
     pub name: &'static str,
-    /// Its tier.
+    /// The class's tier; 0 is the top tier.
     pub tier: u8,
-    /// Its part of the engines' capacity at the usual rate.
+    /// Share of the engines' capacity that it uses at its usual rate.
     pub share: f64,
-    /// Median tokens of a prompt's own part.
+    /// Median number of prompt tokens, without the shared prefix.
     pub prompt_tokens: f64,
-    /// Tokens of a prompt's shared prefix.
+    /// Number of tokens in a shared prefix.
     pub prefix_tokens: u32,
-    /// How many shared prefixes there are.
+    /// Number of distinct shared prefixes.
     pub prefix_count: u32,
-    /// Median tokens of an answer.
+    /// Median number of answer tokens.
     pub answer_tokens: f64,
-    /// Spread of the sizes.
+    /// Standard deviation of the logarithm of the prompt and answer sizes.
     pub sigma: f64,
-    /// Target until the first token, in milliseconds.
+    /// Target of the time to the first token, in milliseconds.
     pub first_ms: u64,
-    /// Target between tokens, in milliseconds.
+    /// Target of the mean time between tokens, in milliseconds.
     pub gap_ms: u64,
-    /// Target until the whole answer, in milliseconds.
+    /// Target of the time to the end of the answer, in milliseconds.
     pub whole_ms: u64,
 }
 
@@ -71,7 +71,9 @@
         match text {
             "teranga" => Ok(Self::Teranga),
             "tallerazul" => Ok(Self::Tallerazul),
-            _ => Err(format!("no fleet {text:?}; expected teranga or tallerazul")),
+            _ => Err(format!(
+                "unknown fleet {text:?}; expected teranga or tallerazul"
+            )),
         }
     }
 }
@@ -95,7 +97,7 @@
         }
     }
 
-    /// How many model engines it has.
+    /// Number of model engines.
     #[must_use]
     pub fn engine_count(self) -> u8 {
         match self {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Time of an engine's step with one request.
+    /// Time of an engine's step with a batch of one request.
     #[must_use]
     pub fn step_time(self) -> HumanDuration {
         match self {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Its plain service.
+    /// The name of its plain service.
     #[must_use]
     pub fn service(self) -> &'static str {
         match self {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// The class of its plain service's calls, none of which may be repeated.
+    /// The class of its plain service's calls, none of which is repeatable.
     #[must_use]
     pub fn call_class(self) -> &'static str {
         match self {
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Its classes of completions. At the usual rates they take 70% of the
-    /// engines' capacity.
+    /// The profiles of its completion classes. At their usual rates they use
+    /// 70% of the engines' capacity.
     #[must_use]
     pub fn classes(self) -> [ClassProfile; 3] {
         match self {
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Tokens a second that one engine makes with a full batch.
+    /// Tokens per second that one engine generates with a full batch.
     #[must_use]
     pub fn engine_rate(self) -> f64 {
         let step = self.step_time().0 + STEP_PER_REQUEST.0 * (ENGINE_SLOTS as u32 - 1);
@@ -218,8 +220,8 @@
 }
 
 impl ClassProfile {
-    /// Steps of one slot that a request takes on average: one for each token
-    /// of the answer and one for each part of the prompt's computation.
+    /// Mean number of steps for which a request occupies a slot: one per answer
+    /// token, and one per prefilled chunk of the prompt.
     #[must_use]
     pub fn mean_steps(&self) -> f64 {
         let mean = (self.sigma * self.sigma / 2.0).exp();
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,15 +1,16 @@
-//! A whole fleet on loopback in one process, with load and faults.
+//! Runs a complete fleet on loopback in one process, under load and with
+//! injected faults.
 //!
-//! - [`arm`]: the policies that a comparison sets side by side.
-//! - [`compare`]: running them on the same arrivals.
-//! - [`oracle`]: what an oracle could make of a load, by arithmetic.
-//! - [`fleet`]: the two users' fleets in the sizes of the brief.
-//! - [`plan`]: what a fleet declares and what its callers send.
-//! - [`changes`]: changes of the bundle while a demo runs.
-//! - [`cluster`]: the daemons and stand-ins.
-//! - [`daemon`]: one daemon on a thread of its own.
-//! - [`rollout`]: the log and publishing the bundle through it.
-//! - [`faults`]: faults brought about at set times.
+//! - [`arm`]: the routing policies that a comparison runs.
+//! - [`compare`]: runs of several policies on the same requests.
+//! - [`oracle`]: an upper bound of the goodput, by simulation.
+//! - [`fleet`]: the fleets of the two users and their sizes.
+//! - [`plan`]: the bundle and the workload of a fleet.
+//! - [`changes`]: changes of the bundle during a run.
+//! - [`cluster`]: the daemons and stand-ins of a run.
+//! - [`daemon`]: one daemon on its own thread.
+//! - [`rollout`]: the log, and publishing the bundle through it.
+//! - [`faults`]: faults injected at set times.
 
 pub mod arm;
 pub mod changes;
@@ -36,43 +37,43 @@
 /// Time for the daemons to start listening.
 const WARM_UP: Duration = Duration::from_millis(300);
 
-/// How much slower a straggler is.
+/// Factor by which a straggler's steps are slower.
 const STRAGGLER_PACE: f64 = 4.0;
 
-/// How late load reports are while there is a straggler.
+/// Delay of load reports while there is a straggler.
 const REPORT_LAG: HumanDuration = HumanDuration::ms(500);
 
-/// What to run.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Whose fleet.
+    /// The user's fleet to run.
     pub fleet: Fleet,
-    /// How long requests arrive, in seconds.
+    /// Time during which requests arrive, in seconds.
     pub seconds: f64,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// Whether one lower-tier class bursts in the middle third.
+    /// Whether one lower-tier class bursts in the middle third of the run.
     pub burst: bool,
     /// Whether one engine is four times slower and load reports are late.
     pub straggler: bool,
-    /// Whether one backend server's host crashes in the burst.
+    /// Whether one backend server's host crashes during the burst.
     pub crash: bool,
     /// Further faults.
     pub faults: FaultPlan,
-    /// The router's policy.
+    /// The routing policy.
     pub arm: Arm,
-    /// Whether to print progress.
+    /// Whether to print progress lines.
     pub progress: bool,
 }
 
 impl Options {
-    /// The load.
+    /// The workload of the run.
     #[must_use]
     pub fn workload(&self) -> Workload {
         plan::workload(self.fleet, self.seed, self.seconds, self.burst)
     }
 
-    /// All faults with their times.
+    /// All faults of the run with their times.
     #[must_use]
     pub fn fault_plan(&self) -> FaultPlan {
         let mut plan = self.faults.clone();
@@ -82,7 +83,7 @@
         };
         if self.straggler {
             let pace = STRAGGLER_PACE;
-            // With a crash, the second fault comes in the midst of the burst.
+            // With a crash, the straggler starts during the burst as well.
             let at = if self.crash { self.seconds * 0.4 } else { 0.0 };
             add(at, Fault::Straggler { server: 0, pace });
             add(0.0, Fault::ReportLag { lag: REPORT_LAG });
@@ -101,7 +102,7 @@
     }
 }
 
-/// Runs a fleet under load and reports on it.
+/// Runs a fleet under load and computes the report.
 #[must_use]
 pub fn run(options: &Options) -> RunResult {
     let workload = options.workload();
@@ -113,13 +114,13 @@
     let entries = layout.entries();
     let cluster = layout.start();
     thread::sleep(WARM_UP);
-    let began = Instant::now();
+    let started = Instant::now();
     let run = thread::scope(|scope| {
         scope.spawn(|| faults.run(&cluster));
         load::run(&workload, &entries, &cluster.ledger, options.progress)
     });
-    let took = began.elapsed().as_secs_f64();
-    eprintln!("{}", cluster.control_traffic(took));
+    let elapsed = started.elapsed().as_secs_f64();
+    eprintln!("{}", cluster.control_traffic(elapsed));
     cluster.stop();
     run
 }
--- a/crates/demo/src/oracle.rs
+++ b/crates/demo/src/oracle.rs
@@ -1,12 +1,13 @@
-//! What an oracle could make of a load, by arithmetic.
+//! An upper bound of the goodput that any router can reach on a workload, by
+//! simulation of a fluid model.
 //!
-//! One fluid server has the whole fleet's capacity. It serves tier by tier
-//! and within a tier by the earliest due time; a request that has not begun
-//! by its first-token target is dropped before any work. It needs one step of
-//! a slot for each token and one for the prompt, as if every prefix were
-//! cached. No placement, no batch and no unknown length stands in its way, so
-//! it bounds what any router can reach from above, but for the order in which
-//! it serves.
+//! A single fluid server has the capacity of the whole fleet. It serves by
+//! tier, and within a tier by earliest deadline. A request that has not started
+//! by its first-token target is dropped before any work. A request costs one
+//! step of a slot per answer token and one for the prompt, as if every prefix
+//! were cached. The model has no placement, no batching and no unknown answer
+//! lengths. It is therefore an upper bound for all routers that serve in the
+//! same order; another order could reach more.
 
 use std::collections::BTreeMap;
 
@@ -16,24 +17,24 @@
 use crate::Options;
 use crate::faults::Fault;
 
-/// One step of the arithmetic, in seconds.
+/// Time step of the simulation, in seconds.
 const TIME_STEP_S: f64 = 0.05;
 
-/// What an oracle could make.
+/// The result of the simulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Oracle {
-    /// Tokens a second of all engines at the start of the run.
+    /// Capacity of all engines at the start of the run, in tokens per second.
     pub capacity: f64,
-    /// Tokens a second that callers ask for, over the whole run.
+    /// Requested answer tokens per second, over the whole run.
     pub offered: f64,
-    /// Tokens a second of answers in target.
+    /// Tokens per second of answers that met their targets.
     pub goodput: f64,
 }
 
-/// A request that waits, in order of tier and due time.
+/// Priority of a waiting request: tier, deadline in milliseconds, index.
 type QueueKey = (u8, u64, usize);
 
-/// Works out what an oracle could make of a run.
+/// Simulates the oracle on a run's workload.
 #[must_use]
 pub fn oracle(options: &Options, workload: &Workload) -> Oracle {
     let arrivals: Vec<_> = workload
@@ -44,39 +45,39 @@
     let offered: f64 = arrivals.iter().map(|a| f64::from(a.answer_tokens)).sum();
 
     let mut waiting: BTreeMap<QueueKey, f64> = BTreeMap::new();
-    let (mut next, mut now, mut done, mut room) = (0, 0.0, 0.0, 0.0);
+    let (mut next, mut now, mut served, mut budget) = (0, 0.0, 0.0, 0.0);
     while next < arrivals.len() || !waiting.is_empty() {
         now += TIME_STEP_S;
         while let Some(arrival) = arrivals.get(next).filter(|a| a.at.as_secs_f64() < now) {
-            let flow = &workload.classes[&arrival.class];
-            let due = arrival.at.as_secs_f64() * 1000.0 + flow.first_ms;
-            let key = (flow.tier, whole(due), next);
+            let class = &workload.classes[&arrival.class];
+            let deadline = arrival.at.as_secs_f64() * 1000.0 + class.first_ms;
+            let key = (class.tier, millis(deadline), next);
             waiting.insert(key, f64::from(arrival.answer_tokens));
             next += 1;
         }
-        let late = whole((now - TIME_STEP_S) * 1000.0);
-        waiting.retain(|(_, due, _), _| *due >= late);
+        let expired = millis((now - TIME_STEP_S) * 1000.0);
+        waiting.retain(|(_, deadline, _), _| *deadline >= expired);
 
-        // Room left over at the end of a slice is lost; work begun is paid
-        // for by the slices after it.
-        room = f64::min(room, 0.0) + capacity(options, now) * TIME_STEP_S;
-        while room > 0.0 {
+        // Capacity left over at the end of a time step is lost. The excess of
+        // a request that was started is deducted from the following steps.
+        budget = f64::min(budget, 0.0) + capacity(options, now) * TIME_STEP_S;
+        while budget > 0.0 {
             let Some((_, answer)) = waiting.pop_first() else {
                 break;
             };
-            room -= answer + 1.0;
-            done += answer;
+            budget -= answer + 1.0;
+            served += answer;
         }
     }
     Oracle {
         capacity: capacity(options, 0.0),
         offered: offered / workload.seconds,
-        goodput: done / workload.seconds,
+        goodput: served / workload.seconds,
     }
 }
 
-/// Tokens a second of all engines at a time of the run, in seconds, without
-/// those lost to stragglers and crashes.
+/// Capacity of all engines in tokens per second at time `now`, in seconds,
+/// reduced by stragglers and crashes.
 fn capacity(options: &Options, now: f64) -> f64 {
     let mut pace = vec![1.0; usize::from(options.fleet.engine_count())];
     for event in options.fault_plan().events {
@@ -106,6 +107,6 @@
     clippy::cast_sign_loss,
     reason = "times of a run in milliseconds are small and positive"
 )]
-fn whole(ms: f64) -> u64 {
+fn millis(ms: f64) -> u64 {
     ms.max(0.0) as u64
 }
--- a/crates/demo/src/plan.rs
+++ b/crates/demo/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet declares and what its callers send.
+//! The bundle and the workload of a fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,23 +10,24 @@
 
 use crate::fleet::{CALLS_PER_SECOND, ClassProfile, Fleet, WORKSPACE_COUNT};
 
-/// By how much the bursting class's rate is multiplied.
+/// Factor by which a burst multiplies its class's rate.
 const BURST_FACTOR: f64 = 5.0;
 
-/// Share of callers of lower tiers that take the answer whole.
+/// Share of lower-tier requests whose answer is not streamed.
 const NONSTREAMING_SHARE: f64 = 0.2;
 
-/// Share of callers of lower tiers that go away before the answer ends. Those
-/// of the top tier stay, so that each top-tier miss is the router's.
+/// Share of lower-tier callers that disconnect before the answer ends.
+/// Top-tier callers never do, so that the router is the cause of every
+/// top-tier miss.
 const ABANDON_SHARE: f64 = 0.005;
 
-/// Share of lower-tier completions that may not run twice.
+/// Share of lower-tier completions that must not run twice.
 const NONREPEATABLE_SHARE: f64 = 0.05;
 
-/// Targets of plain services' calls, in milliseconds.
+/// All latency targets of plain services' calls, in milliseconds.
 const CALL_TARGET_MS: u64 = 3_000;
 
-/// The bundle that a fleet's operators declare.
+/// The bundle that a fleet's operators publish.
 #[must_use]
 pub fn bundle(fleet: Fleet) -> Bundle {
     let mut bundle = Bundle::default();
@@ -49,7 +50,7 @@
     let classes: BTreeSet<_> = bundle.classes.keys().cloned().collect();
     for i in 0..WORKSPACE_COUNT {
         let workspace = Workspace {
-            tokens: BTreeSet::from([bundle::lookup::token_hash(&token(i))]),
+            tokens: BTreeSet::from([bundle::lookup::token_hash(&workspace_token(i))]),
             classes: classes.clone(),
             weight: 1,
         };
@@ -68,7 +69,7 @@
     bundle
 }
 
-/// What a fleet's callers send.
+/// The workload of a fleet's callers.
 #[must_use]
 pub fn workload(fleet: Fleet, seed: u64, seconds: f64, burst: bool) -> Workload {
     let capacity = fleet.engine_rate() * f64::from(fleet.engine_count());
@@ -108,7 +109,7 @@
 }
 
 fn completion_workload(size: &ClassProfile, capacity: f64) -> ClassWorkload {
-    let lower = |share| if size.tier > 0 { share } else { 0.0 };
+    let lower_tier = |share| if size.tier > 0 { share } else { 0.0 };
     ClassWorkload {
         tier: size.tier,
         rate: size.share * capacity / size.mean_steps(),
@@ -119,9 +120,9 @@
         answer_tokens: size.answer_tokens,
         sigma: size.sigma,
         workspaces: weighted_workspaces(),
-        nonstreaming_share: lower(NONSTREAMING_SHARE),
-        abandon_share: lower(ABANDON_SHARE),
-        nonrepeatable_share: lower(NONREPEATABLE_SHARE),
+        nonstreaming_share: lower_tier(NONSTREAMING_SHARE),
+        abandon_share: lower_tier(ABANDON_SHARE),
+        nonrepeatable_share: lower_tier(NONREPEATABLE_SHARE),
         keyed_share: 0.0,
         first_ms: size.first_ms as f64,
         gap_ms: size.gap_ms as f64,
@@ -152,7 +153,7 @@
     }
 }
 
-/// The workspaces: one large, one middling, the rest small.
+/// The workspaces: one large, one medium, the rest small.
 fn weighted_workspaces() -> Vec<WeightedWorkspace> {
     let weight = |i| match i {
         0 => 6.0,
@@ -160,13 +161,13 @@
         _ => 1.0,
     };
     let sender = |i| WeightedWorkspace {
-        token: token(i),
+        token: workspace_token(i),
         weight: weight(i),
     };
     (0..WORKSPACE_COUNT).map(sender).collect()
 }
 
 /// The bearer token of a workspace.
-fn token(i: u8) -> String {
+fn workspace_token(i: u8) -> String {
     format!("demo-token-{i}")
 }
--- a/crates/demo/src/rollout.rs
+++ b/crates/demo/src/rollout.rs
@@ -1,4 +1,4 @@
-//! The platform's log of a demo, and publishing the bundle through it.
+//! The platform's log in a demo, and publishing the bundle through it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,23 +12,25 @@
 
 use crate::daemon::Daemon;
 
-/// How often a daemon is asked whether it is ready, and the pause between.
+/// Number of attempts to publish or to find a daemon ready, and the interval
+/// between them.
 const MAX_ATTEMPTS: u32 = 500;
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The log of a demo and the operators who publish there.
+/// The log of a demo and the operators who publish to it.
 #[derive(Debug, Clone)]
 pub struct Rollout {
-    /// Where the log listens.
+    /// Address at which the log listens.
     pub log: SocketAddr,
-    /// What goes wrong with it.
+    /// The control of the log's faults.
     pub faults: Control<Faults>,
-    /// Operators who may sign, two of them, so that they can race.
+    /// Keys of two authorized operators; two, so that they can publish
+    /// concurrently.
     pub keys: [SecretKey; 2],
 }
 
 impl Rollout {
-    /// Lays out a log.
+    /// Configures a log and generates the operators' keys.
     #[must_use]
     pub fn new(log: SocketAddr) -> Self {
         Self {
@@ -51,13 +53,13 @@
         })
     }
 
-    /// What daemons need to follow the log.
+    /// The daemons' settings for following the log.
     #[must_use]
     pub fn follow_settings(&self) -> follow::Settings {
         follow::Settings::new(self.log, self.operators())
     }
 
-    /// Publishes a first bundle and waits until every daemon goes by one.
+    /// Publishes the first bundle and waits until every daemon is ready.
     pub fn publish_initial(&self, bundle: &Bundle, daemons: &[SocketAddr]) {
         actix_rt::System::new().block_on(async {
             self.publish_until_accepted(bundle).await;
@@ -65,7 +67,8 @@
         });
     }
 
-    /// Tries to publish until the log, which may only just start, takes it.
+    /// Retries until the log accepts the bundle, since the log may still be
+    /// starting.
     async fn publish_until_accepted(&self, bundle: &Bundle) {
         for _ in 0..MAX_ATTEMPTS {
             if matches!(self.publish(bundle).await, Outcome::Accepted(_)) {
@@ -76,8 +79,8 @@
         error!("bundle not published", kv: { log = self.log.to_string().as_str() });
     }
 
-    /// Publishes a bundle, signed by the first operator. The demo's operators
-    /// are added to those that it names.
+    /// Publishes a bundle, signed by the first operator. Adds the demo's
+    /// operators to those that the bundle names.
     pub async fn publish(&self, bundle: &Bundle) -> Outcome {
         let mut bundle = bundle.clone();
         bundle.operators.extend(self.operators());
@@ -91,7 +94,7 @@
         published.unwrap_or(Outcome::Unknown)
     }
 
-    /// The operators who may sign.
+    /// The authorized operators.
     #[must_use]
     pub fn operators(&self) -> Operators {
         let pair = |k: &SecretKey| (k.operator.clone(), k.public.clone());
@@ -99,7 +102,7 @@
     }
 }
 
-/// Waits until every daemon is ready, by its operators' address.
+/// Waits until every daemon reports readiness at its operators' address.
 pub async fn wait_until_ready(daemons: &[SocketAddr]) {
     let http = awc::Client::default();
     for daemon in daemons {
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -1,15 +1,18 @@
-//! Which entry a caller is sent to, as the platform's balancer would choose.
+//! Selection of the entry for a request, as the platform's load balancer does
+//! it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long an entry is passed over that refused a connection or said that it
-/// takes nothing; about the interval of a balancer's health checks.
+/// Time for which an entry is tried last after it refused a connection or
+/// reported that it is not ready; about the interval of a load balancer's
+/// health checks.
 const COOLDOWN: Duration = Duration::from_secs(1);
 
-/// Sends callers to entries in turn and passes over those that are down or
-/// not ready. The caller that found out keeps its refusal.
+/// Distributes requests over the entries round-robin and puts entries that are
+/// down or not ready last. A refusal by an entry that is not ready is still
+/// the outcome of the request that met it.
 #[derive(Debug)]
 pub struct Balancer {
     entries: Vec<Target>,
@@ -20,12 +23,12 @@
 #[derive(Debug)]
 struct Target {
     addr: SocketAddr,
-    /// Until when it is passed over, in milliseconds from the start.
+    /// End of the cooldown, in milliseconds from the balancer's start.
     cooldown_until: AtomicU64,
 }
 
 impl Balancer {
-    /// Makes a balancer over the entries.
+    /// Creates a balancer over the entries.
     #[must_use]
     pub fn new(entries: &[SocketAddr]) -> Self {
         let target = |addr: &SocketAddr| Target {
@@ -39,8 +42,8 @@
         }
     }
 
-    /// The entries in the order in which one caller tries them: each once,
-    /// those passed over last.
+    /// The entries in the order in which one request tries them: each once,
+    /// those in their cooldown last.
     #[must_use]
     pub fn candidates(&self) -> Vec<SocketAddr> {
         let now = self.now();
@@ -52,7 +55,8 @@
         up.into_iter().chain(down).map(|t| t.addr).collect()
     }
 
-    /// Notes that an entry refused a connection or is not ready.
+    /// Starts the cooldown of an entry that refused a connection or is not
+    /// ready.
     pub fn mark_failed(&self, entry: SocketAddr) {
         let until = self.now() + u64::try_from(COOLDOWN.as_millis()).unwrap_or(0);
         for target in self.entries.iter().filter(|t| t.addr == entry) {
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's request and its outcome.
+//! Sending one request and recording its outcome.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,17 +12,17 @@
 use crate::arrivals::{Arrival, RequestKind};
 use crate::balancer::Balancer;
 
-/// Longest time that a caller waits for a header.
+/// Timeout for the response header.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longest time that a caller waits for an event of an open stream. The entry
-/// sends comments at shorter intervals while it waits itself.
+/// Timeout for the next event of an open stream. The entry sends comments at
+/// shorter intervals while it waits itself.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Largest whole answer, in bytes.
+/// Size limit of an answer that is not streamed, in bytes.
 const ANSWER_LIMIT: usize = 16 << 20;
 
-/// Header that marks one call as not repeatable.
+/// Header that marks a request as not repeatable.
 const NO_REPEAT: &str = "x-no-repeat";
 
 /// Header that carries the idempotency key.
@@ -31,53 +31,54 @@
 /// Header that names the request class.
 const REQUEST_CLASS: &str = "x-request-class";
 
-/// Refusals that tell that an entry takes nothing at all.
+/// Error types of an entry that accepts no requests at all.
 const NOT_READY: [&str; 2] = ["draining", "no_bundle"];
 
-/// What a caller saw of its request.
+/// The outcome of a request as its caller saw it.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     /// The request.
     pub arrival: Arrival,
-    /// From sending to the first token; `None` when the answer was taken
-    /// whole.
+    /// Time from sending to the first token; `None` if none arrived in a
+    /// stream.
     pub ttft: Option<Duration>,
-    /// From sending to the end.
+    /// Time from sending to the end.
     pub total: Duration,
-    /// Tokens received.
+    /// Number of tokens received.
     pub tokens: u32,
-    /// Whether a token was another request's or out of order.
+    /// Whether a token belonged to another request or was out of order.
     pub corrupted: bool,
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
 }
 
 /// How a request ended for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
-    /// With the whole answer.
+    /// With the complete answer.
     Completed,
-    /// With an HTTP status that says why, before any part of the answer.
+    /// With an HTTP error status and a reason, before any part of the answer.
     Refused(ErrorReply),
     /// With an error event in the stream, after the request was accepted.
     StreamFailed(ErrorReply),
-    /// The caller went away by itself.
+    /// The caller disconnected on purpose.
     Abandoned,
-    /// Without an end, for the reason in words.
+    /// Without an answer or an error reply; holds a description.
     Lost(String),
 }
 
-/// What a caller was told about a request that did not end whole.
+/// The entry's error reply to a request that did not complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ErrorReply {
-    /// The reason's word.
+    /// The error type, as `shed`.
     pub reason: String,
-    /// What was said about having run.
+    /// Whether the request ran, according to the entry: `no`, `partial` or
+    /// `unknown`.
     pub ran: String,
 }
 
 impl Outcome {
-    /// The outcome of a request that came to no end.
+    /// The outcome of a request that got neither an answer nor an error reply.
     #[must_use]
     pub fn lost(arrival: Arrival, reason: &str) -> Self {
         Self {
@@ -91,7 +92,7 @@
     }
 }
 
-/// Makes the HTTP client that all callers of a thread share.
+/// Creates the HTTP client that all callers of a thread share.
 #[must_use]
 pub fn http_client() -> awc::Client {
     let connector = awc::Connector::new().limit(0);
@@ -101,12 +102,12 @@
         .finish()
 }
 
-/// Sends one request and takes in its answer.
+/// Sends one request and reads its answer.
 pub async fn send_request(http: awc::Client, balancer: &Balancer, arrival: Arrival) -> Outcome {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut outcome = Outcome::lost(arrival, "not sent");
-    outcome.ending = receive(&http, balancer, &mut outcome, began).await;
-    outcome.total = began.elapsed();
+    outcome.ending = receive(&http, balancer, &mut outcome, started).await;
+    outcome.total = started.elapsed();
     outcome
 }
 
@@ -114,7 +115,7 @@
     http: &awc::Client,
     balancer: &Balancer,
     outcome: &mut Outcome,
-    began: Instant,
+    started: Instant,
 ) -> Ending {
     let (entry, mut response) = match send_with_failover(http, balancer, &outcome.arrival).await {
         Ok(sent) => sent,
@@ -122,25 +123,28 @@
     };
     if !response.status().is_success() {
         let body = response.json::<Value>().await.unwrap_or_default();
-        let Some(told) = parse_error(&body) else {
-            return Ending::Lost(format!("status {} without a reason", response.status()));
+        let Some(reply) = parse_error(&body) else {
+            return Ending::Lost(format!(
+                "status {} without an error type",
+                response.status()
+            ));
         };
-        if NOT_READY.contains(&told.reason.as_str()) {
+        if NOT_READY.contains(&reply.reason.as_str()) {
             balancer.mark_failed(entry);
         }
-        return Ending::Refused(told);
+        return Ending::Refused(reply);
     }
 
     match (&outcome.arrival.kind, outcome.arrival.stream) {
-        (RequestKind::Completion, true) => read_stream(response, outcome, began).await,
+        (RequestKind::Completion, true) => read_stream(response, outcome, started).await,
         (RequestKind::Completion, false) => read_completion(response, outcome).await,
         (RequestKind::Call { .. }, _) => read_call(response, outcome).await,
     }
 }
 
-/// Sends the request to one entry after the other, as a balancer does: only a
-/// connection that could not be made leads to the next, since the request
-/// certainly never went out on it.
+/// Sends the request to the first entry that accepts the connection. Only a
+/// failure to connect leads to the next entry, since only then has the request
+/// certainly not been sent.
 async fn send_with_failover(
     http: &awc::Client,
     balancer: &Balancer,
@@ -149,9 +153,12 @@
     for entry in balancer.candidates() {
         match post(http, entry, arrival).await {
             Ok(response) => return Ok((entry, response)),
-            // Reported also for a request that went out and got no answer.
+            // Also reported when the request was sent and the connection then
+            // closed without an answer.
             Err(SendRequestError::Connect(ConnectError::Disconnected)) => {
-                return Err(Ending::Lost("the connection closed".to_owned()));
+                return Err(Ending::Lost(
+                    "connection closed without an answer".to_owned(),
+                ));
             }
             Err(SendRequestError::Connect(_)) => balancer.mark_failed(entry),
             Err(e) => return Err(Ending::Lost(format!("no answer: {e}"))),
@@ -186,10 +193,10 @@
     if arrival.kind != RequestKind::Completion {
         return json!({ "mark": arrival.mark });
     }
-    // A token is four bytes to the stand-ins.
-    let shared =
+    // The stand-ins count four bytes as one token.
+    let prefix =
         format!("{:<4}", arrival.prefix_index % 1000).repeat(arrival.prefix_tokens as usize);
-    let own = format!(
+    let prompt = format!(
         "{} {}",
         arrival.mark,
         "word".repeat(arrival.prompt_tokens as usize)
@@ -198,19 +205,19 @@
         "model": arrival.class,
         "stream": arrival.stream,
         "messages": [
-            { "role": "system", "content": format!("{}{shared}", arrival.class) },
-            { "role": "user", "content": own },
+            { "role": "system", "content": format!("{}{prefix}", arrival.class) },
+            { "role": "user", "content": prompt },
         ],
         "mark": arrival.mark,
         "length": arrival.answer_tokens,
     })
 }
 
-/// Takes in an answer as it is made.
+/// Reads a streamed answer.
 async fn read_stream(
     response: awc::ClientResponse,
     outcome: &mut Outcome,
-    began: Instant,
+    started: Instant,
 ) -> Ending {
     let mut events = std::pin::pin!(response.timeout(Duration::MAX).eventsource());
     let mut finished = false;
@@ -225,23 +232,23 @@
         let event = match tokio::time::timeout(EVENT_TIMEOUT, events.next()).await {
             Ok(Some(Ok(event))) => event,
             Ok(Some(Err(e))) => return Ending::Lost(format!("stream failed: {e}")),
-            Ok(None) => return Ending::Lost("stream closed without an end".to_owned()),
-            Err(_) => return Ending::Lost("stream went silent".to_owned()),
+            Ok(None) => return Ending::Lost("stream closed before the end event".to_owned()),
+            Err(_) => return Ending::Lost("no stream event within the timeout".to_owned()),
         };
         if event.data == "[DONE]" {
             return match finished {
                 true => Ending::Completed,
-                false => Ending::Lost("end mark without a finish".to_owned()),
+                false => Ending::Lost("end event without a finish reason".to_owned()),
             };
         }
 
         let Ok(event) = serde_json::from_str::<StreamEvent>(&event.data) else {
-            return Ending::Lost("event that is no JSON".to_owned());
+            return Ending::Lost("event is not valid JSON".to_owned());
         };
         if event.error.is_some() {
             return match parse_error(&json!({ "error": event.error })) {
-                Some(told) => Ending::StreamFailed(told),
-                None => Ending::Lost("error without a reason".to_owned()),
+                Some(reply) => Ending::StreamFailed(reply),
+                None => Ending::Lost("error event without a type".to_owned()),
             };
         }
         let Some(choice) = event.choices.into_iter().next() else {
@@ -251,40 +258,40 @@
             finished = true;
             continue;
         }
-        outcome.ttft.get_or_insert_with(|| began.elapsed());
+        outcome.ttft.get_or_insert_with(|| started.elapsed());
         outcome.corrupted |=
             choice.delta.content != expected_token(&outcome.arrival, outcome.tokens);
         outcome.tokens += 1;
     }
 }
 
-/// Takes in an answer that comes at once.
+/// Reads an answer that is not streamed.
 async fn read_completion(mut response: awc::ClientResponse, outcome: &mut Outcome) -> Ending {
     let Ok(body) = response.json::<Value>().limit(ANSWER_LIMIT).await else {
-        return Ending::Lost("whole answer broke off".to_owned());
+        return Ending::Lost("answer body incomplete or not JSON".to_owned());
     };
     let Some(text) = body["choices"][0]["message"]["content"].as_str() else {
-        return Ending::Lost("whole answer without text".to_owned());
+        return Ending::Lost("answer without text".to_owned());
     };
     let count = text.split_inclusive(' ').count();
     outcome.tokens = u32::try_from(count).unwrap_or(u32::MAX);
-    let own: String = (0..outcome.tokens)
+    let expected: String = (0..outcome.tokens)
         .map(|i| expected_token(&outcome.arrival, i))
         .collect();
-    outcome.corrupted = text != own;
+    outcome.corrupted = text != expected;
     Ending::Completed
 }
 
-/// Takes in a plain service's answer.
+/// Reads the answer of a plain service.
 async fn read_call(mut response: awc::ClientResponse, outcome: &mut Outcome) -> Ending {
     let Ok(body) = response.json::<Value>().await else {
-        return Ending::Lost("plain answer broke off".to_owned());
+        return Ending::Lost("service reply incomplete or not JSON".to_owned());
     };
     outcome.corrupted = body["mark"] != outcome.arrival.mark.as_str();
     Ending::Completed
 }
 
-/// The text that the stand-in makes as token number `i` of a request.
+/// The text that the stand-in generates as token number `i` of a request.
 fn expected_token(arrival: &Arrival, i: u32) -> String {
     format!("{}:{i} ", arrival.mark)
 }
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -1,5 +1,5 @@
-//! Sending the arrivals of a run at their times, whatever became of earlier
-//! ones, from several threads.
+//! Sends the requests of a run at their arrival times from several threads,
+//! without waiting for earlier ones (open loop).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,16 +11,17 @@
 use crate::balancer::Balancer;
 use crate::caller::{self, Ending, Outcome};
 
-/// Time allowed for the last answers after the last arrival.
+/// Time allowed for outstanding answers after the last arrival.
 const GRACE: Duration = Duration::from_secs(30);
 
-/// Threads that send; one alone cannot read a whole fleet's tokens in time.
+/// Number of sending threads. One alone cannot read the tokens of a whole
+/// fleet in time.
 const THREADS: usize = 4;
 
-/// How often progress is shown.
+/// Interval between progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts of a run as it goes on.
+/// Running totals, for the progress lines.
 #[derive(Debug, Default)]
 struct Counts {
     sent: AtomicU64,
@@ -30,49 +31,50 @@
     lost: AtomicU64,
 }
 
-/// Sends the arrivals to the entries and waits for the outcomes. Arrivals
-/// without an end by the end of the grace time are lost.
+/// Sends the requests to the entries and waits for their outcomes. Requests
+/// that have not ended within the grace time count as lost.
 #[must_use]
 pub fn drive(arrivals: &[Arrival], entries: &[SocketAddr], progress: bool) -> Vec<Outcome> {
     let balancer = Arc::new(Balancer::new(entries));
     let counts = Arc::new(Counts::default());
-    let over = Arc::new(AtomicBool::new(false));
+    let finished = Arc::new(AtomicBool::new(false));
     let start = Instant::now();
 
     let threads: Vec<_> = (0..THREADS)
         .map(|i| {
-            let part: Vec<_> = arrivals.iter().skip(i).step_by(THREADS).cloned().collect();
+            let arrivals: Vec<_> = arrivals.iter().skip(i).step_by(THREADS).cloned().collect();
             let (balancer, counts) = (Arc::clone(&balancer), Arc::clone(&counts));
-            thread::spawn(move || send_all(part, &balancer, &counts, start))
+            thread::spawn(move || send_all(arrivals, &balancer, &counts, start))
         })
         .collect();
-    let shown = progress.then(|| {
-        let (counts, over) = (Arc::clone(&counts), Arc::clone(&over));
-        thread::spawn(move || print_progress(&counts, &over, start))
+    let progress_thread = progress.then(|| {
+        let (counts, finished) = (Arc::clone(&counts), Arc::clone(&finished));
+        thread::spawn(move || print_progress(&counts, &finished, start))
     });
 
     let mut outcomes = Vec::with_capacity(arrivals.len());
     for thread in threads {
-        // Outcomes of a thread that panicked are missing and count as lost.
+        // The outcomes of a thread that panicked are missing, and the report
+        // counts them as lost.
         outcomes.extend(thread.join().unwrap_or_default());
     }
-    over.store(true, Ordering::Relaxed);
-    if let Some(shown) = shown {
-        let _ = shown.join();
+    finished.store(true, Ordering::Relaxed);
+    if let Some(progress_thread) = progress_thread {
+        let _ = progress_thread.join();
     }
     outcomes
 }
 
 fn send_all(
-    part: Vec<Arrival>,
+    arrivals: Vec<Arrival>,
     balancer: &Arc<Balancer>,
     counts: &Arc<Counts>,
     start: Instant,
 ) -> Vec<Outcome> {
     actix_rt::System::new().block_on(async {
         let http = caller::http_client();
-        let mut calls = Vec::with_capacity(part.len());
-        for arrival in part {
+        let mut calls = Vec::with_capacity(arrivals.len());
+        for arrival in arrivals {
             tokio::time::sleep_until((start + arrival.at).into()).await;
             counts.sent.fetch_add(1, Ordering::Relaxed);
             let (http, balancer) = (http.clone(), Arc::clone(balancer));
@@ -90,7 +92,7 @@
         for (sent, call) in calls {
             let outcome = match tokio::time::timeout_at(deadline, call).await {
                 Ok(Ok(outcome)) => outcome,
-                _ => Outcome::lost(sent, "no end within the grace time"),
+                _ => Outcome::lost(sent, "not ended within the grace time"),
             };
             outcomes.push(outcome);
         }
@@ -111,10 +113,10 @@
     }
 }
 
-/// Prints a line of progress every second.
-fn print_progress(counts: &Counts, over: &AtomicBool, start: Instant) {
+/// Prints a progress line every second until the run is over.
+fn print_progress(counts: &Counts, finished: &AtomicBool, start: Instant) {
     let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    while !over.load(Ordering::Relaxed) {
+    while !finished.load(Ordering::Relaxed) {
         thread::sleep(PROGRESS_INTERVAL);
         eprintln!(
             "second={} sent={} whole={} refused={} broken={} lost={}",
--- a/crates/load/src/evaluation.rs
+++ b/crates/load/src/evaluation.rs
@@ -1,5 +1,5 @@
-//! What the outcomes of a run come to, judged by what the stand-ins saw and
-//! by what the callers saw, never by what the router believes.
+//! Computes the report on a run from what callers and stand-ins observed. The
+//! router's own counters are not used, since the report checks the router.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::caller::{Ending, ErrorReply, Outcome};
 use crate::report::{ClassReport, Quantiles, Report};
 
-/// Longest time that is told apart, in microseconds.
+/// Largest recorded time, in microseconds; longer ones count as this.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Judges the outcomes of `sent` requests. A request without an outcome is
-/// lost.
+/// Computes the report on `sent` requests. A request without an outcome
+/// counts as lost.
 #[must_use]
 pub fn evaluate(workload: &Workload, sent: usize, outcomes: &[Outcome], ledger: &Ledger) -> Report {
     let mut report = Report {
@@ -25,20 +25,20 @@
     };
     report.lost = sent.saturating_sub(outcomes.len()) as u64;
 
-    let (mut useful, mut whole_tokens) = (0, 0);
-    for (name, class_workload) in &workload.classes {
-        let of_class: Vec<_> = outcomes
+    let (mut target_tokens, mut complete_tokens) = (0, 0);
+    for (name, class) in &workload.classes {
+        let class_outcomes: Vec<_> = outcomes
             .iter()
             .filter(|o| &o.arrival.class == name)
             .collect();
-        let class = class_report(class_workload, &of_class);
-        report.classes.insert(name.clone(), class);
+        let summary = class_report(class, &class_outcomes);
+        report.classes.insert(name.clone(), summary);
 
-        for outcome in of_class {
+        for outcome in class_outcomes {
             count_violations(&mut report, outcome, ledger);
             let tokens = u64::from(outcome.tokens);
-            whole_tokens += if is_complete(outcome) { tokens } else { 0 };
-            useful += if met_targets(class_workload, outcome) {
+            complete_tokens += if is_complete(outcome) { tokens } else { 0 };
+            target_tokens += if met_targets(class, outcome) {
                 tokens
             } else {
                 0
@@ -47,57 +47,58 @@
     }
 
     report.tokens_made = ledger.all().values().map(|s| u64::from(s.tokens)).sum();
-    report.tokens_wasted = report.tokens_made.saturating_sub(whole_tokens);
+    report.tokens_wasted = report.tokens_made.saturating_sub(complete_tokens);
     report.wasted_share = ratio(report.tokens_wasted, report.tokens_made);
-    report.goodput = useful as f64 / workload.seconds;
+    report.goodput = target_tokens as f64 / workload.seconds;
     report
 }
 
-/// Counts what must never happen.
+/// Counts violations of the router's guarantees: lost, duplicated and
+/// corrupted requests, and false statements that a request did not run.
 fn count_violations(report: &mut Report, outcome: &Outcome, ledger: &Ledger) {
     let seen = ledger.seen(&outcome.arrival.mark);
-    let told_no = |told: &ErrorReply| told.ran == "no";
+    let denies_run = |reply: &ErrorReply| reply.ran == "no";
     report.corrupted += u64::from(outcome.corrupted);
     report.duplicated += u64::from(!outcome.arrival.repeatable && seen.runs > 1);
     match &outcome.ending {
         Ending::Lost(_) => report.lost += 1,
         Ending::Completed => report.lost += u64::from(!is_complete(outcome)),
-        Ending::Refused(told) | Ending::StreamFailed(told) => {
-            report.false_not_run += u64::from(told_no(told) && seen.runs > 0);
+        Ending::Refused(reply) | Ending::StreamFailed(reply) => {
+            report.false_not_run += u64::from(denies_run(reply) && seen.runs > 0);
         }
         Ending::Abandoned => {}
     }
 }
 
-/// Whether the answer was said to be whole and has as many tokens as the
-/// stand-in was told to make.
+/// Whether the answer ended as complete and has as many tokens as the stand-in
+/// was told to generate.
 #[must_use]
 pub fn is_complete(outcome: &Outcome) -> bool {
-    let enough = match outcome.arrival.kind {
+    let all_tokens = match outcome.arrival.kind {
         RequestKind::Completion => outcome.tokens == outcome.arrival.answer_tokens,
         RequestKind::Call { .. } => true,
     };
-    outcome.ending == Ending::Completed && enough
+    outcome.ending == Ending::Completed && all_tokens
 }
 
-fn class_report(class_workload: &ClassWorkload, outcomes: &[&Outcome]) -> ClassReport {
+fn class_report(class: &ClassWorkload, outcomes: &[&Outcome]) -> ClassReport {
     let mut report = ClassReport {
-        tier: class_workload.tier,
+        tier: class.tier,
         ..ClassReport::default()
     };
     let (mut first, mut gap) = (LatencyHistogram::new(), LatencyHistogram::new());
     for outcome in outcomes {
         report.offered += 1;
         match &outcome.ending {
-            Ending::Refused(told) => {
-                *report.refused.entry(told.reason.clone()).or_default() += 1;
+            Ending::Refused(reply) => {
+                *report.refused.entry(reply.reason.clone()).or_default() += 1;
             }
             Ending::Completed | Ending::StreamFailed(_) | Ending::Abandoned | Ending::Lost(_) => {
                 report.accepted += 1;
             }
         }
         report.whole += u64::from(is_complete(outcome));
-        report.in_target += u64::from(met_targets(class_workload, outcome));
+        report.in_target += u64::from(met_targets(class, outcome));
         if let Some(ttft) = outcome.ttft {
             first.record(ttft);
             gap.record(mean_gap(outcome));
@@ -109,21 +110,19 @@
     report
 }
 
-/// Whether the answer was whole and met each target. A caller that takes its
-/// answer whole sees no first token and no gaps.
+/// Whether the answer was complete and met all latency targets. Only a streamed
+/// completion has targets for the first token and the time between tokens.
 #[must_use]
-pub fn met_targets(class_workload: &ClassWorkload, outcome: &Outcome) -> bool {
+pub fn met_targets(class: &ClassWorkload, outcome: &Outcome) -> bool {
     let ms = |d: Duration| d.as_secs_f64() * 1000.0;
     let streamed = outcome.arrival.stream && outcome.arrival.kind == RequestKind::Completion;
     let in_time = !streamed
-        || outcome
-            .ttft
-            .is_some_and(|f| ms(f) <= class_workload.first_ms)
-            && ms(mean_gap(outcome)) <= class_workload.gap_ms;
-    is_complete(outcome) && in_time && ms(outcome.total) <= class_workload.whole_ms
+        || outcome.ttft.is_some_and(|f| ms(f) <= class.first_ms)
+            && ms(mean_gap(outcome)) <= class.gap_ms;
+    is_complete(outcome) && in_time && ms(outcome.total) <= class.whole_ms
 }
 
-/// Mean time between two tokens of an answer.
+/// Mean time between tokens of an answer.
 fn mean_gap(outcome: &Outcome) -> Duration {
     let gaps = outcome.tokens.saturating_sub(1).max(1);
     let first = outcome.ttft.unwrap_or_default();
@@ -137,7 +136,7 @@
     part as f64 / whole as f64
 }
 
-/// Times in microseconds, with three significant digits.
+/// Times in microseconds, with a precision of three significant digits.
 struct LatencyHistogram(Option<Histogram<u64>>);
 
 impl LatencyHistogram {
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,11 +1,11 @@
-//! The open-loop load generator and the report on what it saw.
+//! An open-loop load generator and its report.
 //!
-//! - [`arrivals`]: who asks for what, and when.
-//! - [`balancer`]: which entry a caller is sent to.
-//! - [`caller`]: one caller's request and its outcome.
-//! - [`drive`]: sending all of them at their times.
-//! - [`evaluation`]: what the outcomes come to by what the stand-ins saw.
-//! - [`report`]: the report as it is written and printed.
+//! - [`arrivals`]: the workload and the seeded sequence of its requests.
+//! - [`balancer`]: selection of the entry for a request.
+//! - [`caller`]: sending one request and recording its outcome.
+//! - [`drive`]: sending all requests at their arrival times.
+//! - [`evaluation`]: the report, from outcomes and the stand-ins' ledgers.
+//! - [`report`]: the report's fields and its printed form.
 
 pub mod arrivals;
 pub mod balancer;
@@ -27,28 +27,28 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where the entries listen.
+    /// Addresses at which the entries listen.
     pub entries: Vec<SocketAddr>,
-    /// Stand-ins whose ledgers judge the outcomes; without them `doubled` and
-    /// `false_not_run` cannot be told.
+    /// Stand-ins whose ledgers the outcomes are checked against. Without them
+    /// the report's `doubled`, `false_not_run` and `tokens_made` are unknown.
     #[serde(default)]
     pub ledgers: Vec<SocketAddr>,
-    /// What to send.
+    /// The requests to send.
     #[serde(rename = "mix")]
     pub workload: Workload,
 }
 
-/// What a run came to, with each outcome.
+/// The report on a run, with the outcome of each request.
 #[derive(Debug, Clone)]
 pub struct RunResult {
     /// The report.
     pub report: Report,
-    /// The outcomes it was judged from.
+    /// The outcomes that the report was computed from.
     pub outcomes: Vec<Outcome>,
 }
 
-/// Sends the workload's arrivals to the entries and judges the outcomes. Blocks
-/// the calling thread until the run is over.
+/// Sends the workload's requests to the entries and computes the report.
+/// Blocks the calling thread until the run is over.
 #[must_use]
 pub fn run(
     workload: &Workload,
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,42 +1,43 @@
-//! The report on a run as it is written and printed.
+//! The report on a run and its printed form.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// What a run came to.
+/// The report on a run.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Report {
     /// Seed of the run.
     pub seed: u64,
     /// The fleet's name.
     pub fleet: String,
-    /// How long requests arrived.
+    /// Time during which requests arrived, in seconds.
     pub seconds: f64,
-    /// The classes by name.
+    /// The reports on the request classes by name.
     pub classes: BTreeMap<String, ClassReport>,
-    /// Tokens a second of answers that were whole and in target.
+    /// Tokens per second of complete answers that met their targets.
     pub goodput: f64,
-    /// Tokens that the engines made.
+    /// Tokens that the engines generated.
     pub tokens_made: u64,
-    /// Tokens made that no caller got as part of a whole answer.
+    /// Generated tokens that no caller received in a complete answer.
     pub tokens_wasted: u64,
-    /// Wasted tokens as a share of those made.
+    /// Share of the generated tokens that were wasted.
     pub wasted_share: f64,
-    /// Non-repeatable requests that ran twice.
+    /// Non-repeatable requests that ran more than once.
     #[serde(rename = "doubled")]
     pub duplicated: u64,
-    /// Requests that ended neither whole nor with a refusal.
+    /// Requests that ended without a complete answer and without an error
+    /// reply.
     pub lost: u64,
-    /// Answers with a piece not their own or out of order.
+    /// Answers with a token of another request or out of order.
     #[serde(rename = "mixed")]
     pub corrupted: u64,
-    /// Requests told not to have run that ran.
+    /// Requests that ran although the error reply says that they did not.
     pub false_not_run: u64,
 }
 
-/// What a run came to for one class.
+/// The report on one request class.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ClassReport {
     /// The tier.
@@ -45,13 +46,13 @@
     pub offered: u64,
     /// Requests that were not refused.
     pub accepted: u64,
-    /// Requests with a whole answer.
+    /// Requests with a complete answer.
     pub whole: u64,
-    /// Requests with a whole answer within the targets.
+    /// Requests with a complete answer that met all targets.
     pub in_target: u64,
-    /// Share of the requests sent that were answered within the targets.
+    /// Share of the offered requests that met all targets.
     pub attainment: f64,
-    /// Refusals by reason.
+    /// Number of refusals by reason.
     pub refused: BTreeMap<String, u64>,
     /// Time to the first token, in milliseconds.
     pub ttft_ms: Quantiles,
@@ -71,7 +72,8 @@
 }
 
 impl Report {
-    /// Whether nothing was doubled, lost, mixed or falsely called not run.
+    /// Whether no request was duplicated, lost, corrupted or falsely reported
+    /// as not run.
     #[must_use]
     pub fn is_correct(&self) -> bool {
         self.duplicated + self.lost + self.corrupted + self.false_not_run == 0
