--- a/crates/demo/src/changes.rs
+++ b/crates/demo/src/changes.rs
@@ -1,4 +1,5 @@
-//! Changes of the bundle while a demo runs, and how fast they are in force.
+//! Changes of the bundle during a run, and the time until all daemons apply
+//! them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,55 +13,60 @@
 
 use crate::rollout::Rollout;
 
-/// How long a publication is tried, and the pause between tries.
-const TRY_FOR: Duration = Duration::from_secs(15);
-const PAUSE: Duration = Duration::from_millis(10);
+/// Time limit of a publication's retries, and the interval between them.
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(15);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long every daemon has to come up to a change.
-const IN_FORCE: Duration = Duration::from_secs(20);
+/// Time limit for all daemons to apply a change.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a daemon shows of the bundle that it goes by.
+/// The part of a daemon's status about the bundle that it applies.
 #[derive(Debug, Deserialize)]
-struct Shown {
+struct DaemonStatus {
     sequence: BundleSequence,
 }
 
-/// What an operator changes.
+/// A change of the bundle by operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// One operator publishes.
+    /// One operator publishes a bundle.
     Publish,
-    /// Two operators publish at once.
+    /// Two operators publish different bundles at the same time.
     Race,
-    /// One operator goes back to the first version.
+    /// One operator rolls back to the first version.
     Rollback,
 }
 
-/// Makes a change and waits until it is in force everywhere; says how long
-/// that took, on one line.
+/// Makes a change and waits until all daemons apply it. Returns one line with
+/// the outcomes and the time it took.
 #[must_use]
-pub fn make(change: Change, rollout: &Rollout, bundle: &Bundle, daemons: &[SocketAddr]) -> String {
+pub fn apply_change(
+    change: Change,
+    rollout: &Rollout,
+    bundle: &Bundle,
+    daemons: &[SocketAddr],
+) -> String {
     actix_rt::System::new().block_on(async {
         let outcomes = match change {
-            Change::Publish => vec![publish(rollout, 0, &marked(bundle, "one")).await],
+            Change::Publish => vec![publish(rollout, 0, &with_marker(bundle, "one")).await],
             Change::Rollback => vec![rollback(rollout).await],
             Change::Race => {
-                let (one, two) = (marked(bundle, "race-a"), marked(bundle, "race-b"));
+                let (one, two) = (with_marker(bundle, "race-a"), with_marker(bundle, "race-b"));
                 let (one, two) = tokio::join!(publish(rollout, 0, &one), publish(rollout, 1, &two));
                 vec![one, two]
             }
         };
-        let won = outcomes.iter().find_map(|outcome| match outcome {
+        let accepted = outcomes.iter().find_map(|outcome| match outcome {
             PublishOutcome::Accepted(sequence) => Some(*sequence),
             _ => None,
         });
-        let Some(sequence) = won else {
+        let Some(sequence) = accepted else {
             return format!("change={change:?} outcomes={outcomes:?} in_force=never");
         };
-        match in_force(sequence, daemons).await {
-            Some(took) => format!(
+        match wait_in_force(sequence, daemons).await {
+            Some(elapsed) => format!(
                 "change={change:?} outcomes={outcomes:?} in_force_everywhere={:.3}s daemons={}",
-                took.as_secs_f64(),
+                elapsed.as_secs_f64(),
                 daemons.len()
             ),
             None => format!("change={change:?} outcomes={outcomes:?} in_force=late"),
@@ -68,28 +74,29 @@
     })
 }
 
-/// Waits until a daemon that was just replaced goes by the newest version
-/// that any of the others has; says how long that took, on one line.
+/// Waits until a daemon that was just replaced applies the newest version that
+/// any other daemon has. Returns one line with the time it took.
 #[must_use]
-pub fn caught_up(daemon: SocketAddr, others: &[SocketAddr]) -> String {
+pub fn wait_for_catch_up(daemon: SocketAddr, others: &[SocketAddr]) -> String {
     actix_rt::System::new().block_on(async {
         let http = awc::Client::default();
         let mut newest = BundleSequence::default();
         for other in others.iter().filter(|o| **o != daemon) {
-            newest = newest.max(sequence(&http, *other).await.unwrap_or_default());
+            newest = newest.max(fetch_sequence(&http, *other).await.unwrap_or_default());
         }
-        match in_force(newest, &[daemon]).await {
-            Some(took) => format!(
+        match wait_in_force(newest, &[daemon]).await {
+            Some(elapsed) => format!(
                 "replaced={daemon} version={newest} in_force={:.3}s",
-                took.as_secs_f64()
+                elapsed.as_secs_f64()
             ),
             None => format!("replaced={daemon} version={newest} in_force=late"),
         }
     })
 }
 
-/// A bundle that differs from all others by one workspace that nobody uses.
-fn marked(bundle: &Bundle, mark: &str) -> Bundle {
+/// The bundle with an added, unused workspace, so that it differs from all
+/// others.
+fn with_marker(bundle: &Bundle, mark: &str) -> Bundle {
     let mut bundle = bundle.clone();
     let workspace = bundle::Workspace {
         tokens: [bundle::token_hash(mark)].into(),
@@ -105,7 +112,7 @@
     let mut bundle = bundle.clone();
     bundle.operators.extend(rollout.operators());
     let content = Content::from_bundle(&bundle);
-    attempt(
+    publish_with_retries(
         async |publisher| {
             let published = publisher.publish(&rollout.keys[operator], &content, None);
             published.await.unwrap_or(PublishOutcome::Unknown)
@@ -116,7 +123,7 @@
 }
 
 async fn rollback(rollout: &Rollout) -> PublishOutcome {
-    attempt(
+    publish_with_retries(
         async |publisher| {
             let first = BundleSequence(1);
             let Ok(Some(content)) = publisher.version_content(first).await else {
@@ -130,47 +137,48 @@
     .await
 }
 
-/// Tries for as long as the outcome is unknown, as an operator who is told to
-/// look again does.
-async fn attempt(
+/// Retries while the outcome is unknown, as an operator does who is told to
+/// check the log again.
+async fn publish_with_retries(
     mut publish: impl AsyncFnMut(&mut Publisher) -> PublishOutcome,
     rollout: &Rollout,
 ) -> PublishOutcome {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut publisher = Publisher::new(LogClient::new(rollout.log), rollout.operators());
     let mut outcome = PublishOutcome::Unknown;
-    while outcome == PublishOutcome::Unknown && began.elapsed() < TRY_FOR {
+    while outcome == PublishOutcome::Unknown && started.elapsed() < PUBLISH_TIMEOUT {
         if publisher.read_to_end().await.is_ok() {
             outcome = publish(&mut publisher).await;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
     outcome
 }
 
-/// Time until every daemon that answers goes by the version or a later one.
-async fn in_force(sought: BundleSequence, daemons: &[SocketAddr]) -> Option<Duration> {
-    let began = Instant::now();
+/// Waits until all daemons report this version or a later one and returns the
+/// time it took; `None` at the timeout.
+async fn wait_in_force(target: BundleSequence, daemons: &[SocketAddr]) -> Option<Duration> {
+    let started = Instant::now();
     let http = awc::Client::default();
     for daemon in daemons {
         loop {
-            let shown = sequence(&http, *daemon).await;
-            if shown.is_some_and(|shown| shown >= sought) {
+            let sequence = fetch_sequence(&http, *daemon).await;
+            if sequence.is_some_and(|sequence| sequence >= target) {
                 break;
             }
-            if began.elapsed() > IN_FORCE {
+            if started.elapsed() > IN_FORCE_TIMEOUT {
                 return None;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
-    Some(began.elapsed())
+    Some(started.elapsed())
 }
 
-/// The version that a daemon goes by, if it answers.
-async fn sequence(http: &awc::Client, daemon: SocketAddr) -> Option<BundleSequence> {
+/// The version that a daemon applies, if it answers.
+async fn fetch_sequence(http: &awc::Client, daemon: SocketAddr) -> Option<BundleSequence> {
     let url = format!("http://{daemon}/status");
     let mut answer = http.get(url).send().await.ok()?;
-    let shown: Shown = answer.json().await.ok()?;
-    Some(shown.sequence)
+    let status: DaemonStatus = answer.json().await.ok()?;
+    Some(status.sequence)
 }
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -1,13 +1,13 @@
-//! A fleet's daemons and stand-ins, each on a thread and an address of its
-//! own on loopback.
+//! A fleet's daemons and stand-ins, each on its own thread and loopback
+//! address.
 
-use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::subnet::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
 use base::ids::Offset;
 use base::settings::HumanDuration;
 use bundle::Bundle;
-use clients::hosts::{Host as Listed, HostStatus, Role as Kind};
+use clients::hosts::{Host as ListedHost, HostStatus, Role as HostRole};
 use entry::settings::{Drain, HostList, IdempotencyKeys, Routing, SidecarInfo};
 use policy::queue::QueueSettings;
 use sidecar::settings::Backend;
@@ -16,127 +16,134 @@
 
 use crate::arm::Arm;
 use crate::changes::{self, Change};
-use crate::fleet::{ENTRIES, EXTRA, Fleet, PLAINS, PREFILL, SLOTS};
-use crate::host::Host;
+use crate::daemon::Daemon;
+use crate::fleet::{
+    ENGINE_SLOTS, ENTRY_COUNT, Fleet, PLAIN_SERVERS, PREFILL_TOKENS, STEP_PER_REQUEST,
+};
 use crate::rollout::Rollout;
 
-/// Port on which every daemon listens, each on an address of its own.
+/// Port on which every daemon listens; their addresses differ.
 const PORT: u16 = 7100;
 
-/// Port of every daemon's operators' address.
+/// Port of every daemon's operators' endpoints.
 const OPERATORS_PORT: u16 = 7101;
 
-/// Calls that a plain service takes at once.
+/// Number of concurrent calls of a plain service.
 const PLAIN_SLOTS: usize = 16;
 
-/// How a fleet is laid out.
+/// The configuration of a fleet.
 #[derive(Debug, Clone)]
 pub struct Layout {
-    /// Whose fleet.
+    /// The user's fleet.
     pub fleet: Fleet,
-    /// The bundle in force.
+    /// The bundle published at the start.
     pub bundle: Bundle,
     /// Seed of the daemons' random choices.
     pub seed: u64,
-    /// The router's policy.
+    /// The routing policy.
     pub arm: Arm,
-    /// Whether entries and sidecars are reached through forwarders whose
-    /// connections can go silent.
-    pub forwarded: bool,
+    /// Whether sidecars and backend servers are reached through forwarders
+    /// that can silence their connections.
+    pub needs_forwarders: bool,
     /// The platform's log, through which the bundle is published.
     pub rollout: Rollout,
-    /// The first two numbers of all addresses.
-    net: [u8; 2],
+    /// The first two octets of all addresses.
+    subnet: [u8; 2],
 }
 
-/// A fleet that runs.
+/// A running fleet.
 pub struct Cluster {
     layout: Layout,
-    /// The forwarder before the log, which counts bytes.
-    log_link: (Host, FaultControl<proxy::Faults>),
+    /// The forwarder in front of the log, which counts bytes.
+    log_link: (Daemon, FaultControl<proxy::Faults>),
     /// The entries.
-    pub entries: Vec<Host>,
+    pub entries: Vec<Daemon>,
     /// The backend servers, model engines first.
     pub servers: Vec<Server>,
-    /// The platform's list of hosts, and what really is there.
-    pub hosts: (Host, Registry),
+    /// The platform's list of hosts, and the registry that it serves.
+    pub hosts: (Daemon, Registry),
     /// The platform's log.
-    pub log: Host,
-    /// What the stand-ins saw.
+    pub log: Daemon,
+    /// The requests that the stand-ins ran.
     pub ledger: Ledger,
 }
 
-/// A backend server's host: the backend server and the sidecar beside it.
+/// A backend server's host: the backend server and its sidecar.
 pub struct Server {
     /// The backend server.
-    pub backend: Host,
-    /// Its faults.
+    pub backend: Daemon,
+    /// The control of its faults.
     pub faults: Faults,
     /// The sidecar.
-    pub sidecar: Host,
-    /// The forwarder before the sidecar, if there is one, and its faults.
-    pub link: Option<(Host, FaultControl<proxy::Faults>)>,
-    /// The forwarder before the backend server, if there is one.
-    pub inner: Option<(Host, FaultControl<proxy::Faults>)>,
+    pub sidecar: Daemon,
+    /// The forwarder in front of the sidecar, if there is one, and its faults.
+    pub sidecar_link: Option<(Daemon, FaultControl<proxy::Faults>)>,
+    /// The forwarder in front of the backend server, if there is one, and its
+    /// faults.
+    pub backend_link: Option<(Daemon, FaultControl<proxy::Faults>)>,
 }
 
-/// The faults of a backend server.
+/// The control of a backend server's faults.
 pub enum Faults {
-    /// Of a model engine.
+    /// Faults of a model engine.
     Engine(FaultControl<engine::Faults>),
-    /// Of a plain service.
+    /// Faults of a plain service.
     Plain(FaultControl<plain::Faults>),
 }
 
-/// The part of the addresses that a kind of daemon has.
+/// The kinds of daemons; the number is the third octet of their addresses.
 #[derive(Debug, Clone, Copy)]
 enum Role {
     Entry = 1,
     Sidecar = 2,
     Backend = 3,
-    Link = 4,
-    Inner = 5,
+    SidecarLink = 4,
+    BackendLink = 5,
     Log = 6,
     LogLink = 7,
     Hosts = 8,
 }
 
 impl Layout {
-    /// Lays out a fleet.
+    /// Configures a fleet with the shipped policy.
     #[must_use]
     pub fn new(fleet: Fleet, bundle: Bundle, seed: u64) -> Self {
-        // Each process has a part of loopback of its own, so that several
-        // demos can run side by side.
+        // Each process uses its own subnet of loopback, so that several demos
+        // can run at the same time.
         let [_, _, a, b] = std::process::id().to_be_bytes();
-        let net = [127, a.wrapping_add(b).max(1)];
+        let subnet = [127, a.wrapping_add(b).max(1)];
         Self {
             fleet,
             bundle,
             seed,
             arm: Arm::default(),
-            forwarded: false,
-            rollout: Rollout::new(addr(net, Role::Log, 0)),
-            net,
+            needs_forwarders: false,
+            rollout: Rollout::new(addr(subnet, Role::Log, 0)),
+            subnet: subnet,
         }
     }
 
-    /// Where the entries listen.
+    /// Addresses at which the entries listen.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
-        (0..ENTRIES).map(|i| self.addr(Role::Entry, i)).collect()
+        (0..ENTRY_COUNT)
+            .map(|i| self.addr(Role::Entry, i))
+            .collect()
     }
 
-    /// Starts every daemon and stand-in.
+    /// Starts all daemons and stand-ins, publishes the bundle and waits until
+    /// the daemons are ready.
     #[must_use]
     pub fn start(self) -> Cluster {
         let ledger = Ledger::default();
         let log = self.rollout.start();
         let log_link = start_forwarder(self.addr(Role::LogLink, 0), self.rollout.log);
-        let count = self.fleet.engines() + PLAINS;
+        let count = self.fleet.engine_count() + PLAIN_SERVERS;
         let hosts = self.start_hosts();
         let servers = (0..count).map(|i| self.start_server(i, &ledger)).collect();
-        let entries = (0..ENTRIES).map(|i| self.start_entry(i)).collect();
-        self.rollout.begin(&self.bundle, &self.daemons());
+        let entries = (0..ENTRY_COUNT).map(|i| self.start_entry(i)).collect();
+        self.rollout
+            .publish_initial(&self.bundle, &self.operators_addrs());
         Cluster {
             layout: self,
             log,
@@ -148,17 +155,19 @@
         }
     }
 
-    fn start_hosts(&self) -> (Host, Registry) {
-        let count = self.fleet.engines() + PLAINS;
-        let sidecars = (0..count).map(|i| self.known(i)).map(|known| Listed {
-            name: known.name,
-            addr: known.addr,
-            zone: known.zone,
-            region: self.fleet.name().to_owned(),
-            role: Kind::Sidecar,
-            serves: known.serves,
-            status: HostStatus::Live,
-        });
+    fn start_hosts(&self) -> (Daemon, Registry) {
+        let count = self.fleet.engine_count() + PLAIN_SERVERS;
+        let sidecars = (0..count)
+            .map(|i| self.sidecar_record(i))
+            .map(|record| ListedHost {
+                name: record.name,
+                addr: record.addr,
+                zone: record.zone,
+                region: self.fleet.name().to_owned(),
+                role: HostRole::Sidecar,
+                serves: record.serves,
+                status: HostStatus::Live,
+            });
         let registry = Registry::new(sidecars.collect());
         let settings = hosts::Settings {
             listen: self.addr(Role::Hosts, 0),
@@ -166,50 +175,50 @@
             faults: hosts::Faults::default(),
         };
         let served = registry.clone();
-        let host = Host::start("hosts", move |stop| {
+        let daemon = Daemon::start("hosts", move |stop| {
             hosts::run(settings.clone(), served.clone(), stop)
         });
-        (host, registry)
+        (daemon, registry)
     }
 
     fn start_server(&self, i: u8, ledger: &Ledger) -> Server {
-        let (backend, faults) = match i < self.fleet.engines() {
+        let (backend, faults) = match i < self.fleet.engine_count() {
             true => self.start_engine(i, ledger.clone()),
             false => self.start_plain(i, ledger.clone()),
         };
         let forward = |from, to| {
-            self.forwarded
+            self.needs_forwarders
                 .then(|| start_forwarder(self.addr(from, i), self.addr(to, i)))
         };
         Server {
             backend,
             faults,
             sidecar: self.start_sidecar(i),
-            link: forward(Role::Link, Role::Sidecar),
-            inner: forward(Role::Inner, Role::Backend),
+            sidecar_link: forward(Role::SidecarLink, Role::Sidecar),
+            backend_link: forward(Role::BackendLink, Role::Backend),
         }
     }
 
-    fn start_engine(&self, i: u8, ledger: Ledger) -> (Host, Faults) {
+    fn start_engine(&self, i: u8, ledger: Ledger) -> (Daemon, Faults) {
         let settings = engine::Settings {
             listen: self.addr(Role::Backend, i),
-            slots: SLOTS,
-            step_time: self.fleet.step(),
-            request_overhead: EXTRA,
-            prefill_tokens: PREFILL,
+            slots: ENGINE_SLOTS,
+            step_time: self.fleet.step_time(),
+            request_overhead: STEP_PER_REQUEST,
+            prefill_tokens: PREFILL_TOKENS,
             cache_tokens: 200_000,
             resume_window: HumanDuration::secs(5),
             faults: engine::Faults::default(),
         };
         let faults = FaultControl::new(settings.faults.clone());
         let control = faults.clone();
-        let host = Host::start(&format!("engine-{i}"), move |stop| {
+        let daemon = Daemon::start(&format!("engine-{i}"), move |stop| {
             engine::run_with(settings.clone(), control.clone(), ledger.clone(), stop)
         });
-        (host, Faults::Engine(faults))
+        (daemon, Faults::Engine(faults))
     }
 
-    fn start_plain(&self, i: u8, ledger: Ledger) -> (Host, Faults) {
+    fn start_plain(&self, i: u8, ledger: Ledger) -> (Daemon, Faults) {
         let settings = plain::Settings {
             listen: self.addr(Role::Backend, i),
             call_duration: HumanDuration::ms(5),
@@ -217,33 +226,36 @@
         };
         let faults = FaultControl::new(settings.faults.clone());
         let control = faults.clone();
-        let host = Host::start(&format!("plain-{i}"), move |stop| {
+        let daemon = Daemon::start(&format!("plain-{i}"), move |stop| {
             plain::run_with(settings.clone(), control.clone(), ledger.clone(), stop)
         });
-        (host, Faults::Plain(faults))
+        (daemon, Faults::Plain(faults))
     }
 
-    fn start_sidecar(&self, i: u8) -> Host {
-        let role = if self.forwarded {
-            Role::Inner
+    fn start_sidecar(&self, i: u8) -> Daemon {
+        let role = if self.needs_forwarders {
+            Role::BackendLink
         } else {
             Role::Backend
         };
         let addr = self.addr(role, i);
-        let backend = match i < self.fleet.engines() {
-            true => Backend::Engine { addr, slots: SLOTS },
+        let backend = match i < self.fleet.engine_count() {
+            true => Backend::Engine {
+                addr,
+                slots: ENGINE_SLOTS,
+            },
             false => Backend::Plain {
                 addr,
                 slots: PLAIN_SLOTS,
                 timeout: HumanDuration::secs(5),
             },
         };
-        let known = self.known(i);
+        let record = self.sidecar_record(i);
         let mut settings = sidecar::Settings {
-            name: known.name.clone(),
-            zone: known.zone,
+            name: record.name.clone(),
+            zone: record.zone,
             listen: self.addr(Role::Sidecar, i),
-            operators: Some(self.operators(Role::Sidecar, i)),
+            operators: Some(self.operators_addr(Role::Sidecar, i)),
             follow: Some(self.follow()),
             backend,
             hold_timeout: HumanDuration::ms(250),
@@ -256,19 +268,19 @@
             queue: QueueSettings::default(),
             log_level: base::logging::Level::Warn,
         };
-        self.arm.sidecar(&mut settings);
-        Host::start(&known.name, move |stop| {
+        self.arm.configure_sidecar(&mut settings);
+        Daemon::start(&record.name, move |stop| {
             sidecar::run(settings.clone(), stop)
         })
     }
 
-    fn start_entry(&self, i: u8) -> Host {
+    fn start_entry(&self, i: u8) -> Daemon {
         let name = format!("entry-{i}");
         let mut settings = entry::Settings {
             name: name.clone(),
             zone: self.fleet.zones()[usize::from(i)].to_owned(),
             listen: self.addr(Role::Entry, i),
-            operators: Some(self.operators(Role::Entry, i)),
+            operators: Some(self.operators_addr(Role::Entry, i)),
             follow: Some(self.follow()),
             sidecars: Vec::new(),
             host_list: HostList {
@@ -277,7 +289,8 @@
                 ..HostList::default()
             },
             drain: Drain {
-                // The demo's callers go on to the next entry at once.
+                // The load generator tries the next entry at once, so the
+                // entry need not linger for a slow load balancer.
                 linger: HumanDuration::ms(100),
                 ..Drain::default()
             },
@@ -289,26 +302,26 @@
             seed: Some(self.seed + u64::from(i)),
             log_level: base::logging::Level::Warn,
         };
-        self.arm.entry(&mut settings);
-        Host::start(&name, move |stop| entry::run(settings.clone(), None, stop))
+        self.arm.configure_entry(&mut settings);
+        Daemon::start(&name, move |stop| entry::run(settings.clone(), None, stop))
     }
 
-    /// What daemons need to follow the log. They reach it through a forwarder
-    /// that counts their bytes.
+    /// The daemons' settings for following the log, which they reach through
+    /// a forwarder that counts their bytes.
     fn follow(&self) -> follow::Settings {
-        let mut settings = self.rollout.follow();
+        let mut settings = self.rollout.follow_settings();
         settings.log = self.addr(Role::LogLink, 0);
         settings
     }
 
-    /// A backend server's sidecar as entries know it.
-    fn known(&self, i: u8) -> SidecarInfo {
-        let serves = match i < self.fleet.engines() {
+    /// A backend server's sidecar as listed for the entries.
+    fn sidecar_record(&self, i: u8) -> SidecarInfo {
+        let serves = match i < self.fleet.engine_count() {
             true => self.fleet.model(),
             false => self.fleet.service(),
         };
-        let role = if self.forwarded {
-            Role::Link
+        let role = if self.needs_forwarders {
+            Role::SidecarLink
         } else {
             Role::Sidecar
         };
@@ -321,54 +334,62 @@
     }
 
     fn addr(&self, role: Role, i: u8) -> SocketAddr {
-        addr(self.net, role, i)
+        addr(self.subnet, role, i)
     }
 
-    /// The operators' addresses of all daemons.
-    fn daemons(&self) -> Vec<SocketAddr> {
-        let count = self.fleet.engines() + PLAINS;
-        let entries = (0..ENTRIES).map(|i| self.operators(Role::Entry, i));
-        let sidecars = (0..count).map(|i| self.operators(Role::Sidecar, i));
+    /// The operators' addresses of all entries and sidecars.
+    fn operators_addrs(&self) -> Vec<SocketAddr> {
+        let count = self.fleet.engine_count() + PLAIN_SERVERS;
+        let entries = (0..ENTRY_COUNT).map(|i| self.operators_addr(Role::Entry, i));
+        let sidecars = (0..count).map(|i| self.operators_addr(Role::Sidecar, i));
         entries.chain(sidecars).collect()
     }
 
-    /// The operators' address of a daemon.
-    fn operators(&self, role: Role, i: u8) -> SocketAddr {
+    /// The operators' address of one daemon.
+    fn operators_addr(&self, role: Role, i: u8) -> SocketAddr {
         SocketAddr::new(self.addr(role, i).ip(), OPERATORS_PORT)
     }
 }
 
 impl Cluster {
-    /// Changes the bundle; says what became of that.
+    /// Changes the bundle and returns one line about the result.
     #[must_use]
-    pub fn change(&self, change: Change) -> String {
+    pub fn apply_change(&self, apply_change: Change) -> String {
         let layout = &self.layout;
-        changes::make(change, &layout.rollout, &layout.bundle, &layout.daemons())
+        changes::apply_change(
+            apply_change,
+            &layout.rollout,
+            &layout.bundle,
+            &layout.operators_addrs(),
+        )
     }
 
-    /// Ends an entry gracefully and starts a fresh one in its place; says how
-    /// soon that has the bundle in force.
+    /// Stops an entry gracefully and starts a new one in its place. Returns one
+    /// line with the time until that applies the newest bundle.
     #[must_use]
     pub fn replace_entry(&self, i: u8) -> Option<String> {
-        let host = self.entries.get(usize::from(i))?;
-        host.end();
-        host.begin();
-        let fresh = self.layout.operators(Role::Entry, i);
-        Some(changes::caught_up(fresh, &self.layout.daemons()))
+        let daemon = self.entries.get(usize::from(i))?;
+        daemon.stop();
+        daemon.restart();
+        let fresh = self.layout.operators_addr(Role::Entry, i);
+        Some(changes::wait_for_catch_up(
+            fresh,
+            &self.layout.operators_addrs(),
+        ))
     }
 
-    /// What goes wrong with the log.
+    /// The control of the log's faults.
     #[must_use]
     pub fn log_faults(&self) -> &FaultControl<standin::log::Faults> {
         &self.layout.rollout.faults
     }
 
-    /// What the daemons and the log cost each other in `seconds`, on one line.
+    /// The traffic between daemons and log over `seconds`, on one line.
     #[must_use]
-    pub fn control(&self, seconds: f64) -> String {
+    pub fn control_traffic(&self, seconds: f64) -> String {
         let bytes = self.log_link.1.get().forwarded_bytes.total() as f64;
-        let daemons = self.layout.daemons().len() as f64;
-        let appends = actix_rt::System::new().block_on(self.appends());
+        let daemons = self.layout.operators_addrs().len() as f64;
+        let appends = actix_rt::System::new().block_on(self.count_appends());
         format!(
             "log appends={appends} appends_per_second={:.2} bytes_per_second_per_daemon={:.0}",
             appends as f64 / seconds,
@@ -376,8 +397,8 @@
         )
     }
 
-    /// Records in the log's streams.
-    async fn appends(&self) -> u64 {
+    /// The number of records in the log's streams.
+    async fn count_appends(&self) -> u64 {
         let log = clients::log::LogClient::new(self.layout.rollout.log);
         let mut all = 0;
         for stream in [follow::STREAM, claims::STREAM] {
@@ -387,53 +408,57 @@
         all
     }
 
-    /// Whose fleet it is.
+    /// The user's fleet that runs.
     #[must_use]
     pub fn fleet(&self) -> Fleet {
         self.layout.fleet
     }
 
-    /// Ends every daemon gracefully, callers' side first.
-    pub fn end(self) {
-        let stages: [Vec<&Host>; 3] = [
+    /// Stops all daemons gracefully: entries first, then sidecars, then the
+    /// stand-ins, so that requests in progress can complete.
+    pub fn stop(self) {
+        let stages: [Vec<&Daemon>; 3] = [
             self.entries.iter().collect(),
             self.servers.iter().map(|s| &s.sidecar).collect(),
             self.servers
                 .iter()
-                .flat_map(Server::outer)
+                .flat_map(Server::backend_side)
                 .chain([&self.hosts.0])
                 .collect(),
         ];
         for stage in stages {
-            stage.iter().for_each(|host| host.ask());
-            stage.iter().for_each(|host| host.end());
+            stage.iter().for_each(|daemon| daemon.request_stop());
+            stage.iter().for_each(|daemon| daemon.stop());
         }
-        self.log_link.0.end();
-        self.log.end();
+        self.log_link.0.stop();
+        self.log.stop();
     }
 }
 
 impl Server {
-    /// The stand-ins of the platform.
-    fn outer(&self) -> Vec<&Host> {
-        let forwarders = self.link.iter().chain(&self.inner);
+    /// The backend server and the forwarders.
+    fn backend_side(&self) -> Vec<&Daemon> {
+        let forwarders = self.sidecar_link.iter().chain(&self.backend_link);
         forwarders
-            .map(|(host, _)| host)
+            .map(|(daemon, _)| daemon)
             .chain([&self.backend])
             .collect()
     }
 }
 
-fn addr(net: [u8; 2], role: Role, i: u8) -> SocketAddr {
-    let ip = Ipv4Addr::new(net[0], net[1], role as u8, i + 1);
+fn addr(subnet: [u8; 2], role: Role, i: u8) -> SocketAddr {
+    let ip = Ipv4Addr::new(subnet[0], subnet[1], role as u8, i + 1);
     SocketAddr::new(IpAddr::V4(ip), PORT)
 }
 
-fn start_forwarder(listen: SocketAddr, target: SocketAddr) -> (Host, FaultControl<proxy::Faults>) {
+fn start_forwarder(
+    listen: SocketAddr,
+    target: SocketAddr,
+) -> (Daemon, FaultControl<proxy::Faults>) {
     let faults = FaultControl::new(proxy::Faults::default());
     let control = faults.clone();
-    let host = Host::start("forwarder", move |stop| {
+    let daemon = Daemon::start("forwarder", move |stop| {
         proxy::run(listen, target, control.clone(), stop)
     });
-    (host, faults)
+    (daemon, faults)
 }
--- a/crates/demo/src/compare.rs
+++ b/crates/demo/src/compare.rs
@@ -1,25 +1,25 @@
-//! Arms of a comparison, side by side on the same seeded arrivals.
+//! Runs of several policies on the same seeded requests.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-use load::{Mix, Report, Run, judge};
+use load::{Report, RunResult, Workload, evaluation};
 use serde::{Deserialize, Serialize};
 
 use crate::Options;
 use crate::arm::Arm;
 use crate::oracle::{Oracle, oracle};
 
-/// Length of the windows in which each lower class has to be served, in
-/// seconds.
-const WINDOW: f64 = 10.0;
+/// Length of the windows over which the answers of each lower-tier class are
+/// counted, in seconds.
+const WINDOW_S: f64 = 10.0;
 
 /// The runs of all arms.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The arms in the order in which they ran.
+    /// The arms in their order of execution.
     pub arms: Vec<ArmRuns>,
-    /// Goodput that an oracle would reach, by seed.
+    /// The oracle's goodput in tokens per second, by seed.
     pub oracle: BTreeMap<u64, f64>,
 }
 
@@ -28,7 +28,7 @@
 pub struct ArmRuns {
     /// The arm.
     pub arm: Arm,
-    /// Its runs by seed.
+    /// The runs by seed.
     pub runs: BTreeMap<u64, ArmRun>,
 }
 
@@ -37,33 +37,35 @@
 pub struct ArmRun {
     /// The report.
     pub report: Report,
-    /// The fewest answers of a lower-tier class that ended whole in any
-    /// window of ten seconds; absent when the run is shorter.
+    /// The smallest number of complete answers of any lower-tier class in any
+    /// window of ten seconds; `None` if the run is shorter.
     pub least_served: Option<u64>,
 }
 
 /// Medians over the seeds of one arm.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Medians {
-    /// Share of top-tier requests in target.
+    /// Share of top-tier requests that met their targets.
     pub top: f64,
-    /// Top-tier requests not in target.
+    /// Number of top-tier requests that missed a target.
     pub misses: f64,
-    /// Share of lower-tier completions in target.
+    /// Share of lower-tier requests that met their targets.
     pub lower: f64,
-    /// Tokens a second in target.
+    /// Tokens per second of answers that met their targets.
     pub goodput: f64,
     /// Goodput as a share of the oracle's.
-    pub of_oracle: f64,
-    /// Share of tokens wasted.
+    pub oracle_share: f64,
+    /// Share of the generated tokens that were wasted.
     pub wasted: f64,
-    /// The most of the four things that must never happen.
-    pub faults: u64,
-    /// The fewest answers of a lower class in any window.
+    /// The largest number of guarantee violations in one run: duplicated,
+    /// lost and corrupted requests, and false statements of not having run.
+    pub violations: u64,
+    /// The smallest number of complete answers of any lower-tier class in any
+    /// window, over all runs.
     pub least_served: Option<u64>,
 }
 
-/// Runs the arms in turn for each seed.
+/// Runs all arms one after the other for each seed.
 #[must_use]
 pub fn compare(options: &Options, arms: &[Arm], seeds: &[u64]) -> Comparison {
     let mut comparison = Comparison::default();
@@ -75,8 +77,8 @@
     for seed in seeds {
         let mut options = options.clone();
         options.seed = *seed;
-        let mix = options.mix();
-        let bound = oracle(&options, &mix);
+        let workload = options.workload();
+        let bound = oracle(&options, &workload);
         comparison.oracle.insert(*seed, bound.goodput);
         eprintln!(
             "seed={seed} oracle: {:.0} tokens/s in target, of {:.0} offered, at a capacity of {:.0}",
@@ -86,7 +88,7 @@
         for arm in &mut comparison.arms {
             options.arm = arm.arm;
             let run = crate::run(&options);
-            let run = ArmRun::new(&mix, run);
+            let run = ArmRun::new(&workload, run);
             eprintln!("arm={} {}", arm.arm, run.report);
             arm.runs.insert(*seed, run);
         }
@@ -95,21 +97,22 @@
 }
 
 impl ArmRun {
-    fn new(mix: &Mix, run: Run) -> Self {
+    fn new(workload: &Workload, run: RunResult) -> Self {
         Self {
-            least_served: least_served(mix, &run),
+            least_served: least_served(workload, &run),
             report: run.report,
         }
     }
 
-    /// Top-tier requests offered and in target.
-    fn top(&self) -> (u64, u64) {
-        sum(self, |tier| tier == 0)
+    /// Numbers of top-tier requests offered and within their targets.
+    fn top_tier(&self) -> (u64, u64) {
+        sum_tiers(self, |tier| tier == 0)
     }
 }
 
-/// Requests offered and in target of the tiers that `chosen` picks.
-fn sum(run: &ArmRun, chosen: impl Fn(u8) -> bool) -> (u64, u64) {
+/// Numbers of requests offered and within their targets, over the tiers that
+/// `chosen` accepts.
+fn sum_tiers(run: &ArmRun, chosen: impl Fn(u8) -> bool) -> (u64, u64) {
     let classes = run.report.classes.values().filter(|c| chosen(c.tier));
     classes.fold((0, 0), |(offered, met), c| {
         (offered + c.offered, met + c.in_target)
@@ -117,7 +120,8 @@
 }
 
 impl ArmRuns {
-    /// The arm's medians, against the oracle's goodput by seed.
+    /// The medians over the arm's runs; `oracle` is the oracle's goodput by
+    /// seed.
     #[must_use]
     pub fn medians(&self, oracle: &BTreeMap<u64, f64>) -> Medians {
         let runs = || self.runs.values();
@@ -125,15 +129,15 @@
         let of_oracle = |(seed, run): (&u64, &ArmRun)| {
             run.report.goodput / oracle.get(seed).copied().unwrap_or(f64::INFINITY)
         };
-        let faults = |r: &Report| r.doubled + r.lost + r.mixed + r.false_not_run;
+        let faults = |r: &Report| r.duplicated + r.lost + r.corrupted + r.false_not_run;
         Medians {
-            top: median(runs().map(|r| share(r.top()))),
-            misses: median(runs().map(|r| (r.top().0 - r.top().1) as f64)),
-            lower: median(runs().map(|r| share(sum(r, |tier| tier > 0)))),
+            top: median(runs().map(|r| share(r.top_tier()))),
+            misses: median(runs().map(|r| (r.top_tier().0 - r.top_tier().1) as f64)),
+            lower: median(runs().map(|r| share(sum_tiers(r, |tier| tier > 0)))),
             goodput: median(runs().map(|r| r.report.goodput)),
-            of_oracle: median(self.runs.iter().map(of_oracle)),
+            oracle_share: median(self.runs.iter().map(of_oracle)),
             wasted: median(runs().map(|r| r.report.wasted_share)),
-            faults: runs().map(|r| faults(&r.report)).max().unwrap_or(0),
+            violations: runs().map(|r| faults(&r.report)).max().unwrap_or(0),
             least_served: runs().filter_map(|r| r.least_served).min(),
         }
     }
@@ -150,19 +154,20 @@
     }
 }
 
-/// The fewest answers of a lower-tier class that ended whole in any window.
-fn least_served(mix: &Mix, run: &Run) -> Option<u64> {
+/// The smallest number of complete answers of any lower-tier class in any
+/// window. Windows start at every full second.
+fn least_served(workload: &Workload, run: &RunResult) -> Option<u64> {
     let mut least = None;
-    for (name, _) in mix.classes.iter().filter(|(_, flow)| flow.tier > 0) {
+    for (name, _) in workload.classes.iter().filter(|(_, flow)| flow.tier > 0) {
         let of_class = run.outcomes.iter().filter(|o| &o.arrival.class == name);
         let ends: Vec<f64> = of_class
-            .filter(|o| judge::ended_whole(o))
+            .filter(|o| evaluation::is_complete(o))
             .map(|o| (o.arrival.at + o.total).as_secs_f64())
             .collect();
 
         let mut from = 0.0;
-        while from + WINDOW <= mix.seconds {
-            let inside = |end: &&f64| (from..from + WINDOW).contains(*end);
+        while from + WINDOW_S <= workload.seconds {
+            let inside = |end: &&f64| (from..from + WINDOW_S).contains(*end);
             let count = ends.iter().filter(inside).count() as u64;
             least = Some(least.map_or(count, |l: u64| l.min(count)));
             from += 1.0;
@@ -199,9 +204,9 @@
                 m.misses,
                 m.lower,
                 m.goodput,
-                m.of_oracle,
+                m.oracle_share,
                 m.wasted,
-                m.faults,
+                m.violations,
                 least
             )?;
         }
--- a/crates/demo/src/faults.rs
+++ b/crates/demo/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults brought about at set times of a run.
+//! Faults injected at set times of a run.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -9,29 +9,28 @@
 use crate::changes::Change;
 use crate::cluster::{Cluster, Faults, Server};
 
-/// Time between a daemon's end and its next life in a rolling restart.
-const RESTART_GAP: Duration = Duration::from_millis(50);
+/// Time between a daemon's stop and its start in a rolling restart.
+const RESTART_DELAY: Duration = Duration::from_millis(50);
 
-/// Faults with their times.
+/// The faults of a run.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultPlan {
-    /// What happens, in order of time.
-    pub events: Vec<Event>,
+    /// The faults with their times.
+    pub events: Vec<ScheduledFault>,
 }
 
-/// One fault and its time.
+/// A fault and its time.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Event {
-    /// When, from the start of the load.
+pub struct ScheduledFault {
+    /// Time of the fault, from the start of the load.
     pub at: HumanDuration,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// What goes wrong. Backend servers are named by their number, model engines
-/// first.
+/// A fault. Backend servers are given by their index, model engines first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Fault {
@@ -39,87 +38,91 @@
     Straggler {
         /// The backend server.
         server: usize,
-        /// By how much; 1 ends it.
+        /// The factor; 1 ends the fault.
         pace: f64,
     },
-    /// All load reports lag.
+    /// The load reports of all engines are delayed.
     ReportLag {
-        /// By how much.
+        /// The delay.
         lag: HumanDuration,
     },
-    /// Cache events of all engines come late and with gaps.
+    /// Cache events of all engines are delayed, and some are dropped.
     CacheEvents {
-        /// By how much.
+        /// The delay.
         lag: HumanDuration,
-        /// Share that never comes.
+        /// Share of events that are dropped.
         gap: f64,
     },
-    /// A backend server crashes; its sidecar lives on.
+    /// A backend server crashes; its sidecar keeps running.
     CrashBackend {
         /// The backend server.
         server: usize,
-        /// When it comes back, if it does.
-        back: Option<HumanDuration>,
+        /// Time after the crash at which it restarts; `None` for never.
+        #[serde(rename = "back")]
+        restart_after: Option<HumanDuration>,
     },
-    /// A backend server's host crashes, with its sidecar.
+    /// A backend server's host crashes, including the sidecar.
     CrashHost {
         /// The backend server.
         server: usize,
-        /// When it comes back, if it does.
-        back: Option<HumanDuration>,
+        /// Time after the crash at which it restarts; `None` for never.
+        #[serde(rename = "back")]
+        restart_after: Option<HumanDuration>,
     },
-    /// A sidecar stands still.
+    /// A sidecar's thread is blocked.
     PauseSidecar {
-        /// The backend server that it stands beside.
+        /// The sidecar's backend server.
         server: usize,
-        /// For how long.
+        /// Duration.
         time: HumanDuration,
     },
-    /// Open connections to a sidecar go silent for good.
+    /// Open connections to a sidecar stop carrying data, without being closed.
     SilenceSidecar {
-        /// The backend server that it stands beside.
+        /// The sidecar's backend server.
         server: usize,
     },
-    /// Open connections to a backend server go silent for good.
+    /// Open connections to a backend server stop carrying data, without being
+    /// closed.
     SilenceBackend {
         /// The backend server.
         server: usize,
     },
-    /// An entry ends gracefully and a fresh one takes its place.
+    /// An entry stops gracefully and a new one takes its place.
     ReplaceEntry {
         /// The entry.
         entry: u8,
     },
-    /// The platform's list of hosts goes wrong.
+    /// The platform's list of hosts is faulty.
     HostList {
-        /// In what way; empty ends it.
+        /// The faults of the list; no faults end it.
         faults: standin::hosts::Faults,
     },
-    /// The log answers nobody.
+    /// The log answers no requests.
     LogOutage {
-        /// For how long.
+        /// Duration.
         time: HumanDuration,
     },
-    /// Replies of the log are lost after the appends took effect.
+    /// Appends to the log take effect, but their replies are lost.
     LogLosesReplies {
-        /// Of how many appends.
+        /// Number of appends.
         count: u32,
     },
     /// An operator publishes a changed bundle.
     Publish,
     /// Two operators publish different bundles at once.
     RacePublish,
-    /// An operator goes back to the first version of the bundle.
+    /// An operator rolls back to the first version of the bundle.
     Rollback,
-    /// Every sidecar and entry in turn ends gracefully and starts again.
+    /// All sidecars and then all entries are restarted gracefully, one at a
+    /// time.
     RollingRestart,
 }
 
 impl FaultPlan {
-    /// Whether the plan needs forwarders whose connections can go silent.
+    /// Whether the plan silences connections, which needs forwarders.
     #[must_use]
-    pub fn forwarded(&self) -> bool {
-        let silence = |e: &Event| {
+    pub fn needs_forwarders(&self) -> bool {
+        let silence = |e: &ScheduledFault| {
             matches!(
                 e.fault,
                 Fault::SilenceSidecar { .. } | Fault::SilenceBackend { .. }
@@ -128,7 +131,7 @@
         self.events.iter().any(silence)
     }
 
-    /// Brings the faults about at their times; returns after the last.
+    /// Injects the faults at their times; returns after the last.
     pub fn run(&self, cluster: &Cluster) {
         let start = Instant::now();
         thread::scope(|scope| {
@@ -156,19 +159,25 @@
                     faults.change(|f| f.slowdown = *pace);
                 }
             }
-            Self::ReportLag { lag } => each_engine(cluster, |f| f.report_lag = *lag),
-            Self::CacheEvents { lag, gap } => each_engine(cluster, |f| {
+            Self::ReportLag { lag } => change_engines(cluster, |f| f.report_lag = *lag),
+            Self::CacheEvents { lag, gap } => change_engines(cluster, |f| {
                 f.event_lag = *lag;
                 f.event_loss = *gap;
             }),
-            Self::CrashBackend { server: i, back } => {
+            Self::CrashBackend {
+                server: i,
+                restart_after,
+            } => {
                 if let Some(server) = server(i) {
-                    crash(&[&server.backend], *back);
+                    crash_and_restart(&[&server.backend], *restart_after);
                 }
             }
-            Self::CrashHost { server: i, back } => {
+            Self::CrashHost {
+                server: i,
+                restart_after,
+            } => {
                 if let Some(server) = server(i) {
-                    crash(&[&server.backend, &server.sidecar], *back);
+                    crash_and_restart(&[&server.backend, &server.sidecar], *restart_after);
                 }
             }
             Self::PauseSidecar { server: i, time } => {
@@ -176,8 +185,8 @@
                     server.sidecar.pause(time.0);
                 }
             }
-            Self::SilenceSidecar { server: i } => silence(server(i).map(|s| &s.link)),
-            Self::SilenceBackend { server: i } => silence(server(i).map(|s| &s.inner)),
+            Self::SilenceSidecar { server: i } => silence_link(server(i).map(|s| &s.sidecar_link)),
+            Self::SilenceBackend { server: i } => silence_link(server(i).map(|s| &s.backend_link)),
             Self::ReplaceEntry { entry } => {
                 if let Some(line) = cluster.replace_entry(*entry) {
                     eprintln!("{line}");
@@ -192,15 +201,15 @@
             Self::LogLosesReplies { count } => {
                 cluster.log_faults().change(|f| f.lost_replies = *count)
             }
-            Self::Publish => eprintln!("{}", cluster.change(Change::Publish)),
-            Self::RacePublish => eprintln!("{}", cluster.change(Change::Race)),
-            Self::Rollback => eprintln!("{}", cluster.change(Change::Rollback)),
+            Self::Publish => eprintln!("{}", cluster.apply_change(Change::Publish)),
+            Self::RacePublish => eprintln!("{}", cluster.apply_change(Change::Race)),
+            Self::Rollback => eprintln!("{}", cluster.apply_change(Change::Rollback)),
             Self::RollingRestart => rolling_restart(cluster),
         }
     }
 }
 
-fn each_engine(cluster: &Cluster, change: impl Fn(&mut standin::engine::Faults)) {
+fn change_engines(cluster: &Cluster, change: impl Fn(&mut standin::engine::Faults)) {
     for Server { faults, .. } in &cluster.servers {
         if let Faults::Engine(faults) = faults {
             faults.change(&change);
@@ -208,20 +217,20 @@
     }
 }
 
-fn crash(hosts: &[&crate::host::Host], back: Option<HumanDuration>) {
-    hosts.iter().for_each(|host| host.crash());
-    if let Some(back) = back {
-        thread::sleep(back.0);
-        hosts.iter().for_each(|host| host.begin());
+fn crash_and_restart(daemons: &[&crate::daemon::Daemon], restart_after: Option<HumanDuration>) {
+    daemons.iter().for_each(|daemon| daemon.crash());
+    if let Some(delay) = restart_after {
+        thread::sleep(delay.0);
+        daemons.iter().for_each(|daemon| daemon.restart());
     }
 }
 
 type Link = Option<(
-    crate::host::Host,
+    crate::daemon::Daemon,
     standin::FaultControl<standin::proxy::Faults>,
 )>;
 
-fn silence(link: Option<&Link>) {
+fn silence_link(link: Option<&Link>) {
     if let Some(Some((_, faults))) = link {
         faults.change(|f| f.silence_generation += 1);
     }
@@ -229,9 +238,9 @@
 
 fn rolling_restart(cluster: &Cluster) {
     let sidecars = cluster.servers.iter().map(|s| &s.sidecar);
-    for host in sidecars.chain(&cluster.entries) {
-        host.end();
-        thread::sleep(RESTART_GAP);
-        host.begin();
+    for daemon in sidecars.chain(&cluster.entries) {
+        daemon.stop();
+        thread::sleep(RESTART_DELAY);
+        daemon.restart();
     }
 }
--- a/crates/demo/src/plan.rs
+++ b/crates/demo/src/plan.rs
@@ -1,43 +1,44 @@
-//! What a fleet declares and what its callers send.
+//! The bundle and the workload of a fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use base::ids::Tier;
 use base::settings::HumanDuration;
 use bundle::{Bundle, Class, EnginePool, Service, Targets, Workspace};
-use load::Mix;
-use load::arrivals::{Burst, Flow, Kind, Sender};
+use load::Workload;
+use load::arrivals::{Burst, ClassWorkload, RequestKind, WeightedWorkspace};
 
-use crate::fleet::{CALLS, ClassSize, Fleet, WORKSPACES};
+use crate::fleet::{CALLS_PER_SECOND, ClassProfile, Fleet, WORKSPACE_COUNT};
 
-/// By how much the bursting class's rate is multiplied.
-const BURST_TIMES: f64 = 5.0;
+/// Factor by which a burst multiplies its class's rate.
+const BURST_FACTOR: f64 = 5.0;
 
-/// Share of callers of lower tiers that take the answer whole.
-const WHOLE: f64 = 0.2;
+/// Share of lower-tier requests whose answer is not streamed.
+const NONSTREAMING_SHARE: f64 = 0.2;
 
-/// Share of callers of lower tiers that go away before the answer ends. Those
-/// of the top tier stay, so that each top-tier miss is the router's.
-const LEAVING: f64 = 0.005;
+/// Share of lower-tier callers that disconnect before the answer ends.
+/// Top-tier callers never do, so that the router is the cause of every
+/// top-tier miss.
+const ABANDON_SHARE: f64 = 0.005;
 
-/// Share of lower-tier completions that may not run twice.
-const ONCE: f64 = 0.05;
+/// Share of lower-tier completions that must not run twice.
+const NONREPEATABLE_SHARE: f64 = 0.05;
 
-/// Targets of plain services' calls, in milliseconds.
-const CALL_MS: u64 = 3_000;
+/// All latency targets of plain services' calls, in milliseconds.
+const CALL_TARGET_MS: u64 = 3_000;
 
-/// The bundle that a fleet's operators declare.
+/// The bundle that a fleet's operators publish.
 #[must_use]
 pub fn bundle(fleet: Fleet) -> Bundle {
     let mut bundle = Bundle::default();
     for size in fleet.classes() {
-        let class = class(&size, fleet.model());
+        let class = completion_class(&size, fleet.model());
         bundle.classes.insert(size.name.to_owned(), class);
     }
     let targets = Targets {
-        first_token: HumanDuration::ms(CALL_MS),
-        token_gap: HumanDuration::ms(CALL_MS),
-        full_answer: HumanDuration::ms(CALL_MS),
+        first_token: HumanDuration::ms(CALL_TARGET_MS),
+        token_gap: HumanDuration::ms(CALL_TARGET_MS),
+        full_answer: HumanDuration::ms(CALL_TARGET_MS),
     };
     let calls = Class {
         tier: Tier(1),
@@ -47,9 +48,9 @@
     bundle.classes.insert(fleet.call_class().to_owned(), calls);
 
     let classes: BTreeSet<_> = bundle.classes.keys().cloned().collect();
-    for i in 0..WORKSPACES {
+    for i in 0..WORKSPACE_COUNT {
         let workspace = Workspace {
-            tokens: BTreeSet::from([bundle::token_hash(&token(i))]),
+            tokens: BTreeSet::from([bundle::token_hash(&workspace_token(i))]),
             classes: classes.clone(),
             weight: 1,
         };
@@ -68,24 +69,24 @@
     bundle
 }
 
-/// What a fleet's callers send.
+/// The workload of a fleet's callers.
 #[must_use]
-pub fn mix(fleet: Fleet, seed: u64, seconds: f64, burst: bool) -> Mix {
-    let capacity = fleet.engine_rate() * f64::from(fleet.engines());
+pub fn workload(fleet: Fleet, seed: u64, seconds: f64, burst: bool) -> Workload {
+    let capacity = fleet.engine_rate() * f64::from(fleet.engine_count());
     let mut classes: BTreeMap<_, _> = fleet
         .classes()
         .iter()
-        .map(|size| (size.name.to_owned(), flow(size, capacity)))
+        .map(|size| (size.name.to_owned(), completion_workload(size, capacity)))
         .collect();
-    classes.insert(fleet.call_class().to_owned(), calls(fleet));
+    classes.insert(fleet.call_class().to_owned(), call_workload(fleet));
 
     let burst = burst.then(|| Burst {
         class: fleet.burst_class().to_owned(),
-        times: BURST_TIMES,
+        factor: BURST_FACTOR,
         from: seconds / 3.0,
         until: seconds * 2.0 / 3.0,
     });
-    Mix {
+    Workload {
         fleet: fleet.name().to_owned(),
         seed,
         seconds,
@@ -94,7 +95,7 @@
     }
 }
 
-fn class(size: &ClassSize, model: &str) -> Class {
+fn completion_class(size: &ClassProfile, model: &str) -> Class {
     let targets = Targets {
         first_token: HumanDuration::ms(size.first_ms),
         token_gap: HumanDuration::ms(size.gap_ms),
@@ -107,66 +108,66 @@
     }
 }
 
-fn flow(size: &ClassSize, capacity: f64) -> Flow {
-    let lower = |share| if size.tier > 0 { share } else { 0.0 };
-    Flow {
+fn completion_workload(size: &ClassProfile, capacity: f64) -> ClassWorkload {
+    let lower_tier = |share| if size.tier > 0 { share } else { 0.0 };
+    ClassWorkload {
         tier: size.tier,
-        rate: size.share * capacity / size.cost(),
-        kind: Kind::Completion,
-        prompt: size.prompt,
-        shared: size.shared,
-        prefixes: size.prefixes,
-        answer: size.answer,
-        spread: size.spread,
-        workspaces: senders(),
-        whole: lower(WHOLE),
-        leaving: lower(LEAVING),
-        once: lower(ONCE),
-        keyed: 0.0,
+        rate: size.share * capacity / size.mean_steps(),
+        kind: RequestKind::Completion,
+        prompt_tokens: size.prompt_tokens,
+        prefix_tokens: size.prefix_tokens,
+        prefix_count: size.prefix_count,
+        answer_tokens: size.answer_tokens,
+        sigma: size.sigma,
+        workspaces: weighted_workspaces(),
+        nonstreaming_share: lower_tier(NONSTREAMING_SHARE),
+        abandon_share: lower_tier(ABANDON_SHARE),
+        nonrepeatable_share: lower_tier(NONREPEATABLE_SHARE),
+        keyed_share: 0.0,
         first_ms: size.first_ms as f64,
         gap_ms: size.gap_ms as f64,
         whole_ms: size.whole_ms as f64,
     }
 }
 
-fn calls(fleet: Fleet) -> Flow {
-    Flow {
+fn call_workload(fleet: Fleet) -> ClassWorkload {
+    ClassWorkload {
         tier: 1,
-        rate: CALLS,
-        kind: Kind::Call {
+        rate: CALLS_PER_SECOND,
+        kind: RequestKind::Call {
             service: fleet.service().to_owned(),
         },
-        prompt: 0.0,
-        shared: 0,
-        prefixes: 1,
-        answer: 0.0,
-        spread: 0.0,
-        workspaces: senders(),
-        whole: 0.0,
-        leaving: 0.0,
-        once: 1.0,
-        keyed: 1.0,
-        first_ms: CALL_MS as f64,
-        gap_ms: CALL_MS as f64,
-        whole_ms: CALL_MS as f64,
+        prompt_tokens: 0.0,
+        prefix_tokens: 0,
+        prefix_count: 1,
+        answer_tokens: 0.0,
+        sigma: 0.0,
+        workspaces: weighted_workspaces(),
+        nonstreaming_share: 0.0,
+        abandon_share: 0.0,
+        nonrepeatable_share: 1.0,
+        keyed_share: 1.0,
+        first_ms: CALL_TARGET_MS as f64,
+        gap_ms: CALL_TARGET_MS as f64,
+        whole_ms: CALL_TARGET_MS as f64,
     }
 }
 
-/// The workspaces: one large, one middling, the rest small.
-fn senders() -> Vec<Sender> {
+/// The workspaces: one large, one medium, the rest small.
+fn weighted_workspaces() -> Vec<WeightedWorkspace> {
     let weight = |i| match i {
         0 => 6.0,
         1 => 3.0,
         _ => 1.0,
     };
-    let sender = |i| Sender {
-        token: token(i),
+    let sender = |i| WeightedWorkspace {
+        token: workspace_token(i),
         weight: weight(i),
     };
-    (0..WORKSPACES).map(sender).collect()
+    (0..WORKSPACE_COUNT).map(sender).collect()
 }
 
 /// The bearer token of a workspace.
-fn token(i: u8) -> String {
+fn workspace_token(i: u8) -> String {
     format!("demo-token-{i}")
 }
--- a/crates/demo/src/rollout.rs
+++ b/crates/demo/src/rollout.rs
@@ -1,4 +1,4 @@
-//! The platform's log of a demo, and publishing the bundle through it.
+//! The platform's log in a demo, and publishing the bundle through it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,25 +10,27 @@
 use standin::FaultControl;
 use standin::log::{Faults, Settings};
 
-use crate::host::Host;
+use crate::daemon::Daemon;
 
-/// How often a daemon is asked whether it is ready, and the pause between.
-const TRIES: u32 = 500;
-const PAUSE: Duration = Duration::from_millis(10);
+/// Number of attempts to publish or to find a daemon ready, and the interval
+/// between them.
+const MAX_ATTEMPTS: u32 = 500;
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The log of a demo and the operators who publish there.
+/// The log of a demo and the operators who publish to it.
 #[derive(Debug, Clone)]
 pub struct Rollout {
-    /// Where the log listens.
+    /// Address at which the log listens.
     pub log: SocketAddr,
-    /// What goes wrong with it.
+    /// The control of the log's faults.
     pub faults: FaultControl<Faults>,
-    /// Operators who may sign, two of them, so that they can race.
+    /// Keys of two authorized operators; two, so that they can publish
+    /// concurrently.
     pub keys: [SecretKey; 2],
 }
 
 impl Rollout {
-    /// Lays out a log.
+    /// Configures a log and generates the operators' keys.
     #[must_use]
     pub fn new(log: SocketAddr) -> Self {
         Self {
@@ -40,44 +42,45 @@
 
     /// Starts the log.
     #[must_use]
-    pub fn start(&self) -> Host {
+    pub fn start(&self) -> Daemon {
         let settings = Settings {
             listen: self.log,
             faults: Faults::default(),
         };
         let faults = self.faults.clone();
-        Host::start("log", move |stop| {
+        Daemon::start("log", move |stop| {
             standin::log::run(settings.clone(), faults.clone(), stop)
         })
     }
 
-    /// What daemons need to follow the log.
+    /// The daemons' settings for following the log.
     #[must_use]
-    pub fn follow(&self) -> follow::Settings {
+    pub fn follow_settings(&self) -> follow::Settings {
         follow::Settings::new(self.log, self.operators())
     }
 
-    /// Publishes a first bundle and waits until every daemon goes by one.
-    pub fn begin(&self, bundle: &Bundle, daemons: &[SocketAddr]) {
+    /// Publishes the first bundle and waits until every daemon is ready.
+    pub fn publish_initial(&self, bundle: &Bundle, daemons: &[SocketAddr]) {
         actix_rt::System::new().block_on(async {
-            self.published(bundle).await;
-            ready(daemons).await;
+            self.publish_until_accepted(bundle).await;
+            wait_until_ready(daemons).await;
         });
     }
 
-    /// Tries to publish until the log, which may only just start, takes it.
-    async fn published(&self, bundle: &Bundle) {
-        for _ in 0..TRIES {
+    /// Retries until the log accepts the bundle, since the log may still be
+    /// starting.
+    async fn publish_until_accepted(&self, bundle: &Bundle) {
+        for _ in 0..MAX_ATTEMPTS {
             if matches!(self.publish(bundle).await, PublishOutcome::Accepted(_)) {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         error!("bundle not published", kv: { log = self.log.to_string().as_str() });
     }
 
-    /// Publishes a bundle, signed by the first operator. The demo's operators
-    /// are added to those that it names.
+    /// Publishes a bundle, signed by the first operator. Adds the demo's
+    /// operators to those that the bundle names.
     pub async fn publish(&self, bundle: &Bundle) -> PublishOutcome {
         let mut bundle = bundle.clone();
         bundle.operators.extend(self.operators());
@@ -91,7 +94,7 @@
         published.unwrap_or(PublishOutcome::Unknown)
     }
 
-    /// The operators who may sign.
+    /// The authorized operators.
     #[must_use]
     pub fn operators(&self) -> Operators {
         let pair = |k: &SecretKey| (k.operator.clone(), k.public_key.clone());
@@ -99,17 +102,17 @@
     }
 }
 
-/// Waits until every daemon is ready, by its operators' address.
-pub async fn ready(daemons: &[SocketAddr]) {
+/// Waits until every daemon reports readiness at its operators' address.
+pub async fn wait_until_ready(daemons: &[SocketAddr]) {
     let http = awc::Client::default();
     for daemon in daemons {
         let url = format!("http://{daemon}/health/ready");
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let answer = http.get(&url).send().await;
             if answer.is_ok_and(|a| a.status().is_success()) {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -1,66 +1,70 @@
-//! Which entry a caller is sent to, as the platform's balancer would choose.
+//! Selection of the entry for a request, as the platform's load balancer does
+//! it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long an entry is passed over that refused a connection or said that it
-/// takes nothing; about the interval of a balancer's health checks.
-const PASS_OVER: Duration = Duration::from_secs(1);
+/// Time for which an entry is tried last after it refused a connection or
+/// reported that it is not ready; about the interval of a load balancer's
+/// health checks.
+const COOLDOWN: Duration = Duration::from_secs(1);
 
-/// Sends callers to entries in turn and passes over those that are down or
-/// not ready. The caller that found out keeps its refusal.
+/// Distributes requests over the entries round-robin and puts entries that are
+/// down or not ready last. A refusal by an entry that is not ready is still
+/// the outcome of the request that met it.
 #[derive(Debug)]
 pub struct Balancer {
     entries: Vec<Target>,
-    turn: AtomicUsize,
-    began: Instant,
+    next: AtomicUsize,
+    started: Instant,
 }
 
 #[derive(Debug)]
 struct Target {
     addr: SocketAddr,
-    /// Until when it is passed over, in milliseconds from the start.
-    until: AtomicU64,
+    /// End of the cooldown, in milliseconds from the balancer's start.
+    cooldown_until: AtomicU64,
 }
 
 impl Balancer {
-    /// Makes a balancer over the entries.
+    /// Creates a balancer over the entries.
     #[must_use]
     pub fn new(entries: &[SocketAddr]) -> Self {
         let target = |addr: &SocketAddr| Target {
             addr: *addr,
-            until: AtomicU64::new(0),
+            cooldown_until: AtomicU64::new(0),
         };
         Self {
             entries: entries.iter().map(target).collect(),
-            turn: AtomicUsize::new(0),
-            began: Instant::now(),
+            next: AtomicUsize::new(0),
+            started: Instant::now(),
         }
     }
 
-    /// The entries in the order in which one caller tries them: each once,
-    /// those passed over last.
+    /// The entries in the order in which one request tries them: each once,
+    /// those in their cooldown last.
     #[must_use]
-    pub fn order(&self) -> Vec<SocketAddr> {
+    pub fn candidates(&self) -> Vec<SocketAddr> {
         let now = self.now();
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+        let turn = self.next.fetch_add(1, Ordering::Relaxed);
         let count = self.entries.len();
         let turned = (0..count).map(|i| &self.entries[(turn + i) % count]);
         let (up, down): (Vec<_>, Vec<_>) =
-            turned.partition(|t| t.until.load(Ordering::Relaxed) <= now);
+            turned.partition(|t| t.cooldown_until.load(Ordering::Relaxed) <= now);
         up.into_iter().chain(down).map(|t| t.addr).collect()
     }
 
-    /// Notes that an entry refused a connection or is not ready.
-    pub fn failed(&self, entry: SocketAddr) {
-        let until = self.now() + u64::try_from(PASS_OVER.as_millis()).unwrap_or(0);
+    /// Starts the cooldown of an entry that refused a connection or is not
+    /// ready.
+    pub fn mark_failed(&self, entry: SocketAddr) {
+        let until = self.now() + u64::try_from(COOLDOWN.as_millis()).unwrap_or(0);
         for target in self.entries.iter().filter(|t| t.addr == entry) {
-            target.until.store(until, Ordering::Relaxed);
+            target.cooldown_until.store(until, Ordering::Relaxed);
         }
     }
 
     fn now(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 }
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -1,5 +1,5 @@
-//! Sending the arrivals of a run at their times, whatever became of earlier
-//! ones, from several threads.
+//! Sends the requests of a run at their arrival times from several threads,
+//! without waiting for earlier ones (open loop).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,16 +11,17 @@
 use crate::balancer::Balancer;
 use crate::caller::{self, Ending, Outcome};
 
-/// Time allowed for the last answers after the last arrival.
+/// Time allowed for outstanding answers after the last arrival.
 const GRACE: Duration = Duration::from_secs(30);
 
-/// Threads that send; one alone cannot read a whole fleet's tokens in time.
+/// Number of sending threads. One alone cannot read the tokens of a whole
+/// fleet in time.
 const THREADS: usize = 4;
 
-/// How often progress is shown.
-const SHOW: Duration = Duration::from_secs(1);
+/// Interval between progress lines.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts of a run as it goes on.
+/// Running totals, for the progress lines.
 #[derive(Debug, Default)]
 struct Counts {
     sent: AtomicU64,
@@ -30,56 +31,57 @@
     lost: AtomicU64,
 }
 
-/// Sends the arrivals to the entries and waits for the outcomes. Arrivals
-/// without an end by the end of the grace time are lost.
+/// Sends the requests to the entries and waits for their outcomes. Requests
+/// that have not ended within the grace time count as lost.
 #[must_use]
 pub fn drive(arrivals: &[Arrival], entries: &[SocketAddr], progress: bool) -> Vec<Outcome> {
     let balancer = Arc::new(Balancer::new(entries));
     let counts = Arc::new(Counts::default());
-    let over = Arc::new(AtomicBool::new(false));
+    let finished = Arc::new(AtomicBool::new(false));
     let start = Instant::now();
 
     let threads: Vec<_> = (0..THREADS)
         .map(|i| {
-            let part: Vec<_> = arrivals.iter().skip(i).step_by(THREADS).cloned().collect();
+            let arrivals: Vec<_> = arrivals.iter().skip(i).step_by(THREADS).cloned().collect();
             let (balancer, counts) = (Arc::clone(&balancer), Arc::clone(&counts));
-            thread::spawn(move || send_all(part, &balancer, &counts, start))
+            thread::spawn(move || send_all(arrivals, &balancer, &counts, start))
         })
         .collect();
-    let shown = progress.then(|| {
-        let (counts, over) = (Arc::clone(&counts), Arc::clone(&over));
-        thread::spawn(move || show(&counts, &over, start))
+    let progress_thread = progress.then(|| {
+        let (counts, finished) = (Arc::clone(&counts), Arc::clone(&finished));
+        thread::spawn(move || print_progress(&counts, &finished, start))
     });
 
     let mut outcomes = Vec::with_capacity(arrivals.len());
     for thread in threads {
-        // Outcomes of a thread that panicked are missing and count as lost.
+        // The outcomes of a thread that panicked are missing, and the report
+        // counts them as lost.
         outcomes.extend(thread.join().unwrap_or_default());
     }
-    over.store(true, Ordering::Relaxed);
-    if let Some(shown) = shown {
-        let _ = shown.join();
+    finished.store(true, Ordering::Relaxed);
+    if let Some(progress_thread) = progress_thread {
+        let _ = progress_thread.join();
     }
     outcomes
 }
 
 fn send_all(
-    part: Vec<Arrival>,
+    arrivals: Vec<Arrival>,
     balancer: &Arc<Balancer>,
     counts: &Arc<Counts>,
     start: Instant,
 ) -> Vec<Outcome> {
     actix_rt::System::new().block_on(async {
-        let http = caller::client();
-        let mut calls = Vec::with_capacity(part.len());
-        for arrival in part {
+        let http = caller::http_client();
+        let mut calls = Vec::with_capacity(arrivals.len());
+        for arrival in arrivals {
             tokio::time::sleep_until((start + arrival.at).into()).await;
             counts.sent.fetch_add(1, Ordering::Relaxed);
             let (http, balancer) = (http.clone(), Arc::clone(balancer));
             let (counts, sent) = (Arc::clone(counts), arrival.clone());
             let call = actix_rt::spawn(async move {
-                let outcome = caller::call(http, &balancer, arrival).await;
-                counts.note(&outcome.ending);
+                let outcome = caller::send_request(http, &balancer, arrival).await;
+                counts.record(&outcome.ending);
                 outcome
             });
             calls.push((sent, call));
@@ -90,7 +92,7 @@
         for (sent, call) in calls {
             let outcome = match tokio::time::timeout_at(deadline, call).await {
                 Ok(Ok(outcome)) => outcome,
-                _ => Outcome::lost(sent, "no end within the grace time"),
+                _ => Outcome::lost(sent, "not ended within the grace time"),
             };
             outcomes.push(outcome);
         }
@@ -99,23 +101,23 @@
 }
 
 impl Counts {
-    fn note(&self, ending: &Ending) {
+    fn record(&self, ending: &Ending) {
         let count = match ending {
-            Ending::Whole => &self.whole,
+            Ending::Completed => &self.whole,
             Ending::Refused(_) => &self.refused,
-            Ending::Broken(_) => &self.broken,
+            Ending::StreamFailed(_) => &self.broken,
             Ending::Lost(_) => &self.lost,
-            Ending::Left => return,
+            Ending::Abandoned => return,
         };
         count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Prints a line of progress every second.
-fn show(counts: &Counts, over: &AtomicBool, start: Instant) {
+/// Prints a progress line every second until the run is over.
+fn print_progress(counts: &Counts, finished: &AtomicBool, start: Instant) {
     let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    while !over.load(Ordering::Relaxed) {
-        thread::sleep(SHOW);
+    while !finished.load(Ordering::Relaxed) {
+        thread::sleep(PROGRESS_INTERVAL);
         eprintln!(
             "second={} sent={} whole={} refused={} broken={} lost={}",
             start.elapsed().as_secs(),
