--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -1,7 +1,7 @@
 //! A fleet's daemons and stand-ins, each on its own thread and loopback
 //! address.
 
-use std::subnet::{IpAddr, Ipv4Addr, SocketAddr};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
 use base::ids::Offset;
