--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -49,19 +49,19 @@
     #[serde(default = "default_slots")]
     pub slots: usize,
     /// Duration of a step with one request in the batch.
-    #[serde(default = "default_step", rename = "step")]
+    #[serde(default = "default_step_time", rename = "step")]
     pub step_time: HumanDuration,
     /// Time that each further request in the batch adds to a step.
-    #[serde(default = "default_extra", rename = "extra")]
+    #[serde(default = "default_request_overhead", rename = "extra")]
     pub request_overhead: HumanDuration,
     /// Maximum number of prompt tokens computed in one step by the whole batch.
-    #[serde(default = "default_prefill", rename = "prefill")]
+    #[serde(default = "default_prefill_tokens", rename = "prefill")]
     pub prefill_tokens: u32,
     /// Capacity of the prefix cache, in tokens.
-    #[serde(default = "default_cache", rename = "cache")]
+    #[serde(default = "default_cache_tokens", rename = "cache")]
     pub cache_tokens: u32,
     /// Time for which a completed stream can still be resumed.
-    #[serde(default = "default_keep", rename = "keep")]
+    #[serde(default = "default_resume_window", rename = "keep")]
     pub resume_window: HumanDuration,
     /// Initial faults; can be replaced with `PUT /faults`.
     #[serde(default)]
@@ -79,8 +79,8 @@
     /// Fraction of cache events that are dropped, from 0 to 1.
     #[serde(rename = "event_gap")]
     pub event_loss: f64,
-    /// Factor by which each step takes longer; with 4 the engine is four times
-    /// slower.
+    /// Factor on the duration of each step; with 4 the engine is four times slower.
+    /// Limited to the range from 0.01 to 1000.
     #[serde(rename = "pace")]
     pub slowdown: f64,
     /// Whether the engine is down: open connections are closed, its state is lost
@@ -109,23 +109,23 @@
     8
 }
 
-fn default_step() -> HumanDuration {
+fn default_step_time() -> HumanDuration {
     HumanDuration::ms(3)
 }
 
-fn default_extra() -> HumanDuration {
+fn default_request_overhead() -> HumanDuration {
     HumanDuration(Duration::from_micros(50))
 }
 
-fn default_prefill() -> u32 {
+fn default_prefill_tokens() -> u32 {
     1024
 }
 
-fn default_cache() -> u32 {
+fn default_cache_tokens() -> u32 {
     200_000
 }
 
-fn default_keep() -> HumanDuration {
+fn default_resume_window() -> HumanDuration {
     HumanDuration::secs(5)
 }
 
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -188,7 +188,8 @@
         }
     }
 
-    /// Returns the load report that is as old as the configured lag.
+    /// Returns the latest load report that is at least as old as the configured lag,
+    /// or an empty report when there is none.
     pub fn report(&self) -> LoadReport {
         let lag = self.faults.get().report_lag.0;
         let load_samples = self.load_samples.borrow();
@@ -218,9 +219,9 @@
 
     /// Records a sample of the current load.
     fn record_load(&self) {
-        let now = self.current_load();
+        let load = self.current_load();
         let mut load_samples = self.load_samples.borrow_mut();
-        load_samples.push_back((Instant::now(), now));
+        load_samples.push_back((Instant::now(), load));
         if load_samples.len() > MAX_SAMPLES {
             load_samples.pop_front();
         }
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -149,7 +149,7 @@
     stream: web::Path<String>,
     body: web::Json<AppendRequest>,
 ) -> HttpResponse {
-    let log = match reach_log(&http).await {
+    let log = match apply_faults(&http).await {
         Ok(log) => log,
         Err(response) => return response,
     };
@@ -172,7 +172,7 @@
 }
 
 async fn find(http: HttpRequest, path: web::Path<(String, String)>) -> HttpResponse {
-    let log = match reach_log(&http).await {
+    let log = match apply_faults(&http).await {
         Ok(log) => log,
         Err(response) => return response,
     };
@@ -190,7 +190,7 @@
     stream: web::Path<String>,
     query: web::Query<ReadQuery>,
 ) -> HttpResponse {
-    let log = match reach_log(&http).await {
+    let log = match apply_faults(&http).await {
         Ok(log) => log,
         Err(response) => return response,
     };
@@ -211,7 +211,7 @@
 
 /// Applies the configured delay and outage to a call; returns the log when the
 /// call succeeds.
-async fn reach_log(http: &HttpRequest) -> Result<Rc<LogState>, HttpResponse> {
+async fn apply_faults(http: &HttpRequest) -> Result<Rc<LogState>, HttpResponse> {
     let error = |status| HttpResponse::new(status);
     let log = http.app_data::<Rc<LogState>>().cloned();
     let log = log.ok_or_else(|| error(StatusCode::INTERNAL_SERVER_ERROR))?;
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -26,7 +26,7 @@
     /// Address to listen on.
     pub listen: SocketAddr,
     /// Duration of a call.
-    #[serde(default = "default_work", rename = "work")]
+    #[serde(default = "default_call_duration", rename = "work")]
     pub call_duration: HumanDuration,
     /// Initial faults; can be replaced with `PUT /faults`.
     #[serde(default)]
@@ -46,7 +46,7 @@
     pub silent: bool,
 }
 
-fn default_work() -> HumanDuration {
+fn default_call_duration() -> HumanDuration {
     HumanDuration::ms(5)
 }
 
