--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -12,8 +12,8 @@
     counter!("pimentocart_grants_total", "tier" => tier.to_string()).increment(1);
 }
 
-/// Counts a reservation cancelled because another sidecar was chosen or the
-/// caller disconnected.
+/// Counts a reservation that was cancelled unused, for example because another
+/// sidecar was chosen.
 pub fn count_cancelled_hedge() {
     counter!("pimentocart_hedges_cancelled_total").increment(1);
 }
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -1,4 +1,4 @@
-//! The callers' side.
+//! The HTTP API for callers.
 
 use std::io;
 use std::pin::Pin;
@@ -21,10 +21,10 @@
 use crate::state::{OpenRequest, State};
 use crate::{dispatch, idempotency};
 
-/// A line that every reader of server-sent events skips.
+/// A comment, which clients of server-sent events ignore.
 const COMMENT: &[u8] = b": waiting\n\n";
 
-/// The application that callers speak to.
+/// The application that serves callers.
 pub fn app(
     state: Rc<State>,
 ) -> App<
@@ -48,13 +48,13 @@
 async fn chat(http: HttpRequest, body: Result<Bytes, Error>) -> HttpResponse {
     completion(&http, body, true)
         .await
-        .unwrap_or_else(|refused| refused.response())
+        .unwrap_or_else(|error| error.response())
 }
 
 async fn completion_text(http: HttpRequest, body: Result<Bytes, Error>) -> HttpResponse {
     completion(&http, body, false)
         .await
-        .unwrap_or_else(|refused| refused.response())
+        .unwrap_or_else(|error| error.response())
 }
 
 async fn service(
@@ -65,7 +65,7 @@
     let (name, path) = path.into_inner();
     call(&http, (&name, &path), body)
         .await
-        .unwrap_or_else(|refused| refused.response())
+        .unwrap_or_else(|error| error.response())
 }
 
 async fn unknown_path(http: HttpRequest) -> HttpResponse {
@@ -100,15 +100,16 @@
     open: OpenRequest,
 ) -> Result<HttpResponse, RequestError> {
     let granted = grant(state, &request).await?;
-    let shape = CompletionWriter::new(request.ticket, &request.target, chat, request.prompt_tokens);
+    let writer =
+        CompletionWriter::new(request.ticket, &request.target, chat, request.prompt_tokens);
     let stream = request.stream;
     let answer = ResponseStream::new(Rc::clone(state), request, granted);
     if stream {
-        return Ok(stream_response(answer, shape, open));
+        return Ok(stream_response(answer, writer, open));
     }
 
-    let whole = collect(answer).await?;
-    let body = shape.full_body(&whole.body, &whole.finish, whole.tokens);
+    let full = collect(answer).await?;
+    let body = writer.full_body(&full.body, &full.finish_reason, full.tokens);
     Ok(HttpResponse::Ok()
         .content_type("application/json")
         .body(body))
@@ -132,27 +133,28 @@
 
 async fn call_once(state: &Rc<State>, request: Request) -> Result<HttpResponse, RequestError> {
     let granted = grant(state, &request).await?;
-    let whole = collect(ResponseStream::new(Rc::clone(state), request, granted)).await?;
-    let status = StatusCode::from_u16(whole.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    let full = collect(ResponseStream::new(Rc::clone(state), request, granted)).await?;
+    let status = StatusCode::from_u16(full.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
-    if !whole.finish.is_empty() {
-        response.content_type(whole.finish);
+    if !full.finish_reason.is_empty() {
+        response.content_type(full.finish_reason);
     }
-    Ok(response.body(whole.body))
+    Ok(response.body(full.body))
 }
 
-/// Takes a request as in progress, unless it comes after the entry drained.
+/// Registers a request as in progress, unless the entry refuses new requests
+/// because it is draining.
 fn begin_request(http: &HttpRequest) -> Result<(&Rc<State>, OpenRequest), RequestError> {
     let state = http.app_data::<Rc<State>>();
-    let state =
-        state.ok_or_else(|| RequestError::not_run(Refusal::NoBundle, "the entry is not set up"))?;
+    let state = state
+        .ok_or_else(|| RequestError::not_run(Refusal::NoBundle, "the entry is not configured"))?;
     if state.refusing.get() {
         return Err(drain::draining_error());
     }
     Ok((state, state.begin_request()))
 }
 
-/// Gets the request to run, unless the drain's limit passes.
+/// Starts the request at a sidecar, unless the drain's time limit passes first.
 async fn grant(state: &Rc<State>, request: &Request) -> Result<Granted, RequestError> {
     tokio::select! {
         granted = dispatch::grant(state, request) => granted,
@@ -160,7 +162,7 @@
     }
 }
 
-/// The refusal of a body that could not be read.
+/// The error for a body that could not be read.
 fn body_error(error: &Error, state: &State) -> RequestError {
     let status = error.as_response_error().status_code();
     if status == StatusCode::PAYLOAD_TOO_LARGE {
@@ -176,47 +178,47 @@
     )
 }
 
-/// A whole answer.
+/// A complete answer.
 struct FullResponse {
     body: Vec<u8>,
     status: u16,
-    finish: String,
+    finish_reason: String,
     tokens: u32,
 }
 
-/// Waits for the whole answer.
+/// Waits for the complete answer.
 async fn collect(mut answer: ResponseStream) -> Result<FullResponse, RequestError> {
     let (mut body, mut tokens) = (Vec::new(), 0);
     loop {
-        let (pieces, end) = match answer.next_part().await? {
-            ResponsePart::Chunks(pieces) => (pieces, None),
+        let (chunks, end) = match answer.next_part().await? {
+            ResponsePart::Chunks(chunks) => (chunks, None),
             ResponsePart::Complete {
                 chunks,
                 status,
                 finish_reason,
             } => (chunks, Some((status, finish_reason))),
         };
-        for piece in pieces {
-            body.extend_from_slice(&piece.data);
-            tokens += piece.tokens;
+        for chunk in chunks {
+            body.extend_from_slice(&chunk.data);
+            tokens += chunk.tokens;
         }
-        if let Some((status, finish)) = end {
+        if let Some((status, finish_reason)) = end {
             return Ok(FullResponse {
                 body,
                 status,
-                finish,
+                finish_reason,
                 tokens,
             });
         }
     }
 }
 
-/// An answer whose next part is waited for.
+/// A pending read of the next part of an answer.
 type PendingPart =
     Pin<Box<dyn Future<Output = (ResponseStream, Result<ResponsePart, RequestError>)>>>;
 
-/// Waits for an answer's next part. Taking a part must not be dropped halfway,
-/// so the wait is kept from one comment to the next.
+/// Reads the next part of an answer. The read is not cancellation-safe, so the
+/// same future is polled on after a comment was sent.
 fn wait_part(mut answer: ResponseStream) -> PendingPart {
     Box::pin(async move {
         let part = answer.next_part().await;
@@ -224,30 +226,30 @@
     })
 }
 
-/// Gives the answer as it is made.
+/// Streams the answer while it is generated.
 ///
-/// With nothing to write, a caller that vanished without closing its
-/// connection would never be noticed, and its request would hold a slot. A
-/// comment, which callers skip, makes its host answer with a reset.
+/// While there is nothing to write, a caller that disappeared without closing its
+/// connection would stay undetected, and its request would occupy a slot. A
+/// comment, which clients ignore, makes the caller's host reply with a reset.
 fn stream_response(
     answer: ResponseStream,
-    shape: CompletionWriter,
+    writer: CompletionWriter,
     open: OpenRequest,
 ) -> HttpResponse {
-    let every = answer.comment_interval();
-    let state = Some((wait_part(answer), shape, open));
+    let comment_interval = answer.comment_interval();
+    let state = Some((wait_part(answer), writer, open));
     let body = stream::unfold(state, move |state| async move {
-        let (mut waiting, shape, open) = state?;
-        let part = tokio::time::timeout(every, waiting.as_mut()).await;
+        let (mut pending, writer, open) = state?;
+        let part = tokio::time::timeout(comment_interval, pending.as_mut()).await;
         let Ok((answer, part)) = part else {
-            let state = Some((waiting, shape, open));
+            let state = Some((pending, writer, open));
             return Some((Ok::<_, io::Error>(Bytes::from_static(COMMENT)), state));
         };
 
         let mut out = Vec::new();
-        let more = match part {
-            Ok(ResponsePart::Chunks(pieces)) => {
-                shape.write_chunks(&mut out, &pieces);
+        let has_more = match part {
+            Ok(ResponsePart::Chunks(chunks)) => {
+                writer.write_chunks(&mut out, &chunks);
                 true
             }
             Ok(ResponsePart::Complete {
@@ -255,17 +257,17 @@
                 finish_reason,
                 ..
             }) => {
-                shape.write_chunks(&mut out, &chunks);
-                shape.write_end(&mut out, &finish_reason);
+                writer.write_chunks(&mut out, &chunks);
+                writer.write_end(&mut out, &finish_reason);
                 false
             }
-            Err(refused) => {
-                refused.record_metric();
-                shape.write_error(&mut out, &refused);
+            Err(error) => {
+                error.record_metric();
+                writer.write_error(&mut out, &error);
                 false
             }
         };
-        let state = more.then(|| (wait_part(answer), shape, open));
+        let state = has_more.then(|| (wait_part(answer), writer, open));
         Some((Ok::<_, io::Error>(Bytes::from(out)), state))
     });
     HttpResponse::Ok()
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,22 +1,22 @@
-//! The daemon on an entry host: callers' HTTP, admission, placement and
-//! retries. It is the only one that may grant a request.
+//! The daemon on an entry host: the HTTP API for callers, admission, placement and
+//! retries. Only entries place requests on backend servers.
 //!
-//! - [`settings`]: what the operators set.
-//! - [`state`]: the bundle in force and the known sidecars.
-//! - [`roster`]: following the host list.
-//! - [`request`]: reading a caller's request.
-//! - [`http`]: the callers' side.
-//! - [`idempotency`]: running a call with a key at most once.
-//! - [`dispatch`]: getting a request to run, again if need be.
-//! - [`reserve`]: asking several sidecars for a slot.
-//! - [`start`]: starting a request where a slot is held.
-//! - [`relay`]: passing the answer's pieces on.
-//! - [`spread`]: keeping the bundle level with the sidecars'.
-//! - [`status`]: what operators are shown.
-//! - [`drain`]: stopping without cutting anything off.
-//! - [`shape`]: how answers are written.
-//! - [`counters`]: what placement counts.
-//! - [`refuse`]: the answer to a request that is refused.
+//! - [`settings`]: the settings of an entry.
+//! - [`state`]: the shared state, with the bundle in force and the known sidecars.
+//! - [`membership`]: the set of known sidecars, from the host list and replies.
+//! - [`request`]: parsing and checking of requests.
+//! - [`http`]: the HTTP API for callers.
+//! - [`idempotency`]: calls with an idempotency key, which run at most once.
+//! - [`dispatch`]: placement and retries of a request.
+//! - [`reserve`]: reservation of a slot at several sidecars at once.
+//! - [`start`]: start of a request at the sidecar that holds its slot.
+//! - [`relay`]: streaming of an answer to the caller.
+//! - [`bundle_sync`]: exchange of the bundle with the sidecars.
+//! - [`status`]: the status for operators.
+//! - [`drain`]: graceful shutdown.
+//! - [`completion`]: the format of completion answers.
+//! - [`counters`]: metrics of placement.
+//! - [`error`]: errors returned to callers.
 
 pub mod bundle_sync;
 pub mod completion;
@@ -50,20 +50,20 @@
 pub use settings::Settings;
 use state::State;
 
-/// What an operator is told who gave neither a log nor a bundle.
+/// Error for an entry that is started with neither a log nor a bundle.
 const NO_BUNDLE: &str = "step=check_settings key=follow: found nothing \
     (hint: name the platform's log and the trusted operators under follow, or give --bundle)";
 
-/// How long an entry waits for the list of hosts before it takes requests.
-const LIST_WAIT: Duration = Duration::from_secs(5);
+/// How long an entry waits for the host list before it accepts requests.
+const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs an entry until `stop` is asked and everything in progress has ended.
-/// It goes by `bundle` if there is one, else by that of the platform's log.
+/// Runs an entry until `stop` is triggered and the requests in progress have
+/// ended. It uses `bundle` if given, or else follows the bundles in the
+/// platform's log.
 ///
 /// # Errors
 ///
-/// Returns the error when the settings are impossible or the entry cannot
-/// listen.
+/// Returns an error if the settings are invalid or the entry cannot listen.
 pub async fn run(settings: Settings, bundle: Option<Bundle>, stop: StopSignal) -> io::Result<()> {
     settings.check().map_err(io::Error::other)?;
     let bundle_sync = match (bundle, settings.follow.clone()) {
@@ -78,30 +78,34 @@
     actix_rt::spawn(bundle_sync::fetch_initial_bundle(Rc::clone(&state)));
     membership::MembershipActor::new(Rc::clone(&state)).start();
 
-    // The operators' address goes on until the process ends, so that a drain
-    // can be watched.
-    let end = StopSignal::new();
+    // The operators' address is served until the end of the drain, so that the
+    // drain can be monitored.
+    let admin_stop = StopSignal::new();
     if let Some(addr) = operators {
         let listener = listen("operators", addr).await?;
-        actix_rt::spawn(admin::serve(listener, Rc::clone(&state), end.clone()));
+        actix_rt::spawn(admin::serve(
+            listener,
+            Rc::clone(&state),
+            admin_stop.clone(),
+        ));
     }
 
     info!("entry ready", kv: {
         name = state.settings.name.as_str(),
         listen = state.settings.listen.to_string().as_str()
     });
-    // An entry that just started would refuse its first requests for want of
-    // sidecars that the list names. They wait for it, but not for ever: the
-    // list may be out of reach.
+    // Without known sidecars the first requests would be refused, so the entry
+    // waits for the host list before it serves callers. The wait is bounded,
+    // because the list may be unreachable.
     let settings = &state.settings;
     if settings.host_list.list_addr.is_some() && settings.sidecars.is_empty() {
-        let _ = tokio::time::timeout(LIST_WAIT, state.list_applied.wait()).await;
+        let _ = tokio::time::timeout(LIST_TIMEOUT, state.list_applied.wait()).await;
     }
 
     let drained = StopSignal::new();
     actix_rt::spawn(drain::drain(Rc::clone(&state), stop, drained.clone()));
     let app = http::app(Rc::clone(&state));
     base::http::serve_and_drain(listener, app, drained, drain::CLOSE_LIMIT).await?;
-    end.trigger();
+    admin_stop.trigger();
     Ok(())
 }
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -1,5 +1,5 @@
-//! Keeping the known sidecars in step with the host list and with what the
-//! sidecars say themselves. See docs/DECISIONS/0401-membership.md.
+//! Maintains the set of known sidecars from the host list and from the replies of
+//! the sidecars. See docs/DECISIONS/0401-membership.md.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,30 +17,32 @@
 use crate::settings::SidecarInfo;
 use crate::state::{Server, State};
 
-/// How often sidecars that may come back or be gone are asked.
-const BEAT: Duration = Duration::from_millis(500);
+/// Interval of the probes to sidecars that are ejected, draining or no longer
+/// listed.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often the list is read while no host is known, on average.
-const EAGER: Duration = Duration::from_millis(100);
+/// Average interval between reads of the host list while no host is known.
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A ticket that no request ever has. Pulling it changes nothing at the
-/// sidecar and brings its life and load back.
-const NOBODY: RequestId = RequestId(0);
+/// A ticket that no request has. A pull with it is a probe: it changes nothing
+/// at the sidecar, and the reply carries its incarnation and load.
+const PROBE_TICKET: RequestId = RequestId(0);
 
-/// Follows the host list, and asks after sidecars that the list or their own
-/// word calls gone.
+/// Polls the host list, and probes sidecars that are no longer listed or that get
+/// no requests.
 pub struct MembershipActor {
     state: Rc<State>,
     list_client: Option<Rc<Hosts>>,
     membership: Membership,
-    /// Whether the list could be read last time, to log changes only.
+    /// Whether the last read of the list succeeded, so that only the first of
+    /// several failures is logged.
     list_readable: bool,
-    /// Calls that ask after a sidecar and are still out.
+    /// Number of probes without a reply yet.
     open_probes: Rc<Cell<usize>>,
 }
 
 impl MembershipActor {
-    /// Makes the roster of an entry.
+    /// Creates the actor of an entry.
     #[must_use]
     pub fn new(state: Rc<State>) -> Self {
         let settings = &state.settings;
@@ -52,8 +54,8 @@
             forget_after: settings.host_list.forget_after.0,
         };
         let mut membership = Membership::new(&settings.name, &settings.zone, limits);
-        // Sidecars named in the settings are believed until a list shows
-        // otherwise and they stop answering.
+        // Sidecars from the settings stay known until they are missing from a list
+        // and also stop answering.
         let named: Vec<Host> = settings.sidecars.iter().map(configured_host).collect();
         membership.apply_list(state.clock.now(), &named);
 
@@ -71,29 +73,30 @@
         }
     }
 
-    /// Reads the list, and again after a while.
+    /// Reads the list and schedules the next read.
     fn poll_list(&mut self, ctx: &mut Context<Self>) {
         let Some(list_client) = self.list_client.clone() else {
             return;
         };
         let read = async move { list_client.read().await };
-        let done = read.into_actor(self).map(|list, roster, ctx| {
-            roster.apply_list(&list);
-            // An entry that knows nobody can serve nobody.
-            let poll = match roster.membership.is_empty() {
-                true => EAGER,
-                false => roster.state.settings.host_list.poll_interval.0,
+        let applied = read.into_actor(self).map(|list, actor, ctx| {
+            actor.apply_list(&list);
+            // Without a known host the entry cannot serve any request.
+            let poll = match actor.membership.is_empty() {
+                true => INITIAL_POLL_INTERVAL,
+                false => actor.state.settings.host_list.poll_interval.0,
             };
-            // Entries that start together must not ask together for ever.
+            // Jitter desynchronizes entries that start at the same time.
             let wait = poll.mul_f64(rand::random_range(0.5..1.5));
             ctx.run_later(wait, Self::poll_list);
         });
-        ctx.spawn(done);
+        ctx.spawn(applied);
     }
 
-    /// Takes over what the reading brought.
+    /// Applies the result of a read.
     fn apply_list(&mut self, list: &Result<Option<Vec<Listed>>, Error>) {
-        // Which life the list calls leaving shows only against the newest one.
+        // A host that the list shows as leaving is compared with its latest known
+        // incarnation, so that has to be up to date.
         self.note_answers();
         let outcome = match list {
             Ok(None) => "unchanged",
@@ -110,7 +113,7 @@
 
         let readable = list.is_ok();
         if let (Err(e), true) = (list, self.list_readable) {
-            warn!("host list unreadable", kv: { error = e.to_string().as_str() });
+            warn!("reading the host list failed", kv: { error = e.to_string().as_str() });
         }
         self.list_readable = readable;
         if outcome == "taken" {
@@ -119,27 +122,29 @@
         }
     }
 
-    /// Notes who answered since.
+    /// Records the latest reply of each sidecar.
     fn note_answers(&mut self) {
         for server in self.state.servers() {
-            if let Some((at, life)) = server.last_reply.get() {
-                self.membership.note_answer(at, &server.info.name, life);
+            if let Some((at, incarnation)) = server.last_reply.get() {
+                self.membership
+                    .note_answer(at, &server.info.name, incarnation);
             }
         }
     }
 
-    /// Notes who answered, forgets who is gone and asks after the doubtful.
+    /// Records replies, forgets hosts that are gone, and probes sidecars that are
+    /// not listed or get no requests.
     fn tick(&mut self, _: &mut Context<Self>) {
         self.note_answers();
         let forgotten = self.membership.sweep(self.state.clock.now());
         if forgotten > 0 {
-            info!("hosts forgotten", kv: { count = forgotten });
+            info!("unlisted hosts without replies forgotten", kv: { count = forgotten });
             counter!("pimentocart_hosts_forgotten_total").increment(forgotten as u64);
             self.publish_servers();
         }
         self.mark_leaving();
 
-        // The answers of those asked the last time are still awaited.
+        // Probes of an earlier tick are still pending.
         if self.open_probes.get() > 0 {
             return;
         }
@@ -151,24 +156,25 @@
         }
     }
 
-    /// Asks one sidecar how it is.
+    /// Probes one sidecar.
     fn probe(&self, server: Rc<Server>) {
-        let (state, asking) = (Rc::clone(&self.state), Rc::clone(&self.open_probes));
-        asking.set(asking.get() + 1);
+        let (state, open_probes) = (Rc::clone(&self.state), Rc::clone(&self.open_probes));
+        open_probes.set(open_probes.get() + 1);
         actix_rt::spawn(async move {
-            let ask = PullRequest {
-                ticket: NOBODY,
+            let pull_request = PullRequest {
+                ticket: PROBE_TICKET,
                 from: 0,
                 wait_ms: 0,
             };
-            // No answer is told by the time since the last one.
-            let answer = server.peer.pull(state.call_header(), ask).await;
-            let _ = state.record_reply(&server, answer);
-            asking.set(asking.get() - 1);
+            // A failed probe needs no handling: the time since the last reply
+            // shows it.
+            let result = server.peer.pull(state.call_header(), pull_request).await;
+            let _ = state.record_reply(&server, result);
+            open_probes.set(open_probes.get() - 1);
         });
     }
 
-    /// Gives the entry the sidecars that it should know.
+    /// Updates the entry's sidecars to the chosen subset.
     fn publish_servers(&self) {
         let chosen: Vec<SidecarInfo> = self
             .membership
@@ -182,7 +188,7 @@
         gauge!("pimentocart_servers_known").set(chosen.len() as f64);
     }
 
-    /// Marks the sidecars that the list calls leaving.
+    /// Closes placement at the sidecars that the list shows as leaving.
     fn mark_leaving(&self) {
         let servers = self.state.servers();
         let mut placement = self.state.placement.borrow_mut();
@@ -197,7 +203,7 @@
 
     fn started(&mut self, ctx: &mut Self::Context) {
         self.poll_list(ctx);
-        ctx.run_interval(BEAT, Self::tick);
+        ctx.run_interval(PROBE_INTERVAL, Self::tick);
     }
 }
 
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -1,4 +1,4 @@
-//! What an entry shows its operators.
+//! Status of an entry, as shown to operators.
 
 use std::net::SocketAddr;
 
@@ -8,46 +8,46 @@
 
 use crate::state::{Server, State};
 
-/// An entry's own view.
+/// Status of an entry.
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
     /// Always `entry`.
     pub role: &'static str,
     /// The entry's name.
     pub name: String,
-    /// The availability zone that the host stands in.
+    /// The availability zone of the host.
     pub zone: String,
-    /// Whether new requests are taken.
+    /// Whether the entry is ready for new requests.
     pub ready: bool,
-    /// The bundle in force.
+    /// Sequence of the bundle in force.
     pub sequence: BundleSequence,
-    /// Requests in progress.
+    /// Number of requests in progress.
     #[serde(rename = "open")]
     pub open_requests: usize,
     /// The known sidecars.
     pub sidecars: Vec<SidecarStatus>,
 }
 
-/// An entry's view of one sidecar.
+/// Status of one sidecar, as seen by the entry.
 #[derive(Debug, Clone, Serialize)]
 pub struct SidecarStatus {
     /// The sidecar's name.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// The availability zone that its host stands in.
+    /// The availability zone of its host.
     pub zone: String,
     /// The model or the plain service that its backend server offers.
     pub serves: String,
-    /// Requests that run there, as last heard.
+    /// Running requests according to its last load report.
     pub running: u32,
-    /// Requests that wait there, as last heard.
+    /// Queued requests according to its last load report.
     pub waiting: u32,
-    /// Time since the sidecar was last heard, in milliseconds.
+    /// Age of its last load report, in milliseconds.
     pub heard_ms: Option<u64>,
-    /// Whether it gets no requests because it failed or is far too slow.
+    /// Whether it is ejected as an outlier, because of failures or high latency.
     pub ejected: bool,
-    /// Whether it said that it takes nothing new.
+    /// Whether it reported that it is draining.
     pub draining: bool,
 }
 
