--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 ///
-/// Returns the refusal to answer with.
+/// Returns the error for the caller.
 pub async fn run_once(
     state: &Rc<State>,
     mut request: Request,
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,7 +1,7 @@
-//! Reading a caller's request and checking it against the bundle.
+//! Parses a caller's request and checks it against the bundle.
 //!
-//! - [`body`]: what the router reads of a completion's body.
-//! - [`rights`]: who asks, and for which class.
+//! - [`body`]: the fields of a completion's body that matter for routing.
+//! - [`access`]: authentication and entitlement.
 
 pub mod access;
 pub mod body;
@@ -22,57 +22,57 @@
 use body::Body;
 
 /// Header that marks one call as not repeatable.
-pub const NO_REPEAT: &str = "x-no-repeat";
+pub const NO_REPEAT_HEADER: &str = "x-no-repeat";
 
-/// Header by which a caller names a call that must run at most once.
-pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// Header with the idempotency key of a call that must run at most once.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Longest idempotency key, in bytes.
-const KEY_LIMIT: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// A caller's request, checked against the bundle.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The request's identity.
+    /// The identifier of the request.
     pub ticket: RequestId,
-    /// Who asks.
+    /// The workspace that makes the request.
     pub workspace: String,
-    /// The workspace's weight in the fair share.
+    /// The workspace's weight in fair sharing.
     pub weight: u32,
-    /// The class, by name.
+    /// Name of the request class.
     pub class: String,
-    /// What the class promises.
+    /// Tier, targets and model of the class.
     pub class_spec: Class,
-    /// The model or service asked for.
+    /// The model or plain service to run on.
     pub target: String,
     /// When the request arrived.
     pub arrived: Instant,
-    /// Whether the caller wants the answer as it is made.
+    /// Whether the caller wants the answer streamed.
     pub stream: bool,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// How often the request was preempted.
     pub preemptions: u32,
-    /// The caller's name for a call that must run at most once.
+    /// The idempotency key, if the call must run at most once.
     pub idempotency_key: Option<String>,
-    /// What this entry holds of the key, set before the grant.
+    /// The claim of the idempotency key, set before the request is placed.
     pub claim: Option<Rc<Claim>>,
-    /// Size of the prompt, in tokens.
+    /// Estimated size of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that the answer may have.
+    /// Maximum number of tokens of the answer.
     pub max_tokens: u32,
     /// Hash of the prompt's prefix.
     pub prefix_hash: u64,
-    /// What to run.
+    /// The request to the backend server.
     pub work: BackendRequest,
 }
 
 impl Request {
-    /// Reads a completion. `now` is when it arrived.
+    /// Parses a completion request. `now` is its time of arrival.
     ///
     /// # Errors
     ///
-    /// Returns the refusal to answer with.
+    /// Returns the error for the caller.
     pub fn completion(
         http: &HttpRequest,
         raw: Bytes,
@@ -108,12 +108,12 @@
         })
     }
 
-    /// Reads a call of the plain service `name`. `path` is what follows the
-    /// service's name; `now` is when the call arrived.
+    /// Parses a call of the plain service `name`. `path` is the path after the
+    /// service's name; `now` is the time of arrival.
     ///
     /// # Errors
     ///
-    /// Returns the refusal to answer with.
+    /// Returns the error for the caller.
     pub fn service_call(
         http: &HttpRequest,
         body: Bytes,
@@ -132,7 +132,7 @@
             true => format!("/{path}"),
             false => format!("/{path}?{query}"),
         };
-        let kind = http
+        let content_type = http
             .headers()
             .get(CONTENT_TYPE)
             .and_then(|v| v.to_str().ok());
@@ -155,23 +155,25 @@
             work: BackendRequest::Call {
                 method: http.method().to_string(),
                 path,
-                content_type: kind.unwrap_or("").to_owned(),
+                content_type: content_type.unwrap_or("").to_owned(),
                 body,
             },
         })
     }
 
-    /// Whether the request may be started at `now`; always so without a key.
+    /// Whether the request may be started at `now`. With an idempotency key, this
+    /// requires that the claim is still valid.
     #[must_use]
     pub fn may_start(&self, now: Instant) -> bool {
         self.claim.as_ref().is_none_or(|claim| claim.begin(now))
     }
 
-    /// The request as sidecars are asked for a slot.
+    /// The message that reserves a slot for the request. `wait` is how long the
+    /// sidecar may hold the call.
     #[must_use]
     pub fn reserve_request(&self, now: Instant, wait: Duration) -> ReserveRequest {
         let waited = now.saturating_duration_since(self.arrived);
-        let left = |target: Duration| {
+        let budget_us = |target: Duration| {
             u64::try_from(target.saturating_sub(waited).as_micros()).unwrap_or(u64::MAX)
         };
         ReserveRequest {
@@ -180,8 +182,8 @@
             workspace: self.workspace.clone(),
             weight: self.weight,
             tier: self.class_spec.tier,
-            ttft_budget_us: left(self.class_spec.targets.first_token.0),
-            total_budget_us: left(self.class_spec.targets.whole.0),
+            ttft_budget_us: budget_us(self.class_spec.targets.first_token.0),
+            total_budget_us: budget_us(self.class_spec.targets.whole.0),
             prompt_tokens: self.prompt_tokens,
             max_tokens: self.max_tokens,
             prefix_hash: self.prefix_hash,
@@ -194,28 +196,30 @@
 
 /// The idempotency key, if the caller sent one.
 fn idempotency_key(http: &HttpRequest) -> Result<Option<String>, RequestError> {
-    let Some(value) = http.headers().get(IDEMPOTENCY_KEY) else {
+    let Some(value) = http.headers().get(IDEMPOTENCY_KEY_HEADER) else {
         return Ok(None);
     };
     let text = value.to_str().unwrap_or("");
-    if text.is_empty() || text.len() > KEY_LIMIT {
-        let hint = format!("{IDEMPOTENCY_KEY} takes 1 to {KEY_LIMIT} visible ASCII characters");
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
+        let hint =
+            format!("{IDEMPOTENCY_KEY_HEADER} takes 1 to {MAX_KEY_BYTES} visible ASCII characters");
         return Err(RequestError::not_run(Refusal::BadRequest, &hint));
     }
     Ok(Some(text.to_owned()))
 }
 
-/// Whether the caller allows the call to run again.
+/// Whether the caller allows the call to run more than once.
 fn repeatable(http: &HttpRequest) -> Result<bool, RequestError> {
-    let Some(value) = http.headers().get(NO_REPEAT) else {
+    let Some(value) = http.headers().get(NO_REPEAT_HEADER) else {
         return Ok(true);
     };
     match value.as_bytes() {
         b"true" | b"1" => Ok(false),
         b"false" | b"0" => Ok(true),
-        // Taken for "may repeat", a misspelt mark could send a letter twice.
+        // If an invalid value meant "repeatable", a typo could cause a duplicate
+        // run, such as an email that is sent twice.
         _ => {
-            let hint = format!("{NO_REPEAT} takes true or false");
+            let hint = format!("{NO_REPEAT_HEADER} takes true or false");
             Err(RequestError::not_run(Refusal::BadRequest, &hint))
         }
     }
--- a/crates/entry/src/request/access.rs
+++ b/crates/entry/src/request/access.rs
@@ -1,4 +1,4 @@
-//! Who asks, and for which class, model or service.
+//! Authentication, and lookup of the requested class, model or service.
 
 use actix_web::HttpRequest;
 use actix_web::http::header::AUTHORIZATION;
@@ -7,13 +7,13 @@
 
 use crate::error::RequestError;
 
-/// Header that names the request class.
+/// Header with the name of the request class.
 pub const CLASS_HEADER: &str = "x-request-class";
 
-/// How many names a hint lists.
-const HINT_NAMES: usize = 12;
+/// Maximum number of names listed in a hint.
+const MAX_HINT_NAMES: usize = 12;
 
-/// The workspace that the bearer token stands for.
+/// The workspace that owns the bearer token.
 ///
 /// # Errors
 ///
@@ -31,13 +31,13 @@
     })
 }
 
-/// The workspace's weight in the fair share, never 0.
+/// The workspace's weight in fair sharing, at least 1.
 pub fn weight(bundle: &Bundle, workspace: &str) -> u32 {
     let found = bundle.workspaces.get(workspace);
     found.map_or(1, |w| w.weight.max(1))
 }
 
-/// The class from the header, or the one that `named` stands for.
+/// The class named in the header, or else the class named `named`.
 ///
 /// # Errors
 ///
@@ -56,32 +56,32 @@
     found
         .map(|(name, class)| (name.as_str(), class))
         .ok_or_else(|| {
-            let known: Vec<_> = bundle.classes.keys().take(HINT_NAMES).collect();
+            let known: Vec<_> = bundle.classes.keys().take(MAX_HINT_NAMES).collect();
             let hint =
                 format!("no class {name:?}; name one of {known:?} in {CLASS_HEADER} or as model");
             RequestError::not_run(Refusal::UnknownClass, &hint)
         })
 }
 
-/// Checks that the workspace may use the class.
+/// Checks that the workspace is entitled to the class.
 ///
 /// # Errors
 ///
 /// Returns [`Refusal::NotEntitled`].
 pub fn check_entitled(bundle: &Bundle, workspace: &str, class: &str) -> Result<(), RequestError> {
-    let may = bundle
+    let entitled = bundle
         .workspaces
         .get(workspace)
         .is_some_and(|w| w.classes.contains(class));
-    if may {
+    if entitled {
         return Ok(());
     }
     let hint = format!("workspace {workspace:?} is not entitled to class {class:?}");
     Err(RequestError::not_run(Refusal::NotEntitled, &hint))
 }
 
-/// The model that serves the request: the one named, or the class's own when
-/// the name is that of a class.
+/// The model that serves the request: the model named `named`, or the model of
+/// the class if `named` is a class or absent.
 ///
 /// # Errors
 ///
@@ -101,14 +101,14 @@
     })
 }
 
-/// The plain service of a name.
+/// The plain service with a name.
 ///
 /// # Errors
 ///
 /// Returns [`Refusal::UnknownTarget`].
 pub fn service<'a>(bundle: &'a Bundle, name: &str) -> Result<&'a Service, RequestError> {
     bundle.services.get(name).ok_or_else(|| {
-        let known: Vec<_> = bundle.services.keys().take(HINT_NAMES).collect();
+        let known: Vec<_> = bundle.services.keys().take(MAX_HINT_NAMES).collect();
         let hint = format!("no service {name:?} in the bundle; there are {known:?}");
         RequestError::not_run(Refusal::UnknownTarget, &hint)
     })
--- a/crates/entry/src/request/body.rs
+++ b/crates/entry/src/request/body.rs
@@ -1,35 +1,36 @@
-//! What the router reads of a completion's body; the rest passes through.
+//! The fields of a completion's body that matter for routing. The body itself is
+//! forwarded unchanged.
 
 use base::reason::Refusal;
 use serde::Deserialize;
 
 use crate::error::RequestError;
 
-/// Bytes of a prompt for one token, as a rough rule. The estimates correct
-/// it by what engines report.
+/// Approximate number of bytes per prompt token. The latency estimates correct
+/// the error with the token counts that engines report.
 const TOKEN_BYTES: usize = 4;
 
-/// Bytes of the prompt that decide its cache affinity.
+/// Length of the prompt prefix that determines cache affinity, in bytes.
 const PREFIX_BYTES: usize = 1024;
 
-/// A completion's body, in the shape of chat completions or completions.
+/// Body of a chat completion or completion request, in the OpenAI format.
 #[derive(Debug, Default, Deserialize)]
 pub struct Body {
-    /// The model or class asked for.
+    /// The requested model or class.
     pub model: Option<String>,
-    /// Whether the caller wants the answer as it is made.
+    /// Whether the caller wants the answer streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Most tokens that the answer may have.
+    /// Maximum number of tokens of the answer.
     #[serde(alias = "max_completion_tokens")]
     pub max_tokens: Option<u32>,
-    /// How many answers are wanted; only one can be given.
+    /// Number of answers; only 1 is supported.
     n: Option<u32>,
     prompt: Option<Prompt>,
     messages: Option<Vec<Message>>,
 }
 
-/// A prompt of the completions shape.
+/// Prompt of a completion.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Prompt {
@@ -37,8 +38,8 @@
     Many(Vec<String>),
 }
 
-/// A message of the chat shape. An assistant's message that only calls tools
-/// has no content.
+/// Message of a chat completion. An assistant message that only calls tools has
+/// no content.
 #[derive(Debug, Deserialize)]
 struct Message {
     content: Option<Content>,
@@ -51,7 +52,7 @@
     Parts(Vec<Part>),
 }
 
-/// A part of a message; parts other than text have no `text`.
+/// A part of a message; only text parts have `text`.
 #[derive(Debug, Deserialize)]
 struct Part {
     #[serde(default)]
@@ -59,11 +60,11 @@
 }
 
 impl Body {
-    /// Reads a body and checks that it is a completion of its shape.
+    /// Parses a body and checks its required fields.
     ///
     /// # Errors
     ///
-    /// Returns the refusal to answer with.
+    /// Returns the error for the caller.
     pub fn parse(raw: &[u8], chat: bool) -> Result<Self, RequestError> {
         let bad = |hint: &str| RequestError::not_run(Refusal::BadRequest, hint);
         let body: Self = serde_json::from_slice(raw)
@@ -86,7 +87,7 @@
         Ok(body)
     }
 
-    /// Size of the prompt, in tokens, by a rough rule.
+    /// Estimated size of the prompt, in tokens.
     #[must_use]
     pub fn prompt_tokens(&self) -> u32 {
         let bytes: usize = self.texts().map(str::len).sum();
@@ -95,7 +96,7 @@
             .max(1)
     }
 
-    /// Hash of the prompt's prefix, equal for prompts that begin alike.
+    /// Hash of the prompt's prefix, for cache affinity.
     #[must_use]
     pub fn prefix_hash(&self) -> u64 {
         let mut prefix = Vec::with_capacity(PREFIX_BYTES);
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the operators set for an entry.
+//! Settings of an entry.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,8 @@
 use policy::placement::PlacementMode;
 use serde::{Deserialize, Serialize};
 
-/// Largest body limit: a start must fit into one frame of the inner protocol.
+/// Upper bound of `body_limit`, in bytes. A start must fit into one frame of the
+/// RPC protocol.
 const MAX_BODY_LIMIT: usize = 16 << 20;
 
 /// Settings of one entry.
@@ -16,92 +17,92 @@
 pub struct Settings {
     /// The entry's name, unique in the deployment.
     pub name: String,
-    /// The availability zone that the host stands in.
+    /// The availability zone of the host.
     pub zone: String,
-    /// Where callers reach the entry.
+    /// The address that the entry listens on for callers.
     pub listen: SocketAddr,
-    /// Where operators reach health, status and metrics, if at all.
+    /// The address for health, status and metrics; not served if absent.
     #[serde(default)]
     pub operators: Option<SocketAddr>,
-    /// The platform's log and who may sign the first bundle; needed unless
-    /// the bundle comes from a file.
+    /// The platform's log and the operators who may sign the first bundle;
+    /// required unless the bundle comes from a file.
     #[serde(default)]
     pub follow: Option<follow::Settings>,
-    /// Sidecars known from the start.
+    /// Sidecars that are known at startup.
     #[serde(default)]
     pub sidecars: Vec<SidecarInfo>,
-    /// How the entry learns which hosts there are.
+    /// Discovery of the hosts.
     #[serde(rename = "roster", default)]
     pub host_list: HostList,
-    /// How the entry stops.
+    /// Graceful shutdown.
     #[serde(default)]
     pub drain: Drain,
-    /// How many sidecars are asked for a slot at once.
+    /// Number of sidecars at which a slot is reserved at once.
     #[serde(rename = "fan", default = "default_fan_out")]
     pub fan_out: usize,
-    /// How requests are placed, and how long sidecars are waited for.
+    /// Placement of requests and timeouts of calls to sidecars.
     #[serde(default)]
     pub routing: Routing,
-    /// How idempotency keys are claimed; the same at every entry.
+    /// Claims of idempotency keys; must be the same at every entry.
     #[serde(default)]
     pub keys: IdempotencyKeys,
-    /// How long a stream to a caller may bring nothing until a comment is
-    /// written, by which a caller that vanished is found.
+    /// Idle time of a stream after which a comment is sent to the caller, to
+    /// detect a caller that has disappeared.
     #[serde(rename = "comment", default = "default_comment_interval")]
     pub comment_interval: HumanDuration,
     /// Largest request body, in bytes.
     #[serde(default = "default_body_limit")]
     pub body_limit: usize,
-    /// Seed of the entry's random choices; drawn at random when absent.
+    /// Seed of the entry's random choices; random if absent.
     #[serde(default)]
     pub seed: Option<u64>,
-    /// How much is logged.
+    /// Log level.
     #[serde(default)]
     pub log_level: Level,
 }
 
-/// How requests are placed, and how long sidecars are waited for.
+/// Placement of requests and timeouts of calls to sidecars.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Routing {
-    /// How servers are chosen; all but late binding are baselines.
+    /// How servers are chosen. All modes except late binding are baselines for
+    /// comparison.
     pub mode: PlacementMode,
-    /// Age of the load reports that the baselines go by.
+    /// Age of the load reports that the baselines use.
     #[serde(rename = "lag")]
     pub report_lag: HumanDuration,
-    /// Whether a class's retries are limited by its budget.
+    /// Whether the retry budget limits the retries of each class.
     #[serde(rename = "budget")]
     pub retry_budget: bool,
-    /// Longest time that a held slot is left waiting for a better one.
+    /// Longest time that a held slot waits for a better one.
     #[serde(rename = "grace")]
     pub grace_period: HumanDuration,
-    /// How long one call may be held at a sidecar.
+    /// How long a sidecar may hold a long poll.
     #[serde(rename = "poll")]
     pub poll_hold: HumanDuration,
-    /// Time allowed for an answer beyond that.
+    /// Time allowed for the reply to a call, in addition to the hold.
     #[serde(rename = "margin")]
     pub reply_margin: HumanDuration,
-    /// Time allowed for dialling.
+    /// Timeout of connecting to a sidecar.
     #[serde(rename = "dial")]
     pub connect_timeout: HumanDuration,
-    /// A connection idle for so long is replaced before it is used again.
+    /// Idle time after which a connection is replaced before it is used again.
     #[serde(rename = "idle")]
     pub idle_limit: HumanDuration,
-    /// How long an answer in delivery is tried for when its sidecar cannot be
-    /// reached.
+    /// How long the entry keeps pulling an answer from an unreachable sidecar.
     #[serde(rename = "patience")]
     pub unreachable_timeout: HumanDuration,
 }
 
-/// How idempotency keys are claimed.
+/// Claims of idempotency keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct IdempotencyKeys {
-    /// How long a key names its first call. Half of the log's retention at
-    /// the most.
+    /// How long a key refers to its first call. At most half of the log's
+    /// retention.
     pub window: HumanDuration,
-    /// Least time between two appends of one entry; claims that come
-    /// meanwhile share one.
+    /// Minimum time between two appends to the log. Claims that arrive in
+    /// between are batched into one append.
     #[serde(rename = "gap")]
     pub append_interval: HumanDuration,
 }
@@ -131,26 +132,26 @@
     }
 }
 
-/// How an entry learns which hosts there are.
+/// Discovery of the hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct HostList {
-    /// Where the platform serves the list of hosts; without it, only the
-    /// sidecars named in the settings are known.
+    /// Address of the platform's host list. If absent, only the sidecars in the
+    /// settings are known.
     #[serde(rename = "hosts")]
     pub list_addr: Option<SocketAddr>,
-    /// The region whose hosts are known.
+    /// The region whose hosts are listed.
     pub region: String,
-    /// How often the list is read, on average.
+    /// Average interval between two reads of the list.
     #[serde(rename = "poll")]
     pub poll_interval: HumanDuration,
-    /// Sidecars of one service that are known, on average.
+    /// Average number of known sidecars per service.
     #[serde(rename = "subset")]
     pub subset_size: usize,
-    /// How many of these stand in other availability zones, at the least.
+    /// Minimum number of these in other availability zones.
     #[serde(rename = "far")]
     pub other_zones: usize,
-    /// How long a host stays that is not listed and does not answer.
+    /// How long a host stays known that is neither listed nor answers.
     #[serde(rename = "forget")]
     pub forget_after: HumanDuration,
 }
@@ -168,14 +169,14 @@
     }
 }
 
-/// How an entry stops; see docs/operators/drain.md.
+/// Graceful shutdown; see docs/operators/drain.md.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Drain {
-    /// How long new requests are still taken after readiness went off, until
-    /// the balancer has seen it.
+    /// How long new requests are still accepted after readiness went off, so that
+    /// the load balancer has time to notice.
     pub linger: HumanDuration,
-    /// How long requests in progress may take; what is left then is ended.
+    /// Time limit for requests in progress; those left are aborted.
     #[serde(rename = "limit")]
     pub time_limit: HumanDuration,
 }
@@ -189,26 +190,26 @@
     }
 }
 
-/// A sidecar as the settings or the host list name it.
+/// A sidecar from the settings or the host list.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SidecarInfo {
     /// The sidecar's name.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// The availability zone that its host stands in.
+    /// The availability zone of its host.
     pub zone: String,
     /// The model or the plain service that its backend server offers.
     pub serves: String,
 }
 
 impl Settings {
-    /// Checks what no single value shows.
+    /// Checks the ranges of the values and the dependencies between them.
     ///
     /// # Errors
     ///
-    /// Returns the first impossible value with its key and a hint.
+    /// Returns the first invalid value with its key and a hint.
     pub fn check(&self) -> Result<(), Error> {
         check(
             "name",
@@ -220,7 +221,7 @@
             "fan",
             self.fan_out,
             (1..=8).contains(&self.fan_out),
-            "ask 1 to 8 sidecars at once",
+            "reserve at 1 to 8 sidecars at once",
         )?;
         check(
             "body_limit",
@@ -232,13 +233,13 @@
             "roster.subset",
             self.host_list.subset_size,
             self.host_list.subset_size > self.host_list.other_zones,
-            "know more sidecars in all than in other zones (roster.far)",
+            "must be larger than the number in other zones (roster.far)",
         )?;
         check(
             "comment",
             self.comment_interval,
             !self.comment_interval.0.is_zero(),
-            "write a comment every few seconds, as in \"5s\"",
+            "send a comment every few seconds, as in \"5s\"",
         )?;
         check(
             "roster.poll",
@@ -250,7 +251,7 @@
             "operators",
             self.listen,
             self.operators != Some(self.listen),
-            "operators need an address apart from the callers'",
+            "must differ from the listen address for callers",
         )
     }
 }
