--- a/crates/entry/benches/relay.rs
+++ b/crates/entry/benches/relay.rs
@@ -1,6 +1,6 @@
-//! Pieces that one entry passes on a second, and what share of a core it
-//! takes. A sidecar makes a piece every 20 ms for each stream; callers read
-//! them as server-sent events. Run it by `cargo bench -p entry --bench relay`.
+//! Measures the chunks per second that one entry relays, and its share of a core.
+//! A sidecar generates a chunk every 20 ms for each stream; callers read the
+//! chunks as server-sent events. Run it with `cargo bench -p entry --bench relay`.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,16 +24,16 @@
     ReserveRequest, ServerLoad, Sidecar, StartOutcome, StartRequest,
 };
 
-/// Time between two pieces of one stream.
-const GAP: Duration = Duration::from_millis(20);
+/// Time between two chunks of one stream.
+const CHUNK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time until all streams run.
+/// Warm-up time in which all streams start.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// Time that is measured.
+/// Length of the measurement.
 const WINDOW: Duration = Duration::from_secs(3);
 
-/// Threads that read answers.
+/// Number of threads that read answers.
 const READERS: usize = 3;
 
 /// The bearer token of the only workspace.
@@ -41,17 +41,17 @@
 
 fn main() {
     base::logging::init(base::logging::Level::Warn);
-    println!("streams  offered/s  passed/s  entry's share of a core  us/piece");
+    println!("streams  offered/s  relayed/s  entry's share of a core  us/chunk");
     for streams in streams() {
         measure(streams);
     }
 }
 
-/// What the threads tell each other.
+/// Counters that the threads share.
 #[derive(Default)]
 struct Counts {
-    /// Pieces that reached callers.
-    pieces: AtomicU64,
+    /// Chunks that callers received.
+    chunks: AtomicU64,
     /// Processor time of the entry's thread, in nanoseconds.
     entry_ns: AtomicU64,
 }
@@ -61,22 +61,22 @@
     let counts = Arc::new(Counts::default());
     let stop = StopSignal::new();
 
-    let asked = stop.clone();
-    let making = thread::spawn(move || {
+    let thread_stop = stop.clone();
+    let sidecar_thread = thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
             let listener = TcpListener::bind(sidecar).await.unwrap();
-            wire::serve::serve(listener, Maker::default(), asked).await;
+            wire::serve::serve(listener, ChunkSidecar::default(), thread_stop).await;
         });
     });
-    let (told, asked) = (Arc::clone(&counts), stop.clone());
-    let passing = thread::spawn(move || run_entry(entry, sidecar, &told, asked));
+    let (entry_counts, thread_stop) = (Arc::clone(&counts), stop.clone());
+    let entry_thread = thread::spawn(move || run_entry(entry, sidecar, &entry_counts, thread_stop));
     thread::sleep(Duration::from_millis(300));
 
     let readers: Vec<_> = (0..READERS)
         .map(|i| {
             let (counts, stop) = (Arc::clone(&counts), stop.clone());
-            let mine = streams / READERS + usize::from(i < streams % READERS);
-            thread::spawn(move || read(entry, mine, &counts, &stop))
+            let share = streams / READERS + usize::from(i < streams % READERS);
+            thread::spawn(move || read_streams(entry, share, &counts, &stop))
         })
         .collect();
 
@@ -88,23 +88,24 @@
     for reader in readers {
         reader.join().unwrap();
     }
-    // The entry's and the sidecar's threads end with the streams' own time.
-    drop((making, passing));
+    // The threads of the entry and the sidecar are detached; they end after their
+    // streams.
+    drop((sidecar_thread, entry_thread));
 
-    let pieces = (after.0 - before.0) as f64;
-    let busy = (after.1 - before.1) as f64 / 1e9;
-    let offered = streams as f64 / GAP.as_secs_f64();
+    let chunks = (after.0 - before.0) as f64;
+    let cpu_seconds = (after.1 - before.1) as f64 / 1e9;
+    let offered = streams as f64 / CHUNK_INTERVAL.as_secs_f64();
     println!(
         "{streams:7} {offered:10.0} {:9.0} {:24.3} {:9.2}",
-        pieces / WINDOW.as_secs_f64(),
-        busy / WINDOW.as_secs_f64(),
-        busy * 1e6 / pieces
+        chunks / WINDOW.as_secs_f64(),
+        cpu_seconds / WINDOW.as_secs_f64(),
+        cpu_seconds * 1e6 / chunks
     );
 }
 
 fn sample(counts: &Counts) -> (u64, u64) {
     (
-        counts.pieces.load(Ordering::Relaxed),
+        counts.chunks.load(Ordering::Relaxed),
         counts.entry_ns.load(Ordering::Relaxed),
     )
 }
@@ -148,7 +149,7 @@
     stat.split(' ').next().unwrap().parse().unwrap()
 }
 
-fn read(entry: SocketAddr, streams: usize, counts: &Arc<Counts>, stop: &StopSignal) {
+fn read_streams(entry: SocketAddr, streams: usize, counts: &Arc<Counts>, stop: &StopSignal) {
     let body = json!({"model": "class", "stream": true, "messages": [{"role": "user", "content": "hello"}]}).to_string();
     actix_rt::System::new().block_on(async {
         let connector = awc::Connector::new().limit(0);
@@ -167,19 +168,19 @@
                 assert!(answer.status().is_success(), "{:?}", answer.body().await);
                 while let Some(Ok(bytes)) = answer.next().await {
                     let events = bytes.windows(6).filter(|w| w == b"data: ").count();
-                    counts.pieces.fetch_add(events as u64, Ordering::Relaxed);
+                    counts.chunks.fetch_add(events as u64, Ordering::Relaxed);
                 }
             });
-            // Arrivals spread over a gap, as streams would be.
-            tokio::time::sleep(GAP / 200).await;
+            // Spreads the starts of the streams over the chunk interval.
+            tokio::time::sleep(CHUNK_INTERVAL / 200).await;
         }
         stop.wait().await;
     });
 }
 
-/// Makes a piece every gap for each started ticket.
+/// A sidecar that generates a chunk per interval for each started ticket.
 #[derive(Clone, Default)]
-struct Maker {
+struct ChunkSidecar {
     started: Rc<RefCell<HashMap<RequestId, Instant>>>,
 }
 
@@ -195,7 +196,7 @@
     }
 }
 
-impl Sidecar for Maker {
+impl Sidecar for ChunkSidecar {
     async fn reserve(self, _: Context, _: CallHeader, _: ReserveRequest) -> Reply<ReserveOutcome> {
         reply(ReserveOutcome::Ready {
             lease_ms: 250,
@@ -205,27 +206,27 @@
         })
     }
 
-    async fn start(self, _: Context, _: CallHeader, order: StartRequest) -> Reply<StartOutcome> {
+    async fn start(self, _: Context, _: CallHeader, request: StartRequest) -> Reply<StartOutcome> {
         let mut started = self.started.borrow_mut();
-        started.insert(order.ticket, Instant::now());
+        started.insert(request.ticket, Instant::now());
         reply(StartOutcome::Running)
     }
 
-    async fn pull(self, _: Context, _: CallHeader, ask: PullRequest) -> Reply<PullOutcome> {
-        let began = self.started.borrow().get(&ask.ticket).copied();
-        let Some(began) = began else {
+    async fn pull(self, _: Context, _: CallHeader, request: PullRequest) -> Reply<PullOutcome> {
+        let started_at = self.started.borrow().get(&request.ticket).copied();
+        let Some(started_at) = started_at else {
             return reply(PullOutcome::Unknown);
         };
-        let due = began + GAP * (ask.from + 1);
+        let due = started_at + CHUNK_INTERVAL * (request.from + 1);
         tokio::time::sleep_until(due.into()).await;
-        let made = (began.elapsed().as_micros() / GAP.as_micros()) as u32;
-        let piece = Chunk {
+        let generated = (started_at.elapsed().as_micros() / CHUNK_INTERVAL.as_micros()) as u32;
+        let chunk = Chunk {
             tokens: 1,
             data: Bytes::from_static(b" token"),
         };
         reply(PullOutcome::Chunks {
-            first: ask.from,
-            chunks: vec![piece; made.saturating_sub(ask.from) as usize],
+            first: request.from,
+            chunks: vec![chunk; generated.saturating_sub(request.from) as usize],
             end: None,
         })
     }
@@ -244,11 +245,11 @@
     }
 }
 
-/// The numbers of streams to measure, from the command line if any are given.
+/// The numbers of streams to measure, from the command line or the defaults.
 fn streams() -> Vec<usize> {
-    let given: Vec<usize> = std::env::args().filter_map(|a| a.parse().ok()).collect();
-    if given.is_empty() {
+    let arguments: Vec<usize> = std::env::args().filter_map(|a| a.parse().ok()).collect();
+    if arguments.is_empty() {
         return vec![100, 500, 1000, 2000, 3000];
     }
-    given
+    arguments
 }
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -1,4 +1,5 @@
-//! A sidecar that answers by a script, and an entry that knows a few of them.
+//! A fake sidecar that replies according to a script, and entries that know some
+//! of them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,16 +25,16 @@
     ReserveOutcome, ReserveRequest, ResponseEnd, ServerLoad, Sidecar, StartOutcome, StartRequest,
 };
 
-/// Longest time that a test waits for anything.
-const BOUND: Duration = Duration::from_secs(20);
+/// Timeout of one request in a test.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How the fake answers a reservation.
+/// How the fake replies to a reservation.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Reserving {
+pub(crate) enum ReserveScript {
     Ready {
         token_us: u32,
     },
-    /// It waits for ever, and says for how long.
+    /// Never offers a slot, and reports this wait.
     Busy {
         wait_us: u32,
     },
@@ -41,74 +42,75 @@
     Silent,
 }
 
-/// How the fake answers a start.
+/// How the fake replies to a start.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Starting {
+pub(crate) enum StartScript {
     Run,
-    Lapsed,
-    /// It runs, but the first answer is lost.
+    Expired,
+    /// The request runs, but the first reply is lost.
     ReplyLost,
-    /// The first start gets no answer; then the sidecar has a new life.
-    Reborn,
-    /// The sidecar has a new life before the start comes.
-    RebornBefore,
-    /// No start ever gets an answer.
+    /// The first start gets no reply; then the sidecar restarts.
+    RestartAfter,
+    /// The sidecar restarts before the first start arrives.
+    RestartBefore,
+    /// No start gets a reply.
     Silent,
 }
 
-/// How a run goes on.
+/// How a run proceeds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Running {
-    /// Two pieces and the end.
-    Whole,
-    /// Breaks off after so many pieces.
-    Broken(u32, Executed),
-    /// The first pull gets no answer.
+pub(crate) enum RunScript {
+    /// Two chunks and the end.
+    Complete,
+    /// Is interrupted after this number of chunks.
+    Interrupted(u32, Executed),
+    /// The first pull gets no reply.
     PullLost,
 }
 
-/// What the fake does.
+/// The behavior of a fake.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Script {
-    pub(crate) reserving: Reserving,
-    pub(crate) starting: Starting,
-    pub(crate) running: Running,
+    pub(crate) reserving: ReserveScript,
+    pub(crate) starting: StartScript,
+    pub(crate) running: RunScript,
     pub(crate) draining: bool,
 }
 
 impl Default for Script {
     fn default() -> Self {
         Self {
-            reserving: Reserving::Ready { token_us: 3000 },
-            starting: Starting::Run,
-            running: Running::Whole,
+            reserving: ReserveScript::Ready { token_us: 3000 },
+            starting: StartScript::Run,
+            running: RunScript::Complete,
             draining: false,
         }
     }
 }
 
-/// A scripted sidecar and what it saw.
-pub(crate) struct Fake {
+/// A scripted sidecar and the calls that it received.
+pub(crate) struct FakeSidecar {
     pub(crate) script: Cell<Script>,
     pub(crate) reserves: Cell<u32>,
     pub(crate) offers: Cell<u32>,
     pub(crate) starts: Cell<u32>,
     pub(crate) pulls: Cell<u32>,
-    /// A first poll is answered "waiting", and later ones once the other fake
-    /// offered so many slots.
-    pub(crate) busy: RefCell<Option<(Rc<Fake>, u32)>>,
-    /// A reservation is answered once the other fake was asked so often.
-    pub(crate) after: RefCell<Option<(Rc<Fake>, u32)>>,
+    /// If set, the first reservation is answered with "waiting", and later ones
+    /// after the other fake has offered this number of slots.
+    pub(crate) busy_until: RefCell<Option<(Rc<FakeSidecar>, u32)>>,
+    /// If set, a reservation is answered after the other fake has received this
+    /// number of reservations.
+    pub(crate) reserve_after: RefCell<Option<(Rc<FakeSidecar>, u32)>>,
     pub(crate) cancels: RefCell<Vec<RequestId>>,
     incarnation: Cell<u64>,
-    /// The word that marks this fake's pieces.
+    /// The name, which is also the text of the fake's chunks.
     pub(crate) name: &'static str,
 }
 
 #[derive(Clone)]
-pub(crate) struct Service(pub(crate) Rc<Fake>);
+pub(crate) struct Service(pub(crate) Rc<FakeSidecar>);
 
-impl Fake {
+impl FakeSidecar {
     pub(crate) fn new(name: &'static str, script: Script) -> Rc<Self> {
         Rc::new(Self {
             script: Cell::new(script),
@@ -116,8 +118,8 @@
             offers: Cell::default(),
             starts: Cell::default(),
             pulls: Cell::default(),
-            busy: RefCell::default(),
-            after: RefCell::default(),
+            busy_until: RefCell::default(),
+            reserve_after: RefCell::default(),
             cancels: RefCell::default(),
             incarnation: Cell::new(1),
             name,
@@ -126,8 +128,8 @@
 
     fn reply<T>(&self, body: T) -> Reply<T> {
         let busy = match self.script.get().reserving {
-            Reserving::Busy { wait_us } => Some(wait_us),
-            _ => self.busy.borrow().as_ref().map(|_| 2_000_000),
+            ReserveScript::Busy { wait_us } => Some(wait_us),
+            _ => self.busy_until.borrow().as_ref().map(|_| 2_000_000),
         };
         let load = ServerLoad {
             slots: 8,
@@ -146,7 +148,7 @@
         }
     }
 
-    fn piece(&self, number: u32) -> Chunk {
+    fn chunk(&self, number: u32) -> Chunk {
         Chunk {
             tokens: 1,
             data: Bytes::from(format!("{}{number} ", self.name)),
@@ -154,8 +156,8 @@
     }
 }
 
-/// Waits until the other fake was asked often enough.
-async fn asked(other: &RefCell<Option<(Rc<Fake>, u32)>>) {
+/// Waits until the other fake has received the given number of reservations.
+async fn wait_for_reservations(other: &RefCell<Option<(Rc<FakeSidecar>, u32)>>) {
     let Some((fake, times)) = other.borrow().clone() else {
         return;
     };
@@ -172,37 +174,37 @@
 impl Sidecar for Service {
     async fn reserve(self, _: Context, _: CallHeader, _: ReserveRequest) -> Reply<ReserveOutcome> {
         let fake = self.0;
-        let nth = count(&fake.reserves);
-        asked(&fake.after).await;
-        if fake.busy.borrow().is_some() && nth == 1 {
+        let call_number = count(&fake.reserves);
+        wait_for_reservations(&fake.reserve_after).await;
+        if fake.busy_until.borrow().is_some() && call_number == 1 {
             return fake.reply(ReserveOutcome::Waiting {
                 estimate_us: 2_000_000,
             });
         }
-        let busy = fake.busy.borrow().clone();
+        let busy = fake.busy_until.borrow().clone();
         if let Some((other, times)) = busy {
             while other.offers.get() < times {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            // Lets the other's offer come first; the verdict is the same if
-            // it does not.
+            // Lets the offer of the other fake arrive first. The result is the
+            // same if it does not.
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         match fake.script.get().reserving {
-            Reserving::Busy { wait_us } => {
-                if nth > 1 {
+            ReserveScript::Busy { wait_us } => {
+                if call_number > 1 {
                     std::future::pending::<()>().await;
                 }
                 fake.reply(ReserveOutcome::Waiting {
                     estimate_us: u64::from(wait_us),
                 })
             }
-            Reserving::Silent => std::future::pending().await,
-            Reserving::Refuse(reason) => fake.reply(ReserveOutcome::Refused {
+            ReserveScript::Silent => std::future::pending().await,
+            ReserveScript::Refuse(reason) => fake.reply(ReserveOutcome::Refused {
                 reason,
                 retry_after_ms: 7000,
             }),
-            Reserving::Ready { token_us } => {
+            ReserveScript::Ready { token_us } => {
                 count(&fake.offers);
                 fake.reply(ReserveOutcome::Ready {
                     lease_ms: 250,
@@ -216,54 +218,57 @@
 
     async fn start(self, _: Context, _: CallHeader, _: StartRequest) -> Reply<StartOutcome> {
         let fake = self.0;
-        let nth = count(&fake.starts);
-        match (fake.script.get().starting, nth) {
-            (Starting::Silent, _) | (Starting::ReplyLost | Starting::Reborn, 1) => {
+        let call_number = count(&fake.starts);
+        match (fake.script.get().starting, call_number) {
+            (StartScript::Silent, _) | (StartScript::ReplyLost | StartScript::RestartAfter, 1) => {
                 std::future::pending().await
             }
-            (Starting::Run | Starting::ReplyLost, _) => fake.reply(StartOutcome::Running),
-            (Starting::Lapsed, _) => fake.reply(StartOutcome::ReservationExpired),
-            (Starting::Reborn | Starting::RebornBefore, _) => {
+            (StartScript::Run | StartScript::ReplyLost, _) => fake.reply(StartOutcome::Running),
+            (StartScript::Expired, _) => fake.reply(StartOutcome::ReservationExpired),
+            (StartScript::RestartAfter | StartScript::RestartBefore, _) => {
                 fake.incarnation.set(2);
                 fake.reply(StartOutcome::OtherIncarnation)
             }
         }
     }
 
-    async fn pull(self, _: Context, _: CallHeader, ask: PullRequest) -> Reply<PullOutcome> {
+    async fn pull(self, _: Context, _: CallHeader, request: PullRequest) -> Reply<PullOutcome> {
         let fake = self.0;
-        let nth = count(&fake.pulls);
+        let call_number = count(&fake.pulls);
         let running = fake.script.get().running;
-        if running == Running::PullLost && nth == 1 {
+        if running == RunScript::PullLost && call_number == 1 {
             std::future::pending::<()>().await;
         }
-        let (pieces, end) = match running {
-            Running::Whole | Running::PullLost => {
+        let (chunks, end) = match running {
+            RunScript::Complete | RunScript::PullLost => {
                 let end = ResponseEnd::Complete {
                     chunk_count: 2,
                     status: 200,
                     finish_reason: "stop".to_owned(),
                     cached_tokens: 0,
                 };
-                (ask.from..2, end)
+                (request.from..2, end)
             }
-            Running::Broken(after, ran) => {
+            RunScript::Interrupted(after, ran) => {
                 let reason = Refusal::BackendFailed;
-                (ask.from..after, ResponseEnd::Interrupted { reason, ran })
+                (
+                    request.from..after,
+                    ResponseEnd::Interrupted { reason, ran },
+                )
             }
         };
-        // The pieces come before the end, as they would from an engine.
-        let end = pieces.is_empty().then_some(end);
+        // The end is sent in a separate reply after the chunks, as by an engine.
+        let end = chunks.is_empty().then_some(end);
         fake.reply(PullOutcome::Chunks {
-            first: ask.from,
-            chunks: pieces.map(|n| fake.piece(n)).collect(),
+            first: request.from,
+            chunks: chunks.map(|n| fake.chunk(n)).collect(),
             end,
         })
     }
 
     async fn cancel(self, _: Context, _: CallHeader, ticket: RequestId) -> Reply<CancelOutcome> {
         self.0.cancels.borrow_mut().push(ticket);
-        if self.0.script.get().starting == Starting::Silent {
+        if self.0.script.get().starting == StartScript::Silent {
             return std::future::pending().await;
         }
         self.0.reply(CancelOutcome::NeverStarted)
@@ -278,25 +283,30 @@
     }
 }
 
-/// An entry in zone `a` that knows the given fakes, the first in its zone, and
-/// asks `fan` of them at once. Asked one by one, the first comes first.
-pub(crate) async fn entry(fakes: &[Rc<Fake>], fan: usize) -> Rc<State> {
-    entry_by(fakes, fan, quick(PlacementMode::LateBinding)).await
+/// An entry in zone `a` that knows the given fakes and reserves at `fan_out` of
+/// them at once. The first fake is in the entry's zone, so that a fan-out of 1
+/// starts with it.
+pub(crate) async fn entry(fakes: &[Rc<FakeSidecar>], fan_out: usize) -> Rc<State> {
+    entry_with(fakes, fan_out, short_timeouts(PlacementMode::LateBinding)).await
 }
 
-/// An entry that gives sidecars more time than a busy machine may take from
-/// them, and places by the given mode. For tests in which none falls silent.
-pub(crate) async fn unhurried(fakes: &[Rc<Fake>], fan: usize, mode: PlacementMode) -> Rc<State> {
+/// An entry with the given placement mode and timeouts that are long enough for a
+/// busy machine, for tests in which every call gets a reply.
+pub(crate) async fn generous_entry(
+    fakes: &[Rc<FakeSidecar>],
+    fan_out: usize,
+    mode: PlacementMode,
+) -> Rc<State> {
     let routing = Routing {
         reply_margin: HumanDuration::secs(10),
         connect_timeout: HumanDuration::secs(10),
-        ..quick(mode)
+        ..short_timeouts(mode)
     };
-    entry_by(fakes, fan, routing).await
+    entry_with(fakes, fan_out, routing).await
 }
 
-/// An entry that routes by the given settings.
-async fn entry_by(fakes: &[Rc<Fake>], fan: usize, routing: Routing) -> Rc<State> {
+/// An entry with the given routing settings.
+async fn entry_with(fakes: &[Rc<FakeSidecar>], fan_out: usize, routing: Routing) -> Rc<State> {
     let mut sidecars = Vec::new();
     for (i, fake) in fakes.iter().enumerate() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -309,21 +319,25 @@
         let service = Service(Rc::clone(fake));
         actix_rt::spawn(wire::serve::serve(listener, service, StopSignal::new()));
     }
-    state_by(sidecars, fan, routing)
+    state_with(sidecars, fan_out, routing)
 }
 
 /// An entry that knows the given sidecars.
-pub(crate) fn state(sidecars: Vec<SidecarInfo>, fan: usize, mode: PlacementMode) -> Rc<State> {
-    state_by(sidecars, fan, quick(mode))
+pub(crate) fn entry_state(
+    sidecars: Vec<SidecarInfo>,
+    fan_out: usize,
+    mode: PlacementMode,
+) -> Rc<State> {
+    state_with(sidecars, fan_out, short_timeouts(mode))
 }
 
-fn state_by(sidecars: Vec<SidecarInfo>, fan: usize, routing: Routing) -> Rc<State> {
+fn state_with(sidecars: Vec<SidecarInfo>, fan_out: usize, routing: Routing) -> Rc<State> {
     let settings = serde_json::json!({
         "name": "entry", "zone": "a", "listen": "127.0.0.1:0", "seed": 1,
     });
     let mut settings: Settings = serde_json::from_value(settings).unwrap();
     settings.sidecars = sidecars;
-    settings.fan_out = fan;
+    settings.fan_out = fan_out;
     settings.routing = routing;
     State::new(
         settings,
@@ -332,8 +346,8 @@
     )
 }
 
-/// Timing under which a silent connection shows soon.
-fn quick(mode: PlacementMode) -> Routing {
+/// Timeouts that are short enough to detect an unresponsive connection soon.
+fn short_timeouts(mode: PlacementMode) -> Routing {
     Routing {
         poll_hold: HumanDuration::ms(100),
         reply_margin: HumanDuration::ms(300),
@@ -377,15 +391,15 @@
     }
 }
 
-/// What one caller gets.
+/// The answer that a caller receives.
 #[derive(Debug, PartialEq)]
-pub(crate) struct Got {
+pub(crate) struct CallResult {
     pub(crate) text: String,
     pub(crate) end: Result<(), (Refusal, Executed)>,
 }
 
-impl Got {
-    pub(crate) fn whole(text: &str) -> Self {
+impl CallResult {
+    pub(crate) fn complete(text: &str) -> Self {
         Self {
             text: text.to_owned(),
             end: Ok(()),
@@ -400,25 +414,29 @@
     }
 }
 
-/// Makes one request and takes in its answer.
-pub(crate) async fn call(state: &Rc<State>, request: Request) -> Got {
+/// Makes one request and collects its answer.
+pub(crate) async fn call(state: &Rc<State>, request: Request) -> CallResult {
     let mut text = String::new();
-    let taken = tokio::time::timeout(BOUND, take(state, request, &mut text)).await;
-    let end = taken
+    let collected = tokio::time::timeout(REQUEST_TIMEOUT, collect(state, request, &mut text)).await;
+    let end = collected
         .expect("the request ends")
         .map_err(|r| (r.reason, r.ran));
-    Got { text, end }
+    CallResult { text, end }
 }
 
-async fn take(state: &Rc<State>, request: Request, text: &mut String) -> Result<(), RequestError> {
+async fn collect(
+    state: &Rc<State>,
+    request: Request,
+    text: &mut String,
+) -> Result<(), RequestError> {
     let granted = entry::dispatch::grant(state, &request).await?;
     let mut answer = ResponseStream::new(Rc::clone(state), request, granted);
     loop {
-        let (pieces, whole) = match answer.next_part().await? {
-            ResponsePart::Chunks(pieces) => (pieces, false),
+        let (chunks, whole) = match answer.next_part().await? {
+            ResponsePart::Chunks(chunks) => (chunks, false),
             ResponsePart::Complete { chunks, .. } => (chunks, true),
         };
-        for piece in pieces {
+        for piece in chunks {
             text.push_str(std::str::from_utf8(&piece.data).unwrap());
         }
         if whole {
--- a/crates/entry/tests/routing/main.rs
+++ b/crates/entry/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! Failures on a request's way through an entry, played by scripted sidecars.
+//! Routing of requests through an entry to scripted sidecars, with failures.
 
 mod fake;
 mod offers;
--- a/crates/entry/tests/routing/offers.rs
+++ b/crates/entry/tests/routing/offers.rs
@@ -1,69 +1,77 @@
-//! Which of the offered slots a request gets.
+//! Choice between the slots that sidecars offer.
 
 use std::rc::Rc;
 
 use policy::placement::PlacementMode;
 
-use crate::fake::{Fake, Got, Reserving, Script, call, request, unhurried};
+use crate::fake::{CallResult, FakeSidecar, ReserveScript, Script, call, generous_entry, request};
 
-// The caller is served at the pace of the fast server. The slow one has its
-// slot first, because nobody else wants it; the fast one said that it will be
-// free soon, and even then it ends the answer earlier. The slow one's slot is
-// given back at once.
+// The slow server offers a slot first, while the fast one is busy but reports a
+// short wait. Even with that wait the fast server completes the answer earlier, so
+// it runs the request, and the slot at the slow server is cancelled.
 #[actix_rt::test]
-async fn grant_waits_for_better() {
-    let slow = Fake::new(
+async fn grant_waits_for_faster() {
+    let slow = FakeSidecar::new(
         "slow",
-        offering(Reserving::Ready {
+        reserve_script(ReserveScript::Ready {
             token_us: 4_000_000,
         }),
     );
-    let fast = Fake::new("fast", offering(Reserving::Ready { token_us: 3000 }));
-    // The slow one is ready once the fast one was heard to be busy, and the
-    // fast one once the slow one is ready.
-    slow.after.replace(Some((Rc::clone(&fast), 2)));
-    fast.busy.replace(Some((Rc::clone(&slow), 1)));
+    let fast = FakeSidecar::new(
+        "fast",
+        reserve_script(ReserveScript::Ready { token_us: 3000 }),
+    );
+    // The slow sidecar offers its slot after the fast one has reported that it is
+    // busy, and the fast one offers after the slow one.
+    slow.reserve_after.replace(Some((Rc::clone(&fast), 2)));
+    fast.busy_until.replace(Some((Rc::clone(&slow), 1)));
 
-    let state = unhurried(&[Rc::clone(&slow), fast], 2, PlacementMode::LateBinding).await;
-    let got = call(&state, request(true, true)).await;
-    assert_eq!(got, Got::whole("fast0 fast1 "));
+    let state = generous_entry(&[Rc::clone(&slow), fast], 2, PlacementMode::LateBinding).await;
+    let answer = call(&state, request(true, true)).await;
+    assert_eq!(answer, CallResult::complete("fast0 fast1 "));
     assert_eq!(slow.starts.get(), 0);
     while slow.cancels.borrow().is_empty() {
         tokio::task::yield_now().await;
     }
 }
 
-// The caller is served by the slow server. The fast one has no slot for
-// longer than its speed would gain, so waiting for it would only end later.
+// The slow server runs the request. The wait at the fast server is longer than
+// the time that its speed would save.
 #[actix_rt::test]
-async fn grant_takes_slow() {
-    let slow = Fake::new("slow", offering(Reserving::Ready { token_us: 40_000 }));
-    let fast = Fake::new("fast", offering(Reserving::Busy { wait_us: 5_000_000 }));
-    slow.after.replace(Some((Rc::clone(&fast), 2)));
+async fn grant_takes_earliest() {
+    let slow = FakeSidecar::new(
+        "slow",
+        reserve_script(ReserveScript::Ready { token_us: 40_000 }),
+    );
+    let fast = FakeSidecar::new(
+        "fast",
+        reserve_script(ReserveScript::Busy { wait_us: 5_000_000 }),
+    );
+    slow.reserve_after.replace(Some((Rc::clone(&fast), 2)));
 
-    let state = unhurried(&[slow, Rc::clone(&fast)], 2, PlacementMode::LateBinding).await;
-    let got = call(&state, request(true, true)).await;
-    assert_eq!(got, Got::whole("slow0 slow1 "));
+    let state = generous_entry(&[slow, Rc::clone(&fast)], 2, PlacementMode::LateBinding).await;
+    let answer = call(&state, request(true, true)).await;
+    assert_eq!(answer, CallResult::complete("slow0 slow1 "));
     assert_eq!(fast.starts.get(), 0);
 }
 
-// A baseline that places by reports sends the request to one server only and
-// lets it wait there.
+// Baseline modes, which place by load reports, send the request to one server only
+// and let it wait there.
 #[rstest::rstest]
 #[case::random(PlacementMode::Random)]
 #[case::least_loaded(PlacementMode::LeastLoaded)]
 #[case::two_choices(PlacementMode::TwoChoices)]
 #[actix_rt::test]
-async fn grant_baseline(#[case] mode: PlacementMode) {
-    let fakes = ["f0", "f1", "f2"].map(|name| Fake::new(name, Script::default()));
-    let state = unhurried(&fakes, 2, mode).await;
-    let got = call(&state, request(true, true)).await;
-    assert_eq!(got.end, Ok(()));
-    let asked: u32 = fakes.iter().map(|f| f.reserves.get()).sum();
-    assert_eq!(asked, 1);
+async fn grant_baseline_asks_one(#[case] mode: PlacementMode) {
+    let fakes = ["f0", "f1", "f2"].map(|name| FakeSidecar::new(name, Script::default()));
+    let state = generous_entry(&fakes, 2, mode).await;
+    let answer = call(&state, request(true, true)).await;
+    assert_eq!(answer.end, Ok(()));
+    let reservations: u32 = fakes.iter().map(|f| f.reserves.get()).sum();
+    assert_eq!(reservations, 1);
 }
 
-fn offering(reserving: Reserving) -> Script {
+fn reserve_script(reserving: ReserveScript) -> Script {
     Script {
         reserving,
         ..Script::default()
--- a/crates/entry/tests/routing/retries.rs
+++ b/crates/entry/tests/routing/retries.rs
@@ -1,278 +1,286 @@
-//! Where a request may run again, and where it must not. The entry asks the
-//! sidecar `bad` first, then `good`.
+//! When a failed request is retried and when it must not be. The entry reserves at
+//! the sidecar `bad` first, then at `good`.
 
 use std::rc::Rc;
 
 use crate::fake::{
-    Fake, Got, Reserving, Running, Script, Starting, call, entry, request, state, unhurried,
+    CallResult, FakeSidecar, ReserveScript, RunScript, Script, StartScript, call, entry,
+    entry_state, generous_entry, request,
 };
 use base::reason::{Executed, Refusal};
 use entry::settings::SidecarInfo;
 use policy::placement::PlacementMode;
 use rstest::rstest;
 
-fn reserving(reserving: Reserving) -> Script {
+fn reserve_script(reserving: ReserveScript) -> Script {
     Script {
         reserving,
         ..Script::default()
     }
 }
 
-fn starting(starting: Starting) -> Script {
+fn start_script(starting: StartScript) -> Script {
     Script {
         starting,
         ..Script::default()
     }
 }
 
-fn running(running: Running) -> Script {
+fn run_script(running: RunScript) -> Script {
     Script {
         running,
         ..Script::default()
     }
 }
 
-/// Whether a sidecar by this script owes an answer that never comes.
-fn silent(script: Script) -> bool {
+/// Whether a sidecar with this script leaves a call without a reply.
+fn leaves_unanswered(script: Script) -> bool {
     let starting = matches!(
         script.starting,
-        Starting::Silent | Starting::ReplyLost | Starting::Reborn
+        StartScript::Silent | StartScript::ReplyLost | StartScript::RestartAfter
     );
-    starting || script.reserving == Reserving::Silent || script.running == Running::PullLost
+    starting || script.reserving == ReserveScript::Silent || script.running == RunScript::PullLost
 }
 
-/// Makes one request; tells what the caller got and how often `good` ran it.
-async fn try_both(script: Script, stream: bool, repeatable: bool) -> (Got, u32) {
+/// Makes one request; returns the caller's answer and the number of starts at
+/// `good`.
+async fn call_with_bad(script: Script, stream: bool, repeatable: bool) -> (CallResult, u32) {
     let (bad, good) = (
-        Fake::new("bad", script),
-        Fake::new("good", Script::default()),
+        FakeSidecar::new("bad", script),
+        FakeSidecar::new("good", Script::default()),
     );
     let fakes = [bad, Rc::clone(&good)];
-    let state = match silent(script) {
+    let state = match leaves_unanswered(script) {
         true => entry(&fakes, 1).await,
-        false => unhurried(&fakes, 1, PlacementMode::LateBinding).await,
+        false => generous_entry(&fakes, 1, PlacementMode::LateBinding).await,
     };
-    let got = call(&state, request(stream, repeatable)).await;
-    (got, good.starts.get())
+    let answer = call(&state, request(stream, repeatable)).await;
+    (answer, good.starts.get())
 }
 
-fn bad() -> Got {
-    Got::whole("bad0 bad1 ")
+fn bad() -> CallResult {
+    CallResult::complete("bad0 bad1 ")
 }
 
-fn good() -> Got {
-    Got::whole("good0 good1 ")
+fn good() -> CallResult {
+    CallResult::complete("good0 good1 ")
 }
 
-fn unknown() -> Got {
-    Got::refused("", Refusal::OutcomeUnknown, Executed::Unknown)
+fn unknown() -> CallResult {
+    CallResult::refused("", Refusal::OutcomeUnknown, Executed::Unknown)
 }
 
-// The caller gets its whole answer from the other server. The first sidecar
-// refuses, drains or never answers the reservation. No work was handed out,
-// so even a request that must not be repeated goes elsewhere.
+// The first sidecar refuses the reservation, drains or never replies. Nothing was
+// started, so the other server runs even a request that is not repeatable.
 #[rstest]
-#[case::refused(Reserving::Refuse(Refusal::Shed))]
-#[case::draining(Reserving::Refuse(Refusal::Draining))]
-#[case::silent(Reserving::Silent)]
+#[case::refused(ReserveScript::Refuse(Refusal::Shed))]
+#[case::draining(ReserveScript::Refuse(Refusal::Draining))]
+#[case::silent(ReserveScript::Silent)]
 #[actix_rt::test]
-async fn grant_unreserved(#[case] script: Reserving) {
-    let got = try_both(reserving(script), true, false).await;
-    assert_eq!(got, (good(), 1));
+async fn grant_unreserved(#[case] script: ReserveScript) {
+    let answer = call_with_bad(reserve_script(script), true, false).await;
+    assert_eq!(answer, (good(), 1));
 }
 
-// The caller gets the whole answer of the first run. The start takes effect
-// but its answer is lost; the same start for the same life of the sidecar is
-// sent again and answered "running", so nothing runs twice.
+// The start takes effect but its reply is lost. The start is resent for the same
+// incarnation and answered "running", so the request runs once and the caller gets
+// the complete answer.
 #[actix_rt::test]
 async fn grant_start_reply_lost() {
-    let got = try_both(starting(Starting::ReplyLost), true, false).await;
-    assert_eq!(got, (bad(), 0));
+    let answer = call_with_bad(start_script(StartScript::ReplyLost), true, false).await;
+    assert_eq!(answer, (bad(), 0));
 }
 
-// A repeatable request is answered by the other server, any other is told
-// that its outcome is unknown. The start gets no answer, and then the sidecar
-// has a new life, or stays silent: the first start may have run.
+// The start gets no reply, and then the sidecar restarts or stays silent, so the
+// first start may have run. A repeatable request runs at the other server; the
+// caller of any other request is told that the outcome is unknown.
 #[rstest]
-#[case::reborn_repeatable(Starting::Reborn, true, good(), 1)]
-#[case::reborn_once(Starting::Reborn, false, unknown(), 0)]
-#[case::silent_repeatable(Starting::Silent, true, good(), 1)]
-#[case::silent_once(Starting::Silent, false, unknown(), 0)]
+#[case::restarted_repeatable(StartScript::RestartAfter, true, good(), 1)]
+#[case::restarted_once(StartScript::RestartAfter, false, unknown(), 0)]
+#[case::silent_repeatable(StartScript::Silent, true, good(), 1)]
+#[case::silent_once(StartScript::Silent, false, unknown(), 0)]
 #[actix_rt::test]
 async fn grant_start_unknown(
-    #[case] script: Starting,
+    #[case] script: StartScript,
     #[case] repeatable: bool,
-    #[case] expected: Got,
+    #[case] expected: CallResult,
     #[case] starts: u32,
 ) {
-    let got = try_both(starting(script), true, repeatable).await;
-    assert_eq!(got, (expected, starts));
+    let answer = call_with_bad(start_script(script), true, repeatable).await;
+    assert_eq!(answer, (expected, starts));
 }
 
-// Even a request that must not be repeated is answered by the other server.
-// The hold lapses, or the sidecar restarts, before the first start comes: the
-// only start ever sent was refused, so it certainly did not run.
+// The reservation expires, or the sidecar restarts, before the first start arrives.
+// The only start was refused, so the request did not run, and the other server runs
+// it even if it is not repeatable.
 #[rstest]
-#[case::lapsed(Starting::Lapsed)]
-#[case::reborn(Starting::RebornBefore)]
+#[case::expired(StartScript::Expired)]
+#[case::restarted(StartScript::RestartBefore)]
 #[actix_rt::test]
-async fn grant_start_refused(#[case] script: Starting) {
-    let got = try_both(starting(script), true, false).await;
-    assert_eq!(got, (good(), 1));
+async fn grant_start_refused(#[case] script: StartScript) {
+    let answer = call_with_bad(start_script(script), true, false).await;
+    assert_eq!(answer, (good(), 1));
 }
 
-// The backend server fails before the first piece. Known not to have run, any
-// request goes elsewhere; if it may have run, only a repeatable one does, and
-// the other's caller is told that this is not known.
+// The backend server fails before the first chunk. A request that is known not to
+// have run is retried. If it may have run, it is retried only if it is repeatable;
+// otherwise the caller is told that this is unknown.
 #[rstest]
 #[case::not_run(Executed::No, false, good(), 1)]
 #[case::repeatable(Executed::Unknown, true, good(), 1)]
 #[case::once(
     Executed::Unknown,
     false,
-    Got::refused("", Refusal::BackendFailed, Executed::Unknown),
+    CallResult::refused("", Refusal::BackendFailed, Executed::Unknown),
     0
 )]
 #[actix_rt::test]
 async fn answer_failed_early(
     #[case] ran: Executed,
     #[case] repeatable: bool,
-    #[case] expected: Got,
+    #[case] expected: CallResult,
     #[case] starts: u32,
 ) {
-    let got = try_both(running(Running::Broken(0, ran)), true, repeatable).await;
-    assert_eq!(got, (expected, starts));
+    let answer = call_with_bad(run_script(RunScript::Interrupted(0, ran)), true, repeatable).await;
+    assert_eq!(answer, (expected, starts));
 }
 
-// The backend server fails after the first piece. A streaming caller has that
-// piece and gets an honest end, never the words of another run after it. One
-// that takes the answer whole has nothing yet and gets the second run's.
+// The backend server fails after the first chunk. A streaming caller has received
+// that chunk, so the stream ends with an error rather than with chunks of another
+// run. A caller that does not stream has received nothing, so a repeatable request
+// is retried.
 #[rstest]
 #[case::streaming(
     true,
     true,
-    Got::refused("bad0 ", Refusal::BackendFailed, Executed::Partial),
+    CallResult::refused("bad0 ", Refusal::BackendFailed, Executed::Partial),
     0
 )]
 #[case::whole(false, true, good(), 1)]
 #[case::whole_once(
     false,
     false,
-    Got::refused("", Refusal::BackendFailed, Executed::Partial),
+    CallResult::refused("", Refusal::BackendFailed, Executed::Partial),
     0
 )]
 #[actix_rt::test]
 async fn answer_failed_late(
     #[case] stream: bool,
     #[case] repeatable: bool,
-    #[case] expected: Got,
+    #[case] expected: CallResult,
     #[case] starts: u32,
 ) {
-    let script = running(Running::Broken(1, Executed::Partial));
-    let got = try_both(script, stream, repeatable).await;
-    assert_eq!(got, (expected, starts));
+    let script = run_script(RunScript::Interrupted(1, Executed::Partial));
+    let answer = call_with_bad(script, stream, repeatable).await;
+    assert_eq!(answer, (expected, starts));
 }
 
-// The caller gets its whole answer after a pause. The connection goes silent
-// while a pull is out; the entry dials anew and pulls by ticket from the same
-// piece on, so nothing is lost or doubled.
+// The connection becomes unresponsive during a pull. The entry reconnects and
+// continues to pull the ticket at the same chunk, so the caller gets the complete
+// answer without a lost or duplicated chunk.
 #[rstest]
 #[case::repeatable(true)]
 #[case::once(false)]
 #[actix_rt::test]
 async fn answer_connection_silent(#[case] repeatable: bool) {
-    let got = try_both(running(Running::PullLost), true, repeatable).await;
-    assert_eq!(got, (bad(), 0));
+    let answer = call_with_bad(run_script(RunScript::PullLost), true, repeatable).await;
+    assert_eq!(answer, (bad(), 0));
 }
 
-// Callers are refused at once, with the sidecars' own estimate of when to come
-// back. All servers refuse at the same time; were each request offered to each
-// server, a thousand requests would make five thousand. Only grants earn
-// retries and nothing is granted, so no more than ten are made in all. The
-// first five requests make two each, which ask the four other servers.
+// All servers refuse every request. If each request were tried at each server,
+// 1000 requests would cause 5000 reservations. Only grants add to the retry budget
+// and none is granted, so at most the 10 initial retries are made: the first 5
+// requests make 2 each, which cover the 4 other servers. The callers get the
+// sidecars' estimate as the delay after which to retry.
 #[actix_rt::test]
 async fn grant_all_refuse() {
-    let script = reserving(Reserving::Refuse(Refusal::Shed));
-    let fakes = ["f0", "f1", "f2", "f3", "f4"].map(|name| Fake::new(name, script));
-    let state = unhurried(&fakes, 1, PlacementMode::LateBinding).await;
+    let script = reserve_script(ReserveScript::Refuse(Refusal::Shed));
+    let fakes = ["f0", "f1", "f2", "f3", "f4"].map(|name| FakeSidecar::new(name, script));
+    let state = generous_entry(&fakes, 1, PlacementMode::LateBinding).await;
 
     for _ in 0..1000 {
-        let got = call(&state, request(true, true)).await;
-        assert_eq!(got, Got::refused("", Refusal::Shed, Executed::No));
+        let answer = call(&state, request(true, true)).await;
+        assert_eq!(answer, CallResult::refused("", Refusal::Shed, Executed::No));
     }
-    let asked: u32 = fakes.iter().map(|f| f.reserves.get()).sum();
-    assert_eq!(asked, 1000 + 5 * 4);
+    let reservations: u32 = fakes.iter().map(|f| f.reserves.get()).sum();
+    assert_eq!(reservations, 1000 + 5 * 4);
 
     let refused = entry::dispatch::grant(&state, &request(true, true)).await;
     let after = refused.err().and_then(|r| r.retry_after);
     assert_eq!(after, Some(std::time::Duration::from_secs(7)));
 }
 
-// Every run fails at every server at once. Each of the hundred requests is
-// granted, which earns a tenth of a retry; beyond those saved up there are so
-// no more than a tenth more runs than requests.
+// Every run fails at every server. Each of the 100 requests is granted, which adds
+// a tenth of a retry to the budget, so beyond the initial retries the number of
+// runs exceeds the number of requests by a tenth at most.
 #[actix_rt::test]
 async fn grant_all_fail() {
-    let script = running(Running::Broken(0, Executed::No));
-    let fakes = ["f0", "f1", "f2", "f3", "f4"].map(|name| Fake::new(name, script));
-    let state = unhurried(&fakes, 1, PlacementMode::LateBinding).await;
+    let script = run_script(RunScript::Interrupted(0, Executed::No));
+    let fakes = ["f0", "f1", "f2", "f3", "f4"].map(|name| FakeSidecar::new(name, script));
+    let state = generous_entry(&fakes, 1, PlacementMode::LateBinding).await;
 
     for _ in 0..100 {
-        let got = call(&state, request(true, true)).await;
-        assert_eq!(got.end.map_err(|(_, ran)| ran), Err(Executed::No));
+        let answer = call(&state, request(true, true)).await;
+        assert_eq!(answer.end.map_err(|(_, ran)| ran), Err(Executed::No));
     }
-    let started: u32 = fakes.iter().map(|f| f.starts.get()).sum();
-    assert!(started <= 100 + 10 + 12, "{started} runs");
+    let runs: u32 = fakes.iter().map(|f| f.starts.get()).sum();
+    assert!(runs <= 100 + 10 + 12, "{runs} runs");
 }
 
-// The caller is refused at once, as not run. No sidecar is known, or the only
-// one cannot be reached.
+// No sidecar is known, or the only one is unreachable. The caller is told
+// immediately that the request did not run.
 #[rstest]
 #[case::unknown(false)]
 #[case::unreachable(true)]
 #[actix_rt::test]
 async fn grant_no_server(#[case] known: bool) {
-    // A port that nobody listens on any more.
-    let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let addr = gone.local_addr().unwrap();
-    drop(gone);
+    // A port without a listener.
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let addr = listener.local_addr().unwrap();
+    drop(listener);
     let sidecar = SidecarInfo {
         name: "gone".to_owned(),
         addr,
         zone: "a".to_owned(),
         serves: "model".to_owned(),
     };
-    let state = state(
+    let state = entry_state(
         known.then_some(sidecar).into_iter().collect(),
         2,
         PlacementMode::LateBinding,
     );
-    let got = call(&state, request(true, true)).await;
-    assert_eq!(got, Got::refused("", Refusal::NoServer, Executed::No));
+    let answer = call(&state, request(true, true)).await;
+    assert_eq!(
+        answer,
+        CallResult::refused("", Refusal::NoServer, Executed::No)
+    );
 }
 
-// A draining sidecar is asked once and then left alone: its load says that it
-// drains, so the second request is refused without a call.
+// A draining sidecar reports its state in the load of the first reply, so the
+// second request is refused without another call.
 #[actix_rt::test]
 async fn grant_draining() {
     let script = Script {
         draining: true,
-        ..reserving(Reserving::Refuse(Refusal::Draining))
+        ..reserve_script(ReserveScript::Refuse(Refusal::Draining))
     };
-    let fake = Fake::new("only", script);
+    let fake = FakeSidecar::new("only", script);
     let state = entry(std::slice::from_ref(&fake), 2).await;
     for _ in 0..2 {
-        let got = call(&state, request(true, true)).await;
-        assert_eq!(got, Got::refused("", Refusal::NoServer, Executed::No));
+        let answer = call(&state, request(true, true)).await;
+        assert_eq!(
+            answer,
+            CallResult::refused("", Refusal::NoServer, Executed::No)
+        );
     }
     assert_eq!(fake.reserves.get(), 1);
 }
 
-// A caller goes away while its request is reserved or runs. What was held or
-// begun for it is cancelled, so that no slot and no token is spent for nobody.
+// A caller disconnects while its request has a reservation or runs. The ticket is
+// cancelled, so that no slot and no tokens are spent on it.
 #[actix_rt::test]
 async fn grant_caller_gone() {
-    let fake = Fake::new("only", Script::default());
+    let fake = FakeSidecar::new("only", Script::default());
     let state = entry(std::slice::from_ref(&fake), 2).await;
     let request = request(true, true);
     let granted = entry::dispatch::grant(&state, &request).await;
