--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -19,9 +19,9 @@
 /// The `Retry-After` of a refusal when no sidecar gave an estimate.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Number of times that the fan-out doubles, once per failed round of
-/// reservations. A reservation is cheap, and after two refusals a request has
-/// little time left.
+/// Maximum number of times that the fan-out doubles; it doubles after each failed
+/// round of reservations. A reservation is cheap, and after two refusals a request
+/// has little time left.
 const FAN_OUT_DOUBLINGS: u32 = 2;
 
 /// A request that was started at a sidecar.
@@ -99,12 +99,12 @@
     request: &Request,
     mut attempts: Attempts,
     server: ServerIndex,
-    failed: AttemptFailure,
+    failure: AttemptFailure,
 ) -> Result<Granted, RequestError> {
     attempts.excluded.push(server);
     attempts.started = true;
-    attempts.record(failed.attempt.ran);
-    match place(state, request, &mut attempts, Some(failed)).await {
+    attempts.record(failure.attempt.ran);
+    match place(state, request, &mut attempts, Some(failure)).await {
         Ok(run) => Ok(Granted { run, attempts }),
         Err(error) => Err(attempts.final_error(error)),
     }
@@ -114,12 +114,12 @@
     state: &Rc<State>,
     request: &Request,
     attempts: &mut Attempts,
-    mut failed: Option<AttemptFailure>,
+    mut failure: Option<AttemptFailure>,
 ) -> Result<Run, RequestError> {
     let mut ticket = request.ticket;
     loop {
         let chosen = choose(state, request, attempts);
-        if let Some(last) = failed.take() {
+        if let Some(last) = failure.take() {
             check_retry(state, request, attempts, last, chosen.is_empty())?;
             // Each attempt gets its own ticket, because the previous one is
             // cancelled at every sidecar that was asked.
@@ -128,17 +128,17 @@
             return Err(no_server());
         }
 
-        let left = attempts.started.then(|| {
+        let ttft_budget = attempts.started.then(|| {
             let left = time_left(state, request, attempts);
             left.saturating_sub(time_needed(state, request, attempts))
         });
         let round = Round::new(state, request, ticket, &chosen);
-        let run = match round.run(left).await {
+        let run = match round.run(ttft_budget).await {
             Ok(run) => run,
             Err(rejections) => {
                 attempts.excluded.extend(&chosen);
                 attempts.rounds += 1;
-                failed = Some(round_failure(&rejections));
+                failure = Some(round_failure(&rejections));
                 continue;
             }
         };
@@ -154,11 +154,11 @@
                 counters::count_grant(request.class_spec.tier);
                 return Ok(run);
             }
-            outcome => {
+            status => {
                 attempts.excluded.push(run.server.index);
-                let last = start_failure(outcome);
+                let last = start_failure(status);
                 attempts.record(last.attempt.ran);
-                failed = Some(last);
+                failure = Some(last);
             }
         }
     }
@@ -181,10 +181,10 @@
     state: &State,
     request: &Request,
     attempts: &Attempts,
-    failed: AttemptFailure,
+    failure: AttemptFailure,
     no_candidates: bool,
 ) -> Result<(), RequestError> {
-    let AttemptFailure { attempt, error } = failed;
+    let AttemptFailure { attempt, error } = failure;
     let left = time_left(state, request, attempts);
     let needed = time_needed(state, request, attempts);
     if no_candidates || attempt.decide(request.repeatable, left, needed) != RetryDecision::Again {
@@ -276,8 +276,8 @@
 
 /// The failure of a start after which the request is not, or may not be,
 /// running.
-fn start_failure(outcome: StartStatus) -> AttemptFailure {
-    let (cause, ran, error) = match outcome {
+fn start_failure(status: StartStatus) -> AttemptFailure {
+    let (cause, ran, error) = match status {
         StartStatus::NotRun(cause) => (cause, Executed::No, no_server()),
         StartStatus::Running | StartStatus::Unknown => {
             (RetryReason::Unknown, Executed::Unknown, outcome_unknown())
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -24,7 +24,7 @@
 /// Body of an error response, in the OpenAI format.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody<'a> {
-    /// The error.
+    /// The error object.
     pub error: ErrorObject<'a>,
 }
 
@@ -53,8 +53,8 @@
 
     /// Sets the delay after which a retry may succeed.
     #[must_use]
-    pub fn with_retry_after(mut self, with_retry_after: Duration) -> Self {
-        self.retry_after = Some(with_retry_after);
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
+        self.retry_after = Some(retry_after);
         self
     }
 
@@ -87,9 +87,9 @@
             // entry.
             response.force_close();
         }
-        if let Some(after) = self.retry_after {
+        if let Some(delay) = self.retry_after {
             // The header has a resolution of 1 s; rounds up.
-            let seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
+            let seconds = delay.as_secs() + u64::from(delay.subsec_nanos() > 0);
             response.insert_header((RETRY_AFTER, seconds.to_string()));
         }
         response.json(self.body())
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -219,7 +219,7 @@
 
 /// Reads the next part of an answer. The read is not cancellation-safe, so the
 /// same future is polled on after a comment was sent.
-fn wait_part(mut answer: ResponseStream) -> PendingPart {
+fn read_part(mut answer: ResponseStream) -> PendingPart {
     Box::pin(async move {
         let part = answer.next_part().await;
         (answer, part)
@@ -237,7 +237,7 @@
     open: OpenRequest,
 ) -> HttpResponse {
     let comment_interval = answer.comment_interval();
-    let state = Some((wait_part(answer), writer, open));
+    let state = Some((read_part(answer), writer, open));
     let body = stream::unfold(state, move |state| async move {
         let (mut pending, writer, open) = state?;
         let part = tokio::time::timeout(comment_interval, pending.as_mut()).await;
@@ -267,7 +267,7 @@
                 false
             }
         };
-        let state = has_more.then(|| (wait_part(answer), writer, open));
+        let state = has_more.then(|| (read_part(answer), writer, open));
         Some((Ok::<_, io::Error>(Bytes::from(out)), state))
     });
     HttpResponse::Ok()
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -93,7 +93,7 @@
     request.claim = claimed.inspect_err(|error| first_call.fail(error))?;
     let claim = request.claim.clone();
     match run(request).await {
-        Ok(response) => Ok(first_call.record_response(response, claim)),
+        Ok(response) => Ok(first_call.cache_response(response, claim)),
         Err(error) => {
             if let Some(claim) = claim {
                 claim.end(claim_end(error.ran));
@@ -215,7 +215,7 @@
     }
 
     /// Returns the response with a body that is cached while it is sent.
-    fn record_response(self, response: HttpResponse, claim: Option<Rc<Claim>>) -> HttpResponse {
+    fn cache_response(self, response: HttpResponse, claim: Option<Rc<Claim>>) -> HttpResponse {
         self.finished.set(true);
         let content_type = response.headers().get(CONTENT_TYPE);
         *self.call.head.borrow_mut() = Some(ResponseHead {
@@ -258,17 +258,17 @@
 }
 
 impl Tee {
-    fn record_data(&self, data: &[u8]) {
+    fn cache_data(&self, data: &[u8]) {
         self.call.body.borrow_mut().extend_from_slice(data);
         self.call.changed.notify_waiters();
         self.state.keyed_calls.add_bytes(data.len());
         // A body of known size is not polled again after its last byte.
         if self.inner.size() == BodySize::Sized(self.call.body.borrow().len() as u64) {
-            self.finish_claim();
+            self.finish_call();
         }
     }
 
-    fn finish_claim(&self) {
+    fn finish_call(&self) {
         let event_stream = self.call.is_event_stream();
         let complete = !event_stream || self.call.body.borrow().ends_with(DONE_EVENT);
         if let Some(claim) = &self.claim {
@@ -292,8 +292,8 @@
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
         let polled = Pin::new(&mut self.inner).poll_next(cx);
         match &polled {
-            Poll::Ready(Some(Ok(data))) => self.record_data(data),
-            Poll::Ready(None) => self.finish_claim(),
+            Poll::Ready(Some(Ok(data))) => self.cache_data(data),
+            Poll::Ready(None) => self.finish_call(),
             Poll::Ready(Some(Err(_))) | Poll::Pending => {}
         }
         polled
@@ -309,7 +309,7 @@
             return;
         }
         if self.inner.size() == BodySize::Sized(0) {
-            return self.finish_claim();
+            return self.finish_call();
         }
         self.call.finish(Err(aborted_error()));
         self.state.keyed_calls.remove(&self.key);
@@ -421,8 +421,8 @@
 
     /// Adds to the cached size and evicts the oldest answers beyond the limits.
     /// Calls that have already joined an evicted answer still get all of it.
-    fn add_bytes(&self, by: usize) {
-        self.cached_bytes.set(self.cached_bytes.get() + by);
+    fn add_bytes(&self, size: usize) {
+        self.cached_bytes.set(self.cached_bytes.get() + size);
         while self.cached_bytes.get() > MAX_CACHED_BYTES
             || self.order.borrow().len() > MAX_CACHED_CALLS
         {
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -17,8 +17,8 @@
 use crate::settings::SidecarInfo;
 use crate::state::{Server, State};
 
-/// Interval of the probes to sidecars that are ejected, draining or no longer
-/// listed.
+/// Interval of the probes to sidecars that are no longer listed or get no new
+/// requests, and of the check for hosts to forget.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Average interval between reads of the host list while no host is known.
@@ -29,7 +29,7 @@
 const PROBE_TICKET: RequestId = RequestId(0);
 
 /// Polls the host list, and probes sidecars that are no longer listed or that get
-/// no requests.
+/// no new requests.
 pub struct MembershipActor {
     state: Rc<State>,
     list_client: Option<Rc<Hosts>>,
@@ -56,8 +56,8 @@
         let mut membership = Membership::new(&settings.name, &settings.zone, limits);
         // Sidecars from the settings stay known until they are missing from a list
         // and also stop answering.
-        let named: Vec<Host> = settings.sidecars.iter().map(configured_host).collect();
-        membership.apply_list(state.clock.now(), &named);
+        let configured: Vec<Host> = settings.sidecars.iter().map(configured_host).collect();
+        membership.apply_list(state.clock.now(), &configured);
 
         let region = &settings.host_list.region;
         let list_client = settings
@@ -82,12 +82,12 @@
         let applied = read.into_actor(self).map(|list, actor, ctx| {
             actor.apply_list(&list);
             // Without a known host the entry cannot serve any request.
-            let poll = match actor.membership.is_empty() {
+            let interval = match actor.membership.is_empty() {
                 true => INITIAL_POLL_INTERVAL,
                 false => actor.state.settings.host_list.poll_interval.0,
             };
             // Jitter desynchronizes entries that start at the same time.
-            let wait = poll.mul_f64(rand::random_range(0.5..1.5));
+            let wait = interval.mul_f64(rand::random_range(0.5..1.5));
             ctx.run_later(wait, Self::poll_list);
         });
         ctx.spawn(applied);
@@ -117,7 +117,7 @@
         }
         self.list_readable = readable;
         if outcome == "taken" {
-            self.publish_servers();
+            self.update_servers();
             self.state.list_applied.trigger();
         }
     }
@@ -133,14 +133,14 @@
     }
 
     /// Records replies, forgets hosts that are gone, and probes sidecars that are
-    /// not listed or get no requests.
+    /// not listed or get no new requests.
     fn tick(&mut self, _: &mut Context<Self>) {
         self.note_answers();
         let forgotten = self.membership.sweep(self.state.clock.now());
         if forgotten > 0 {
             info!("unlisted hosts without replies forgotten", kv: { count = forgotten });
             counter!("pimentocart_hosts_forgotten_total").increment(forgotten as u64);
-            self.publish_servers();
+            self.update_servers();
         }
         self.mark_leaving();
 
@@ -169,13 +169,13 @@
             // A failed probe needs no handling: the time since the last reply
             // shows it.
             let result = server.peer.pull(state.call_header(), pull_request).await;
-            let _ = state.record_reply(&server, result);
+            let _ = state.record_result(&server, result);
             open_probes.set(open_probes.get() - 1);
         });
     }
 
     /// Updates the entry's sidecars to the chosen subset.
-    fn publish_servers(&self) {
+    fn update_servers(&self) {
         let chosen: Vec<SidecarInfo> = self
             .membership
             .chosen_sidecars()
@@ -207,14 +207,14 @@
     }
 }
 
-fn configured_host(known: &SidecarInfo) -> Host {
+fn configured_host(info: &SidecarInfo) -> Host {
     let kind = HostKind::Sidecar {
-        serves: known.serves.clone(),
+        serves: info.serves.clone(),
     };
     Host {
-        name: known.name.clone(),
-        addr: known.addr,
-        zone: known.zone.clone(),
+        name: info.name.clone(),
+        addr: info.addr,
+        zone: info.zone.clone(),
         kind,
         leaving: false,
     }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -81,7 +81,7 @@
     pub async fn next_part(&mut self) -> Result<ResponsePart, RequestError> {
         let cutoff = self.state.cutoff.clone();
         tokio::select! {
-            part = self.next_unguarded_part() => return part,
+            part = self.pull_part() => return part,
             () = cutoff.wait() => {}
         }
         Err(drain::cutoff_error(self.next_chunk > 0))
@@ -93,7 +93,7 @@
         self.state.settings.comment_interval.0
     }
 
-    async fn next_unguarded_part(&mut self) -> Result<ResponsePart, RequestError> {
+    async fn pull_part(&mut self) -> Result<ResponsePart, RequestError> {
         loop {
             match self.pull().await {
                 Ok(ResponsePart::Chunks(chunks)) if self.request.stream => {
@@ -115,20 +115,21 @@
                         finish_reason,
                     });
                 }
-                Err(failed) => self.retry(failed).await?,
+                Err(failure) => self.retry(failure).await?,
             }
         }
     }
 
     /// Retries the request after its run failed.
-    async fn retry(&mut self, mut failed: AttemptFailure) -> Result<(), RequestError> {
-        failed.attempt.delivered = self.delivered();
-        if failed.attempt.cause == RetryReason::Preempted {
+    async fn retry(&mut self, mut failure: AttemptFailure) -> Result<(), RequestError> {
+        failure.attempt.delivered = self.delivered();
+        if failure.attempt.cause == RetryReason::Preempted {
             self.request.preemptions += 1;
         }
         let attempts = std::mem::take(&mut self.attempts);
         let server = self.run.server.index;
-        let granted = dispatch::retry(&self.state, &self.request, attempts, server, failed).await?;
+        let granted =
+            dispatch::retry(&self.state, &self.request, attempts, server, failure).await?;
 
         counters::count_wasted_tokens(u64::from(self.tokens));
         self.run = granted.run;
@@ -160,7 +161,7 @@
                 .peer
                 .pull(self.state.call_header(), pull_request)
                 .await;
-            let reply = match self.state.record_reply(server, result) {
+            let reply = match self.state.record_result(server, result) {
                 Ok(reply) => reply,
                 Err(e) => {
                     if outage.is_none() {
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -83,9 +83,9 @@
         let workspace = access::workspace(http, bundle)?;
         let body = Body::parse(&raw, chat)?;
         let model = body.model.as_deref();
-        let (class, promise) = access::class(http, model, bundle)?;
+        let (class, class_spec) = access::class(http, model, bundle)?;
         access::check_entitled(bundle, workspace, class)?;
-        let target = access::model(bundle, model, promise)?;
+        let target = access::model(bundle, model, class_spec)?;
         let idempotency_key = idempotency_key(http)?;
 
         Ok(Self {
@@ -93,7 +93,7 @@
             workspace: workspace.to_owned(),
             weight: access::weight(bundle, workspace),
             class: class.to_owned(),
-            class_spec: promise.clone(),
+            class_spec: class_spec.clone(),
             target: target.to_owned(),
             arrived: now,
             stream: body.stream,
@@ -123,7 +123,7 @@
     ) -> Result<Self, RequestError> {
         let workspace = access::workspace(http, bundle)?;
         let service = access::service(bundle, name)?;
-        let (class, promise) = access::class(http, Some(&service.class), bundle)?;
+        let (class, class_spec) = access::class(http, Some(&service.class), bundle)?;
         access::check_entitled(bundle, workspace, class)?;
         let idempotency_key = idempotency_key(http)?;
 
@@ -141,7 +141,7 @@
             workspace: workspace.to_owned(),
             weight: access::weight(bundle, workspace),
             class: class.to_owned(),
-            class_spec: promise.clone(),
+            class_spec: class_spec.clone(),
             target: name.to_owned(),
             arrived: now,
             stream: false,
--- a/crates/entry/src/reserve.rs
+++ b/crates/entry/src/reserve.rs
@@ -72,7 +72,7 @@
 }
 
 impl<'a> Round<'a> {
-    /// Prepares to ask the `chosen` sidecars.
+    /// Prepares reservations at the `chosen` sidecars.
     pub fn new(
         state: &'a Rc<State>,
         request: &'a Request,
@@ -106,15 +106,14 @@
         }
     }
 
-    /// Reserves at all chosen sidecars until one slot is taken. `first_left` is
-    /// the time left until the first token, if it differs from the request's own
-    /// budget.
+    /// Reserves at all chosen sidecars until one slot is taken. `ttft_budget`, if
+    /// given, replaces the request's own time budget until the first token.
     ///
     /// # Errors
     ///
     /// Returns why each sidecar granted none.
-    pub async fn run(mut self, first_left: Option<Duration>) -> Result<Run, Vec<Rejection>> {
-        let (held, rejections) = self.best_slot(first_left).await;
+    pub async fn run(mut self, ttft_budget: Option<Duration>) -> Result<Run, Vec<Rejection>> {
+        let (held, rejections) = self.best_slot(ttft_budget).await;
         let Some(held) = held else {
             return Err(rejections);
         };
@@ -129,12 +128,12 @@
     }
 
     /// Waits for the best slot, or until all sidecars have rejected the request.
-    async fn best_slot(&self, first_left: Option<Duration>) -> (Option<HeldSlot>, Vec<Rejection>) {
+    async fn best_slot(&self, ttft_budget: Option<Duration>) -> (Option<HeldSlot>, Vec<Rejection>) {
         let mut rejections = Vec::new();
         let mut held: Option<HeldSlot> = None;
         let mut until = None;
         let pending = (0..self.reservations.len())
-            .map(|i| async move { (i, self.reserve_at(i, first_left).await) });
+            .map(|i| async move { (i, self.reserve_at(i, ttft_budget).await) });
         let mut pending: FuturesUnordered<_> = pending.collect();
 
         loop {
@@ -212,7 +211,7 @@
     async fn reserve_at(
         &self,
         reservation: usize,
-        first_left: Option<Duration>,
+        ttft_budget: Option<Duration>,
     ) -> Result<(Offer, Incarnation), Rejection> {
         let reservation = &self.reservations[reservation];
         let mut redials = 0;
@@ -221,14 +220,14 @@
         // margin alone.
         let mut hold = Duration::ZERO;
         loop {
-            let message = self.reserve_message(hold, first_left);
+            let message = self.reserve_message(hold, ttft_budget);
             reservation.open.set(true);
             let result = reservation
                 .server
                 .peer
                 .reserve(self.state.call_header(), message)
                 .await;
-            let reply = match self.state.record_reply(&reservation.server, result) {
+            let reply = match self.state.record_result(&reservation.server, result) {
                 Ok(reply) => reply,
                 Err(e) => {
                     debug!("slot reservation failed", kv: { error = e.to_string().as_str() });
@@ -273,10 +272,10 @@
         }
     }
 
-    fn reserve_message(&self, hold: Duration, first_left: Option<Duration>) -> ReserveRequest {
+    fn reserve_message(&self, hold: Duration, ttft_budget: Option<Duration>) -> ReserveRequest {
         let mut message = self.request.reserve_request(self.state.clock.now(), hold);
         message.ticket = self.ticket;
-        if let Some(left) = first_left {
+        if let Some(left) = ttft_budget {
             message.ttft_budget_us = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
         }
         message
@@ -357,7 +356,7 @@
         actix_rt::spawn(async move {
             // If the cancel fails, the slot is freed when its lease expires.
             let result = server.peer.cancel(state.call_header(), ticket).await;
-            let _ = state.record_reply(&server, result);
+            let _ = state.record_result(&server, result);
         });
     }
 }
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -102,7 +102,7 @@
                 .peer
                 .start(self.state.call_header(), start_request)
                 .await;
-            match self.state.record_reply(&self.server, result) {
+            match self.state.record_result(&self.server, result) {
                 Ok(reply) => return self.start_status(reply.body, sent),
                 Err(e) => {
                     warn!("start got no reply", kv: { ticket = self.ticket.to_string().as_str(), error = e.to_string().as_str() });
@@ -147,7 +147,7 @@
             .peer
             .cancel(self.state.call_header(), self.ticket)
             .await;
-        let Ok(reply) = self.state.record_reply(&self.server, result) else {
+        let Ok(reply) = self.state.record_result(&self.server, result) else {
             return StartStatus::Unknown;
         };
         self.mark_finished();
@@ -170,7 +170,7 @@
         actix_rt::spawn(async move {
             // A failed cancel is not retried: the caller is gone.
             let result = server.peer.cancel(state.call_header(), ticket).await;
-            let _ = state.record_reply(&server, result);
+            let _ = state.record_result(&server, result);
         });
     }
 }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -118,7 +118,7 @@
     }
 
     /// Adds a sidecar.
-    pub fn add_server(&self, known: &SidecarInfo) {
+    pub fn add_server(&self, info: &SidecarInfo) {
         let routing = &self.settings.routing;
         let timeouts = Timeouts {
             margin: routing.reply_margin.0,
@@ -129,12 +129,12 @@
         let index = servers.len();
         servers.push(Some(Rc::new(Server {
             index,
-            info: known.clone(),
-            peer: Peer::new(known.addr, timeouts),
+            info: info.clone(),
+            peer: Peer::new(info.addr, timeouts),
             last_reply: Cell::new(None),
         })));
         let mut placement = self.placement.borrow_mut();
-        placement.add_server(index, &known.name, &known.zone, &known.serves);
+        placement.add_server(index, &info.name, &info.zone, &info.serves);
     }
 
     /// Removes a sidecar. It gets no new requests; answers in progress there
@@ -176,7 +176,7 @@
     /// # Errors
     ///
     /// Returns the error of the call unchanged.
-    pub fn record_reply<T>(
+    pub fn record_result<T>(
         &self,
         server: &Server,
         result: Result<Reply<T>, Error>,
--- a/crates/entry/tests/routing/fake.rs
+++ b/crates/entry/tests/routing/fake.rs
@@ -432,14 +432,14 @@
     let granted = entry::dispatch::grant(state, &request).await?;
     let mut answer = ResponseStream::new(Rc::clone(state), request, granted);
     loop {
-        let (chunks, whole) = match answer.next_part().await? {
+        let (chunks, complete) = match answer.next_part().await? {
             ResponsePart::Chunks(chunks) => (chunks, false),
             ResponsePart::Complete { chunks, .. } => (chunks, true),
         };
-        for piece in chunks {
-            text.push_str(std::str::from_utf8(&piece.data).unwrap());
+        for chunk in chunks {
+            text.push_str(std::str::from_utf8(&chunk.data).unwrap());
         }
-        if whole {
+        if complete {
             return Ok(());
         }
     }
