--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -96,8 +96,8 @@
     }
 
     /// Appends an event for each chunk.
-    pub fn write_chunks(&self, out: &mut Vec<u8>, write_chunks: &[Chunk]) {
-        for chunk in write_chunks {
+    pub fn write_chunks(&self, out: &mut Vec<u8>, chunks: &[Chunk]) {
+        for chunk in chunks {
             let text = String::from_utf8_lossy(&chunk.data);
             self.event(out, &text, None);
         }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -96,8 +96,8 @@
             open_requests: Cell::new(0),
             settings,
         });
-        for known in &state.settings.sidecars {
-            state.add_server(known);
+        for info in &state.settings.sidecars {
+            state.add_server(info);
         }
         state
     }
