--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -22,7 +22,7 @@
 /// Maximum number of times that the fan-out doubles; it doubles after each failed
 /// round of reservations. A reservation is cheap, and after two refusals a request
 /// has little time left.
-const FAN_OUT_DOUBLINGS: u32 = 2;
+const MAX_FAN_OUT_DOUBLINGS: u32 = 2;
 
 /// A request that was started at a sidecar.
 pub struct Granted {
@@ -169,7 +169,7 @@
         target: &request.target,
         prefix_hash: request.prefix_hash,
         excluded: &attempts.excluded,
-        fan_out: state.settings.fan_out << attempts.rounds.min(FAN_OUT_DOUBLINGS),
+        fan_out: state.settings.fan_out << attempts.rounds.min(MAX_FAN_OUT_DOUBLINGS),
     };
     let now = state.clock.now();
     state.placement.borrow_mut().choose(now, &placement_request)
