--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -119,7 +119,7 @@
             arm: Arm::default(),
             needs_forwarders: false,
             rollout: Rollout::new(addr(subnet, Role::Log, 0)),
-            subnet: subnet,
+            subnet,
         }
     }
 
--- a/crates/demo/tests/failures/drain.rs
+++ b/crates/demo/tests/failures/drain.rs
@@ -186,7 +186,7 @@
 
     let entry = fleet.entry_addr(0);
     let long = actix_rt::spawn(async move { call(entry, "long", LONG).await });
-    until("the answer has started", || {
+    until("the answer started", || {
         fleet.ledger.seen("long").tokens > 0
     })
     .await;
@@ -218,7 +218,7 @@
 
     let entry = fleet.entry_addr(0);
     let long = actix_rt::spawn(async move { call(entry, "long", LONG * 100).await });
-    until("the answer has started", || {
+    until("the answer started", || {
         fleet.ledger.seen("long").tokens > 0
     })
     .await;
@@ -249,10 +249,7 @@
     fleet.registry.control.change(|f| *f = lag);
 
     let callers = Callers::start(12, &[fleet.entry_addr(0)], LONG);
-    until("both servers run requests", || {
-        fleet.ledger.all().len() > 10
-    })
-    .await;
+    until("both are used", || fleet.ledger.all().len() > 10).await;
     callers.on.set(false);
     fleet.ask("sidecar-0");
     fleet.stop("engine-0").await;
--- a/crates/demo/tests/rollout/bundles.rs
+++ b/crates/demo/tests/rollout/bundles.rs
@@ -29,9 +29,7 @@
     fleet.set_log_down(false);
     let next = fleet.publish();
     for role in [Role::One, Role::Two, Role::Sidecar] {
-        until("all daemons apply the next version", || {
-            fleet.sequence(role) == next
-        });
+        until("all are up to date", || fleet.sequence(role) == next);
     }
     fleet.stop();
 }
@@ -39,14 +37,15 @@
 #[test]
 fn rollout_entry_without_log() {
     // An entry never reaches the log. It must fetch the first bundle from the
-    // sidecar, and each later version after an answer that announces it.
+    // sidecar, and each later version after an answer that announces it, twice
+    // in a row.
     let fleet = Fleet::start(&[Role::Two]);
     for _ in 0..2 {
         let next = fleet.publish();
-        until("the sidecar applies the version", || {
+        until("sidecar is up to date", || {
             fleet.sequence(Role::Sidecar) == next
         });
-        until("the entry applies the version", || {
+        until("entry is up to date", || {
             fleet.call_without_key(Role::Two);
             fleet.sequence(Role::Two) == next
         });
@@ -64,10 +63,8 @@
     assert_eq!(fleet.sequence(Role::Sidecar), 1);
     for _ in 0..2 {
         let next = fleet.publish();
-        until("the entry applies the version", || {
-            fleet.sequence(Role::One) == next
-        });
-        until("the sidecar applies the version", || {
+        until("entry is up to date", || fleet.sequence(Role::One) == next);
+        until("sidecar is up to date", || {
             fleet.call_successfully(Role::One);
             fleet.sequence(Role::Sidecar) == next
         });
--- a/crates/demo/tests/rollout/common.rs
+++ b/crates/demo/tests/rollout/common.rs
@@ -124,9 +124,7 @@
     }
 
     pub(crate) fn until_ready(&self, role: Role) {
-        until("the daemon is ready", || {
-            self.status(role)["ready"] == json!(true)
-        });
+        until("it is ready", || self.status(role)["ready"] == json!(true));
     }
 
     /// Waits until a daemon listens. While a sidecar does not, an entry refuses
--- a/crates/demo/tests/whole/sessions.rs
+++ b/crates/demo/tests/whole/sessions.rs
@@ -29,7 +29,8 @@
 
 #[rstest]
 fn session_golden(#[files("tests/sessions/*")] path: PathBuf) {
-    goldenscript::run(&mut Session::default(), path).expect("the session differs from its golden file");
+    goldenscript::run(&mut Session::default(), path)
+        .expect("the session differs from its golden file");
 }
 
 /// A session's commands.
