--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -371,9 +371,9 @@
         let daemon = self.entries.get(usize::from(i))?;
         daemon.stop();
         daemon.restart();
-        let fresh = self.layout.operators_addr(Role::Entry, i);
+        let operators = self.layout.operators_addr(Role::Entry, i);
         Some(changes::wait_for_catch_up(
-            fresh,
+            operators,
             &self.layout.operators_addrs(),
         ))
     }
--- a/crates/demo/tests/failures/drain.rs
+++ b/crates/demo/tests/failures/drain.rs
@@ -37,7 +37,7 @@
                 while on.get() {
                     let mark = format!("c{caller}-{number}");
                     let first = (caller + number) % entries.len();
-                    let answer = balanced(&entries, first, &mark, length).await;
+                    let answer = call_balanced(&entries, first, &mark, length).await;
                     answers.borrow_mut().push((mark, answer));
                     number += 1;
                 }
@@ -69,17 +69,17 @@
 /// Sends a request as a load balancer does: to an entry that is ready, and to
 /// the next one if that refused the connection or was draining. An entry that
 /// is no longer ready still serves requests during its linger time.
-async fn balanced(entries: &[SocketAddr], first: usize, mark: &str, length: u32) -> Answer {
+async fn call_balanced(entries: &[SocketAddr], first: usize, mark: &str, length: u32) -> Answer {
     let mut answer = None;
     for turn in 0..entries.len() * 4 {
         let entry = entries[(first + turn) % entries.len()];
         if !ready(entry).await {
             continue;
         }
-        let got = call(entry, mark, length).await;
-        let elsewhere = got.status == 0 || got.body["error"]["type"] == "draining";
-        answer = Some(got);
-        if !elsewhere {
+        let attempt = call(entry, mark, length).await;
+        let try_next = attempt.status == 0 || attempt.body["error"]["type"] == "draining";
+        answer = Some(attempt);
+        if !try_next {
             break;
         }
     }
@@ -227,10 +227,10 @@
     assert_eq!(long.body["error"]["type"], "draining", "{long:?}");
     assert_eq!(long.body["error"]["ran"], "partial");
 
-    let made = Cell::new(0);
+    let last_count = Cell::new(0);
     until("the engine stops generating", || {
-        let before = made.replace(fleet.ledger.seen("long").tokens);
-        before == made.get()
+        let before = last_count.replace(fleet.ledger.seen("long").tokens);
+        before == last_count.get()
     })
     .await;
 }
--- a/crates/demo/tests/failures/silence.rs
+++ b/crates/demo/tests/failures/silence.rs
@@ -22,9 +22,9 @@
 
     let answer = start_answer(&fleet, "muted").await;
     fleet.engines[&0].change(|f| f.muted += 1);
-    let made = fleet.ledger.seen("muted").tokens;
+    let generated = fleet.ledger.seen("muted").tokens;
     until("the answer continues", || {
-        fleet.ledger.seen("muted").tokens > made + 150
+        fleet.ledger.seen("muted").tokens > generated + 150
     })
     .await;
     fleet.engines[&0].change(|f| f.muted += 1);
--- a/crates/demo/tests/whole/callers.rs
+++ b/crates/demo/tests/whole/callers.rs
@@ -4,13 +4,13 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 
-use crate::common::{Small, until};
+use crate::common::{SmallFleet, until};
 
 /// Number of tokens of an answer that would take minutes.
 const LONG: u32 = 100_000;
 
 /// Opens a connection and sends a request for a streamed completion.
-fn open_stream(fleet: &Small, mark: &str) -> TcpStream {
+fn open_stream(fleet: &SmallFleet, mark: &str) -> TcpStream {
     let body = format!(
         r#"{{"model":"quick","stream":true,"prompt":"x","mark":"{mark}","length":{LONG},"max_tokens":{LONG}}}"#
     );
@@ -32,7 +32,7 @@
     assert!(lines.any(|line| token(&line.expect("the stream continues"))));
 }
 
-fn running(fleet: &Small) -> u64 {
+fn running(fleet: &SmallFleet) -> u64 {
     fleet.sidecar_status()["load"]["running"]
         .as_u64()
         .expect("a number of requests")
@@ -43,7 +43,7 @@
 /// freed before the answer ends.
 #[test]
 fn disconnect_while_streaming() {
-    let mut fleet = Small::start(1, 1);
+    let mut fleet = SmallFleet::start(1, 1);
     let stream = open_stream(&fleet, "gone");
     read_first_token(&stream);
     drop(stream);
@@ -63,7 +63,7 @@
 /// slot is free again.
 #[test]
 fn disconnect_while_waiting() {
-    let mut fleet = Small::start(1, 1);
+    let mut fleet = SmallFleet::start(1, 1);
     let first = open_stream(&fleet, "first");
     read_first_token(&first);
     let second = open_stream(&fleet, "second");
--- a/crates/demo/tests/whole/common.rs
+++ b/crates/demo/tests/whole/common.rs
@@ -39,14 +39,14 @@
 const PLAIN: u8 = 5;
 
 /// A running small fleet.
-pub(crate) struct Small {
+pub(crate) struct SmallFleet {
     net: [u8; 2],
     /// The requests that the stand-ins ran.
     pub(crate) ledger: Ledger,
     hosts: Vec<Daemon>,
 }
 
-impl Small {
+impl SmallFleet {
     /// Starts all daemons and waits until they listen. The engine has `slots`
     /// slots and takes `step_ms` milliseconds for a step.
     pub(crate) fn start(slots: usize, step_ms: u64) -> Self {
--- a/crates/demo/tests/whole/sessions.rs
+++ b/crates/demo/tests/whole/sessions.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use crate::common::Small;
+use crate::common::SmallFleet;
 use rstest::rstest;
 
 /// Timeout for an answer.
@@ -68,7 +68,7 @@
 /// A session and, once started, its daemons.
 #[derive(Default)]
 struct Session {
-    fleet: Option<Small>,
+    fleet: Option<SmallFleet>,
 }
 
 impl goldenscript::Runner for Session {
@@ -80,7 +80,7 @@
         _: &goldenscript::Context,
     ) -> Result<String, Box<dyn Error>> {
         if let Command::Start = command {
-            self.fleet = Some(Small::start(SLOTS, STEP_MS));
+            self.fleet = Some(SmallFleet::start(SLOTS, STEP_MS));
             return Ok(String::new());
         }
         let fleet = self.fleet.as_ref().ok_or("start the fleet first")?;
@@ -115,7 +115,7 @@
 }
 
 /// Sends one call and formats its answer.
-fn send(fleet: &Small, command: &Command) -> Result<String, Box<dyn Error>> {
+fn send(fleet: &SmallFleet, command: &Command) -> Result<String, Box<dyn Error>> {
     let Command::Send {
         method,
         path,
