--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -244,10 +244,10 @@
 }
 
 /// Draws a number of tokens from a lognormal distribution.
-fn draw_tokens(rng: &mut Pcg64Mcg, median: f64, spread: f64) -> u32 {
+fn draw_tokens(rng: &mut Pcg64Mcg, median: f64, sigma: f64) -> u32 {
     let (u, v): (f64, f64) = (1.0 - rng.random::<f64>(), rng.random());
     let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
-    let size = (median * (spread * normal).exp()).clamp(1.0, MAX_TOKENS);
+    let size = (median * (sigma * normal).exp()).clamp(1.0, MAX_TOKENS);
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -297,8 +297,8 @@
 }
 
 fn parse_error(body: &Value) -> Option<ErrorReply> {
-    let word = |key: &str| body["error"][key].as_str().unwrap_or("").to_owned();
-    let (reason, ran) = (word("type"), word("ran"));
+    let field = |key: &str| body["error"][key].as_str().unwrap_or("").to_owned();
+    let (reason, ran) = (field("type"), field("ran"));
     (!reason.is_empty()).then_some(ErrorReply { reason, ran })
 }
 
