--- a/crates/demo/tests/failures/silence.rs
+++ b/crates/demo/tests/failures/silence.rs
@@ -9,7 +9,10 @@
 async fn start_answer(fleet: &Fleet, mark: &'static str) -> actix_rt::task::JoinHandle<Answer> {
     let entry = fleet.entry_addr(0);
     let task = actix_rt::spawn(async move { call(entry, mark, LONG).await });
-    until("the answer started", || fleet.ledger.counts(mark).output_tokens > 5).await;
+    until("the answer started", || {
+        fleet.ledger.counts(mark).output_tokens > 5
+    })
+    .await;
     task
 }
 
