--- a/crates/bundle/src/accept.rs
+++ b/crates/bundle/src/accept.rs
@@ -1,16 +1,16 @@
-//! Which version of the bundle is in force: one function over the records in
-//! the log's order, the same in the operators' tool and in every daemon.
+//! Determines the active version of the bundle: a deterministic state machine
+//! over the log's records, shared by the operators' CLI and every daemon.
 //!
-//! A reader that has judged every record up to an offset holds the same state
-//! as every other such reader. A checkpoint is that state, written down with
-//! its offset. So a reader that missed records (a fresh one, or one that was
-//! away for longer than the log's retention) judges nothing until it finds a
-//! checkpoint that leaves no gap: a late duplicate of a record that lost
-//! could win otherwise, once the winner has expired.
+//! All readers that have processed every record up to an offset hold the same
+//! state. A checkpoint is a snapshot of that state with its offset. A reader
+//! that missed records (a new one, or one that was disconnected for longer
+//! than the log's retention) evaluates no changes until it finds a checkpoint
+//! that leaves no gap. Otherwise a late duplicate of a record that lost a
+//! conflict could be accepted once the winning record has expired.
 //! See docs/DECISIONS/0301-bundle-acceptance.md.
 //!
-//! - `checkpoint`: writing the state down and taking it over.
-//! - `fill`: the content of a version.
+//! - `checkpoint`: creating and installing snapshots of the state.
+//! - `fill`: loading the content of a version.
 
 mod checkpoint;
 mod fill;
@@ -27,58 +27,58 @@
 };
 use crate::verdict::{RecordError, Verdict};
 
-/// How many versions are remembered, to tell who beat a record.
+/// Number of past versions kept to find the winner of a conflict.
 const HISTORY: usize = 256;
 
-/// Entries that changed, as section and name.
+/// Section and name of each changed entry.
 pub type ChangedEntries = BTreeSet<(String, String)>;
 
-/// Judges records in the log's order.
+/// Evaluates records in log order.
 #[derive(Debug, Clone)]
 pub struct Acceptor {
-    /// Who may sign the first version, from the settings.
+    /// Operators from the settings, who may sign the first version.
     trust: Operators,
-    /// The version in force.
+    /// Header of the active version.
     head: Option<Head>,
-    /// The content of the version in force.
+    /// Content of the active version.
     content: Content,
-    /// Who may sign the next version.
+    /// Operators who may sign the next version.
     operators: Operators,
-    /// The versions that changed who may sign, oldest first.
+    /// Versions that changed the set of operators, oldest first.
     chain: Vec<OperatorChange>,
-    /// The offset to judge next.
+    /// Offset of the next record to process.
     next_offset: Offset,
-    /// Where reading went on after records were missed, while it matters.
+    /// First offset after a gap of missed records; `None` without a gap.
     gap_start: Option<Offset>,
-    /// The versions in force lately, newest last.
+    /// Recently active versions, newest last.
     history: VecDeque<PastVersion>,
-    /// Parts of larger content by its digest, oldest set first.
+    /// Buffered parts of content by content digest, oldest set first.
     parts: VecDeque<(Hash, BTreeMap<u32, Entries>)>,
-    /// The newest checkpoint: where it stands and what it holds.
+    /// Offset and version of the newest checkpoint.
     newest_checkpoint: Option<(Offset, BundleSequence)>,
-    /// Entries that changed since [`Self::take_changed`]; none when all may
-    /// have.
+    /// Entries changed since the last [`Self::take_changed`]; `None` if all
+    /// may have changed.
     changed: Option<ChangedEntries>,
 }
 
-/// The version in force.
+/// Header of the active version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Head {
-    /// Its signed header.
+    /// The signed header.
     pub signed: SignedHeader,
-    /// Where it was accepted.
+    /// Offset of the record that was accepted.
     pub accepted_offset: Offset,
 }
 
 impl Head {
-    /// Its number.
+    /// The version's sequence number.
     #[must_use]
     pub fn sequence(&self) -> BundleSequence {
         self.signed.header.sequence
     }
 }
 
-/// A version that is or was in force.
+/// A version that is or was active.
 #[derive(Debug, Clone)]
 struct PastVersion {
     sequence: BundleSequence,
@@ -88,7 +88,7 @@
 }
 
 impl Acceptor {
-    /// Makes a reader that has judged nothing; `trust` may sign the first
+    /// Creates an empty acceptor. The operators in `trust` may sign the first
     /// version.
     #[must_use]
     pub fn new(trust: Operators) -> Self {
@@ -107,56 +107,56 @@
         }
     }
 
-    /// The version in force, if any.
+    /// Header of the active version, if any.
     #[must_use]
     pub fn head(&self) -> Option<&Head> {
         self.head.as_ref()
     }
 
-    /// The number of the version in force; 0 when there is none.
+    /// Sequence number of the active version; 0 if there is none.
     #[must_use]
     pub fn sequence(&self) -> BundleSequence {
         self.head.as_ref().map_or(BundleSequence(0), Head::sequence)
     }
 
-    /// The content of the version in force.
+    /// Content of the active version.
     #[must_use]
     pub fn content(&self) -> &Content {
         &self.content
     }
 
-    /// The entries that changed since this was last asked; none when all may
-    /// have.
+    /// Returns and resets the entries changed since the previous call; `None`
+    /// if all may have changed.
     pub fn take_changed(&mut self) -> Option<ChangedEntries> {
         self.changed.replace(ChangedEntries::new())
     }
 
-    /// Who may sign the next version.
+    /// Operators who may sign the next version.
     #[must_use]
     pub fn operators(&self) -> &Operators {
         &self.operators
     }
 
-    /// The offset to read next.
+    /// Offset of the next record to read.
     #[must_use]
     pub fn next_offset(&self) -> Offset {
         self.next_offset
     }
 
-    /// Whether every record up to [`Self::next`] was judged.
+    /// Whether every record before [`Self::next_offset`] was processed.
     #[must_use]
     pub fn is_contiguous(&self) -> bool {
         self.gap_start.is_none()
     }
 
-    /// The newest checkpoint that was read: its offset and its version.
+    /// Offset and version of the newest checkpoint that was read.
     #[must_use]
     pub fn newest_checkpoint(&self) -> Option<(Offset, BundleSequence)> {
         self.newest_checkpoint
     }
 
-    /// Judges the record at `offset`. After [`Verdict::Adopted`] the reader
-    /// may have to go back: it reads on from [`Self::next`].
+    /// Evaluates the record at `offset`. After [`Verdict::Adopted`] the next
+    /// offset may be lower than before; continue from [`Self::next_offset`].
     pub fn apply(&mut self, offset: Offset, bytes: &[u8]) -> Verdict {
         if offset < self.next_offset {
             return Verdict::Duplicate;
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Notes that the log has nothing before `first` any more.
+    /// Records that everything before `first` has expired from the log.
     pub fn skip_expired(&mut self, first: Offset) {
         if first > self.next_offset {
             self.gap_start = Some(first);
@@ -188,30 +188,32 @@
         }
     }
 
-    /// Goes on from a gap with the version in force, judging from `first` on.
+    /// Skips a gap, keeps the active version and continues at `first`.
     ///
-    /// For a reader that holds a version and finds that neither the log nor
-    /// any peer has a checkpoint without a gap, as after an outage longer
-    /// than the retention. Without it no reader would ever judge again. If
-    /// two such readers disagree, their checkpoints settle it: the higher
-    /// version wins, and of equal ones the one accepted earlier.
+    /// Intended for a reader that has a version while neither the log nor any
+    /// peer has a checkpoint that closes the gap, for example after an outage
+    /// longer than the retention. Without it no reader would ever evaluate a
+    /// change again. If two such readers diverge, their checkpoints resolve
+    /// it: the higher version wins, then the lower accepted offset.
     pub fn skip_gap(&mut self, first: Offset) {
         if self.head.is_some() && self.gap_start.take().is_some() {
             self.next_offset = first;
         }
     }
 
-    /// Judges a change that a peer accepted at `at`, ahead of the log.
-    pub fn apply_from_peer(&mut self, at: Offset, bytes: &[u8]) -> Verdict {
+    /// Evaluates a change that a peer accepted at `accepted_offset`, before it
+    /// was read from the log.
+    pub fn apply_from_peer(&mut self, accepted_offset: Offset, bytes: &[u8]) -> Verdict {
         match serde_json::from_slice(bytes) {
             Ok(Record::Change { signed, payload }) if bytes.len() <= RECORD_MAX_BYTES => {
-                self.apply_change(at, signed, payload)
+                self.apply_change(accepted_offset, signed, payload)
             }
             _ => Verdict::Refused(RecordError::Unreadable),
         }
     }
 
-    /// Notes that a peer in the same state has judged the log up to `judged`.
+    /// Records that a peer with the same state has processed the log up to and
+    /// including `processed`.
     pub fn mark_processed(&mut self, processed: Offset) {
         if processed.0 + 1 > self.next_offset.0 {
             self.next_offset = Offset(processed.0 + 1);
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Judges a change.
+    /// Evaluates a change.
     fn apply_change(&mut self, offset: Offset, signed: SignedHeader, payload: Payload) -> Verdict {
         if let Err(e) = signed.verify(&self.operators) {
             return Verdict::Refused(key_error(e));
@@ -236,8 +238,8 @@
         if header.sequence.0 != sequence.0 + 1 || header.parent != parent {
             return Verdict::Refused(RecordError::WrongParent);
         }
-        if let Err(fault) = self.set_content(header.digest, &header.operators, payload) {
-            return Verdict::Refused(fault);
+        if let Err(error) = self.set_content(header.digest, &header.operators, payload) {
+            return Verdict::Refused(error);
         }
         let sequence = header.sequence;
         self.set_head(Head {
@@ -247,7 +249,7 @@
         Verdict::Accepted(sequence)
     }
 
-    /// Judges a change whose place is taken.
+    /// Evaluates a change whose sequence number is already used.
     fn late_verdict(&self, signed: &SignedHeader, id: Hash) -> Verdict {
         let header = &signed.header;
         let past = self.history.iter().find(|p| p.sequence == header.sequence);
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Makes a version the one in force; its content is already in place.
+    /// Activates a version whose content is already loaded.
     fn set_head(&mut self, head: Head) {
         let operators = content_operators(&self.content);
         if operators != self.operators {
--- a/crates/bundle/src/accept/checkpoint.rs
+++ b/crates/bundle/src/accept/checkpoint.rs
@@ -1,5 +1,4 @@
-//! Checkpoints: writing the state down, and taking it over from the log or
-//! from a peer.
+//! Checkpoints: creating them and installing them from the log or a peer.
 
 use base::ids::Offset;
 
@@ -12,8 +11,8 @@
 use crate::verdict::{RecordError, Verdict};
 
 impl Acceptor {
-    /// The state as a checkpoint with all its content; `None` when there is
-    /// none to vouch for.
+    /// Returns the state as a checkpoint with its full content; `None` if there
+    /// is no version or records were missed.
     #[must_use]
     pub fn snapshot(&self) -> Option<Checkpoint> {
         let head = self.head.as_ref().filter(|_| self.gap_start.is_none())?;
@@ -28,15 +27,16 @@
         })
     }
 
-    /// The state as records for the log, the checkpoint last.
+    /// Returns the state as log records: content parts, if needed, and then
+    /// the checkpoint.
     #[must_use]
     pub fn checkpoint_records(&self) -> Vec<Record> {
         let Some(mut checkpoint) = self.snapshot() else {
             return Vec::new();
         };
-        let whole = Record::Checkpoint(checkpoint.clone());
-        if whole.bytes().len() <= RECORD_MAX_BYTES {
-            return vec![whole];
+        let record = Record::Checkpoint(checkpoint.clone());
+        if record.bytes().len() <= RECORD_MAX_BYTES {
+            return vec![record];
         }
 
         let mut records = split_parts(&self.content, PART_MAX_BYTES);
@@ -46,16 +46,17 @@
         records
     }
 
-    /// Takes over a peer's state, if it is a later version or closes a gap.
+    /// Installs a peer's state if it has a later version or closes a gap.
+    /// Returns whether it was installed.
     ///
     /// # Errors
     ///
-    /// Returns the fault when the state does not hold against what this
-    /// reader trusts.
+    /// Returns [`RecordError`] if the signatures or the content are invalid.
     pub fn adopt(&mut self, checkpoint: Checkpoint) -> Result<bool, RecordError> {
         let sequence = checkpoint.signed.header.sequence;
-        let closes = self.gap_start.is_some() && checkpoint.processed.0 + 1 >= self.next_offset.0;
-        if sequence < self.sequence() || (sequence == self.sequence() && !closes) {
+        let closes_gap =
+            self.gap_start.is_some() && checkpoint.processed.0 + 1 >= self.next_offset.0;
+        if sequence < self.sequence() || (sequence == self.sequence() && !closes_gap) {
             return Ok(false);
         }
         let processed = checkpoint.processed;
@@ -67,25 +68,26 @@
         Ok(true)
     }
 
-    /// Judges a checkpoint.
+    /// Evaluates a checkpoint record.
     pub(super) fn apply_checkpoint(&mut self, offset: Offset, checkpoint: Checkpoint) -> Verdict {
         let sequence = checkpoint.signed.header.sequence;
         let processed = checkpoint.processed;
-        // No honest writer has processed its own record already.
+        // A correct writer cannot have processed its own record, nor accepted
+        // a version beyond what it has processed.
         if processed >= offset || checkpoint.accepted_offset > processed {
             return Verdict::Refused(RecordError::BadContent);
         }
-        let Some(first) = self.gap_start else {
+        let Some(gap_start) = self.gap_start else {
             return self.compare_checkpoint(offset, checkpoint);
         };
 
-        // Without an anchor: usable if nothing expired unread between what
-        // its writer had processed and what this reader has seen.
-        if processed.0 + 1 < first.0 || sequence < self.sequence() {
+        // After a gap a checkpoint is usable if no record expired between the
+        // writer's last processed offset and this reader's first one.
+        if processed.0 + 1 < gap_start.0 || sequence < self.sequence() {
             return Verdict::NotEvaluated;
         }
-        if let Err(fault) = self.install_checkpoint(checkpoint) {
-            return Verdict::Refused(fault);
+        if let Err(error) = self.install_checkpoint(checkpoint) {
+            return Verdict::Refused(error);
         }
         self.newest_checkpoint = Some((offset, sequence));
         self.gap_start = None;
@@ -93,7 +95,7 @@
         Verdict::Adopted(sequence)
     }
 
-    /// Holds a checkpoint against the version in force.
+    /// Compares a checkpoint with the active version.
     fn compare_checkpoint(&mut self, offset: Offset, checkpoint: Checkpoint) -> Verdict {
         let sequence = checkpoint.signed.header.sequence;
         let id = checkpoint.signed.id();
@@ -101,7 +103,7 @@
         let Some(head) = &self.head else {
             return match self.install_checkpoint(checkpoint) {
                 Ok(()) => Verdict::Adopted(sequence),
-                Err(fault) => Verdict::Refused(fault),
+                Err(error) => Verdict::Refused(error),
             };
         };
 
@@ -117,19 +119,20 @@
                     self.newest_checkpoint = Some((offset, sequence));
                     Verdict::Adopted(sequence)
                 }
-                Err(fault) => Verdict::Refused(fault),
+                Err(error) => Verdict::Refused(error),
             };
         }
-        // Its writer had read past the version in force and missed it.
-        let missed = processed >= head.accepted_offset;
-        if missed {
+        // The writer had processed the active version's offset without
+        // accepting that version.
+        let outdated = processed >= head.accepted_offset;
+        if outdated {
             Verdict::StaleCheckpoint
         } else {
             Verdict::Known
         }
     }
 
-    /// Takes over a checkpoint's version after checking it.
+    /// Verifies a checkpoint and activates its version.
     fn install_checkpoint(&mut self, checkpoint: Checkpoint) -> Result<(), RecordError> {
         let Checkpoint {
             signed,
@@ -138,8 +141,9 @@
             payload,
             ..
         } = checkpoint;
-        let held = verify_chain(&self.operators, &chain, &signed);
-        held.or_else(|_| verify_chain(&self.trust, &chain, &signed))
+        let verified = verify_chain(&self.operators, &chain, &signed);
+        verified
+            .or_else(|_| verify_chain(&self.trust, &chain, &signed))
             .map_err(key_error)?;
         if matches!(payload, Payload::Delta(_)) {
             return Err(RecordError::BadContent);
@@ -158,10 +162,10 @@
     }
 }
 
-/// Whether a chain of changes of operators leads from `base` to the signer.
+/// Verifies that a chain of operator changes leads from `base` to the signer.
 ///
-/// Links that do not fit are passed over: settings written after them trust
-/// operators that the earlier links never knew.
+/// Links that do not verify are skipped: settings written later trust
+/// operators that do not appear in the earlier links.
 fn verify_chain(
     base: &Operators,
     chain: &[OperatorChange],
@@ -169,9 +173,9 @@
 ) -> Result<(), keys::Error> {
     let mut operators = base;
     for link in chain {
-        let whole = operators_hash(&link.operators) == link.signed.header.operators;
+        let intact = operators_hash(&link.operators) == link.signed.header.operators;
         let earlier = link.signed.header.sequence < signed.header.sequence;
-        if whole && earlier && link.signed.verify(operators).is_ok() {
+        if intact && earlier && link.signed.verify(operators).is_ok() {
             operators = &link.operators;
         }
     }
--- a/crates/bundle/src/accept/fill.rs
+++ b/crates/bundle/src/accept/fill.rs
@@ -1,4 +1,5 @@
-//! Content: whole, as a change of what is in force, or in parts.
+//! Loads the content of a version: in full, as a delta to the active content,
+//! or from parts.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +9,14 @@
 use crate::record::{Payload, content_operators, operators_hash};
 use crate::verdict::{RecordError, Verdict};
 
-/// How many unfinished sets of parts are kept.
+/// Maximum number of incomplete sets of parts.
 const MAX_PART_SETS: usize = 4;
 
-/// Most parts in a set, which bounds what one set can take of the memory.
+/// Maximum number of parts in a set, which bounds its memory.
 const MAX_PARTS: u32 = 128;
 
 impl Acceptor {
-    /// Keeps a part for the record that needs it.
+    /// Buffers a part for the record that refers to it.
     pub(super) fn buffer_part(&mut self, digest: Hash, index: u32, entries: Entries) -> Verdict {
         if index >= MAX_PARTS {
             return Verdict::Refused(RecordError::BadContent);
@@ -27,7 +28,7 @@
             set.insert(index, entries);
             return Verdict::PartBuffered;
         }
-        // Sets whose last record never came must not pile up.
+        // Sets that are never completed must not accumulate.
         if self.parts.len() == MAX_PART_SETS {
             self.parts.pop_front();
         }
@@ -36,21 +37,21 @@
         Verdict::PartBuffered
     }
 
-    /// Takes over content if it has the signed digest, else leaves all as it
-    /// was.
+    /// Replaces the content if the new content has the signed digest, else
+    /// leaves it unchanged.
     pub(super) fn set_content(
         &mut self,
         digest: Hash,
         operators: &Hash,
         payload: Payload,
     ) -> Result<(), RecordError> {
-        let fits = |content: &Content| {
+        let matches_digest = |content: &Content| {
             content.digest() == digest && operators_hash(&content_operators(content)) == *operators
         };
         let content = match payload {
             Payload::Delta(patch) => {
                 let undo = self.content.apply(&patch);
-                if fits(&self.content) {
+                if matches_digest(&self.content) {
                     self.mark_changed(&patch);
                     return Ok(());
                 }
@@ -63,7 +64,7 @@
                 .ok_or(RecordError::BadContent)?,
             Payload::Full(entries) => Content::new(&entries),
         };
-        if !fits(&content) {
+        if !matches_digest(&content) {
             return Err(RecordError::BadContent);
         }
         self.content = content;
@@ -71,18 +72,18 @@
         Ok(())
     }
 
-    /// Remembers which entries a patch changed.
+    /// Adds the entries of a patch to the changed entries.
     fn mark_changed(&mut self, patch: &Patch) {
-        let Some(touched) = &mut self.changed else {
+        let Some(changed) = &mut self.changed else {
             return;
         };
         for (section, named) in patch {
             let entries = named.keys().map(|name| (section.clone(), name.clone()));
-            touched.extend(entries);
+            changed.extend(entries);
         }
     }
 
-    /// Joins the parts of larger content, if all are there.
+    /// Assembles content from its parts; `None` if one is missing.
     fn join_parts(&mut self, digest: Hash, count: u32) -> Option<Content> {
         let at = self.parts.iter().position(|(d, _)| *d == digest)?;
         let (_, set) = &self.parts[at];
@@ -92,12 +93,12 @@
         }
         let (_, set) = self.parts.remove(at)?;
 
-        let mut whole = Entries::new();
+        let mut joined = Entries::new();
         for entries in set.into_values() {
             for (section, named) in entries {
-                whole.entry(section).or_default().extend(named);
+                joined.entry(section).or_default().extend(named);
             }
         }
-        Some(Content::new(&whole))
+        Some(Content::new(&joined))
     }
 }
--- a/crates/bundle/src/approval.rs
+++ b/crates/bundle/src/approval.rs
@@ -1,8 +1,8 @@
-//! An operator's sign-off of a bundle, kept beside it under version control.
+//! An operator's signed approval of a bundle, stored with it under version
+//! control.
 //!
-//! It says that the operator read and approved this content. Which version it
-//! becomes is signed anew when it is published, because only then the parent
-//! is known.
+//! It states that the operator approved this content. The version header is
+//! signed separately on publication because its parent is not known earlier.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -12,57 +12,58 @@
 use crate::hash::Hash;
 use crate::keys::{self, Operators, SecretKey, verify};
 
-/// Leads the signed message, so that a sign-off is never taken for a header.
+/// Prefix of the signed message, so that an approval cannot be replayed as a
+/// header.
 const APPROVAL: &str = "approval";
 
-/// A bundle with an operator's sign-off, as `bundle sign` writes it.
+/// A bundle with an operator's approval, as written by `bundle sign`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Approval {
-    /// The bundle.
+    /// The bundle as JSON.
     pub bundle: Value,
-    /// Digest of its content.
+    /// Digest of the bundle's content.
     pub digest: Hash,
-    /// Who signed it off.
+    /// Name of the operator who approved it.
     pub operator: String,
-    /// The signature over the digest, in base64.
+    /// Base64 signature over the digest.
     pub signature: String,
 }
 
-/// Why a sign-off is of no use.
+/// Why an approval could not be created or is invalid.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The bundle is not one.
+    /// The bundle could not be read.
     #[snafu(display("{source}"))]
     InvalidBundle {
-        /// What was found.
+        /// The cause.
         source: content::Error,
     },
-    /// The bundle was changed after it was signed off.
+    /// The bundle was changed after its approval.
     #[snafu(display(
-        "step=verify_approval: the bundle is not the one that {operator} signed \
+        "step=verify_approval: bundle differs from the one signed by {operator} \
          (hint: sign it again)"
     ))]
     BundleChanged {
-        /// Who signed.
+        /// Name of the operator.
         operator: String,
     },
-    /// The signature is of no use.
+    /// The signature or the key is invalid.
     #[snafu(display("{source} (operator {operator})"))]
     InvalidSignature {
-        /// Who signed.
+        /// Name of the operator.
         operator: String,
-        /// What was found.
+        /// The cause.
         source: keys::Error,
     },
 }
 
 impl Approval {
-    /// Signs a bundle off.
+    /// Approves a bundle with an operator's key.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when the bundle is not one or the key is damaged.
+    /// Returns [`Error`] if the bundle cannot be read or the key is invalid.
     pub fn new(bundle: Value, key: &SecretKey) -> Result<Self, Error> {
         let digest = Content::from_json(&bundle)
             .context(InvalidBundleSnafu)?
@@ -79,11 +80,11 @@
         })
     }
 
-    /// The content, once the sign-off holds against those who may sign.
+    /// Verifies the approval against `operators` and returns the content.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when it does not.
+    /// Returns [`Error`] if the approval is invalid.
     pub fn content(&self, operators: &Operators) -> Result<Content, Error> {
         let operator = &self.operator;
         let content = Content::from_json(&self.bundle).context(InvalidBundleSnafu)?;
--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -1,4 +1,5 @@
-//! Every fault of a bundle in one run, each with its JSON path and a hint.
+//! Validates a bundle and reports all errors at once, each with its JSON path
+//! and a hint.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Display, Formatter};
@@ -10,10 +11,10 @@
 use crate::keys;
 use crate::model::{Bundle, Class, EnginePool, Service, Shares, Workspace};
 
-/// Highest tier that a class may have, as a number.
+/// Largest tier number of a class, which is the lowest priority.
 const LOWEST_TIER: u8 = 7;
 
-/// Names that a hint lists.
+/// Maximum number of names listed in a hint.
 const HINT_NAMES: usize = 8;
 
 /// The sections of a bundle.
@@ -26,17 +27,17 @@
     "shares",
 ];
 
-/// Stands for all entries of a section that could not be read.
+/// Placeholder name for all entries of a section that could not be read.
 const ALL: &str = "";
 
-/// One fault of a bundle.
+/// One validation error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The JSON path of the offending value.
+    /// JSON path of the invalid value.
     pub path: String,
-    /// What was found there.
+    /// The value or the problem found there.
     pub found: String,
-    /// What would be accepted.
+    /// Which values are valid.
     pub hint: String,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// Checks a bundle and returns every fault, in the order of the sections.
+/// Validates a bundle and returns all errors in section order.
 #[must_use]
 pub fn check(json: &Value) -> Vec<Finding> {
     let mut check = Check::default();
@@ -60,11 +61,12 @@
     check.findings
 }
 
-/// The faults found so far.
+/// Errors found so far.
 #[derive(Default)]
 struct Check {
     findings: Vec<Finding>,
-    /// Entries that could not be read; others may name them all the same.
+    /// Section and name of unreadable entries, which other entries may still
+    /// refer to.
     broken: BTreeSet<(String, String)>,
 }
 
@@ -77,8 +79,8 @@
         });
     }
 
-    /// Reads what can be read; each entry by itself, so that one that cannot
-    /// does not hide the others.
+    /// Parses each entry separately, so that an unreadable entry does not hide
+    /// errors in others.
     fn read(&mut self, json: &Value) -> Bundle {
         let Some(sections) = json.as_object() else {
             self.add(".", "not an object", "a bundle is an object of sections");
@@ -147,7 +149,7 @@
         for (name, class) in &bundle.classes {
             let path = format!("classes.{name}");
             if class.tier.0 > LOWEST_TIER {
-                let hint = format!("tiers go from 0, the highest, to {LOWEST_TIER}");
+                let hint = format!("tiers range from 0 (highest priority) to {LOWEST_TIER}");
                 self.add(format!("{path}.tier"), class.tier.to_string(), hint);
             }
             self.targets(&format!("{path}.targets"), class);
@@ -172,7 +174,7 @@
             ("whole", targets.full_answer),
         ];
         for (name, span) in named.iter().filter(|(_, span)| span.0.is_zero()) {
-            let hint = "a target is longer than 0, as in \"900ms\"";
+            let hint = "a target must be longer than 0, as in \"900ms\"";
             self.add(format!("{path}.{name}"), span.to_string(), hint);
         }
         if targets.first_token > targets.full_answer {
@@ -180,7 +182,8 @@
                 "{} with first_token {}",
                 targets.full_answer, targets.first_token
             );
-            let hint = "the whole answer cannot be due before its first token";
+            let hint =
+                "the target for the whole answer must not be below the one for the first token";
             self.add(format!("{path}.whole"), found, hint);
         }
     }
@@ -197,7 +200,7 @@
                 }
             }
             if workspace.weight == 0 {
-                let hint = "a weight is at least 1";
+                let hint = "a weight must be at least 1";
                 self.add(format!("{path}.weight"), "0", hint);
             }
 
@@ -208,7 +211,7 @@
                     self.add(path, quoted(token), hint);
                 } else if let Some(owner) = owners.insert(token, name) {
                     let found = format!("also a token of workspace {owner:?}");
-                    self.add(path, found, "a token stands for one workspace");
+                    self.add(path, found, "a token identifies one workspace");
                 }
             }
         }
@@ -226,7 +229,7 @@
                 );
             }
             if bundle.models.contains_key(name) {
-                let hint = "a name stands for a model or a service, not both";
+                let hint = "a name refers to a model or a service, not both";
                 self.add(format!("services.{name}"), "also a model", hint);
             }
         }
@@ -234,12 +237,12 @@
 
     fn operators(&mut self, bundle: &Bundle) {
         if bundle.operators.is_empty() && !self.any_broken("operators") {
-            let hint = "name at least one, or nobody can sign the next bundle";
+            let hint = "list at least one, otherwise nobody can sign the next bundle";
             self.add("operators", "no operator", hint);
         }
         for (name, key) in &bundle.operators {
             if keys::public_key(key).is_err() {
-                let hint = "the public key that keys new printed, 32 bytes in base64";
+                let hint = "a public key as printed by keys new, 32 bytes in base64";
                 self.add(format!("operators.{name}"), quoted(key), hint);
             }
         }
@@ -259,7 +262,7 @@
         }
     }
 
-    /// Whether an entry is there and could not be read.
+    /// Whether an entry exists but could not be read.
     fn is_broken(&self, section: &str, name: &str) -> bool {
         let names = |(s, n): &(String, String)| s == section && (n == name || n == ALL);
         self.broken.iter().any(names)
--- a/crates/bundle/src/content.rs
+++ b/crates/bundle/src/content.rs
@@ -1,10 +1,10 @@
-//! A bundle's content as records carry it: entries of canonical JSON.
+//! The content of a bundle as stored in records: entries of canonical JSON.
 //!
-//! A change replaces, adds or removes single entries, so that its size does
-//! not grow with the number of workspaces; see
-//! docs/DECISIONS/0303-deltas.md. Content is kept as it was signed, not as
-//! this build understands it: a daemon of another version that drops or adds
-//! a field would otherwise arrive at another digest.
+//! A change adds, replaces or removes individual entries, so that its size
+//! does not grow with the number of workspaces; see
+//! docs/DECISIONS/0303-deltas.md. Content is kept as signed instead of being
+//! parsed and written again: a daemon of another version that drops or adds a
+//! field would otherwise compute a different digest.
 
 use std::collections::BTreeMap;
 
@@ -20,11 +20,10 @@
 /// All entries of a bundle: section, then name, then canonical JSON.
 pub type Entries = BTreeMap<String, BTreeMap<String, Value>>;
 
-/// Entries to replace or add, and with `None` those to remove.
+/// Entries to add or replace; `None` removes an entry.
 pub type Patch = BTreeMap<String, BTreeMap<String, Option<Value>>>;
 
-/// The content of one version of the bundle, with its digest kept up to date
-/// entry by entry.
+/// The content of one bundle version, with an incrementally updated digest.
 #[derive(Debug, Clone, Default)]
 pub struct Content {
     entries: BTreeMap<String, BTreeMap<String, Box<str>>>,
@@ -40,22 +39,22 @@
     ))]
     #[serde(rename = "Shape")]
     NotAnObject {
-        /// The offending key.
+        /// The invalid key.
         key: String,
     },
-    /// This build cannot make sense of the content.
+    /// This build cannot parse the content.
     #[snafu(display("step=read_bundle key={key}: {found} (hint: run bundle check)"))]
     #[serde(rename = "Meaning")]
     Invalid {
-        /// The path of the offending key.
+        /// JSON path of the invalid key.
         key: String,
-        /// What was found there.
+        /// The problem found there.
         found: String,
     },
 }
 
 impl Content {
-    /// Takes entries as the whole content.
+    /// Creates content from all of its entries.
     #[must_use]
     pub fn new(entries: &Entries) -> Self {
         let mut content = Self::default();
@@ -68,7 +67,7 @@
         content
     }
 
-    /// Reads a bundle's JSON.
+    /// Creates content from a bundle's JSON.
     ///
     /// # Errors
     ///
@@ -90,33 +89,33 @@
         Ok(content)
     }
 
-    /// Takes a bundle as this build writes it.
+    /// Creates content by serializing a bundle.
     #[must_use]
     pub fn from_bundle(bundle: &Bundle) -> Self {
-        // A bundle is an object of objects by its type.
+        // A bundle always serializes to an object of objects.
         let json = serde_json::to_value(bundle).unwrap_or_default();
         Self::from_json(&json).unwrap_or_default()
     }
 
-    /// The digest over all entries.
+    /// Digest of all entries.
     #[must_use]
     pub fn digest(&self) -> Hash {
         self.tree.root()
     }
 
-    /// How many entries there are.
+    /// Number of entries.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether there is no entry.
+    /// Whether there are no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Applies a patch and returns the one that undoes it.
+    /// Applies a patch and returns its inverse.
     pub fn apply(&mut self, patch: &Patch) -> Patch {
         let mut undo = Patch::new();
         for (section, named) in patch {
@@ -132,11 +131,11 @@
         undo
     }
 
-    /// The patch that leads from this content to `other`.
+    /// Returns the patch that turns this content into `other`.
     #[must_use]
     pub fn patch_to(&self, other: &Self) -> Patch {
         let mut patch = Patch::new();
-        let mut put = |section: &str, name: &str, value: Option<&str>| {
+        let mut insert = |section: &str, name: &str, value: Option<&str>| {
             let value = value.and_then(|text| serde_json::from_str(text).ok());
             patch
                 .entry(section.to_owned())
@@ -146,18 +145,18 @@
 
         for (section, name, value) in other.iter() {
             if self.get(section, name) != Some(value) {
-                put(section, name, Some(value));
+                insert(section, name, Some(value));
             }
         }
         for (section, name, _) in self.iter() {
             if other.get(section, name).is_none() {
-                put(section, name, None);
+                insert(section, name, None);
             }
         }
         patch
     }
 
-    /// All entries: section, name and canonical JSON.
+    /// Iterates over all entries as section, name and canonical JSON.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str, &str)> {
         self.entries.iter().flat_map(|(section, named)| {
             named
@@ -166,19 +165,19 @@
         })
     }
 
-    /// The entries of one section: name and canonical JSON.
+    /// Iterates over the entries of a section as name and canonical JSON.
     pub fn section(&self, section: &str) -> impl Iterator<Item = (&str, &str)> {
         let named = self.entries.get(section).into_iter().flatten();
         named.map(|(name, value)| (name.as_str(), &**value))
     }
 
-    /// One entry's canonical JSON.
+    /// Canonical JSON of one entry.
     #[must_use]
     pub fn get(&self, section: &str, name: &str) -> Option<&str> {
         self.entries.get(section)?.get(name).map(|v| &**v)
     }
 
-    /// The entries as values, for a record that carries them all.
+    /// All entries as JSON values, for a record with the full content.
     #[must_use]
     pub fn entries(&self) -> Entries {
         let mut all = Entries::new();
@@ -191,17 +190,17 @@
         all
     }
 
-    /// The content as one JSON object, as an operator would write it.
+    /// The content as one JSON object in the format that operators write.
     #[must_use]
     pub fn to_json(&self) -> Value {
         serde_json::to_value(self.entries()).unwrap_or_default()
     }
 
-    /// What this build understands of the content.
+    /// Parses the content.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Invalid`] with the path of the first offence.
+    /// Returns [`Error::Invalid`] with the path of the first invalid key.
     pub fn to_bundle(&self) -> Result<Bundle, Error> {
         let mut bundle = Bundle::default();
         for (section, name, _) in self.iter() {
@@ -210,7 +209,7 @@
         Ok(bundle)
     }
 
-    /// Sets or removes one entry and returns its former value.
+    /// Sets or removes one entry and returns its previous value.
     fn set(&mut self, section: &str, name: &str, value: Option<String>) -> Option<Box<str>> {
         self.tree.set(section, name, value.as_deref());
         match value {
@@ -230,8 +229,8 @@
     }
 }
 
-/// Writes JSON without white space and with sorted keys, so that equal values
-/// have equal bytes.
+/// Serializes JSON without whitespace and with sorted keys, so that equal
+/// values have equal bytes.
 #[must_use]
 pub fn canonical_json(value: &Value) -> String {
     sorted(value).to_string()
--- a/crates/bundle/src/digest.rs
+++ b/crates/bundle/src/digest.rs
@@ -1,24 +1,24 @@
-//! A digest over a bundle's entries that follows a change in microseconds.
+//! An incremental digest of a bundle's entries, updated within microseconds.
 //!
-//! Hashing 46,000 workspaces anew for each of 27,000 changes a day would
-//! spend the daemons' share of a core on that alone. Entries fall into 256
-//! buckets by their names' hash; a change rehashes one bucket and the root.
+//! Rehashing 46,000 workspaces for each of 27,000 changes per day would use up
+//! the daemons' CPU budget. Entries are distributed over 256 buckets by the
+//! hash of their names; a change rehashes one bucket and the root.
 
 use std::collections::BTreeMap;
 
 use crate::hash::Hash;
 
-/// How many buckets there are: one for each first byte of a name's hash.
+/// Number of buckets: one for each first byte of a name's hash.
 const BUCKETS: usize = 256;
 
-/// The hashes of all entries.
+/// Hashes of all entries, grouped into buckets.
 #[derive(Debug, Clone)]
 pub struct DigestTree {
     buckets: Vec<Bucket>,
     sums: Vec<Hash>,
 }
 
-/// The entries whose names' hashes share the first byte.
+/// Hashes of the entries whose name hashes share the first byte, by name hash.
 type Bucket = BTreeMap<Hash, Hash>;
 
 impl Default for DigestTree {
@@ -40,12 +40,12 @@
             Some(value) => bucket.insert(key, Hash::of(&[&key.0, value.as_bytes()])),
             None => bucket.remove(&key),
         };
-        // Marked as stale; the sum is made when the root is asked for, so
-        // that loading many entries costs one pass.
+        // Marks the bucket's sum as stale. Sums are computed later, so that
+        // loading many entries takes one pass.
         self.sums[at] = Hash::default();
     }
 
-    /// The digest over all entries.
+    /// Digest of all entries.
     #[must_use]
     pub fn root(&self) -> Hash {
         let sums: Vec<Hash> = (0..BUCKETS).map(|at| self.sum(at)).collect();
@@ -53,7 +53,7 @@
         Hash::of(&parts)
     }
 
-    /// Makes the sums that changes left stale.
+    /// Recomputes the stale bucket sums.
     pub fn update_sums(&mut self) {
         for at in 0..BUCKETS {
             self.sums[at] = self.sum(at);
--- a/crates/bundle/src/entry.rs
+++ b/crates/bundle/src/entry.rs
@@ -1,7 +1,7 @@
-//! One entry of a bundle, read by itself.
+//! Parsing of individual bundle entries.
 //!
-//! A change names few entries. Reading 46,000 workspaces anew for each would
-//! take a daemon 0.2 s; see docs/DECISIONS/0303-deltas.md.
+//! A change contains few entries. Parsing all 46,000 workspaces again for each
+//! change would take a daemon 0.2 s; see docs/DECISIONS/0303-deltas.md.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::content::{Content, Error};
 use crate::model::{Bundle, Class, EnginePool, Service, Shares, Workspace};
 
-/// One entry as this build understands it.
+/// One parsed entry.
 #[derive(Debug, Clone)]
 pub enum Entry {
     /// A request class.
@@ -19,25 +19,25 @@
     Workspace(Arc<Workspace>),
     /// A pool of model engines.
     Model(EnginePool),
-    /// A plain service.
+    /// A service other than a model engine.
     Service(Service),
     /// An operator's public key.
     Operator(String),
-    /// All shares, which are read together.
+    /// The whole `shares` section, which is parsed as one entry.
     Shares(Shares),
-    /// No entry any more.
+    /// The entry does not exist.
     Removed,
 }
 
 impl Entry {
-    /// Reads an entry of `content`.
+    /// Parses an entry of `content`.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Invalid`] when this build cannot make sense of it.
+    /// Returns [`Error::Invalid`] if this build cannot parse the entry.
     pub fn parse(content: &Content, section: &str, name: &str) -> Result<Self, Error> {
         if section == "shares" {
-            return shares(content).map(Self::Shares);
+            return parse_shares(content).map(Self::Shares);
         }
         let Some(text) = content.get(section, name) else {
             return Ok(Self::Removed);
@@ -58,7 +58,7 @@
 }
 
 impl Bundle {
-    /// Puts an entry in place, or takes it away.
+    /// Sets or removes an entry.
     pub(crate) fn set(&mut self, section: &str, name: &str, entry: Entry) {
         let name = name.to_owned();
         match entry {
@@ -84,7 +84,7 @@
     }
 }
 
-fn shares(content: &Content) -> Result<Shares, Error> {
+fn parse_shares(content: &Content) -> Result<Shares, Error> {
     let fields = content.section("shares").map(|(name, value)| {
         let value = serde_json::from_str(value).unwrap_or_default();
         (name.to_owned(), value)
--- a/crates/bundle/src/index.rs
+++ b/crates/bundle/src/index.rs
@@ -1,4 +1,4 @@
-//! A bundle prepared for looking things up on every request.
+//! A bundle with an index for the token lookup of every request.
 
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -14,20 +14,20 @@
 use crate::model::{Bundle, Workspace};
 
 /// A bundle with an index of its bearer tokens. A bundle may have tens of
-/// thousands of workspaces, and every request names its own by a token; going
-/// through them all would cost each request milliseconds.
+/// thousands of workspaces and every request is identified by a token; a
+/// linear search would take milliseconds per request.
 #[derive(Debug, Clone, Default)]
 pub struct IndexedBundle {
     /// The bundle.
     bundle: Bundle,
-    /// Workspace names by the SHA-256 of a token.
+    /// Workspace name by token hash.
     tokens: HashMap<Hash, Arc<str>>,
-    /// Whether two workspaces have the same token; `check` refuses that.
+    /// Whether two workspaces share a token, which `check` rejects.
     duplicate_tokens: bool,
 }
 
 impl IndexedBundle {
-    /// Prepares a bundle.
+    /// Indexes a bundle.
     #[must_use]
     pub fn new(bundle: Bundle) -> Self {
         let mut lookup = Self {
@@ -38,18 +38,18 @@
         lookup
     }
 
-    /// Follows a change of the `touched` entries, as section and name.
+    /// Updates the `changed` entries from `content`.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Invalid`] when this build cannot make sense of one;
-    /// nothing has changed then.
-    pub fn update(&mut self, content: &Content, touched: &ChangedEntries) -> Result<(), Error> {
-        let read = touched.iter().map(|(section, name)| {
+    /// Returns [`Error::Invalid`] if this build cannot parse an entry; the
+    /// bundle is then unchanged.
+    pub fn update(&mut self, content: &Content, changed: &ChangedEntries) -> Result<(), Error> {
+        let parsed = changed.iter().map(|(section, name)| {
             let entry = Entry::parse(content, section, name)?;
             Ok((section, name, entry))
         });
-        let entries: Vec<_> = read.collect::<Result<_, Error>>()?;
+        let entries: Vec<_> = parsed.collect::<Result<_, Error>>()?;
         for (section, name, entry) in entries {
             if section == "workspaces" {
                 self.unindex(name);
@@ -59,8 +59,8 @@
             }
             self.bundle.set(section, name, entry);
         }
-        // The index knows one owner of a token; if it goes, the other one
-        // stays, which only a look at all of them tells.
+        // The index holds one owner per token. When that owner is removed, the
+        // other one is only found by indexing all workspaces again.
         if self.duplicate_tokens {
             self.index_all();
         }
@@ -75,18 +75,17 @@
         }
     }
 
-    /// Adds a workspace's tokens to the index. One that is no hash stands for
-    /// no token.
+    /// Adds a workspace's tokens to the index. Invalid hashes are skipped.
     fn index(&mut self, name: &str, workspace: &Workspace) {
         let name: Arc<str> = name.into();
         for token in workspace.tokens.iter().filter_map(|t| t.parse().ok()) {
-            let before = self.tokens.insert(token, Arc::clone(&name));
-            self.duplicate_tokens |= before.is_some_and(|owner| owner != name);
+            let previous = self.tokens.insert(token, Arc::clone(&name));
+            self.duplicate_tokens |= previous.is_some_and(|owner| owner != name);
         }
     }
 
-    /// Takes a workspace's tokens out of the index, but for those that went
-    /// over to another workspace.
+    /// Removes a workspace's tokens from the index, except those that now
+    /// belong to another workspace.
     fn unindex(&mut self, name: &str) {
         let Some(workspace) = self.bundle.workspaces.get(name) else {
             return;
@@ -102,7 +101,7 @@
         }
     }
 
-    /// The workspace that a bearer token stands for.
+    /// Name of the workspace that a bearer token belongs to.
     #[must_use]
     pub fn token_workspace(&self, token: &str) -> Option<&str> {
         let hash = Hash(Sha256::digest(token.as_bytes()).into());
@@ -118,7 +117,7 @@
     }
 }
 
-/// The form in which a token stands in a bundle: hex SHA-256.
+/// The hex SHA-256 under which a bundle lists a token.
 #[must_use]
 pub fn token_hash(token: &str) -> String {
     let digest = Sha256::digest(token.as_bytes());
--- a/crates/bundle/src/keys.rs
+++ b/crates/bundle/src/keys.rs
@@ -9,28 +9,28 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Operators by name, each with a public key in base64.
+/// Base64 public keys by operator name.
 pub type Operators = BTreeMap<String, String>;
 
-/// Bytes that lead every signed message, so that a signature made for
-/// something else never fits a bundle.
+/// Prefix of every signed message (domain separation), so that a signature
+/// made for another purpose is never valid for a bundle.
 const DOMAIN: &[u8] = b"pimentocart bundle v1\n";
 
-/// An operator's secret key, as `keys new` writes it.
+/// An operator's key pair, as written by `keys new`.
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SecretKey {
     /// The operator's name.
     pub operator: String,
-    /// The secret, in base64.
+    /// Base64 secret key.
     secret: String,
-    /// The public key, in base64, for the bundle's operators.
+    /// Base64 public key, for the bundle's `operators` section.
     #[serde(rename = "public")]
     pub public_key: String,
 }
 
 impl fmt::Debug for SecretKey {
-    /// Leaves the secret out, so that no log line can carry it.
+    /// Omits the secret, so that it cannot appear in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("SecretKey")
             .field("operator", &self.operator)
@@ -39,30 +39,30 @@
     }
 }
 
-/// Why a key or a signature is of no use.
+/// Why a key or a signature is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The text is not base64 of the right length, or no point of the curve.
+    /// The text is not base64 of the right length or not a point on the curve.
     #[snafu(display(
-        "step=read_key: not a key (hint: 32 bytes in base64, as keys new prints them)"
+        "step=read_key: invalid key (hint: 32 bytes in base64, as printed by keys new)"
     ))]
     BadKey,
-    /// The operator is not among those who may sign.
+    /// The operator is not one of the trusted operators.
     #[snafu(display("step=verify: unknown operator"))]
     UnknownOperator,
-    /// The signature does not fit.
+    /// The signature does not match the message.
     #[snafu(display("step=verify: bad signature"))]
     BadSignature,
 }
 
 impl SecretKey {
-    /// Draws a new key for an operator.
+    /// Generates a random key for an operator.
     #[must_use]
     pub fn random(operator: &str) -> Self {
         Self::from_secret(operator, &rand::random())
     }
 
-    /// Makes the key from 32 secret bytes.
+    /// Creates the key from 32 secret bytes.
     #[must_use]
     pub fn from_secret(operator: &str, secret: &[u8; 32]) -> Self {
         let public = SigningKey::from_bytes(secret).verifying_key();
@@ -77,19 +77,19 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::BadKey`] when the secret is damaged.
+    /// Returns [`Error::BadKey`] if the secret cannot be decoded.
     pub fn sign(&self, message: &[u8]) -> Result<String, Error> {
         let key = SigningKey::from_bytes(&decode::<32>(&self.secret)?);
-        Ok(STANDARD.encode(key.sign(&framed(message)).to_bytes()))
+        Ok(STANDARD.encode(key.sign(&with_domain(message)).to_bytes()))
     }
 }
 
-/// Checks a signature by the named operator.
+/// Verifies the named operator's signature.
 ///
 /// # Errors
 ///
-/// Returns [`Error`] when the operator is not one of `operators` or the
-/// signature does not fit.
+/// Returns [`Error`] if the operator is not one of `operators` or the
+/// signature is invalid.
 pub fn verify(
     operators: &Operators,
     operator: &str,
@@ -99,25 +99,25 @@
     let public = operators.get(operator).ok_or(Error::UnknownOperator)?;
     let key = public_key(public)?;
     let signature = decode::<64>(signature).map_err(|_| Error::BadSignature)?;
-    key.verify_strict(&framed(message), &Signature::from_bytes(&signature))
+    key.verify_strict(&with_domain(message), &Signature::from_bytes(&signature))
         .map_err(|_| Error::BadSignature)
 }
 
-/// Reads a public key.
+/// Decodes a public key.
 ///
 /// # Errors
 ///
-/// Returns [`Error::BadKey`] when the text is none.
+/// Returns [`Error::BadKey`] if the text is not a valid key.
 pub fn public_key(text: &str) -> Result<VerifyingKey, Error> {
     let key = VerifyingKey::from_bytes(&decode::<32>(text)?).map_err(|_| Error::BadKey)?;
-    // A weak key would accept signatures that nobody made.
+    // A weak key would accept forged signatures.
     if key.is_weak() {
         return Err(Error::BadKey);
     }
     Ok(key)
 }
 
-fn framed(message: &[u8]) -> Vec<u8> {
+fn with_domain(message: &[u8]) -> Vec<u8> {
     [DOMAIN, message].concat()
 }
 
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,17 +1,16 @@
-//! Bundles: what operators declare, how it is signed, and which version of it
-//! is in force.
+//! Bundles: the operators' declarative configuration, its signatures, and the
+//! selection of the active version.
 //!
-//! - [`model`]: the declaration itself.
-//! - [`check`]: every fault of a declaration in one run.
-//! - [`content`]: the declaration as entries of canonical JSON, and changes
-//!   of it.
-//! - [`entry`]: one entry, as this build understands it.
-//! - [`digest`] and [`hash`]: what is signed in place of the content.
-//! - [`approval`]: an operator's sign-off of a bundle.
+//! - [`model`]: the data model.
+//! - [`check`]: validation that reports all errors.
+//! - [`content`]: a bundle as entries of canonical JSON, and patches to them.
+//! - [`entry`]: parsing of individual entries.
+//! - [`digest`] and [`hash`]: the incremental content digest that is signed.
+//! - [`approval`]: an operator's signed approval of a bundle.
 //! - [`keys`]: operators' keys and signatures.
 //! - [`record`]: the records in the platform's log.
-//! - [`accept`] and [`verdict`]: which record is accepted.
-//! - [`index`]: the declaration prepared for every request.
+//! - [`accept`] and [`verdict`]: the rules by which records are accepted.
+//! - [`index`]: a bundle with an index of bearer tokens.
 
 pub mod accept;
 pub mod approval;
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -1,4 +1,4 @@
-//! The declaration that operators write, sign and roll out.
+//! The data model of the configuration that operators write, sign and publish.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,63 +7,62 @@
 use base::settings::HumanDuration;
 use serde::{Deserialize, Serialize};
 
-/// Everything that operators declare, as one versioned unit. All maps are
-/// ordered, so that equal bundles have equal bytes and signatures. A section
-/// that is left out is empty: content is signed entry by entry, and an empty
-/// section has none.
+/// The operators' configuration as one versioned unit. All maps are ordered,
+/// so that equal bundles have equal bytes and signatures. A missing section is
+/// empty: content is hashed by entry, and an empty section has no entries.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bundle {
     /// Request classes by name.
     pub classes: BTreeMap<String, Class>,
-    /// Workspaces by name; shared, so that the next version of a bundle with
-    /// many of them is made without copying them.
+    /// Workspaces by name; reference-counted, so that a new version of a
+    /// bundle with many workspaces does not copy them.
     pub workspaces: BTreeMap<String, Arc<Workspace>>,
-    /// Pools of model engines by the model's name.
+    /// Engine pools by model name.
     pub models: BTreeMap<String, EnginePool>,
-    /// Plain services by name, reached under `/v1/services/{name}/`.
+    /// Services other than model engines by name, reached under `/v1/services/{name}/`.
     pub services: BTreeMap<String, Service>,
-    /// Operators who may sign the bundle after this one: name to public key
-    /// in base64.
+    /// Base64 public keys by name of the operators who may sign the next
+    /// version.
     pub operators: BTreeMap<String, String>,
-    /// The policy's shares and limits.
+    /// Shares and limits of the scheduling policy.
     pub shares: Shares,
 }
 
-/// One request class: how urgent it is and what it is promised.
+/// A request class with its priority and latency targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// The priority tier; 0 is the highest.
     pub tier: Tier,
-    /// What is promised to each accepted request.
+    /// Latency targets of each accepted request.
     pub targets: Targets,
-    /// The model or service that serves the class when a call names none.
+    /// Model or service for calls of the class that name none.
     pub model: String,
 }
 
-/// Latency targets, each counted from the request's arrival at the entry.
+/// Latency targets. Both deadlines start when the entry receives the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Targets {
-    /// Until the first piece of the answer.
+    /// Maximum time to the first token.
     pub first_token: HumanDuration,
-    /// Between two pieces of the answer, as a mean over the answer.
+    /// Maximum time between tokens, as a mean over the answer.
     pub token_gap: HumanDuration,
-    /// Until the last piece of the answer.
+    /// Maximum time to the last token.
     #[serde(rename = "whole")]
     pub full_answer: HumanDuration,
 }
 
-/// One customer and what it may use.
+/// A tenant with its credentials and permitted classes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Hex SHA-256 of each bearer token that stands for the workspace.
+    /// Hex SHA-256 of each of the workspace's bearer tokens.
     pub tokens: BTreeSet<String>,
     /// Names of the classes that the workspace may use.
     pub classes: BTreeSet<String>,
-    /// The workspace's weight in the fair share within a tier.
+    /// Weight in the fair queueing within a tier.
     #[serde(default = "one")]
     pub weight: u32,
 }
@@ -72,38 +71,38 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EnginePool {
-    /// The version that the pool's engines should have loaded.
+    /// Model version that the pool's engines should load.
     #[serde(default)]
     pub version: String,
-    /// Adapters that the pool's engines should have loaded.
+    /// Adapters that the pool's engines should load.
     #[serde(default)]
     pub adapters: BTreeSet<String>,
 }
 
-/// A plain service that stands beside the model engines.
+/// A service other than a model engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The class that its calls belong to when the caller names none.
+    /// Class of calls that name none.
     pub class: String,
-    /// Whether a call may run again when its outcome is unknown.
+    /// Whether a call may be retried when its outcome is unknown.
     #[serde(default, rename = "repeatable")]
     pub idempotent: bool,
 }
 
-/// The policy's shares and limits.
+/// Shares and limits of the scheduling policy.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Shares {
-    /// Share of starts that goes to the longest waiting lower-tier work,
+    /// Share of starts reserved for the longest waiting lower-tier requests,
     /// between 0 and 0.5.
     #[serde(rename = "guaranteed")]
     pub guaranteed_share: f64,
     /// Retries allowed per grant of a class, between 0 and 1.
     #[serde(rename = "retries")]
     pub retry_ratio: f64,
-    /// Share of a pool's servers that may be set aside at once, between 0
-    /// and 0.5.
+    /// Maximum share of a pool's servers that may be ejected at once, between
+    /// 0 and 0.5.
     #[serde(rename = "ejected")]
     pub max_ejected: f64,
 }
--- a/crates/bundle/src/record.rs
+++ b/crates/bundle/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the bundle's stream in the platform's log.
+//! Records of the bundle stream in the platform's log.
 
 use base::ids::{BundleSequence, Offset};
 use serde::{Deserialize, Serialize};
@@ -7,27 +7,28 @@
 use crate::hash::Hash;
 use crate::keys::{self, Operators, SecretKey, verify};
 
-/// Largest record, in bytes. Larger content travels in parts.
+/// Maximum record size in bytes. Larger content is split into parts.
 pub const RECORD_MAX_BYTES: usize = 256 << 10;
 
-/// Bytes of entries in one part, which leaves room for its other fields.
+/// Maximum size in bytes of the entries in a part, leaving room for its other
+/// fields.
 pub const PART_MAX_BYTES: usize = RECORD_MAX_BYTES - (4 << 10);
 
-/// What an operator signs: one step from a version to the next.
+/// The signed metadata of a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Header {
-    /// The new version's number: the parent's plus one.
+    /// Sequence number: the parent's plus one.
     pub sequence: BundleSequence,
-    /// The parent's [`SignedHeader::id`]; all zero for the first version.
+    /// [`SignedHeader::id`] of the parent version; all zero for the first.
     pub parent: Hash,
-    /// Digest of the whole content after the step.
+    /// Digest of the version's full content.
     pub digest: Hash,
-    /// Hash of the operators who may sign the next step.
+    /// Hash of the operators who may sign the next version.
     pub operators: Hash,
-    /// Who signs.
+    /// Name of the signing operator.
     pub operator: String,
-    /// The earlier version whose content this one restores, if any.
+    /// Earlier version whose content this one restores (rollback), if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub restores: Option<BundleSequence>,
 }
@@ -36,9 +37,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedHeader {
-    /// What is signed.
+    /// The header.
     pub header: Header,
-    /// The signature over the header's canonical bytes, in base64.
+    /// Base64 signature over the header's canonical bytes.
     pub signature: String,
 }
 
@@ -46,67 +47,67 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case", tag = "kind")]
 pub enum Record {
-    /// A step that an operator publishes.
+    /// A version published by an operator.
     Change {
-        /// The signed step.
+        /// The signed header.
         signed: SignedHeader,
-        /// The content that it leads to.
+        /// The version's content.
         payload: Payload,
     },
-    /// A version accepted earlier, appended again by a daemon so that it
+    /// A snapshot of the state, appended by a daemon so that the active version
     /// outlives the log's retention.
     Checkpoint(Checkpoint),
-    /// A part of content that is too large for one record.
+    /// A part of content that exceeds the record size.
     Part {
-        /// The digest of the whole content.
+        /// Digest of the full content.
         digest: Hash,
-        /// The part's number, from 0.
+        /// Index of the part, from 0.
         index: u32,
-        /// Its entries.
+        /// Entries in the part.
         entries: Entries,
     },
 }
 
-/// How a record carries its content.
+/// The content of a record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Payload {
     /// All entries.
     #[serde(rename = "whole")]
     Full(Entries),
-    /// What changed since the parent.
+    /// Patch to the parent's content.
     Delta(Patch),
-    /// All entries, in that many parts before this record.
+    /// All entries, in this number of preceding part records.
     Parts(u32),
 }
 
-/// A version as one reader of the log accepted it.
+/// Snapshot of a log reader's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
-    /// The version's signed header.
+    /// Signed header of the version.
     pub signed: SignedHeader,
-    /// Where it was accepted.
+    /// Offset of the record that was accepted.
     #[serde(rename = "at")]
     pub accepted_offset: Offset,
-    /// The last offset that its writer had judged: the version was in force
-    /// after all records up to there.
+    /// Last offset that the writer had processed. The version was active after
+    /// all records up to and including it.
     #[serde(rename = "judged")]
     pub processed: Offset,
-    /// What proves that its operator may sign, from a settings' trust root
-    /// on.
+    /// Chain of trust from the operators in the settings to the version's
+    /// signer.
     pub chain: Vec<OperatorChange>,
-    /// Its content.
+    /// The version's content.
     pub payload: Payload,
 }
 
-/// A version that changed who may sign.
+/// A link in the chain of trust: a version that changed the operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorChange {
-    /// The version's signed header.
+    /// Signed header of the version.
     pub signed: SignedHeader,
-    /// Who may sign after it.
+    /// Operators who may sign the versions after it.
     pub operators: Operators,
 }
 
@@ -115,24 +116,24 @@
     ///
     /// # Errors
     ///
-    /// Returns [`keys::Error`] when the key is damaged.
+    /// Returns [`keys::Error`] if the key cannot be decoded.
     pub fn new(header: Header, key: &SecretKey) -> Result<Self, keys::Error> {
         let signature = key.sign(&header.bytes())?;
         Ok(Self { header, signature })
     }
 
-    /// The record's identity: the hash of the signed bytes. The same step
-    /// signed twice has the same identity.
+    /// Identifier: the hash of the signed bytes. Signing the same header twice
+    /// gives the same identifier.
     #[must_use]
     pub fn id(&self) -> Hash {
         Hash::of(&[&self.header.bytes()])
     }
 
-    /// Checks the signature against those who may sign.
+    /// Verifies the signature against the operators who may sign.
     ///
     /// # Errors
     ///
-    /// Returns [`keys::Error`] when it does not fit.
+    /// Returns [`keys::Error`] if the signature is invalid.
     pub fn verify(&self, operators: &Operators) -> Result<(), keys::Error> {
         let header = &self.header;
         verify(
@@ -145,23 +146,23 @@
 }
 
 impl Header {
-    /// The canonical bytes: JSON with the fields in the order of the type.
+    /// Canonical bytes: JSON with the fields in declaration order.
     #[must_use]
     pub fn bytes(&self) -> Vec<u8> {
-        // Numbers and strings only, which always serialize.
+        // The fields are numbers and strings, which always serialize.
         serde_json::to_vec(self).unwrap_or_default()
     }
 }
 
 impl Record {
-    /// The record as the log keeps it.
+    /// Serializes the record for the log.
     #[must_use]
     pub fn bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 }
 
-/// The hash of a set of operators, as a [`Header`] carries it.
+/// Hash of a set of operators for a [`Header`].
 #[must_use]
 pub fn operators_hash(operators: &Operators) -> Hash {
     let parts = operators
@@ -170,7 +171,7 @@
     Hash::of(&parts.collect::<Vec<_>>())
 }
 
-/// The operators that content names.
+/// The `operators` section of `content`.
 #[must_use]
 pub fn content_operators(content: &Content) -> Operators {
     let key = |value| serde_json::from_str(value).unwrap_or_default();
@@ -180,8 +181,8 @@
         .collect()
 }
 
-/// Splits content into records of at most about `limit` bytes each. The
-/// record that names their count follows them in the log.
+/// Splits content into part records of at most about `limit` bytes each. The
+/// record that contains their count follows them in the log.
 #[must_use]
 pub fn split_parts(content: &Content, limit: usize) -> Vec<Record> {
     let digest = content.digest();
@@ -189,7 +190,7 @@
     let mut entries = Entries::new();
     let mut size = 0;
 
-    let mut close = |entries: &mut Entries| {
+    let mut flush = |entries: &mut Entries| {
         let index = u32::try_from(parts.len()).unwrap_or(u32::MAX);
         let entries = std::mem::take(entries);
         parts.push(Record::Part {
@@ -199,10 +200,11 @@
         });
     };
     for (section, name, value) in content.iter() {
-        // Quotes, colon, comma and a section of its own in the worst case.
+        // 16 bytes cover quotes, colons, commas and the braces of a new
+        // section in the worst case.
         let cost = section.len() + name.len() + value.len() + 16;
         if size + cost > limit && !entries.is_empty() {
-            close(&mut entries);
+            flush(&mut entries);
             size = 0;
         }
         size += cost;
@@ -211,7 +213,7 @@
         named.insert(name.to_owned(), value);
     }
     if !entries.is_empty() {
-        close(&mut entries);
+        flush(&mut entries);
     }
     parts
 }
--- a/crates/bundle/src/verdict.rs
+++ b/crates/bundle/src/verdict.rs
@@ -1,42 +1,42 @@
-//! What became of a record, by the one rule that all readers share.
+//! Results of evaluating a record. All readers reach the same result.
 
 use std::fmt::{self, Display, Formatter};
 
 use base::ids::BundleSequence;
 use serde::{Deserialize, Serialize};
 
-/// What became of one record of the stream.
+/// Result of evaluating one record of the stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// A change is in force from here on.
+    /// The change was accepted and is the active version from this offset on.
     Accepted(BundleSequence),
-    /// Another record for the same parent stands earlier in the log.
+    /// Another change to the same parent precedes this one in the log.
     Conflict {
-        /// The version that won.
+        /// The accepted version.
         winner: BundleSequence,
-        /// Who signed it.
+        /// Name of the operator who signed the accepted version.
         operator: String,
     },
-    /// A checkpoint told this reader of a version that it had missed.
+    /// A version that this reader had missed was installed from a checkpoint.
     Adopted(BundleSequence),
-    /// A checkpoint of the version in force, or one written before its
-    /// writer could know a later version.
+    /// A checkpoint of the active version, or an older one whose writer had not
+    /// yet read the active version.
     Known,
-    /// A checkpoint whose writer had read past a version in force here and
-    /// does not know it; its writer must be told by another checkpoint.
+    /// A checkpoint whose writer had processed the active version's offset
+    /// without accepting that version. A newer checkpoint must correct it.
     StaleCheckpoint,
-    /// A part of larger content was kept for the record that needs it.
+    /// A part of content was buffered for the record that refers to it.
     PartBuffered,
-    /// The reader has missed records and cannot judge before it finds a
-    /// checkpoint.
+    /// The reader has missed records and cannot evaluate changes until it finds
+    /// a checkpoint.
     NotEvaluated,
-    /// The offset was judged before.
+    /// The offset was processed before.
     Duplicate,
-    /// The record is of no effect, whatever follows.
+    /// The record is invalid and has no effect.
     Refused(RecordError),
 }
 
-/// Why a record is of no effect.
+/// Why a record was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordError {
@@ -44,20 +44,21 @@
     TooLarge,
     /// It is not a record.
     Unreadable,
-    /// Its operator may not sign.
+    /// Its operator is not allowed to sign.
     UnknownOperator,
-    /// Its signature does not fit.
+    /// Its signature is invalid.
     BadSignature,
-    /// Its parent is not the version in force, and never was its rival.
+    /// Its parent is not the active version, and it did not compete with a past
+    /// version for the same parent.
     WrongParent,
-    /// It was accepted before, or is older than anything remembered.
+    /// It was accepted before, or is older than the history that is kept.
     Replayed,
-    /// Its content is incomplete or has another digest than was signed.
+    /// Its content is incomplete or does not match the signed digest.
     BadContent,
 }
 
 impl Verdict {
-    /// Every label, for setting up counters.
+    /// All labels, for registering counters.
     pub const LABELS: [&'static str; 15] = [
         "accepted",
         "beaten",
@@ -76,7 +77,7 @@
         "bad_content",
     ];
 
-    /// The word used in labels and logs.
+    /// The name used in metric labels and logs.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -88,13 +89,13 @@
             Self::PartBuffered => "kept",
             Self::NotEvaluated => "unjudged",
             Self::Duplicate => "repeated",
-            Self::Refused(fault) => fault.as_str(),
+            Self::Refused(error) => error.as_str(),
         }
     }
 }
 
 impl RecordError {
-    /// The word used in labels and logs.
+    /// The name used in metric labels and logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/claims/src/claim.rs
+++ b/crates/claims/src/claim.rs
@@ -1,4 +1,4 @@
-//! A key that is owned by one call.
+//! A claimed key, owned by one call.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,13 +10,13 @@
 use crate::claims::Claims;
 use crate::record::CallOutcome;
 
-/// A key that is owned. Dropped without an end, it is released if the call
-/// never began, and left as unknown if it did.
+/// A claimed key. If dropped without an outcome, the key is released if the
+/// call was never started; otherwise the outcome is recorded as unknown.
 pub struct Claim {
     claims: Rc<Claims>,
     key: Hash,
     ticket: RequestId,
-    /// The call must not begin after this.
+    /// The call must not start at or after this time.
     start_deadline: Instant,
     started: Cell<bool>,
     finished: Cell<bool>,
@@ -39,12 +39,14 @@
         }
     }
 
-    /// Whether the call may begin now; from then on it may have run.
+    /// Marks the call as started and returns true, or returns false if the
+    /// start deadline has passed.
     ///
-    /// A process that stood still since the claim would otherwise begin a
-    /// call whose key another entry owns by now, and the call would run
-    /// twice. Asked after the last wait before the grant, on the monotonic
-    /// clock, with a margin for the way to the backend server, it cannot.
+    /// Without the deadline, a process that was suspended after the claim
+    /// could start a call whose key another entry owns by now, and the call
+    /// would run twice. Must be called after the last wait before the grant.
+    /// The deadline is on the monotonic clock and includes a margin for the
+    /// delivery to the backend server.
     #[must_use]
     pub fn try_start(&self, now: Instant) -> bool {
         if now >= self.start_deadline {
@@ -54,7 +56,7 @@
         true
     }
 
-    /// Tells how the call ended.
+    /// Records the outcome of the call; only the first one counts.
     pub fn finish(&self, outcome: CallOutcome) {
         if !self.finished.replace(true) {
             self.claims.finish(self.key, self.ticket, outcome);
@@ -64,11 +66,11 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        let end = match self.started.get() {
+        let outcome = match self.started.get() {
             true => CallOutcome::Unknown,
             false => CallOutcome::NotRun,
         };
-        self.finish(end);
+        self.finish(outcome);
     }
 }
 
--- a/crates/claims/src/claims.rs
+++ b/crates/claims/src/claims.rs
@@ -1,4 +1,4 @@
-//! Appending claims in batches and learning who won.
+//! Appends claims in batches and determines which of them own their keys.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,50 +19,51 @@
 use crate::record::{CallOutcome, ClaimEnd, ClaimRequest, Record, TicketText};
 use crate::table::{ClaimTable, KeyOwner};
 
-/// Most records in one read.
-const PAGE: usize = 500;
+/// Maximum number of records per read.
+const PAGE_RECORDS: usize = 500;
 
-/// Most claims in one record, which keeps it far below the log's limit.
-const BATCH: usize = 200;
+/// Maximum number of claims, and of ends, in one record, which keeps its size
+/// far below the log's limit.
+const MAX_BATCH: usize = 200;
 
-/// How long an end may wait for a claim to travel with.
+/// Maximum time that an end waits to be appended together with a claim.
 const END_DELAY: Duration = Duration::from_millis(250);
 
-/// How often the table is kept up to date while there is nothing to append,
-/// so that a later claim finds little to read.
-const IDLE_READ: Duration = Duration::from_secs(5);
+/// Interval of reads while there is nothing to append, so that the next claim
+/// has little to catch up on.
+const IDLE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The pause after a failed call of the log.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Pause after a failed log call.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Ends that wait for the log at the most. What is dropped stays owned until
-/// it lapses, which is safe.
-const ENDS: usize = 10_000;
+/// Maximum number of queued ends. The key of a dropped end stays owned until
+/// the claim expires, which is safe.
+const MAX_ENDS: usize = 10_000;
 
-/// Time before a claim lapses in which its call may no longer begin, for the
-/// way to the backend server.
-const MARGIN: Duration = Duration::from_secs(5);
+/// Time before the expiry of a claim during which its call may no longer
+/// start, to cover the delivery to the backend server.
+const START_MARGIN: Duration = Duration::from_secs(5);
 
-/// When to ask again about a call that goes on elsewhere.
-const IN_PROGRESS: Duration = Duration::from_secs(2);
+/// Retry delay for a call that is in progress elsewhere.
+const IN_PROGRESS_RETRY: Duration = Duration::from_secs(2);
 
-/// Longest time that a call waits for its claim.
+/// Maximum time that a call waits for its claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the operators set.
+/// Settings of [`Claims`].
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where the platform's log listens.
+    /// Address of the platform's log.
     pub log: SocketAddr,
     /// The entry's name.
     pub entry_name: String,
-    /// How long a key is owned.
+    /// How long a claim owns its key.
     pub claim_window: HumanDuration,
-    /// Least time between two appends; claims that come meanwhile share one.
+    /// Minimum time between appends; claims made in between share a record.
     pub append_interval: HumanDuration,
 }
 
-/// Claims keys for one entry.
+/// Claims idempotency keys for one entry.
 pub struct Claims {
     log: Log,
     settings: Settings,
@@ -70,32 +71,33 @@
     table: RefCell<ClaimTable>,
     pending: RefCell<Vec<PendingClaim>>,
     ends: RefCell<Vec<ClaimEnd>>,
-    /// Whether the log was read to its end since the last failure.
+    /// Whether the log was read to its end since the last failure or idle
+    /// interval.
     caught_up: Cell<bool>,
     wake: Notify,
 }
 
-/// Why a key was not claimed. The call has not run.
+/// The key could not be claimed. The call was not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimDenied {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Refusal,
-    /// What is known of the call that owns the key.
+    /// Outcome of the call that owns the key, if known.
     pub outcome: Option<CallOutcome>,
-    /// When the key will be free, if that is known.
+    /// When to retry, if known.
     pub retry_after: Option<Duration>,
 }
 
-/// A claim that waits for the log.
+/// A claim that is waiting for the log.
 struct PendingClaim {
     claimed: ClaimRequest,
-    /// When the wait began, before the claim can have been appended.
+    /// Time at which it was queued, which is before it can be appended.
     queued_at: Instant,
     reply: oneshot::Sender<Result<Claim, ClaimDenied>>,
 }
 
 impl Claims {
-    /// Starts to follow and to append claims.
+    /// Starts the task that reads and appends claims.
     #[must_use]
     pub fn start(settings: Settings, clock: Rc<dyn Clock>) -> Rc<Self> {
         let window_ms = u64::try_from(settings.claim_window.0.as_millis()).unwrap_or(u64::MAX);
@@ -113,12 +115,13 @@
         claims
     }
 
-    /// Claims a workspace's key for a call that asks for what `body` hashes.
+    /// Claims a workspace's key for a call; `body` is the hash of its request
+    /// body.
     ///
     /// # Errors
     ///
-    /// Returns [`ClaimDenied`] when the key is not this call's. The call has not
-    /// run then.
+    /// Returns [`ClaimDenied`] if another call owns the key or the log is
+    /// unavailable. The call was not executed.
     pub async fn claim(
         &self,
         workspace: &str,
@@ -127,10 +130,10 @@
         ticket: RequestId,
     ) -> Result<Claim, ClaimDenied> {
         let key = key_hash(workspace, key);
-        // Known to be taken already: no need to append. The owner may have
-        // released the key since this entry last read the log.
+        // If the key is known to be owned, nothing is appended. The log is read
+        // once more because the owner may have released the key since.
         if let Some(denied) = self.known_denial(&key, body) {
-            if denied.outcome.is_some() || self.read(None).await.is_err() {
+            if denied.outcome.is_some() || self.read_log(None).await.is_err() {
                 return Err(denied);
             }
             if let Some(denied) = self.known_denial(&key, body) {
@@ -151,16 +154,16 @@
         self.wake.notify_one();
         match tokio::time::timeout(CLAIM_TIMEOUT, answer).await {
             Ok(Ok(outcome)) => outcome,
-            // The claim may be appended yet; nobody takes it up, so it is
-            // released then.
+            // The claim may still be appended. It is then released because its
+            // receiver is gone.
             Ok(Err(_)) | Err(_) => Err(log_unavailable()),
         }
     }
 
-    /// Tells how a call with a key ended.
+    /// Queues the outcome of a call for the next append.
     pub(crate) fn finish(&self, key: Hash, ticket: RequestId, outcome: CallOutcome) {
         let mut ends = self.ends.borrow_mut();
-        if ends.len() < ENDS {
+        if ends.len() < MAX_ENDS {
             ends.push(ClaimEnd {
                 key,
                 ticket: TicketText(ticket),
@@ -171,10 +174,10 @@
         self.wake.notify_one();
     }
 
-    /// Whether a key is known to be owned by another call.
+    /// The denial for a key that is known to be owned by another call.
     fn known_denial(&self, key: &Hash, body: Hash) -> Option<ClaimDenied> {
-        // Claims lapse by the log's clock alone. By this host's clock, were
-        // it ahead, a key would seem free here while its call still runs.
+        // Claims expire on the log's clock only. If this host's clock were
+        // ahead, a key would appear free here while its call still runs.
         let table = self.table.borrow();
         table.owner(key).map(|owner| self.denial(owner, body))
     }
@@ -187,12 +190,12 @@
                 retry_after: None,
             };
         }
-        // More may be known soon of a call that goes on; one that ended keeps
-        // its key until the claim lapses.
-        let left = owner.expires_ms.saturating_sub(self.clock.wall_ms());
+        // A call in progress may end soon. A call that ended keeps its key until
+        // the claim expires.
+        let remaining_ms = owner.expires_ms.saturating_sub(self.clock.wall_ms());
         let after = match owner.outcome {
-            None => IN_PROGRESS,
-            Some(_) => Duration::from_millis(left),
+            None => IN_PROGRESS_RETRY,
+            Some(_) => Duration::from_millis(remaining_ms),
         };
         ClaimDenied {
             reason: Refusal::KeyInUse,
@@ -201,14 +204,17 @@
         }
     }
 
-    /// Reads the log to `to`, or to its end.
-    async fn read(&self, to: Option<Offset>) -> Result<(), Error> {
+    /// Reads the log up to and including `to`, or to its end.
+    async fn read_log(&self, to: Option<Offset>) -> Result<(), Error> {
         loop {
             let from = self.table.borrow().next_offset();
             if to.is_some_and(|to| from > to) {
                 return Ok(());
             }
-            let page = self.log.read(STREAM, from, PAGE, Duration::ZERO).await?;
+            let page = self
+                .log
+                .read(STREAM, from, PAGE_RECORDS, Duration::ZERO)
+                .await?;
             let mut table = self.table.borrow_mut();
             table.skip_expired(page.first);
             table.limit_window(page.retention_ms);
@@ -222,11 +228,11 @@
         }
     }
 
-    /// Appends one batch and answers those who wait for it.
+    /// Appends one batch and replies to its waiting calls.
     async fn flush(self: &Rc<Self>) {
-        let mut batch = take(&mut self.pending.borrow_mut());
-        let ends = take(&mut self.ends.borrow_mut());
-        // Nobody waits for these any more.
+        let mut batch = take_batch(&mut self.pending.borrow_mut());
+        let ends = take_batch(&mut self.ends.borrow_mut());
+        // Drops claims whose callers have stopped waiting.
         batch.retain(|p| !p.reply.is_closed());
         if batch.is_empty() && ends.is_empty() {
             return;
@@ -240,7 +246,7 @@
         match self.append(&record).await {
             Ok(()) => self.resolve(batch),
             Err(e) => {
-                debug!("claims not appended", kv: { error = e.to_string().as_str() });
+                debug!("claim append failed", kv: { error = e.to_string().as_str() });
                 self.caught_up.set(false);
                 self.deny_batch(batch, record.ends);
             }
@@ -254,11 +260,11 @@
         let outcome = if appended.is_ok() { "ok" } else { "failed" };
         metrics::counter!("pimentocart_log_appends_total", "stream" => STREAM, "outcome" => outcome)
             .increment(1);
-        // What stands before the claims decides who owns the keys.
-        self.read(Some(appended?)).await
+        // The records before this one decide which claims own their keys.
+        self.read_log(Some(appended?)).await
     }
 
-    /// Tells those who wait whether the key is theirs.
+    /// Replies to the waiting calls of an appended batch.
     fn resolve(self: &Rc<Self>, batch: Vec<PendingClaim>) {
         for PendingClaim {
             claimed,
@@ -269,7 +275,7 @@
             let ticket = claimed.ticket.0;
             let table = self.table.borrow();
             let window = table.window();
-            let start_deadline = queued_at + window.saturating_sub(MARGIN.min(window / 4));
+            let start_deadline = queued_at + window.saturating_sub(START_MARGIN.min(window / 4));
             let outcome = match table.owner(&claimed.key) {
                 Some(owner) if owner.ticket == ticket => Ok(Claim::new(
                     Rc::clone(self),
@@ -278,24 +284,25 @@
                     start_deadline,
                 )),
                 Some(owner) => Err(self.denial(owner, claimed.body)),
-                // Lapsed while the log was slow.
+                // The claim expired while the log was slow.
                 None => Err(log_unavailable()),
             };
             drop(table);
             let label = outcome.as_ref().err().map_or("won", |d| d.reason.as_str());
             metrics::counter!("pimentocart_claims_total", "outcome" => label).increment(1);
-            // Dropped by the caller, a claim releases its key by itself.
+            // If the receiver is gone, the claim is dropped and releases its
+            // key.
             let _ = reply.send(outcome);
         }
     }
 
-    /// Refuses those who wait. Their claims may stand in the log all the
-    /// same, so they are released once it answers again.
+    /// Denies the waiting calls and queues the release of their claims, which
+    /// may have been appended nevertheless.
     fn deny_batch(&self, batch: Vec<PendingClaim>, ends: Vec<ClaimEnd>) {
-        let mut kept = self.ends.borrow_mut();
-        kept.extend(ends);
+        let mut queued_ends = self.ends.borrow_mut();
+        queued_ends.extend(ends);
         for PendingClaim { claimed, reply, .. } in batch {
-            kept.push(ClaimEnd {
+            queued_ends.push(ClaimEnd {
                 key: claimed.key,
                 ticket: claimed.ticket,
                 outcome: CallOutcome::NotRun,
@@ -304,11 +311,11 @@
                 .increment(1);
             let _ = reply.send(Err(log_unavailable()));
         }
-        kept.truncate(ENDS);
+        queued_ends.truncate(MAX_ENDS);
     }
 }
 
-/// The hash that stands for a workspace's key.
+/// Hash that identifies a workspace's key.
 #[must_use]
 pub fn key_hash(workspace: &str, key: &str) -> Hash {
     Hash::of(&[workspace.as_bytes(), key.as_bytes()])
@@ -322,13 +329,13 @@
     }
 }
 
-/// Up to a batch's worth from the front.
-fn take<T>(from: &mut Vec<T>) -> Vec<T> {
-    let rest = from.split_off(from.len().min(BATCH));
+/// Takes up to [`MAX_BATCH`] items from the front.
+fn take_batch<T>(from: &mut Vec<T>) -> Vec<T> {
+    let rest = from.split_off(from.len().min(MAX_BATCH));
     std::mem::replace(from, rest)
 }
 
-/// Serves one entry's claims for as long as anybody holds them.
+/// Reads and appends claims until the last other reference is dropped.
 async fn run(claims: Rc<Claims>) {
     let mut last = claims.clock.now();
     loop {
@@ -336,15 +343,15 @@
         if Rc::strong_count(&claims) == 1 {
             return;
         }
-        if !claims.caught_up.get() && claims.read(None).await.is_err() {
+        if !claims.caught_up.get() && claims.read_log(None).await.is_err() {
             let batch = std::mem::take(&mut *claims.pending.borrow_mut());
             claims.deny_batch(batch, Vec::new());
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         }
         claims.caught_up.set(true);
 
-        // Claims that come while the last append is young share the next.
+        // Claims made within the interval after an append share the next one.
         let since = claims.clock.now().saturating_duration_since(last);
         tokio::time::sleep(claims.settings.append_interval.0.saturating_sub(since)).await;
         last = claims.clock.now();
@@ -353,9 +360,9 @@
 }
 
 impl Claims {
-    /// Waits until there is something to append or it is time to read.
+    /// Waits until there is something to append or the idle interval is over.
     async fn wait(&self) {
-        let idle = tokio::time::Instant::now() + IDLE_READ;
+        let idle = tokio::time::Instant::now() + IDLE_INTERVAL;
         let mut ends_due = None;
         loop {
             let woken = self.wake.notified();
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,14 +1,15 @@
-//! Claims of idempotency keys in the platform's log, so that a call that must
-//! not be repeated runs at most once, whichever entries its caller tries.
+//! Claims of idempotency keys in the platform's log. They ensure that a call
+//! that must not be repeated runs at most once, even if the caller sends it to
+//! several entries.
 //!
 //! An entry appends a claim before it grants the call; the first claim in the
 //! log's order owns the key for a window shorter than the log's retention.
 //! See docs/DECISIONS/0302-claims.md.
 //!
-//! - [`record`]: what stands in the log.
-//! - [`table`]: who owns which key, by the log's order.
-//! - [`claims`]: appending claims in batches and learning who won.
-//! - [`claim`]: a key that is owned.
+//! - [`record`]: the log records.
+//! - [`table`]: the owners of keys according to the log's order.
+//! - [`claims`]: appending claims in batches.
+//! - [`claim`]: a claimed key.
 
 pub mod claim;
 pub mod claims;
@@ -19,5 +20,5 @@
 pub use claims::{ClaimDenied, Claims, Settings};
 pub use record::CallOutcome;
 
-/// The stream that carries the claims.
+/// Name of the log stream for claims.
 pub const STREAM: &str = "claims";
--- a/crates/claims/src/record.rs
+++ b/crates/claims/src/record.rs
@@ -1,4 +1,4 @@
-//! What stands in the log: claims and how they ended, several to a record.
+//! Log records. A record contains a batch of claims and ends of claims.
 
 use base::ids::RequestId;
 use bundle::Hash;
@@ -8,10 +8,10 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// The entry that wrote it.
+    /// Name of the entry that wrote the record.
     pub entry: String,
-    /// How earlier claims of this entry ended; they count before the claims
-    /// of the same record.
+    /// Ends of this entry's earlier claims, which apply before the claims of
+    /// the same record.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ends: Vec<ClaimEnd>,
     /// New claims.
@@ -23,48 +23,49 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimRequest {
-    /// Hash of the workspace and its key.
+    /// Hash of the workspace and the idempotency key.
     pub key: Hash,
-    /// Hash of what the call asks for.
+    /// Hash of the request body.
     pub body: Hash,
-    /// The call.
+    /// Ticket of the call.
     pub ticket: TicketText,
 }
 
-/// How a claim ended.
+/// The end of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimEnd {
-    /// Hash of the workspace and its key.
+    /// Hash of the workspace and the idempotency key.
     pub key: Hash,
-    /// The call that owned it.
+    /// Ticket of the call that owned the key.
     pub ticket: TicketText,
-    /// How it ended.
+    /// Outcome of the call.
     #[serde(rename = "end")]
     pub outcome: CallOutcome,
 }
 
-/// How a call with a key ended.
+/// Outcome of a call with a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallOutcome {
-    /// It did not run and never will; the key is free again.
+    /// It was not executed and never will be; the key is released.
     NotRun,
-    /// Its whole answer was made.
+    /// It produced its complete answer.
     #[serde(rename = "whole")]
     Completed,
-    /// It may have run.
+    /// It may have been executed.
     Unknown,
 }
 
-/// A ticket as text: JSON numbers end at 64 bits in many readers.
+/// A ticket serialized as text, since many JSON parsers limit numbers to
+/// 64 bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TicketText(pub RequestId);
 
 impl From<TicketText> for String {
-    fn from(mark: TicketText) -> Self {
-        mark.0.to_string()
+    fn from(ticket: TicketText) -> Self {
+        ticket.0.to_string()
     }
 }
 
--- a/crates/claims/src/table.rs
+++ b/crates/claims/src/table.rs
@@ -1,4 +1,4 @@
-//! Who owns which key, by the log's order. The same at every reader.
+//! The owners of keys according to the log's order, identical for all readers.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -9,13 +9,13 @@
 
 use crate::record::{CallOutcome, ClaimEnd, ClaimRequest, Record};
 
-/// Who owns which key.
+/// The owners of keys.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimTable {
-    /// How long a claim owns its key, in the log's milliseconds.
+    /// How long a claim owns its key, in ms.
     window_ms: u64,
     owners: HashMap<Hash, KeyOwner>,
-    /// When claims lapse, the first to lapse first.
+    /// Expiry times of claims in ms of the log's clock, earliest first.
     expiries: VecDeque<(u64, Hash, RequestId)>,
     next_offset: Offset,
 }
@@ -23,20 +23,20 @@
 /// The call that owns a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyOwner {
-    /// The call.
+    /// Ticket of the call.
     pub ticket: RequestId,
-    /// Hash of what it asks for.
+    /// Hash of the request body.
     pub body: Hash,
-    /// The entry that granted it.
+    /// Name of the entry that claimed the key.
     pub entry: Rc<str>,
-    /// When the claim lapses, in the log's milliseconds.
+    /// Expiry time of the claim, in ms of the log's clock.
     pub expires_ms: u64,
-    /// How it ended, if that is known.
+    /// Outcome of the call, if known.
     pub outcome: Option<CallOutcome>,
 }
 
 impl ClaimTable {
-    /// Makes an empty table.
+    /// Creates an empty table; claims own their keys for `window_ms`.
     #[must_use]
     pub fn new(window_ms: u64) -> Self {
         Self {
@@ -51,68 +51,69 @@
         Duration::from_millis(self.window_ms)
     }
 
-    /// Keeps the window below half of the log's retention, so that a claim
-    /// never expires while it owns its key; 0 stands for no retention.
+    /// Limits the window to half of the log's retention, so that a record never
+    /// expires from the log while its claims own their keys; 0 means unlimited
+    /// retention.
     pub fn limit_window(&mut self, retention_ms: u64) {
         if retention_ms > 0 {
             self.window_ms = self.window_ms.min(retention_ms / 2);
         }
     }
 
-    /// The offset to read next.
+    /// Offset of the next record to read.
     #[must_use]
     pub fn next_offset(&self) -> Offset {
         self.next_offset
     }
 
-    /// Notes that the log has nothing before `first` any more. What expired
-    /// unread has lapsed too: the window is shorter than the retention.
+    /// Records that everything before `first` has expired from the log. Claims
+    /// in records that expired unread have expired too because the window is
+    /// shorter than the retention.
     pub fn skip_expired(&mut self, first: Offset) {
         self.next_offset = self.next_offset.max(first);
     }
 
-    /// Takes in the record at `offset`, appended at `time_ms` of the log's
-    /// clock.
+    /// Applies the record at `offset`, appended at `time_ms` on the log's clock.
     pub fn apply(&mut self, offset: Offset, time_ms: u64, body: &str) {
         if offset < self.next_offset {
             return;
         }
         self.next_offset = Offset(offset.0 + 1);
         self.expire_claims(time_ms);
-        // A record of a later build that this one cannot read must not stop
-        // the claims after it.
+        // A record written by a newer build may be unreadable here. It must not
+        // block the records after it.
         let Ok(record) = serde_json::from_str::<Record>(body) else {
             return;
         };
 
         let entry: Rc<str> = record.entry.into();
         for ended in &record.ends {
-            self.end(ended);
+            self.apply_end(ended);
         }
         for claimed in &record.claims {
-            self.claim(claimed, &entry, time_ms);
+            self.apply_claim(claimed, &entry, time_ms);
         }
     }
 
-    /// Who owns a key now.
+    /// The current owner of a key.
     #[must_use]
     pub fn owner(&self, key: &Hash) -> Option<&KeyOwner> {
         self.owners.get(key)
     }
 
-    /// How many keys are owned.
+    /// Number of owned keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.owners.len()
     }
 
-    /// Whether no key is owned.
+    /// Whether no keys are owned.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
     }
 
-    /// Forgets claims that lapsed before `now_ms`.
+    /// Removes claims that have expired by `now_ms`.
     pub fn expire_claims(&mut self, now_ms: u64) {
         while let Some((expires_ms, key, ticket)) = self.expiries.front().copied() {
             if expires_ms > now_ms {
@@ -125,8 +126,8 @@
         }
     }
 
-    /// The first claim owns the key; the later ones change nothing.
-    fn claim(&mut self, claimed: &ClaimRequest, entry: &Rc<str>, time_ms: u64) {
+    /// Applies a claim. The first claim owns the key; later ones are ignored.
+    fn apply_claim(&mut self, claimed: &ClaimRequest, entry: &Rc<str>, time_ms: u64) {
         if self.owners.contains_key(&claimed.key) {
             return;
         }
@@ -143,7 +144,7 @@
         self.expiries.push_back((expires_ms, claimed.key, ticket));
     }
 
-    fn end(&mut self, ended: &ClaimEnd) {
+    fn apply_end(&mut self, ended: &ClaimEnd) {
         let owner = self.owners.get_mut(&ended.key);
         let Some(owner) = owner.filter(|o| o.ticket == ended.ticket.0) else {
             return;
@@ -152,7 +153,7 @@
             CallOutcome::NotRun => {
                 self.owners.remove(&ended.key);
             }
-            end => owner.outcome = Some(end),
+            outcome => owner.outcome = Some(outcome),
         }
     }
 }
--- a/crates/cli/tests/processes/bundles.rs
+++ b/crates/cli/tests/processes/bundles.rs
@@ -197,7 +197,10 @@
     desk.write("signed.json", &signed);
     let (code, said) = desk.publish("awa");
     assert_eq!(code, Some(2), "{said}");
-    assert!(said.contains("not the one that awa signed"), "{said}");
+    assert!(
+        said.contains("differs from the one signed by awa"),
+        "{said}"
+    );
 
     let stranger = [
         "keys",
--- a/crates/demo/src/plan.rs
+++ b/crates/demo/src/plan.rs
@@ -49,7 +49,7 @@
     let classes: BTreeSet<_> = bundle.classes.keys().cloned().collect();
     for i in 0..WORKSPACES {
         let workspace = Workspace {
-            tokens: BTreeSet::from([bundle::token_hash(&token(i))]),
+            tokens: BTreeSet::from([bundle::index::token_hash(&token(i))]),
             classes: classes.clone(),
             weight: 1,
         };
--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -16,7 +16,7 @@
 use crate::{STREAM, transfer};
 
 /// Most records in one read.
-const PAGE: usize = 500;
+const PAGE_RECORDS: usize = 500;
 
 /// The first pause after a failed read.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
@@ -78,7 +78,7 @@
         let log = self.log.clone();
         let from = self.held.with_acceptor(|a| a.next_offset());
         let wait = self.wait();
-        let read = async move { log.read(STREAM, from, PAGE, wait).await };
+        let read = async move { log.read(STREAM, from, PAGE_RECORDS, wait).await };
         let then = read.into_actor(self).map(|page, actor, ctx| match page {
             Ok(page) => actor.take_page(&page, ctx),
             Err(e) => actor.back_off(&e, ctx),
--- a/crates/follow/src/publish.rs
+++ b/crates/follow/src/publish.rs
@@ -17,7 +17,7 @@
 use crate::STREAM;
 
 /// Most records in one read.
-const PAGE: usize = 500;
+const PAGE_RECORDS: usize = 500;
 
 /// A reader of the log that remembers which versions it read.
 pub struct Publisher {
@@ -90,9 +90,9 @@
     /// Returns [`Error`] when the log does not answer.
     pub async fn read_to_end(&mut self) -> Result<(), Error> {
         loop {
-            let page = self.page().await?;
+            let page = self.read_page().await?;
             for entry in &page.records {
-                let verdict = self.judge(entry.offset, &entry.body);
+                let verdict = self.apply(entry.offset, &entry.body);
                 if matches!(verdict, Verdict::Adopted(_)) {
                     break;
                 }
@@ -116,19 +116,19 @@
         if sequence == self.acceptor.sequence() {
             return Ok(Some(self.acceptor.content().clone()));
         }
-        let mut past = Self::new(self.log.clone(), self.trust.clone());
+        let mut replay = Self::new(self.log.clone(), self.trust.clone());
         loop {
-            let page = past.page().await?;
+            let page = replay.read_page().await?;
             for entry in &page.records {
-                let verdict = past.judge(entry.offset, &entry.body);
-                if past.acceptor.sequence() == sequence {
-                    return Ok(Some(past.acceptor.content().clone()));
+                let verdict = replay.apply(entry.offset, &entry.body);
+                if replay.acceptor.sequence() == sequence {
+                    return Ok(Some(replay.acceptor.content().clone()));
                 }
                 if matches!(verdict, Verdict::Adopted(_)) {
                     break;
                 }
             }
-            if past.acceptor.next_offset() >= page.end {
+            if replay.acceptor.next_offset() >= page.end {
                 return Ok(None);
             }
         }
@@ -209,11 +209,11 @@
     /// Reads on until the record was judged.
     async fn outcome(&mut self, id: Hash, sequence: BundleSequence) -> PublishOutcome {
         loop {
-            let Ok(page) = self.page().await else {
+            let Ok(page) = self.read_page().await else {
                 return PublishOutcome::Unknown;
             };
             for entry in &page.records {
-                let verdict = self.judge(entry.offset, &entry.body);
+                let verdict = self.apply(entry.offset, &entry.body);
                 if entry.id != id.to_string() {
                     continue;
                 }
@@ -238,14 +238,17 @@
         self.acceptor.head().is_some_and(|h| h.signed.id() == id)
     }
 
-    async fn page(&mut self) -> Result<Page, Error> {
+    async fn read_page(&mut self) -> Result<Page, Error> {
         let from = self.acceptor.next_offset();
-        let page = self.log.read(STREAM, from, PAGE, Duration::ZERO).await?;
+        let page = self
+            .log
+            .read(STREAM, from, PAGE_RECORDS, Duration::ZERO)
+            .await?;
         self.acceptor.skip_expired(page.first);
         Ok(page)
     }
 
-    fn judge(&mut self, at: Offset, body: &str) -> Verdict {
+    fn apply(&mut self, at: Offset, body: &str) -> Verdict {
         let verdict = self.acceptor.apply(at, body.as_bytes());
         let new = matches!(verdict, Verdict::Accepted(_) | Verdict::Adopted(_));
         if let Some(head) = self.acceptor.head().filter(|_| new) {
--- a/crates/follow/src/transfer.rs
+++ b/crates/follow/src/transfer.rs
@@ -64,8 +64,8 @@
             Transfer::Changes { changes, processed } => self.apply_changes(&changes, processed)?,
             Transfer::Checkpoint(checkpoint) => {
                 let adopted = self.with_acceptor(|a| a.adopt(*checkpoint));
-                let adopted = adopted.map_err(|fault| Error::Refused {
-                    verdict: Verdict::Refused(fault),
+                let adopted = adopted.map_err(|error| Error::Refused {
+                    verdict: Verdict::Refused(error),
                 })?;
                 if adopted {
                     self.clear_changes();
