--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -1,4 +1,4 @@
-//! The actor that follows the log and appends checkpoints.
+//! The actor that reads the bundle stream and appends checkpoints.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,53 +15,53 @@
 use crate::state::BundleState;
 use crate::{STREAM, transfer};
 
-/// Most records in one read.
+/// Maximum number of records per read.
 const PAGE_RECORDS: usize = 500;
 
-/// The first pause after a failed read.
+/// Initial backoff after a failed read.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 
-/// A gap that nobody's checkpoint closes is passed over after this many of
-/// the longest delays, so that every daemon had its turn to append one.
+/// A gap is skipped if no checkpoint closes it within this multiple of the
+/// maximum checkpoint delay, which gives every daemon time to append one.
 const GAP_DELAYS: u32 = 3;
 
-/// Follows the bundle's stream for one daemon. It alone changes what the
-/// daemon holds.
+/// Reads the bundle stream for one daemon. It is the only writer of the
+/// daemon's [`BundleState`].
 pub struct Follower {
     log: Log,
     settings: Settings,
-    held: Rc<BundleState>,
+    state: Rc<BundleState>,
     clock: Rc<dyn Clock>,
-    /// The pause after the next failure.
+    /// Pause after the next failure.
     backoff: Duration,
     /// Whether the log was read to its end since the start.
     caught_up: bool,
-    /// When the newest checkpoint, or the version in force, was appended, in
-    /// the log's milliseconds.
+    /// Time at which the newest checkpoint was appended, or the active version
+    /// if there is none, in ms of the log's clock.
     checkpoint_ms: u64,
-    /// When the version in force was appended, in the log's milliseconds.
+    /// Time at which the active version was appended, in ms of the log's clock.
     head_ms: u64,
-    /// When to append a checkpoint, unless another daemon was first.
+    /// When to append a checkpoint, unless another daemon appends one first.
     checkpoint_due: Option<Instant>,
-    /// Whether a checkpoint in the log misses the version in force.
+    /// Whether a checkpoint in the log lacks the active version.
     checkpoint_stale: bool,
-    /// When to pass over a gap that nobody closes.
+    /// When to skip a gap that no checkpoint has closed.
     gap_deadline: Option<Instant>,
 }
 
-/// Hands the follower what a peer sent; see [`BundleState::transfer_since`].
+/// Message with a transfer from a peer; see [`BundleState::transfer_since`].
 #[derive(Debug, Message)]
 #[rtype(result = "Result<BundleSequence, transfer::Error>")]
 pub struct ApplyTransfer(pub Bytes);
 
 impl Follower {
-    /// Makes a follower that fills `held`.
+    /// Creates a follower that updates `state`.
     #[must_use]
-    pub fn new(settings: Settings, held: Rc<BundleState>, clock: Rc<dyn Clock>) -> Self {
+    pub fn new(settings: Settings, state: Rc<BundleState>, clock: Rc<dyn Clock>) -> Self {
         Self {
             log: Log::new(settings.log),
             settings,
-            held,
+            state,
             clock,
             backoff: FIRST_BACKOFF,
             caught_up: false,
@@ -73,68 +73,68 @@
         }
     }
 
-    /// Starts one read; its answer starts the next.
+    /// Starts a read; its completion starts the next one.
     fn read(&mut self, ctx: &mut Context<Self>) {
         let log = self.log.clone();
-        let from = self.held.with_acceptor(|a| a.next_offset());
-        let wait = self.wait();
+        let from = self.state.with_acceptor(|a| a.next_offset());
+        let wait = self.poll_wait();
         let read = async move { log.read(STREAM, from, PAGE_RECORDS, wait).await };
         let then = read.into_actor(self).map(|page, actor, ctx| match page {
-            Ok(page) => actor.take_page(&page, ctx),
+            Ok(page) => actor.apply_page(&page, ctx),
             Err(e) => actor.back_off(&e, ctx),
         });
         ctx.spawn(then);
     }
 
-    /// How long the next read may be held: not past what is due.
-    fn wait(&self) -> Duration {
+    /// Long-poll timeout of the next read, which ends at the next deadline.
+    fn poll_wait(&self) -> Duration {
         let now = self.clock.now();
-        let due = [self.checkpoint_due, self.gap_deadline]
+        let deadline = [self.checkpoint_due, self.gap_deadline]
             .into_iter()
             .flatten()
             .min();
-        let left = due.map(|at| at.saturating_duration_since(now));
+        let left = deadline.map(|at| at.saturating_duration_since(now));
         left.map_or(self.settings.poll_timeout.0, |l| {
             l.min(self.settings.poll_timeout.0)
         })
     }
 
-    /// Pauses after a failed read, longer each time, so that an outage costs
-    /// the log and the daemon little.
+    /// Retries a failed read after an exponential backoff with jitter, which
+    /// limits the load on the log and the daemon during an outage.
     fn back_off(&mut self, error: &Error, ctx: &mut Context<Self>) {
         debug!("log read failed", kv: { error = error.to_string().as_str() });
-        self.held.set_reachable(false);
+        self.state.set_reachable(false);
         let pause = self.backoff.mul_f64(rand::random_range(0.5..1.0));
         self.backoff = (self.backoff * 2).min(self.settings.max_backoff.0);
         ctx.run_later(pause, Self::read);
     }
 
-    /// Judges what was read.
-    fn take_page(&mut self, page: &Page, ctx: &mut Context<Self>) {
-        self.held.set_reachable(true);
+    /// Evaluates the records of a page.
+    fn apply_page(&mut self, page: &Page, ctx: &mut Context<Self>) {
+        self.state.set_reachable(true);
         self.backoff = FIRST_BACKOFF;
-        self.held.with_acceptor(|a| a.skip_expired(page.first));
+        self.state.with_acceptor(|a| a.skip_expired(page.first));
         for entry in &page.records {
-            let verdict = self.held.apply_record(entry.offset, &entry.body);
+            let verdict = self.state.apply_record(entry.offset, &entry.body);
             self.record_verdict(&verdict, entry.time_ms);
-            // The reader has to go back to what the checkpoint's writer had
-            // judged; the rest of the page is read again.
+            // Reading continues at the offset after the last one that the
+            // checkpoint's writer had processed, which may be lower.
             if matches!(verdict, Verdict::Adopted(_)) {
                 break;
             }
         }
 
-        // Before the end is read for the first time, a later record may beat
-        // what was found so far.
-        let next = self.held.with_acceptor(|a| a.next_offset());
+        // Before the end is reached for the first time, a later record may
+        // replace the version found so far.
+        let next = self.state.with_acceptor(|a| a.next_offset());
         if next >= page.end {
             self.caught_up = true;
         }
-        if self.caught_up && self.held.activate_head() {
-            self.report_lag();
+        if self.caught_up && self.state.activate_head() {
+            self.record_lag();
         }
         if next >= page.end {
-            self.close_gap(page);
+            self.skip_open_gap(page);
             self.plan_checkpoint(page);
         }
         if self.checkpoint_due.is_some_and(|at| at <= self.clock.now()) {
@@ -143,21 +143,25 @@
         self.read(ctx);
     }
 
-    /// Counts and logs what became of a record.
+    /// Counts and logs a verdict and updates the checkpoint times.
     fn record_verdict(&mut self, verdict: &Verdict, time_ms: u64) {
         metrics::counter!("pimentocart_bundle_records_total", "verdict" => verdict.as_str())
             .increment(1);
         match verdict {
             Verdict::Accepted(sequence) => {
-                info!("bundle accepted", kv: { sequence = sequence.0 });
+                info!("bundle version accepted", kv: { sequence = sequence.0 });
                 self.head_ms = time_ms;
-                if self.held.with_acceptor(|a| a.newest_checkpoint()).is_none() {
+                if self
+                    .state
+                    .with_acceptor(|a| a.newest_checkpoint())
+                    .is_none()
+                {
                     self.checkpoint_ms = time_ms;
                 }
                 self.checkpoint_stale = false;
             }
             Verdict::Adopted(sequence) => {
-                info!("bundle adopted", kv: { sequence = sequence.0 });
+                info!("bundle version installed from checkpoint", kv: { sequence = sequence.0 });
                 self.head_ms = time_ms;
                 self.checkpoint_ms = time_ms;
                 self.checkpoint_stale = false;
@@ -167,8 +171,8 @@
                 self.checkpoint_stale = false;
             }
             Verdict::StaleCheckpoint => self.checkpoint_stale = true,
-            // Ordinary: an append whose reply was lost, tried again.
-            Verdict::Refused(RecordError::Replayed) => debug!("bundle record replayed"),
+            // Expected when an append is retried after its reply was lost.
+            Verdict::Refused(RecordError::Replayed) => debug!("replayed bundle record ignored"),
             Verdict::Conflict { .. } | Verdict::Refused(_) => {
                 warn!("bundle record refused", kv: { verdict = verdict.as_str() });
             }
@@ -176,29 +180,29 @@
         }
     }
 
-    /// Tells how long the version in force took to get here.
-    fn report_lag(&self) {
+    /// Records the delay between the append and the activation of a version.
+    fn record_lag(&self) {
         let lag = self.clock.wall_ms().saturating_sub(self.head_ms);
         let seconds = Duration::from_millis(lag).as_secs_f64();
         metrics::histogram!("pimentocart_bundle_in_force_seconds").record(seconds);
     }
 
-    /// Passes over a gap that nobody's checkpoint closes.
-    fn close_gap(&mut self, page: &Page) {
-        let stuck = self
-            .held
+    /// Skips a gap that no checkpoint has closed before the deadline.
+    fn skip_open_gap(&mut self, page: &Page) {
+        let has_open_gap = self
+            .state
             .with_acceptor(|a| !a.is_contiguous() && a.head().is_some());
-        if !stuck {
+        if !has_open_gap {
             self.gap_deadline = None;
             return;
         }
         let now = self.clock.now();
-        let pass = *self
+        let gap_deadline = *self
             .gap_deadline
             .get_or_insert_with(|| now + self.settings.checkpoint_delay.0 * GAP_DELAYS);
-        if pass <= now {
-            warn!("bundle stream has a gap", kv: { first = page.first.0 });
-            self.held.with_acceptor(|a| a.skip_gap(page.first));
+        if gap_deadline <= now {
+            warn!("gap in bundle stream skipped", kv: { first = page.first.0 });
+            self.state.with_acceptor(|a| a.skip_gap(page.first));
             self.checkpoint_stale = true;
             self.gap_deadline = None;
         }
@@ -206,10 +210,10 @@
 
     /// Decides whether the log needs a checkpoint, and when to append it.
     ///
-    /// No daemon leads. Each waits a random time; the first one's record
-    /// tells the others that theirs is no longer needed.
+    /// There is no leader. Each daemon waits for a random delay, and a
+    /// checkpoint from another daemon in the meantime cancels its own.
     fn plan_checkpoint(&mut self, page: &Page) {
-        let (usable, newest) = self.held.with_acceptor(|a| {
+        let (usable, newest) = self.state.with_acceptor(|a| {
             (
                 a.is_contiguous() && a.head().is_some(),
                 a.newest_checkpoint(),
@@ -217,8 +221,8 @@
         });
         let retained = newest.is_some_and(|(at, _)| at >= page.first) || page.first == Offset(0);
         let age = page.now_ms.saturating_sub(self.checkpoint_ms);
-        let old = page.retention_ms > 0 && age > page.retention_ms / 2;
-        let needed = usable && (self.checkpoint_stale || old || !retained);
+        let outdated = page.retention_ms > 0 && age > page.retention_ms / 2;
+        let needed = usable && (self.checkpoint_stale || outdated || !retained);
 
         if !needed {
             self.checkpoint_due = None;
@@ -228,10 +232,10 @@
         }
     }
 
-    /// Appends a checkpoint and reads on.
+    /// Appends a checkpoint and continues to read.
     fn append_checkpoint(&mut self, ctx: &mut Context<Self>) {
         self.checkpoint_due = None;
-        let records = self.held.with_acceptor(|a| a.checkpoint_records());
+        let records = self.state.with_acceptor(|a| a.checkpoint_records());
         let log = self.log.clone();
         let append = async move {
             for record in records {
@@ -255,8 +259,8 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        // Every label is there from the start, so that a rate over it is
-        // never of nothing.
+        // Registers all labels at the start, so that rates over them are always
+        // defined.
         for verdict in Verdict::LABELS {
             metrics::counter!("pimentocart_bundle_records_total", "verdict" => verdict).absolute(0);
         }
@@ -272,12 +276,12 @@
         ApplyTransfer(bytes): ApplyTransfer,
         _: &mut Self::Context,
     ) -> Self::Result {
-        let taken = self.held.apply_transfer(&bytes);
-        let outcome = if taken.is_ok() { "ok" } else { "refused" };
+        let applied = self.state.apply_transfer(&bytes);
+        let outcome = if applied.is_ok() { "ok" } else { "refused" };
         metrics::counter!("pimentocart_bundle_transfers_total", "outcome" => outcome).increment(1);
-        if let Err(e) = &taken {
-            warn!("transfer refused", kv: { error = e.to_string().as_str() });
+        if let Err(e) = &applied {
+            warn!("bundle transfer refused", kv: { error = e.to_string().as_str() });
         }
-        taken
+        applied
     }
 }
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -1,11 +1,11 @@
-//! Following the platform's log: which bundle a daemon goes by, and which
-//! idempotency keys are taken.
+//! Replication of the bundle: a daemon reads the bundle stream of the platform's
+//! log and activates the newest version.
 //!
-//! - [`state`]: the bundle in force, as the rest of the daemon reads it.
-//! - [`follower`]: the actor that follows the log and appends checkpoints.
-//! - [`publish`]: publishing a version, as the operators' tool does.
-//! - [`transfer`]: how one daemon hands its bundle to another.
-//! - [`settings`]: what the operators set.
+//! - [`state`]: the active bundle, shared with the rest of the daemon.
+//! - [`follower`]: the actor that reads the log and appends checkpoints.
+//! - [`publish`]: publishing a version from the operators' CLI.
+//! - [`transfer`]: sending the bundle from one daemon to another.
+//! - [`settings`]: settings of the follower.
 
 pub mod follower;
 pub mod publish;
@@ -18,5 +18,5 @@
 pub use settings::Settings;
 pub use state::{ActiveVersion, BundleState};
 
-/// The stream that carries the bundle's records.
+/// Name of the log stream for bundle records.
 pub const STREAM: &str = "bundle";
--- a/crates/follow/src/publish.rs
+++ b/crates/follow/src/publish.rs
@@ -1,7 +1,7 @@
-//! Publishing a version of the bundle, as the operators' tool does.
+//! Publishing a version of the bundle from the operators' CLI.
 //!
-//! The tool judges the log by the same acceptance as every daemon, so what it
-//! says about its own record is what all of them find.
+//! The publisher evaluates the log with the same acceptor as every daemon, so
+//! the outcome that it reports is the one that all daemons reach.
 
 use std::time::Duration;
 
@@ -16,51 +16,53 @@
 
 use crate::STREAM;
 
-/// Most records in one read.
+/// Maximum number of records per read.
 const PAGE_RECORDS: usize = 500;
 
-/// A reader of the log that remembers which versions it read.
+/// Reads the log and publishes versions.
 pub struct Publisher {
     log: Log,
     trust: Operators,
     acceptor: Acceptor,
-    /// The versions that were read, oldest first.
+    /// Versions found in the log, oldest first.
     versions: Vec<AcceptedVersion>,
 }
 
 /// One accepted version.
 #[derive(Debug, Clone)]
 pub struct AcceptedVersion {
-    /// Its number.
+    /// Sequence number.
     pub sequence: BundleSequence,
-    /// Where it was accepted.
+    /// Offset of the accepted record.
     pub accepted_offset: Offset,
-    /// Who signed it.
+    /// Name of the operator who signed it.
     pub operator: String,
-    /// The earlier version whose content it restores, if any.
+    /// Earlier version whose content it restores (rollback), if any.
     pub restores: Option<BundleSequence>,
 }
 
-/// What became of a publication. Nothing here is a guess.
+/// Outcome of a publication, as read from the log. `Unknown` if it could not
+/// be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublishOutcome {
-    /// It is the version with this number.
+    /// Accepted as the version with this sequence number.
     Accepted(BundleSequence),
-    /// Another version won.
+    /// Another change to the same parent was accepted first.
     Conflict {
-        /// The version that won.
+        /// The accepted version.
         winner: BundleSequence,
-        /// Who signed it.
+        /// Name of the operator who signed the accepted version.
         operator: String,
     },
-    /// The log has the record and every reader refuses it.
+    /// The record is in the log and is refused by every reader.
     Refused(Verdict),
-    /// The log did not answer; the record may be there or may still come.
+    /// The log did not reply; the record may have been appended or may still
+    /// be.
     Unknown,
 }
 
 impl Publisher {
-    /// Makes a reader of the log that has read nothing.
+    /// Creates a publisher that has not read any records yet.
     #[must_use]
     pub fn new(log: Log, trust: Operators) -> Self {
         Self {
@@ -71,13 +73,13 @@
         }
     }
 
-    /// What the log's records come to so far.
+    /// State after the records read so far.
     #[must_use]
     pub fn acceptor(&self) -> &Acceptor {
         &self.acceptor
     }
 
-    /// The versions that were read, oldest first.
+    /// Versions found in the log, oldest first.
     #[must_use]
     pub fn versions(&self) -> &[AcceptedVersion] {
         &self.versions
@@ -87,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when the log does not answer.
+    /// Returns [`Error`] if the log does not reply.
     pub async fn read_to_end(&mut self) -> Result<(), Error> {
         loop {
             let page = self.read_page().await?;
@@ -103,12 +105,12 @@
         }
     }
 
-    /// The content of an accepted version, read from the log once more;
-    /// `None` when the log no longer has it.
+    /// Reads the log again from the start and returns the content of an accepted
+    /// version; `None` if the log no longer contains it.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when the log does not answer.
+    /// Returns [`Error`] if the log does not reply.
     pub async fn version_content(
         &self,
         sequence: BundleSequence,
@@ -134,27 +136,28 @@
         }
     }
 
-    /// Signs `content` as the step after the version in force and publishes
-    /// it. The log must have been read. `restores` names the earlier version
-    /// that has the same content, if any.
+    /// Signs `content` as the successor of the active version and publishes it.
+    /// Requires [`Self::read_to_end`]. `restores` is the earlier version that
+    /// has the same content, if any.
     ///
     /// # Errors
     ///
-    /// Returns [`bundle::keys::Error`] when the key is damaged. What the log
-    /// does is told by the [`Outcome`].
+    /// Returns [`bundle::keys::Error`] if the key cannot be decoded. Failures of
+    /// the log are reported in the [`PublishOutcome`].
     pub async fn publish(
         &mut self,
         key: &SecretKey,
         content: &Content,
         restores: Option<BundleSequence>,
     ) -> Result<PublishOutcome, bundle::keys::Error> {
-        // What follows on nothing, no reader could judge.
+        // Records were missed, so the parent is not known.
         if !self.acceptor.is_contiguous() {
             return Ok(PublishOutcome::Unknown);
         }
-        // As after an earlier try whose reply was lost.
-        let held = self.acceptor.content().digest() == content.digest();
-        if held && self.acceptor.head().is_some() {
+        // The content is already active, for example after an earlier attempt
+        // whose reply was lost.
+        let published = self.acceptor.content().digest() == content.digest();
+        if published && self.acceptor.head().is_some() {
             return Ok(PublishOutcome::Accepted(self.acceptor.sequence()));
         }
         let records = self.records(key, content, restores)?;
@@ -169,7 +172,8 @@
         Ok(self.outcome(signed.id(), signed.header.sequence).await)
     }
 
-    /// The records that publish `content`: a delta if it fits, else parts.
+    /// Creates the records for `content`: a delta if it fits into one record,
+    /// otherwise parts.
     fn records(
         &self,
         key: &SecretKey,
@@ -206,7 +210,7 @@
         self.log.append(STREAM, &record_id(record), &body).await
     }
 
-    /// Reads on until the record was judged.
+    /// Reads the log until the record with `id` was evaluated.
     async fn outcome(&mut self, id: Hash, sequence: BundleSequence) -> PublishOutcome {
         loop {
             let Ok(page) = self.read_page().await else {
@@ -222,7 +226,7 @@
                     Verdict::Conflict { winner, operator } => {
                         return PublishOutcome::Conflict { winner, operator };
                     }
-                    // Read already, by an earlier try with the same content.
+                    // Read before, from an earlier attempt with the same content.
                     _ if self.is_head(id) => return PublishOutcome::Accepted(sequence),
                     Verdict::NotEvaluated | Verdict::Duplicate => return PublishOutcome::Unknown,
                     verdict => return PublishOutcome::Refused(verdict),
@@ -263,7 +267,7 @@
     }
 }
 
-/// The id that a record is found by in the log.
+/// Identifier under which a record is appended to the log.
 fn record_id(record: &Record) -> String {
     match record {
         Record::Change { signed, .. } => signed.id().to_string(),
--- a/crates/follow/src/settings.rs
+++ b/crates/follow/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the operators set for following the log.
+//! Settings of the follower.
 
 use std::net::SocketAddr;
 
@@ -6,29 +6,29 @@
 use bundle::Operators;
 use serde::{Deserialize, Serialize};
 
-/// Settings of a follower, a part of each daemon's settings.
+/// Settings of a follower, part of each daemon's settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where the platform's log listens.
+    /// Address of the platform's log.
     pub log: SocketAddr,
-    /// Operators who may sign the first bundle: name to public key in
-    /// base64. Later ones are named by the bundle itself.
+    /// Base64 public keys by name of the operators who may sign the first
+    /// bundle. The operators for later versions are part of the bundle.
     pub trust: Operators,
-    /// How long one read is held while there is nothing new.
+    /// Long-poll timeout of a read.
     #[serde(default = "default_wait", rename = "wait")]
     pub poll_timeout: HumanDuration,
-    /// Longest pause between two tries while the log is down.
+    /// Maximum backoff between retries while the log is down.
     #[serde(default = "default_backoff", rename = "backoff")]
     pub max_backoff: HumanDuration,
-    /// Longest random delay before a checkpoint is appended, so that not all
-    /// daemons append one at once.
+    /// Maximum random delay before a checkpoint is appended, so that the
+    /// daemons do not all append one at once.
     #[serde(default = "default_delay", rename = "delay")]
     pub checkpoint_delay: HumanDuration,
 }
 
 impl Settings {
-    /// Settings with every default.
+    /// Creates settings with default values.
     #[must_use]
     pub fn new(log: SocketAddr, trust: Operators) -> Self {
         Self {
--- a/crates/follow/src/state.rs
+++ b/crates/follow/src/state.rs
@@ -1,4 +1,4 @@
-//! The bundle in force, as the rest of a daemon reads it.
+//! The active bundle of a daemon.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -14,36 +14,37 @@
 
 use crate::transfer::Transfer;
 
-/// Bytes of recent changes that are kept for daemons that are behind.
-const TAIL_LIMIT: usize = 1 << 20;
+/// Maximum size in bytes of the recent changes kept for outdated peers.
+const RECENT_MAX_BYTES: usize = 1 << 20;
 
-/// What one daemon holds of the bundle's stream.
+/// A daemon's replica of the bundle.
 pub struct BundleState {
     acceptor: RefCell<Acceptor>,
-    /// What requests go by; those in progress keep the one they began with.
+    /// Active version for new requests. Requests in progress keep the version
+    /// with which they started.
     active: RefCell<Option<Rc<ActiveVersion>>>,
-    /// Changes accepted lately, each with its offset, oldest first.
+    /// Recently accepted changes with their offsets, oldest first.
     recent_changes: RefCell<VecDeque<Change>>,
-    /// The version that was last made, or could not be made, to go by.
+    /// The last version for which activation was attempted.
     last_tried: Cell<Option<Hash>>,
-    /// Whether the version in force is the last one that was tried, so that
-    /// a change of it leads to the next.
+    /// Whether the last attempt succeeded, so that the next version can be
+    /// derived from the active one.
     incremental: Cell<bool>,
-    /// Whether the log's last call was answered.
+    /// Whether the last log call succeeded.
     log_reachable: Cell<bool>,
     changed: Notify,
 }
 
-/// A version of the bundle that requests go by.
+/// A bundle version that requests use.
 #[derive(Debug, Clone)]
 pub struct ActiveVersion {
-    /// Its number.
+    /// Sequence number of the version.
     pub sequence: BundleSequence,
-    /// What it declares.
+    /// The bundle with its token index.
     pub bundle: Rc<IndexedBundle>,
 }
 
-/// A change as it stands in the log.
+/// An accepted change as read from the log.
 struct Change {
     sequence: BundleSequence,
     accepted_offset: Offset,
@@ -51,7 +52,8 @@
 }
 
 impl BundleState {
-    /// Holds nothing yet; `trust` may sign the first version.
+    /// Creates an empty state; the operators in `trust` may sign the first
+    /// version.
     #[must_use]
     pub fn new(trust: Operators) -> Rc<Self> {
         Rc::new(Self {
@@ -65,44 +67,44 @@
         })
     }
 
-    /// Holds one bundle for ever, without a log, for tests and trials.
+    /// Creates a state with a fixed bundle and no log, for tests and benchmarks.
     #[must_use]
     pub fn fixed(bundle: Bundle) -> Rc<Self> {
-        let held = Self::new(Operators::new());
-        *held.active.borrow_mut() = Some(Rc::new(ActiveVersion {
+        let state = Self::new(Operators::new());
+        *state.active.borrow_mut() = Some(Rc::new(ActiveVersion {
             sequence: BundleSequence(0),
             bundle: Rc::new(IndexedBundle::new(bundle)),
         }));
-        held
+        state
     }
 
-    /// The version in force, if any.
+    /// The active version, if any.
     #[must_use]
     pub fn active_version(&self) -> Option<Rc<ActiveVersion>> {
         self.active.borrow().clone()
     }
 
-    /// The bundle in force, if any.
+    /// The active bundle, if any.
     #[must_use]
     pub fn bundle(&self) -> Option<Rc<IndexedBundle>> {
         let current = self.active.borrow();
         current.as_ref().map(|c| Rc::clone(&c.bundle))
     }
 
-    /// The number of the version in force; 0 when there is none.
+    /// Sequence number of the active version; 0 if there is none.
     #[must_use]
     pub fn sequence(&self) -> BundleSequence {
         let current = self.active.borrow();
         current.as_ref().map_or(BundleSequence(0), |c| c.sequence)
     }
 
-    /// Whether the log answered its last call.
+    /// Whether the last log call succeeded.
     #[must_use]
     pub fn log_reachable(&self) -> bool {
         self.log_reachable.get()
     }
 
-    /// Waits until a version is in force.
+    /// Waits until a version is active.
     pub async fn wait_ready(&self) {
         loop {
             let changed = self.changed.notified();
@@ -113,15 +115,15 @@
         }
     }
 
-    /// Whether a peer that goes by `sequence` knows a later version. One
-    /// that was accepted and not understood here counts as known, since
-    /// waiting for it would not help.
+    /// Whether a peer whose active version is `sequence` has a later version
+    /// than this daemon. A version that was accepted but that this build cannot
+    /// parse counts as known, since waiting for it would not help.
     #[must_use]
     pub fn is_behind(&self, sequence: BundleSequence) -> bool {
         sequence > self.sequence() && sequence > self.acceptor.borrow().sequence()
     }
 
-    /// Waits until this daemon is no longer behind `sequence`.
+    /// Waits until this daemon is no longer behind version `sequence`.
     pub async fn wait_for_version(&self, sequence: BundleSequence) {
         loop {
             let changed = self.changed.notified();
@@ -132,8 +134,8 @@
         }
     }
 
-    /// What a daemon at version `since` needs to get to the one in force;
-    /// `None` when there is nothing newer here.
+    /// Returns a transfer that updates a daemon from version `since` to the
+    /// active one; `None` if there is no newer version.
     #[must_use]
     pub fn transfer_since(&self, since: BundleSequence) -> Option<Bytes> {
         if since >= self.sequence() {
@@ -141,12 +143,12 @@
         }
         let acceptor = self.acceptor.borrow();
         let processed = Offset(acceptor.next_offset().0.checked_sub(1)?);
-        let tail = self.recent_changes.borrow();
-        let start = tail.iter().position(|c| c.sequence.0 == since.0 + 1);
+        let recent = self.recent_changes.borrow();
+        let start = recent.iter().position(|c| c.sequence.0 == since.0 + 1);
 
         let transfer = match start {
             Some(start) => Transfer::Changes {
-                changes: tail
+                changes: recent
                     .range(start..)
                     .map(|c| (c.accepted_offset, c.body.clone()))
                     .collect(),
@@ -157,33 +159,33 @@
         Some(transfer.bytes())
     }
 
-    /// Takes over a checkpoint that is known to hold, for measurements.
+    /// Installs and activates a checkpoint, for benchmarks.
     pub fn load_checkpoint(&self, checkpoint: bundle::Checkpoint) -> bool {
         let adopted = self.with_acceptor(|a| a.adopt(checkpoint));
         adopted.is_ok_and(|adopted| adopted && self.activate_head())
     }
 
-    /// Judges one record and puts what it leads to in force, for
-    /// measurements.
+    /// Evaluates one record and activates the resulting version, for
+    /// benchmarks.
     pub fn apply_and_activate(&self, offset: Offset, body: &str) -> bool {
         self.apply_record(offset, body);
         self.activate_head()
     }
 
-    /// Lets the acceptor work on something and returns what it made of it.
-    /// Nothing becomes the version in force before [`Self::settle`].
+    /// Calls `work` with the acceptor. Changes only become active with
+    /// [`Self::activate_head`].
     pub(crate) fn with_acceptor<T>(&self, work: impl FnOnce(&mut Acceptor) -> T) -> T {
         work(&mut self.acceptor.borrow_mut())
     }
 
-    /// Judges one record of the log.
+    /// Evaluates one record of the log.
     pub(crate) fn apply_record(&self, offset: Offset, body: &str) -> Verdict {
         let verdict = self.with_acceptor(|a| a.apply(offset, body.as_bytes()));
         self.record_change(&verdict, offset, body);
         verdict
     }
 
-    /// Judges a change that a peer has read from the log.
+    /// Evaluates a change received from a peer.
     pub(crate) fn apply_from_peer(&self, offset: Offset, body: &str) -> Verdict {
         let verdict = self.with_acceptor(|a| a.apply_from_peer(offset, body.as_bytes()));
         self.record_change(&verdict, offset, body);
@@ -192,17 +194,17 @@
 
     pub(crate) fn set_reachable(&self, reachable: bool) {
         if self.log_reachable.replace(reachable) != reachable {
-            info!("log reachable", kv: { reachable = reachable });
+            info!("log reachability changed", kv: { reachable = reachable });
         }
         metrics::gauge!("pimentocart_log_reachable").set(f64::from(u8::from(reachable)));
     }
 
-    /// Puts the accepted version in force, if it is a new one that this
-    /// build understands.
+    /// Activates the accepted version if it is new and this build can parse it.
+    /// Returns whether a version was activated.
     ///
-    /// Acceptance does not ask whether this build understands the content:
-    /// daemons of two builds would otherwise accept different versions. One
-    /// that does not understand a version goes on with the one before.
+    /// Acceptance does not depend on parsing the content, because daemons of
+    /// different builds would otherwise accept different versions. A daemon
+    /// that cannot parse a version keeps the previous one.
     pub(crate) fn activate_head(&self) -> bool {
         let mut acceptor = self.acceptor.borrow_mut();
         let Some(head) = acceptor.head().cloned() else {
@@ -213,62 +215,64 @@
             return false;
         }
 
-        let touched = acceptor.take_changed().filter(|_| self.incremental.get());
-        let made = self.build_index(acceptor.content(), touched.as_ref());
-        self.incremental.set(made.is_ok());
-        match made {
+        let changed = acceptor.take_changed().filter(|_| self.incremental.get());
+        let built = self.build_index(acceptor.content(), changed.as_ref());
+        self.incremental.set(built.is_ok());
+        match built {
             Ok(bundle) => {
                 let bundle = Rc::new(bundle);
                 *self.active.borrow_mut() = Some(Rc::new(ActiveVersion { sequence, bundle }));
             }
             Err(e) => {
-                error!("bundle not understood", kv: { sequence = sequence.0, error = e.to_string().as_str() });
+                error!("bundle version cannot be parsed; keeping the previous one", kv: { sequence = sequence.0, error = e.to_string().as_str() });
                 return false;
             }
         }
-        info!("bundle in force", kv: { sequence = sequence.0, operator = head.signed.header.operator.as_str() });
+        info!("bundle version activated", kv: { sequence = sequence.0, operator = head.signed.header.operator.as_str() });
         metrics::gauge!("pimentocart_bundle_sequence").set(sequence.0 as f64);
         self.changed.notify_waiters();
         true
     }
 
     fn record_change(&self, verdict: &Verdict, accepted_offset: Offset, body: &str) {
-        let mut tail = self.recent_changes.borrow_mut();
+        let mut recent = self.recent_changes.borrow_mut();
         match verdict {
-            Verdict::Accepted(sequence) => tail.push_back(Change {
+            Verdict::Accepted(sequence) => recent.push_back(Change {
                 sequence: *sequence,
                 accepted_offset,
                 body: body.to_owned(),
             }),
-            // A version came without the change that led to it.
-            Verdict::Adopted(_) => tail.clear(),
+            // The version was installed without the change that led to it.
+            Verdict::Adopted(_) => recent.clear(),
             _ => return,
         }
-        let mut size: usize = tail.iter().map(|c| c.body.len()).sum();
-        while size > TAIL_LIMIT {
-            let Some(old) = tail.pop_front() else { return };
+        let mut size: usize = recent.iter().map(|c| c.body.len()).sum();
+        while size > RECENT_MAX_BYTES {
+            let Some(old) = recent.pop_front() else {
+                return;
+            };
             size -= old.body.len();
         }
     }
 
-    /// Makes what requests go by: from the version in force if only the
-    /// `touched` entries differ, else anew.
+    /// Builds the indexed bundle: from the active version if the `changed`
+    /// entries are known, otherwise from the full content.
     fn build_index(
         &self,
         content: &Content,
-        touched: Option<&ChangedEntries>,
+        changed: Option<&ChangedEntries>,
     ) -> Result<IndexedBundle, content::Error> {
         let current = self.active.borrow();
-        if let (Some(current), Some(touched)) = (current.as_ref(), touched) {
+        if let (Some(current), Some(changed)) = (current.as_ref(), changed) {
             let mut next = IndexedBundle::clone(&current.bundle);
-            next.update(content, touched)?;
+            next.update(content, changed)?;
             return Ok(next);
         }
         content.to_bundle().map(IndexedBundle::new)
     }
 
-    /// Forgets the changes kept for others, after a version came without the
-    /// change that led to it.
+    /// Removes the changes kept for peers, after a version was installed without
+    /// the change that led to it.
     pub(crate) fn clear_changes(&self) {
         self.recent_changes.borrow_mut().clear();
     }
--- a/crates/follow/src/transfer.rs
+++ b/crates/follow/src/transfer.rs
@@ -1,8 +1,8 @@
-//! How one daemon hands its bundle to another, so that a version spreads
-//! while the log is down.
+//! Transfer of the bundle between daemons, so that a version propagates while
+//! the log is down.
 //!
-//! The receiver verifies every signature against what it trusts; the sender
-//! is believed only for the offsets.
+//! The receiver verifies every signature itself and trusts the sender only for
+//! the offsets.
 
 use base::ids::{BundleSequence, Offset};
 use bundle::{Checkpoint, Verdict};
@@ -12,41 +12,41 @@
 
 use crate::state::BundleState;
 
-/// What one daemon sends to another that is behind.
+/// Message from a daemon to an outdated peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Transfer {
-    /// The changes since the receiver's version.
+    /// Changes since the receiver's version.
     Changes {
-        /// Each change's offset and record, in order.
+        /// Offset and record of each change, in log order.
         changes: Vec<(Offset, String)>,
-        /// The last offset that the sender has judged.
+        /// Last offset that the sender has processed.
         #[serde(rename = "judged")]
         processed: Offset,
     },
-    /// The whole state.
+    /// Snapshot of the sender's state.
     Checkpoint(Box<Checkpoint>),
 }
 
-/// Why a transfer was of no use.
+/// Why a transfer was refused.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It is not a transfer.
+    /// It could not be parsed.
     #[snafu(display("step=read_transfer: {source}"))]
     Unreadable {
-        /// What the parser found.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// It does not hold against what this daemon trusts.
-    #[snafu(display("step=judge_transfer: {verdict}"))]
+    /// Its signatures or its content are invalid.
+    #[snafu(display("step=apply_transfer: {verdict}"))]
     Refused {
-        /// What it was found to be.
+        /// Verdict on the refused record.
         verdict: Verdict,
     },
 }
 
 impl Transfer {
-    /// The transfer as it travels.
+    /// Serializes the transfer.
     #[must_use]
     pub fn bytes(&self) -> Bytes {
         serde_json::to_vec(self).unwrap_or_default().into()
@@ -54,11 +54,12 @@
 }
 
 impl BundleState {
-    /// Takes over what a peer sent, if it is newer and holds.
+    /// Applies a peer's transfer if it is valid and newer, and returns the
+    /// active version.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] when it does not hold; what was held stays then.
+    /// Returns [`Error`] if it is invalid; the active version stays unchanged.
     pub(crate) fn apply_transfer(&self, bytes: &[u8]) -> Result<BundleSequence, Error> {
         match serde_json::from_slice(bytes).context(UnreadableSnafu)? {
             Transfer::Changes { changes, processed } => self.apply_changes(&changes, processed)?,
@@ -80,13 +81,13 @@
         for (at, body) in changes {
             match self.apply_from_peer(*at, body) {
                 Verdict::Accepted(_) => {}
-                // The log was faster than the peer.
+                // Already read from the log.
                 Verdict::Refused(bundle::RecordError::Replayed) => {}
                 verdict => return RefusedSnafu { verdict }.fail(),
             }
         }
-        // Only a reader whose last version is the sender's last one has the
-        // sender's state, so only it may pass over what the sender judged.
+        // Only a reader with the same last version has the sender's state and
+        // may skip the records that the sender has processed.
         let last = changes.last().map(|(at, _)| *at);
         self.with_acceptor(|a| {
             if a.head().map(|h| h.accepted_offset) == last {
