--- a/crates/bundle/tests/accept.rs
+++ b/crates/bundle/tests/accept.rs
@@ -1,15 +1,15 @@
-//! One record after another, judged by the rule that all readers share.
+//! Evaluation of record sequences by the acceptor.
 
 mod common;
 
 use base::ids::{BundleSequence, Offset};
 use bundle::record::{RECORD_MAX_BYTES, split_parts};
 use bundle::{Acceptor, Content, Payload, Record, RecordError, SignedHeader, Verdict};
-use common::{Memory, awa, change, content, id, luz, mallory, operators, step, trust};
+use common::{MemoryLog, awa, change, content, id, luz, mallory, next_header, operators, trust};
 use rstest::rstest;
 
-fn first_accepted() -> (Memory, Acceptor) {
-    let (mut log, mut reader) = (Memory::default(), Acceptor::new(trust()));
+fn first_accepted() -> (MemoryLog, Acceptor) {
+    let (mut log, mut reader) = (MemoryLog::default(), Acceptor::new(trust()));
     log.append(&change(&reader, &awa(), &content("v1", &trust())));
     assert_eq!(
         log.read_all(&mut reader),
@@ -20,9 +20,9 @@
 
 #[test]
 fn apply_racing() {
-    // Two operators publish at the same time. Both records name the same
-    // parent; the one that the log put first wins, and the other's operator
-    // is told which version beat it.
+    // Two operators publish changes to the same parent concurrently. The first
+    // one in the log is accepted; the other is a conflict that names the
+    // accepted version.
     let (mut log, mut reader) = first_accepted();
     let one = change(&reader, &awa(), &content("v2", &trust()));
     let two = change(&reader, &luz(), &content("v2b", &trust()));
@@ -42,8 +42,8 @@
 
 #[test]
 fn apply_replayed() {
-    // A lost reply makes an operator append the same record again, or an old
-    // version turns up once more. Neither takes the bundle back.
+    // A record is appended again after a lost reply or as a late duplicate.
+    // It must not roll the bundle back.
     let (mut log, mut reader) = first_accepted();
     let old = log.records[0].clone();
     log.append(&change(&reader, &awa(), &content("v2", &trust())));
@@ -57,13 +57,13 @@
     assert_eq!(reader.sequence(), BundleSequence(2));
 }
 
-fn unknown(reader: &Acceptor) -> Vec<u8> {
+fn unknown_operator(reader: &Acceptor) -> Vec<u8> {
     change(reader, &mallory(), &content("bad", &trust())).bytes()
 }
 
 fn forged(reader: &Acceptor) -> Vec<u8> {
     let to = content("bad", &trust());
-    let mut signed = step(reader, &awa(), &to);
+    let mut signed = next_header(reader, &awa(), &to);
     signed.header.operator = "luz".to_owned();
     let payload = Payload::Full(to.entries());
     Record::Change { signed, payload }.bytes()
@@ -71,36 +71,36 @@
 
 fn other_parent(reader: &Acceptor) -> Vec<u8> {
     let to = content("bad", &trust());
-    let mut header = step(reader, &awa(), &to).header;
+    let mut header = next_header(reader, &awa(), &to).header;
     header.parent = bundle::Hash::of(&[b"elsewhere"]);
-    let signed = SignedHeader::new(header, &awa()).expect("test key");
+    let signed = SignedHeader::new(header, &awa()).expect("valid test key");
     let payload = Payload::Full(to.entries());
     Record::Change { signed, payload }.bytes()
 }
 
 fn skipped(reader: &Acceptor) -> Vec<u8> {
     let to = content("bad", &trust());
-    let mut header = step(reader, &awa(), &to).header;
+    let mut header = next_header(reader, &awa(), &to).header;
     header.sequence.0 += 1;
-    let signed = SignedHeader::new(header, &awa()).expect("test key");
+    let signed = SignedHeader::new(header, &awa()).expect("valid test key");
     let payload = Payload::Full(to.entries());
     Record::Change { signed, payload }.bytes()
 }
 
 fn other_content(reader: &Acceptor) -> Vec<u8> {
-    let signed = step(reader, &awa(), &content("v2", &trust()));
+    let signed = next_header(reader, &awa(), &content("v2", &trust()));
     let payload = Payload::Full(content("bad", &trust()).entries());
     Record::Change { signed, payload }.bytes()
 }
 
 fn other_delta(reader: &Acceptor) -> Vec<u8> {
-    let signed = step(reader, &awa(), &content("v2", &trust()));
+    let signed = next_header(reader, &awa(), &content("v2", &trust()));
     let payload = Payload::Delta(reader.content().patch_to(&content("bad", &trust())));
     Record::Change { signed, payload }.bytes()
 }
 
 fn missing_parts(reader: &Acceptor) -> Vec<u8> {
-    let signed = step(reader, &awa(), &content("v2", &trust()));
+    let signed = next_header(reader, &awa(), &content("v2", &trust()));
     let payload = Payload::Parts(0);
     Record::Change { signed, payload }.bytes()
 }
@@ -114,7 +114,7 @@
 }
 
 #[rstest]
-#[case::unknown_operator(unknown, RecordError::UnknownOperator)]
+#[case::unknown_operator(unknown_operator, RecordError::UnknownOperator)]
 #[case::bad_signature(forged, RecordError::BadSignature)]
 #[case::wrong_parent(other_parent, RecordError::WrongParent)]
 #[case::skipped_number(skipped, RecordError::WrongParent)]
@@ -123,19 +123,19 @@
 #[case::missing_parts(missing_parts, RecordError::BadContent)]
 #[case::too_large(large, RecordError::TooLarge)]
 #[case::unreadable(garbage, RecordError::Unreadable)]
-fn apply_refused(#[case] make: fn(&Acceptor) -> Vec<u8>, #[case] fault: RecordError) {
+fn apply_refused(#[case] make: fn(&Acceptor) -> Vec<u8>, #[case] error: RecordError) {
     let (mut log, mut reader) = first_accepted();
     let (before, digest) = (id(&reader), reader.content().digest());
     log.records.push(make(&reader));
-    assert_eq!(log.read_all(&mut reader), [Verdict::Refused(fault)]);
+    assert_eq!(log.read_all(&mut reader), [Verdict::Refused(error)]);
     assert_eq!(id(&reader), before);
     assert_eq!(
         reader.content().digest(),
         digest,
-        "the content is untouched"
+        "the content is unchanged"
     );
 
-    // The next good record is accepted as if nothing had been.
+    // The next valid record is accepted.
     log.append(&change(&reader, &luz(), &content("v2", &trust())));
     assert_eq!(
         log.read_all(&mut reader),
@@ -145,9 +145,9 @@
 
 #[test]
 fn apply_late_duplicate() {
-    // Version 2 of luz won against that of awa, and a checkpoint holds it.
-    // Its record expires; then a duplicate of awa's record surfaces. A fresh
-    // reader, whom nothing tells that awa's record lost, must not take it.
+    // luz's version 2 was accepted before awa's, and a checkpoint contains it.
+    // luz's record expires and a duplicate of awa's record is appended. A new
+    // reader never sees luz's record and must still not accept awa's.
     let (mut log, mut reader) = first_accepted();
     let lost = change(&reader, &awa(), &content("v2", &trust()));
     log.append(&change(&reader, &luz(), &content("v2b", &trust())));
@@ -161,18 +161,18 @@
     log.read_all(&mut fresh);
     assert_eq!(id(&fresh), id(&reader));
 
-    // Without a checkpoint it takes nothing at all.
+    // Without a checkpoint a new reader accepts nothing.
     log.first = 4;
-    let mut blind = Acceptor::new(trust());
-    assert_eq!(log.read_all(&mut blind), [Verdict::NotEvaluated]);
-    assert_eq!(blind.head(), None);
+    let mut fresh_after_gap = Acceptor::new(trust());
+    assert_eq!(log.read_all(&mut fresh_after_gap), [Verdict::NotEvaluated]);
+    assert_eq!(fresh_after_gap.head(), None);
 }
 
 #[test]
 fn apply_checkpoint_with_gap() {
-    // A checkpoint's writer had judged up to offset 0; what stood at offsets
-    // 1 and 2 has expired. The winner of version 2 may have been there, so a
-    // fresh reader must not go on from that checkpoint.
+    // The checkpoint's writer had processed up to offset 0; offsets 1 and 2
+    // have expired. They may have contained the accepted version 2, so a new
+    // reader must not continue from that checkpoint.
     let (mut log, reader) = first_accepted();
     let checkpoint = reader.checkpoint_records().remove(0);
     log.append(&change(&reader, &awa(), &content("v2", &trust())));
@@ -188,9 +188,9 @@
 
 #[test]
 fn apply_operators_replaced() {
-    // The operators of the settings have long been replaced in the bundle.
-    // A fresh reader trusts the newcomers because each change of operators
-    // was signed by one who could at the time.
+    // All operators in the settings have been replaced in the bundle. A new
+    // reader trusts the current ones because each operator change was signed
+    // by an operator who was trusted at the time.
     let (mut log, mut reader) = first_accepted();
     let team = operators(&[luz(), mallory()]);
     log.append(&change(&reader, &awa(), &content("v2", &team)));
@@ -217,20 +217,21 @@
     log.append(&reader.checkpoint_records()[0]);
     log.first = log.end() - 1;
     let mut fresh = Acceptor::new(operators(&[awa()]));
-    // Having adopted it, the reader goes back to what its writer had judged.
+    // After adopting it, the reader continues at the offset after the last
+    // one that the checkpoint's writer had processed.
     let adopted = [Verdict::Adopted(BundleSequence(4)), Verdict::Known];
     assert_eq!(log.read_all(&mut fresh), adopted);
 
-    // Settings that never knew any of them take nothing.
-    let mut stranger = Acceptor::new(operators(&[luz()]));
+    // A reader whose settings contain none of the signers refuses it.
+    let mut untrusting = Acceptor::new(operators(&[luz()]));
     let refused = Verdict::Refused(RecordError::UnknownOperator);
-    assert_eq!(log.read_all(&mut stranger), [refused]);
+    assert_eq!(log.read_all(&mut untrusting), [refused]);
 }
 
 #[test]
 fn apply_parts() {
-    // A bundle too large for one record travels in parts, both when it is
-    // published and when a daemon appends it again.
+    // Content that exceeds the record size is split into parts, both on
+    // publication and in a checkpoint.
     let (mut log, mut reader) = first_accepted();
     let mut entries = content("v2", &trust()).entries();
     for i in 0..3000 {
@@ -245,8 +246,8 @@
         assert!(part.bytes().len() <= RECORD_MAX_BYTES);
         log.append(part);
     });
-    let payload = Payload::Parts(u32::try_from(split.len()).expect("few"));
-    let signed = step(&reader, &awa(), &large);
+    let payload = Payload::Parts(u32::try_from(split.len()).expect("part count fits u32"));
+    let signed = next_header(&reader, &awa(), &large);
     log.append(&Record::Change { signed, payload });
     let verdicts = log.read_all(&mut reader);
     assert_eq!(verdicts.last(), Some(&Verdict::Accepted(BundleSequence(2))));
@@ -263,9 +264,9 @@
 
 #[test]
 fn adopt_older() {
-    // A peer that is behind offers what it holds; nothing goes down.
+    // An outdated peer sends its snapshot; the version must not decrease.
     let (mut log, mut reader) = first_accepted();
-    let old = reader.snapshot().expect("a head");
+    let old = reader.snapshot().expect("a version is active");
     log.append(&change(&reader, &awa(), &content("v2", &trust())));
     log.read_all(&mut reader);
     assert_eq!(reader.adopt(old), Ok(false));
@@ -275,7 +276,7 @@
 #[test]
 fn adopt_forged() {
     let (_, reader) = first_accepted();
-    let mut offered = reader.snapshot().expect("a head");
+    let mut offered = reader.snapshot().expect("a version is active");
     offered.signed.header.sequence = BundleSequence(9);
     let mut fresh = Acceptor::new(trust());
     assert_eq!(fresh.adopt(offered), Err(RecordError::BadSignature));
--- a/crates/bundle/tests/check.rs
+++ b/crates/bundle/tests/check.rs
@@ -1,11 +1,11 @@
-//! Each fault of a bundle is found, and all of them in one run.
+//! Each kind of validation error is found, and all errors are found in one run.
 
 use bundle::SecretKey;
 use bundle::check::check;
 use rstest::rstest;
 use serde_json::{Value, json};
 
-fn sound() -> Value {
+fn valid_bundle() -> Value {
     let key = SecretKey::from_secret("awa", &[1; 32]);
     json!({
         "classes": { "counter": {
@@ -28,13 +28,13 @@
         *place = value;
         return;
     }
-    let (parent, name) = pointer.rsplit_once('/').expect("a path");
-    json.pointer_mut(parent).expect("a parent")[name] = value;
+    let (parent, name) = pointer.rsplit_once('/').expect("nested path");
+    json.pointer_mut(parent).expect("parent exists")[name] = value;
 }
 
 #[test]
-fn check_sound() {
-    assert_eq!(check(&sound()), []);
+fn check_valid() {
+    assert_eq!(check(&valid_bundle()), []);
 }
 
 #[rstest]
@@ -57,8 +57,8 @@
 #[case::no_operator("operators", json!({}), "operators")]
 #[case::share("shares.guaranteed", json!(0.6), "shares.guaranteed")]
 #[case::negative_share("shares.retries", json!(-0.1), "shares.retries")]
-fn check_fault(#[case] at: &str, #[case] value: Value, #[case] path: &str) {
-    let mut json = sound();
+fn check_error(#[case] at: &str, #[case] value: Value, #[case] path: &str) {
+    let mut json = valid_bundle();
     put(&mut json, at, value);
     let findings = check(&json);
     let found: Vec<&str> = findings.iter().map(|f| f.path.as_str()).collect();
@@ -71,12 +71,12 @@
 }
 
 #[test]
-fn check_many() {
-    let mut json = sound();
+fn check_multiple_errors() {
+    let mut json = valid_bundle();
     put(&mut json, "classes.counter.tier", json!("high"));
     put(&mut json, "workspaces.mairie.tokens", json!(["x", "y"]));
     put(&mut json, "operators.luz", json!("key"));
     put(&mut json, "shares.ejected", json!(2));
-    // What names the class that cannot be read is not a fault of its own.
+    // A reference to an unreadable class is not reported as an error.
     assert_eq!(check(&json).len(), 5);
 }
--- a/crates/bundle/tests/common/mod.rs
+++ b/crates/bundle/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Operators and records for the tests.
+//! Shared operators, records and an in-memory log.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use base::ids::{BundleSequence, Offset};
 use bundle::hash::Hash;
@@ -30,18 +30,18 @@
     operators(&[awa(), luz()])
 }
 
-/// Content that differs by `mark` alone.
-pub(crate) fn content(mark: &str, operators: &Operators) -> Content {
+/// Content with one model named `model`.
+pub(crate) fn content(model: &str, operators: &Operators) -> Content {
     let json = json!({
         "operators": operators,
         "workspaces": { "mairie": { "tokens": [], "classes": ["counter"], "weight": 1 } },
-        "models": { mark: { "version": mark } },
+        "models": { model: { "version": model } },
     });
-    Content::from_json(&json).expect("test content")
+    Content::from_json(&json).expect("valid test content")
 }
 
-/// The step from what `reader` holds to `to`, as a delta.
-pub(crate) fn step(reader: &Acceptor, key: &SecretKey, to: &Content) -> SignedHeader {
+/// Signs the header of the version after `reader`'s, with content `to`.
+pub(crate) fn next_header(reader: &Acceptor, key: &SecretKey, to: &Content) -> SignedHeader {
     let parent = reader.head().map(|h| h.signed.id());
     let header = Header {
         sequence: BundleSequence(reader.sequence().0 + 1),
@@ -51,24 +51,24 @@
         operator: key.operator.clone(),
         restores: None,
     };
-    SignedHeader::new(header, key).expect("test key")
+    SignedHeader::new(header, key).expect("valid test key")
 }
 
 pub(crate) fn change(reader: &Acceptor, key: &SecretKey, to: &Content) -> Record {
     Record::Change {
-        signed: step(reader, key, to),
+        signed: next_header(reader, key, to),
         payload: Payload::Delta(reader.content().patch_to(to)),
     }
 }
 
-/// A log in memory that forgets its oldest records on demand.
+/// An in-memory log whose oldest records can expire.
 #[derive(Debug, Default)]
-pub(crate) struct Memory {
+pub(crate) struct MemoryLog {
     pub(crate) first: u64,
     pub(crate) records: Vec<Vec<u8>>,
 }
 
-impl Memory {
+impl MemoryLog {
     pub(crate) fn end(&self) -> u64 {
         self.records.len() as u64
     }
@@ -78,10 +78,10 @@
         Offset(self.end() - 1)
     }
 
-    /// Lets `reader` read up to `most` records; the verdicts come in order.
-    pub(crate) fn read(&self, reader: &mut Acceptor, most: usize) -> Vec<Verdict> {
+    /// Lets `reader` process up to `limit` records and returns the verdicts.
+    pub(crate) fn read(&self, reader: &mut Acceptor, limit: usize) -> Vec<Verdict> {
         let mut verdicts = Vec::new();
-        while verdicts.len() < most {
+        while verdicts.len() < limit {
             reader.skip_expired(Offset(self.first));
             let at = reader.next_offset().0;
             let Some(bytes) = self.records.get(at as usize) else {
--- a/crates/bundle/tests/content.rs
+++ b/crates/bundle/tests/content.rs
@@ -1,4 +1,4 @@
-//! Content, its digest and the patches between two contents.
+//! Content digests, patches and canonical JSON.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Names come from few, so that patches replace and remove.
+/// Uses few distinct names, so that patches also replace and remove entries.
 fn entries() -> impl Strategy<Value = Entries> {
     let named = prop::collection::btree_map("[a-e]", 0..4u8, 0..5);
     let named = named.prop_map(|n| n.into_iter().map(|(k, v)| (k, json!({ "v": v }))).collect());
@@ -53,14 +53,14 @@
 #[rstest]
 #[case::list(json!([]))]
 #[case::text_section(json!({ "classes": "none" }))]
-fn from_json_shape(#[case] json: Value) {
+fn from_json_not_an_object(#[case] json: Value) {
     assert!(Content::from_json(&json).is_err());
 }
 
 #[test]
-fn bundle_meaning() {
+fn to_bundle_invalid() {
     let unknown = json!({ "classes": {}, "workspaces": {}, "models": { "m": { "size": 1 } }, "operators": {} });
-    let content = Content::from_json(&unknown).expect("object of objects");
+    let content = Content::from_json(&unknown).expect("valid content");
     let error = content.to_bundle().expect_err("unknown field");
     assert!(error.to_string().contains("models.m"), "{error}");
 }
--- a/crates/bundle/tests/convergence.rs
+++ b/crates/bundle/tests/convergence.rs
@@ -1,6 +1,6 @@
-//! Any interleaving of publishes, duplicates, expiries, checkpoints and fresh
-//! readers ends with all readers on the same version, and no reader's version
-//! ever goes down.
+//! After any interleaving of publications, duplicates, expiries, checkpoints and
+//! new readers, all readers converge to the same version, and no reader's
+//! version ever decreases.
 
 mod common;
 
@@ -8,31 +8,32 @@
 
 use base::ids::{BundleSequence, Offset};
 use bundle::{Acceptor, Hash, Verdict};
-use common::{Memory, awa, change, content, id, luz, trust};
+use common::{MemoryLog, awa, change, content, id, luz, trust};
 use proptest::prelude::*;
 
-/// How many readers there are.
+/// Number of readers.
 const READERS: usize = 4;
 
-/// Rounds of reading and checkpoints after which all must agree.
+/// Number of rounds of reads and checkpoints within which all must converge.
 const ROUNDS: usize = 8;
 
-/// One thing that happens.
+/// One random event.
 #[derive(Debug, Clone)]
 enum Event {
-    /// An operator publishes on what a reader, perhaps a late one, holds.
+    /// An operator publishes a successor of the version of a reader, which may
+    /// be outdated.
     Publish { reader: usize, luz: bool },
     /// A record that is or was in the log is appended again.
     Duplicate { pick: usize },
-    /// The log forgets records from its beginning.
+    /// The oldest records expire.
     Expire { count: u64 },
-    /// A reader judges some records.
-    Read { reader: usize, most: usize },
-    /// A reader appends a checkpoint of what it holds, perhaps late.
+    /// A reader processes some records.
+    Read { reader: usize, limit: usize },
+    /// A reader, which may be outdated, appends a checkpoint.
     Checkpoint { reader: usize },
-    /// A reader is replaced by one that knows nothing.
+    /// A reader is replaced by an empty one.
     Replace { reader: usize },
-    /// A reader takes over what another holds.
+    /// A reader adopts the snapshot of another.
     Fetch { from: usize, to: usize },
 }
 
@@ -42,7 +43,7 @@
         4 => (reader(), any::<bool>()).prop_map(|(reader, luz)| Event::Publish { reader, luz }),
         3 => any::<prop::sample::Index>().prop_map(|i| Event::Duplicate { pick: i.index(1 << 16) }),
         2 => (1..6u64).prop_map(|count| Event::Expire { count }),
-        6 => (reader(), 1..8usize).prop_map(|(reader, most)| Event::Read { reader, most }),
+        6 => (reader(), 1..8usize).prop_map(|(reader, limit)| Event::Read { reader, limit }),
         2 => reader().prop_map(|reader| Event::Checkpoint { reader }),
         1 => reader().prop_map(|reader| Event::Replace { reader }),
         1 => (reader(), reader()).prop_map(|(from, to)| Event::Fetch { from, to }),
@@ -50,24 +51,25 @@
 }
 
 /// The log and its readers.
-struct World {
-    log: Memory,
+struct Simulation {
+    log: MemoryLog,
     readers: Vec<Acceptor>,
-    /// Versions made so far, so that no two are alike.
-    made: u32,
-    /// Whether records expire only when a checkpoint has judged them, as
-    /// long as no outage outlasts half the retention.
+    /// Number of versions published so far, which makes their contents
+    /// distinct.
+    published: u32,
+    /// Whether records expire only after a checkpoint covers them, which holds
+    /// unless an outage exceeds half of the retention.
     covered: bool,
-    /// Which record each version number meant, to whoever accepted it.
+    /// Accepted record of each version.
     accepted: HashMap<BundleSequence, Hash>,
 }
 
-impl World {
+impl Simulation {
     fn new(covered: bool) -> Self {
         Self {
-            log: Memory::default(),
+            log: MemoryLog::default(),
             readers: vec![Acceptor::new(trust()); READERS],
-            made: 0,
+            published: 0,
             covered,
             accepted: HashMap::new(),
         }
@@ -79,8 +81,8 @@
             Event::Publish { reader, luz } => self.publish(reader, luz),
             Event::Duplicate { pick } => self.duplicate(pick),
             Event::Expire { count } => self.expire(count),
-            Event::Read { reader, most } => {
-                self.log.read(&mut self.readers[reader], most);
+            Event::Read { reader, limit } => {
+                self.log.read(&mut self.readers[reader], limit);
             }
             Event::Checkpoint { reader } => self.checkpoint(reader),
             Event::Replace { reader } => {
@@ -94,13 +96,13 @@
             }
         }
         for (reader, before) in self.readers.iter().zip(before) {
-            prop_assert!(reader.sequence() >= before, "a version went down");
+            prop_assert!(reader.sequence() >= before, "a version decreased");
         }
         self.agree()
     }
 
-    /// While every record expires only after a checkpoint has judged it, a
-    /// version number means the same record to all.
+    /// If records expire only after a checkpoint covers them, all readers accept
+    /// the same record for each version.
     fn agree(&mut self) -> Result<(), TestCaseError> {
         if !self.covered {
             return Ok(());
@@ -108,22 +110,21 @@
         for reader in &self.readers {
             if let Some(id) = id(reader) {
                 let known = *self.accepted.entry(reader.sequence()).or_insert(id);
-                prop_assert_eq!(known, id, "two records for one version");
+                prop_assert_eq!(known, id, "two records accepted for one version");
             }
         }
         Ok(())
     }
 
     fn publish(&mut self, reader: usize, by_luz: bool) {
-        // An operator's tool reads the log to the end as it finds it, so an
-        // unanchored one publishes nothing.
+        // The CLI reads the whole log first and publishes nothing after a gap.
         let reader = &self.readers[reader];
         if !reader.is_contiguous() {
             return;
         }
-        self.made += 1;
+        self.published += 1;
         let key = if by_luz { luz() } else { awa() };
-        let to = content(&format!("v{}", self.made), &trust());
+        let to = content(&format!("v{}", self.published), &trust());
         let record = change(reader, &key, &to);
         self.log.append(&record);
     }
@@ -139,14 +140,14 @@
     fn expire(&mut self, count: u64) {
         let mut first = (self.log.first + count).min(self.log.end());
         if self.covered {
-            first = first.min(self.usable());
+            first = first.min(self.first_uncovered());
         }
         self.log.first = self.log.first.max(first);
     }
 
-    /// The first offset that some retained checkpoint needs; nothing from
-    /// there on may expire.
-    fn usable(&self) -> u64 {
+    /// First offset that may not expire, because the newest checkpoint does not
+    /// cover it.
+    fn first_uncovered(&self) -> u64 {
         let checkpoint = |at: u64| match serde_json::from_slice(&self.log.records[at as usize]) {
             Ok(bundle::Record::Checkpoint(c)) if c.processed < Offset(at) => {
                 Some(c.processed.0 + 1)
@@ -163,27 +164,29 @@
         }
     }
 
-    /// What daemons do by themselves once nothing disturbs them any more.
-    fn settle(&mut self) {
+    /// Lets the readers converge by reading and writing checkpoints, as daemons
+    /// do.
+    fn converge(&mut self) {
         for _ in 0..ROUNDS {
             let mut behind = false;
             for at in 0..READERS {
                 let verdicts = self.log.read_all(&mut self.readers[at]);
-                let stuck = !self.readers[at].is_contiguous() && self.readers[at].head().is_some();
-                if stuck {
+                let has_open_gap =
+                    !self.readers[at].is_contiguous() && self.readers[at].head().is_some();
+                if has_open_gap {
                     self.readers[at].skip_gap(Offset(self.log.first));
                     self.log.read_all(&mut self.readers[at]);
                 }
-                if stuck || verdicts.contains(&Verdict::StaleCheckpoint) {
+                if has_open_gap || verdicts.contains(&Verdict::StaleCheckpoint) {
                     self.checkpoint(at);
                     behind = true;
                 }
             }
-            let blind = |r: &Acceptor| !r.is_contiguous();
-            if !behind && !self.readers.iter().any(blind) {
+            let has_gap = |r: &Acceptor| !r.is_contiguous();
+            if !behind && !self.readers.iter().any(has_gap) {
                 return;
             }
-            if !behind && self.readers.iter().any(blind) {
+            if !behind && self.readers.iter().any(has_gap) {
                 let knows = self.readers.iter().position(|r| r.snapshot().is_some());
                 if let Some(at) = knows {
                     self.checkpoint(at);
@@ -194,18 +197,18 @@
 }
 
 fn check(covered: bool, events: &[Event]) -> Result<(), TestCaseError> {
-    let mut world = World::new(covered);
+    let mut simulation = Simulation::new(covered);
     for event in events {
-        world.run(event)?;
+        simulation.run(event)?;
     }
-    let before: Vec<BundleSequence> = world.readers.iter().map(Acceptor::sequence).collect();
-    world.settle();
-    world.agree()?;
+    let before: Vec<BundleSequence> = simulation.readers.iter().map(Acceptor::sequence).collect();
+    simulation.converge();
+    simulation.agree()?;
 
-    let ids: Vec<Option<Hash>> = world.readers.iter().map(id).collect();
+    let ids: Vec<Option<Hash>> = simulation.readers.iter().map(id).collect();
     prop_assert!(ids.iter().all(|i| *i == ids[0]), "readers differ: {ids:?}");
-    for (reader, before) in world.readers.iter().zip(before) {
-        prop_assert!(reader.sequence() >= before, "a version went down");
+    for (reader, before) in simulation.readers.iter().zip(before) {
+        prop_assert!(reader.sequence() >= before, "a version decreased");
     }
     Ok(())
 }
--- a/crates/bundle/tests/index.rs
+++ b/crates/bundle/tests/index.rs
@@ -1,4 +1,5 @@
-//! Following changes entry by entry comes to the same as reading all anew.
+//! Incremental updates of the index give the same result as indexing the whole
+//! bundle.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,8 +9,8 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// Names and tokens come from few, so that tokens go from one workspace to
-/// another and entries come and go.
+/// Uses few distinct names and tokens, so that tokens move between workspaces
+/// and entries are removed and added again.
 fn patch() -> impl Strategy<Value = Patch> {
     let tokens = prop::collection::btree_set(0..4u8, 0..3);
     let workspace = prop::option::of(tokens.prop_map(|tokens| {
@@ -35,7 +36,7 @@
         })
 }
 
-fn touched(patch: &Patch) -> ChangedEntries {
+fn changed(patch: &Patch) -> ChangedEntries {
     let names = patch
         .iter()
         .flat_map(|(section, named)| named.keys().map(|name| (section.clone(), name.clone())));
@@ -53,21 +54,21 @@
     #[test]
     fn update_any_patch(patches in prop::collection::vec(patch(), 1..8)) {
         let mut content = Content::default();
-        let mut lookup = IndexedBundle::default();
+        let mut index = IndexedBundle::default();
         for patch in &patches {
             content.apply(patch);
-            lookup.update(&content, &touched(patch)).expect("it can be read");
+            index.update(&content, &changed(patch)).expect("valid content");
 
-            let bundle = content.to_bundle().expect("it can be read");
-            prop_assert_eq!(&*lookup, &bundle);
+            let bundle = content.to_bundle().expect("valid content");
+            prop_assert_eq!(&*index, &bundle);
             for token in 0..4u8 {
-                // Which of two owners of one token stands for it is not
-                // defined; check refuses such a bundle.
+                // The result for a token of two workspaces is unspecified;
+                // check rejects such a bundle.
                 let hash = token_hash(&token.to_string());
                 let owns = |name: &&String| bundle.workspaces[*name].tokens.contains(&hash);
                 let owners: Vec<&String> = bundle.workspaces.keys().filter(owns).collect();
                 if let [] | [_] = owners[..] {
-                    let owner = lookup.token_workspace(&token.to_string());
+                    let owner = index.token_workspace(&token.to_string());
                     prop_assert_eq!(owner, owners.first().map(|o| o.as_str()));
                 }
             }
--- a/crates/claims/examples/claim_slopes.rs
+++ b/crates/claims/examples/claim_slopes.rs
@@ -1,4 +1,4 @@
-//! What claims cost: bytes and microseconds for each claim, by batch. Run with
+//! Cost of claims by batch size: bytes and microseconds per claim. Run with
 //! `cargo run --release -p claims --example claim_slopes`.
 
 use std::time::Instant;
@@ -10,10 +10,10 @@
 use claims::table::ClaimTable;
 use claims::{CallOutcome, Claim};
 
-/// Records taken in for each figure.
+/// Number of records applied per measurement.
 const RECORDS: u64 = 2_000;
 
-/// Claims in a record.
+/// Numbers of claims per record.
 const BATCHES: [u64; 4] = [1, 12, 50, 200];
 
 fn main() {
@@ -42,7 +42,7 @@
     );
 }
 
-/// A record with claims and the ends of as many.
+/// Creates a record with `batch` claims and as many ends.
 fn record(i: u64, batch: u64) -> String {
     let claim = |n: u64| {
         let ticket = TicketText(RequestId(u128::from(n) << 64));
--- a/crates/follow/examples/bundle_slopes.rs
+++ b/crates/follow/examples/bundle_slopes.rs
@@ -1,5 +1,5 @@
-//! What bundles and claims cost at size: microseconds and bytes for each
-//! change, by the number of workspaces. Run with
+//! Cost of bundle changes by number of workspaces: microseconds and bytes per
+//! change and checkpoint. Run with
 //! `cargo run --release -p follow --example bundle_slopes`.
 
 use std::hint::black_box;
@@ -13,10 +13,10 @@
 };
 use follow::BundleState;
 
-/// Changes judged for each figure.
+/// Number of changes per measurement.
 const CHANGES: u32 = 200;
 
-/// Workspaces in steady use, from today's size to the one to design for.
+/// Numbers of workspaces, from the current size to the design target.
 const SIZES: [usize; 4] = [10, 1_000, 10_000, 46_000];
 
 fn main() {
@@ -117,7 +117,7 @@
     bundle
 }
 
-/// The patch that carries one workspace.
+/// Creates the patch that sets one workspace.
 fn patch(bundle: &Bundle, i: usize) -> bundle::content::Patch {
     let name = format!("workspace-{i}");
     let value = serde_json::to_value(&bundle.workspaces[&name]).ok();
@@ -137,7 +137,7 @@
     Record::Change { signed, payload }
 }
 
-/// Puts the first version in place, whatever its size.
+/// Activates the first version regardless of its size.
 fn accept(reader: &mut Acceptor, first: &Record) {
     let Record::Change { signed, payload } = first else {
         return;
--- a/crates/follow/tests/failures/common.rs
+++ b/crates/follow/tests/failures/common.rs
@@ -1,4 +1,4 @@
-//! A log on loopback, operators and followers for the tests.
+//! A stand-in for the log on loopback, operators and followers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,29 +19,31 @@
 use standin::log::Faults;
 use tokio::net::TcpListener;
 
-/// How often a condition is looked at, and the pause between.
+/// Maximum number of checks of a condition, and the pause between them.
 const TRIES: u32 = 2000;
 const PAUSE: Duration = Duration::from_millis(5);
 
-/// A log that runs, and those who may publish there.
-pub(crate) struct World {
+/// A running stand-in for the log.
+pub(crate) struct TestLog {
     pub(crate) addr: SocketAddr,
     pub(crate) faults: Control<Faults>,
     pub(crate) log: Log,
 }
 
-/// One daemon's follower.
+/// A daemon's follower and its bundle state.
 pub(crate) struct Daemon {
     pub(crate) held: Rc<BundleState>,
     pub(crate) follower: Addr<Follower>,
 }
 
-/// Runs a test on a thread like a daemon's.
-pub(crate) fn run(test: impl AsyncFnOnce(World)) {
+/// Runs a test on a single-threaded runtime, as daemons use.
+pub(crate) fn run(test: impl AsyncFnOnce(TestLog)) {
     logging::init(Level::Off);
     actix_rt::System::new().block_on(async {
-        let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(("127.0.0.1", 0))
+            .await
+            .expect("bind to a free port");
+        let addr = listener.local_addr().expect("local address");
         let faults = Control::new(Faults::default());
         actix_rt::spawn(standin::log::serve(
             listener,
@@ -49,12 +51,12 @@
             StopSignal::new(),
         ));
         let log = Log::new(addr);
-        test(World { addr, faults, log }).await;
+        test(TestLog { addr, faults, log }).await;
     });
 }
 
-impl World {
-    /// Starts a daemon that follows the log.
+impl TestLog {
+    /// Starts the follower of a daemon.
     pub(crate) fn daemon(&self) -> Daemon {
         let mut settings = Settings::new(self.addr, trust());
         settings.poll_timeout = HumanDuration::ms(50);
@@ -65,17 +67,17 @@
         Daemon { held, follower }
     }
 
-    /// An operator's tool that has read the log.
+    /// Creates a publisher that has read the log.
     pub(crate) async fn publisher(&self) -> Publisher {
         let mut publisher = Publisher::new(self.log.clone(), trust());
-        publisher.read_to_end().await.expect("the log answers");
+        publisher.read_to_end().await.expect("the log replies");
         publisher
     }
 
-    /// What the log holds.
+    /// Reads all records of the log.
     pub(crate) async fn page(&self) -> Page {
         let read = self.log.read(STREAM, Offset(0), 10_000, Duration::ZERO);
-        read.await.expect("the log answers")
+        read.await.expect("the log replies")
     }
 
     pub(crate) fn down(&self, down: bool) {
@@ -98,36 +100,36 @@
         .collect()
 }
 
-/// A bundle that differs by `mark` alone.
-pub(crate) fn content(mark: &str) -> Content {
+/// Content with one model named `model`.
+pub(crate) fn content(model: &str) -> Content {
     let json = json!({
         "classes": {},
         "workspaces": {},
-        "models": { mark: {} },
+        "models": { model: {} },
         "operators": trust(),
     });
-    Content::from_json(&json).expect("an object of objects")
+    Content::from_json(&json).expect("valid content")
 }
 
-/// Whether a daemon goes by the bundle with the given mark.
-pub(crate) fn goes_by(daemon: &Daemon, mark: &str) -> bool {
+/// Whether a daemon's active bundle contains the given model.
+pub(crate) fn is_active(daemon: &Daemon, model: &str) -> bool {
     let bundle = daemon.held.bundle();
-    bundle.is_some_and(|b| b.models.contains_key(mark))
+    bundle.is_some_and(|b| b.models.contains_key(model))
 }
 
-/// Waits for a condition, for as long as a slow machine may need.
-pub(crate) async fn until(what: &str, mut met: impl FnMut() -> bool) {
+/// Waits for a condition. The limit of 10 s allows for slow machines.
+pub(crate) async fn wait_until(what: &str, mut met: impl FnMut() -> bool) {
     for _ in 0..TRIES {
         if met() {
             return;
         }
         tokio::time::sleep(PAUSE).await;
     }
-    panic!("waited in vain until {what}");
+    panic!("timed out waiting until {what}");
 }
 
-/// Waits for a condition on what the log holds.
-pub(crate) async fn until_log(world: &World, what: &str, met: impl Fn(&Page) -> bool) {
+/// Waits for a condition on the log's records.
+pub(crate) async fn wait_until_log(world: &TestLog, what: &str, met: impl Fn(&Page) -> bool) {
     let last = RefCell::new(Page::default());
     for _ in 0..TRIES {
         *last.borrow_mut() = world.page().await;
@@ -136,5 +138,8 @@
         }
         tokio::time::sleep(PAUSE).await;
     }
-    panic!("waited in vain until {what}; first={}", last.borrow().first);
+    panic!(
+        "timed out waiting until {what}; first={}",
+        last.borrow().first
+    );
 }
--- a/crates/follow/tests/failures/daemons.rs
+++ b/crates/follow/tests/failures/daemons.rs
@@ -1,44 +1,46 @@
-//! What daemons go by.
+//! Active versions of daemons during failures.
 
 use base::ids::{BundleSequence, Offset};
 use base::settings::HumanDuration;
 use follow::{ApplyTransfer, PublishOutcome, STREAM};
 
-use crate::common::{Daemon, World, awa, content, goes_by, luz, run, until, until_log};
+use crate::common::{
+    Daemon, TestLog, awa, content, is_active, luz, run, wait_until, wait_until_log,
+};
 
-/// Publishes versions `from..=to`, marked `v1`, `v2` and so on.
-async fn publish(world: &World, from: u64, to: u64) {
+/// Publishes versions `from..=to` with the models `v1`, `v2` and so on.
+async fn publish(world: &TestLog, from: u64, to: u64) {
     let mut publisher = world.publisher().await;
     for n in from..=to {
-        let mark = format!("v{n}");
-        let told = publisher.publish(&awa(), &content(&mark), None).await;
-        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(n))));
+        let model = format!("v{n}");
+        let outcome = publisher.publish(&awa(), &content(&model), None).await;
+        assert_eq!(outcome, Ok(PublishOutcome::Accepted(BundleSequence(n))));
     }
 }
 
-/// Hands what one daemon holds to another, as calls between them do.
-async fn hand_over(from: &Daemon, to: &Daemon) {
+/// Transfers the bundle from one daemon to another, as calls between them do.
+async fn transfer_bundle(from: &Daemon, to: &Daemon) {
     if let Some(bytes) = from.held.transfer_since(to.held.sequence()) {
-        let taken = to.follower.send(ApplyTransfer(bytes)).await;
-        taken
-            .expect("the follower lives")
-            .expect("the transfer holds");
+        let applied = to.follower.send(ApplyTransfer(bytes)).await;
+        applied
+            .expect("the follower is running")
+            .expect("the transfer is valid");
     }
 }
 
 #[test]
 fn follow_outage_in_catch_up() {
-    // A fresh daemon reads a long log, slowly. The log goes down before the
-    // end is reached, twice. Until then the daemon goes by nothing, since a
-    // later record could beat what it read so far; then it goes by the last.
+    // A new daemon reads a long log slowly, and the log goes down twice before
+    // the end is reached. Until then no version may be active, because a later
+    // record could replace it. At the end the last version is active.
     run(async |world| {
         publish(&world, 1, 6).await;
-        // Duplicates make the log longer than one read takes.
+        // The duplicates make the log longer than one page.
         let record = world.page().await.records[0].body.clone();
         for i in 0..600 {
             let id = format!("again-{i}");
             let sent = world.log.append(STREAM, &id, &record);
-            sent.await.expect("the log answers");
+            sent.await.expect("the log replies");
         }
         publish(&world, 7, 7).await;
 
@@ -47,41 +49,40 @@
         for _ in 0..2 {
             tokio::time::sleep(std::time::Duration::from_millis(30)).await;
             world.down(true);
-            until("the outage is seen", || !daemon.held.log_reachable()).await;
-            assert!(daemon.held.active_version().is_none() || goes_by(&daemon, "v7"));
+            wait_until("the outage is detected", || !daemon.held.log_reachable()).await;
+            assert!(daemon.held.active_version().is_none() || is_active(&daemon, "v7"));
             world.down(false);
         }
-        until("version 7 is in force", || goes_by(&daemon, "v7")).await;
+        wait_until("version 7 is active", || is_active(&daemon, "v7")).await;
         assert_eq!(daemon.held.sequence(), BundleSequence(7));
     });
 }
 
 #[test]
 fn follow_crash_in_outage() {
-    // The log is down. A daemon crashes, and the one that replaces it knows
-    // nothing. Another daemon that it talks to hands over what it holds, so
-    // requests go on by version 2. It crashes once more, and the same again.
-    // After the outage version 3 reaches both.
+    // While the log is down, a daemon crashes and is replaced by an empty one. A
+    // peer transfers its bundle, so that version 2 is active again. The daemon
+    // crashes a second time. After the outage both activate version 3.
     run(async |world| {
         publish(&world, 1, 2).await;
         let peer = world.daemon();
-        until("the peer goes by 2", || goes_by(&peer, "v2")).await;
+        wait_until("version 2 is active at the peer", || is_active(&peer, "v2")).await;
         world.down(true);
 
         let mut replaced = world.daemon();
         for _ in 0..2 {
-            until("the outage is seen", || !replaced.held.log_reachable()).await;
+            wait_until("the outage is detected", || !replaced.held.log_reachable()).await;
             assert!(replaced.held.active_version().is_none());
-            hand_over(&peer, &replaced).await;
-            assert!(goes_by(&replaced, "v2"));
+            transfer_bundle(&peer, &replaced).await;
+            assert!(is_active(&replaced, "v2"));
             replaced = world.daemon();
         }
-        hand_over(&peer, &replaced).await;
+        transfer_bundle(&peer, &replaced).await;
 
         world.down(false);
         publish(&world, 3, 3).await;
-        until("both go by 3", || {
-            goes_by(&peer, "v3") && goes_by(&replaced, "v3")
+        wait_until("version 3 is active at both", || {
+            is_active(&peer, "v3") && is_active(&replaced, "v3")
         })
         .await;
     });
@@ -89,70 +90,76 @@
 
 #[test]
 fn follow_fresh_in_outage() {
-    // The log is down, and the daemons that a fresh one asks hold different
-    // versions. In whatever order they answer, it ends with the highest.
+    // While the log is down, a new daemon receives different versions from two
+    // peers. Independent of their order, the highest version must be active.
     run(async |world| {
         publish(&world, 1, 1).await;
         let old = world.daemon();
-        until("the old peer goes by 1", || goes_by(&old, "v1")).await;
+        wait_until("version 1 is active at the old peer", || {
+            is_active(&old, "v1")
+        })
+        .await;
         let first = old
             .held
             .transfer_since(BundleSequence(0))
-            .expect("a version");
+            .expect("a newer version");
         publish(&world, 2, 3).await;
         let new = world.daemon();
-        until("the new peer goes by 3", || goes_by(&new, "v3")).await;
+        wait_until("version 3 is active at the new peer", || {
+            is_active(&new, "v3")
+        })
+        .await;
         let third = new
             .held
             .transfer_since(BundleSequence(0))
-            .expect("a version");
+            .expect("a newer version");
         world.down(true);
 
         for order in [[&first, &third], [&third, &first]] {
             let fresh = world.daemon();
             for bytes in order {
-                let taken = fresh.follower.send(ApplyTransfer(bytes.clone())).await;
-                let _ = taken.expect("the follower lives");
+                let applied = fresh.follower.send(ApplyTransfer(bytes.clone())).await;
+                let _ = applied.expect("the follower is running");
             }
-            assert!(goes_by(&fresh, "v3"));
+            assert!(is_active(&fresh, "v3"));
             assert_eq!(fresh.held.sequence(), BundleSequence(3));
         }
     });
 }
 
 #[test]
-fn take_forged() {
-    // A host that somebody took over offers a bundle signed by nobody whom
-    // the settings or the bundle in force name. The daemon keeps its own.
+fn apply_transfer_forged() {
+    // A compromised host sends a bundle without a valid signature by a trusted
+    // operator. The daemon must keep its own version.
     run(async |world| {
         publish(&world, 1, 1).await;
         let daemon = world.daemon();
-        until("version 1 is in force", || goes_by(&daemon, "v1")).await;
+        wait_until("version 1 is active", || is_active(&daemon, "v1")).await;
         let offered = daemon
             .held
             .transfer_since(BundleSequence(0))
-            .expect("a version");
-        let text = String::from_utf8(offered.to_vec()).expect("JSON");
+            .expect("a newer version");
+        let text = String::from_utf8(offered.to_vec()).expect("UTF-8");
         let text = text.replace("\\\"sequence\\\":1", "\\\"sequence\\\":2");
-        let taken = daemon.follower.send(ApplyTransfer(text.into())).await;
-        assert!(taken.expect("the follower lives").is_err());
+        let applied = daemon.follower.send(ApplyTransfer(text.into())).await;
+        assert!(applied.expect("the follower is running").is_err());
         assert_eq!(daemon.held.sequence(), BundleSequence(1));
     });
 }
 
 #[test]
 fn follow_duplicate_after_expiry() {
-    // luz beat awa for version 2. The records expire, kept alive only by the
-    // checkpoints that daemons append by themselves. Then a duplicate of
-    // awa's record surfaces. A fresh daemon, which never saw luz's record,
-    // goes by luz's version all the same.
+    // luz's version 2 was accepted before awa's. Both records expire, and only
+    // the checkpoints that daemons append contain the version. Then a duplicate
+    // of awa's record is appended. A new daemon, which never saw luz's record,
+    // must still activate luz's version.
     run(async |world| {
         publish(&world, 1, 1).await;
         let (mut one, mut two) = (world.publisher().await, world.publisher().await);
-        let told = one.publish(&luz(), &content("luz"), None).await;
-        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(2))));
-        let told = two.publish(&awa(), &content("awa"), None).await;
-        assert!(matches!(told, Ok(PublishOutcome::Conflict { .. })));
+        let outcome = one.publish(&luz(), &content("luz"), None).await;
+        assert_eq!(outcome, Ok(PublishOutcome::Accepted(BundleSequence(2))));
+        let outcome = two.publish(&awa(), &content("awa"), None).await;
+        assert!(matches!(outcome, Ok(PublishOutcome::Conflict { .. })));
         let beaten = world.page().await.records[2].clone();
         assert_eq!(beaten.offset, Offset(2));
 
@@ -161,32 +168,32 @@
             .change(|f| f.retention = HumanDuration::ms(800));
         let daemons = [world.daemon(), world.daemon(), world.daemon()];
         let records = "the records of both versions have expired";
-        until_log(&world, records, |p| {
+        wait_until_log(&world, records, |p| {
             p.first > beaten.offset && p.first < p.end
         })
         .await;
         let sent = world.log.append(STREAM, &beaten.id, &beaten.body);
-        sent.await.expect("the log answers");
+        sent.await.expect("the log replies");
 
         let fresh = world.daemon();
-        until("the fresh daemon has a bundle", || {
+        wait_until("a version is active at the new daemon", || {
             fresh.held.active_version().is_some()
         })
         .await;
-        assert!(goes_by(&fresh, "luz"));
-        assert!(daemons.iter().all(|d| goes_by(d, "luz")));
+        assert!(is_active(&fresh, "luz"));
+        assert!(daemons.iter().all(|d| is_active(d, "luz")));
     });
 }
 
 #[test]
 fn follow_outage_beyond_retention() {
-    // The log is down for longer than it keeps records, and comes back
-    // empty. Daemons go on by what they hold and append it anew, so a fresh
-    // daemon gets it from the log, and the next version follows on.
+    // The log is down for longer than its retention and returns empty. Daemons
+    // keep their version and append it as a checkpoint, so that a new daemon
+    // reads it from the log and the next version can be published.
     run(async |world| {
         publish(&world, 1, 2).await;
         let daemon = world.daemon();
-        until("version 2 is in force", || goes_by(&daemon, "v2")).await;
+        wait_until("version 2 is active", || is_active(&daemon, "v2")).await;
         world
             .faults
             .change(|f| f.retention = HumanDuration::ms(400));
@@ -195,34 +202,37 @@
         world.down(false);
 
         let fresh = world.daemon();
-        until("the fresh daemon goes by 2", || goes_by(&fresh, "v2")).await;
+        wait_until("version 2 is active at the new daemon", || {
+            is_active(&fresh, "v2")
+        })
+        .await;
         publish(&world, 3, 3).await;
-        until("both go by 3", || {
-            goes_by(&daemon, "v3") && goes_by(&fresh, "v3")
+        wait_until("version 3 is active at both", || {
+            is_active(&daemon, "v3") && is_active(&fresh, "v3")
         })
         .await;
     });
 }
 
 #[test]
-fn settle_not_understood() {
-    // A newer build's operators use a field that this build does not know.
-    // The version is accepted, so that this daemon agrees with the others on
-    // what follows, and requests go on by the version before. The next one
-    // that it understands is in force again.
+fn activate_unknown_field() {
+    // A version contains a field of a newer build that this build does not know.
+    // It is accepted, so that all daemons agree on its successors, but the
+    // previous version stays active. The next version that this build can parse
+    // is activated.
     run(async |world| {
         publish(&world, 1, 1).await;
         let daemon = world.daemon();
-        until("version 1 is in force", || goes_by(&daemon, "v1")).await;
+        wait_until("version 1 is active", || is_active(&daemon, "v1")).await;
 
         let mut json = content("v2").to_json();
         json["models"]["v2"]["later"] = serde_json::json!(true);
-        let later = bundle::Content::from_json(&json).expect("an object of objects");
+        let later = bundle::Content::from_json(&json).expect("valid content");
         let mut publisher = world.publisher().await;
-        let told = publisher.publish(&awa(), &later, None).await;
-        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(2))));
-        let told = publisher.publish(&awa(), &content("v3"), None).await;
-        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(3))));
-        until("version 3 is in force", || goes_by(&daemon, "v3")).await;
+        let outcome = publisher.publish(&awa(), &later, None).await;
+        assert_eq!(outcome, Ok(PublishOutcome::Accepted(BundleSequence(2))));
+        let outcome = publisher.publish(&awa(), &content("v3"), None).await;
+        assert_eq!(outcome, Ok(PublishOutcome::Accepted(BundleSequence(3))));
+        wait_until("version 3 is active", || is_active(&daemon, "v3")).await;
     });
 }
--- a/crates/follow/tests/failures/main.rs
+++ b/crates/follow/tests/failures/main.rs
@@ -1,5 +1,5 @@
-//! Failures of the log, of its replies, of operators and of daemons, each
-//! brought about with a log on loopback.
+//! Failures of the log, its replies, operators and daemons, injected through a
+//! stand-in for the log on loopback.
 
 mod common;
 mod daemons;
--- a/crates/follow/tests/failures/publishing.rs
+++ b/crates/follow/tests/failures/publishing.rs
@@ -1,29 +1,28 @@
-//! What an operator is told.
+//! Outcomes reported to a publishing operator.
 
 use base::ids::{BundleSequence, Offset};
 use follow::{PublishOutcome, STREAM};
 
-use crate::common::{awa, content, goes_by, luz, run, until};
+use crate::common::{awa, content, is_active, luz, run, wait_until};
 
 #[test]
 fn publish_reply_lost() {
-    // The log writes the record and its reply never comes. The tool looks
-    // for the record by its id and finds it, so the operator hears "accepted
-    // as 1", and the log has the record once.
+    // The record is appended but the reply is lost. The publisher finds the
+    // record by its id and reports it as accepted. It is in the log only once.
     run(async |world| {
         let mut publisher = world.publisher().await;
         world.faults.change(|f| f.lose = 1);
-        let told = publisher.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(1))));
+        let outcome = publisher.publish(&awa(), &content("v1"), None).await;
+        assert_eq!(outcome, Ok(PublishOutcome::Accepted(BundleSequence(1))));
         assert_eq!(world.page().await.end, Offset(1));
     });
 }
 
 #[test]
 fn publish_reply_lost_in_outage() {
-    // The log writes the record, loses the reply and goes down, so the tool
-    // cannot look. The operator hears "unknown, look again". Trying again
-    // after the outage, twice, says "accepted as 1" and writes nothing more.
+    // The record is appended, the reply is lost and the log goes down, so the
+    // publisher cannot look for the record and reports an unknown outcome. Two
+    // retries after the outage report it as accepted and append nothing.
     run(async |world| {
         let mut publisher = world.publisher().await;
         world.faults.change(|f| {
@@ -32,17 +31,17 @@
         });
         let faults = world.faults.clone();
         actix_rt::spawn(async move {
-            until("the reply is lost", || faults.get().lose == 0).await;
+            wait_until("the reply is lost", || faults.get().lose == 0).await;
             faults.change(|f| f.down = true);
         });
-        let told = publisher.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(PublishOutcome::Unknown));
+        let outcome = publisher.publish(&awa(), &content("v1"), None).await;
+        assert_eq!(outcome, Ok(PublishOutcome::Unknown));
 
         world.down(false);
         for _ in 0..2 {
             let mut again = world.publisher().await;
-            let told = again.publish(&awa(), &content("v1"), None).await;
-            assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(1))));
+            let outcome = again.publish(&awa(), &content("v1"), None).await;
+            assert_eq!(outcome, Ok(PublishOutcome::Accepted(BundleSequence(1))));
         }
         assert_eq!(world.page().await.end, Offset(1));
     });
@@ -50,29 +49,34 @@
 
 #[test]
 fn publish_race_and_reply_lost() {
-    // Two operators start from version 1. The first one's record gets the
-    // lower offset and its reply is lost; the second one's comes after it.
-    // The first hears "accepted as 2", the second "beaten by version 2 of
-    // awa", and daemons go by the first. Then it happens once more the other
-    // way round.
+    // Two operators publish a successor of the same version. The first record
+    // gets the lower offset, but its reply is lost. The first operator must see
+    // it accepted, the second one a conflict with it, and daemons activate the
+    // first. Repeated with the operators swapped.
     run(async |world| {
         let daemon = world.daemon();
         let mut first = world.publisher().await;
-        let told = first.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(1))));
+        let outcome = first.publish(&awa(), &content("v1"), None).await;
+        assert_eq!(outcome, Ok(PublishOutcome::Accepted(BundleSequence(1))));
 
         for (sequence, winner_key, loser_key) in [(2, awa(), luz()), (3, luz(), awa())] {
             let (mut one, mut two) = (world.publisher().await, world.publisher().await);
             world.faults.change(|f| f.lose = 1);
-            let mark = format!("{}-{sequence}", winner_key.operator);
-            let told = one.publish(&winner_key, &content(&mark), None).await;
-            assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(sequence))));
+            let model = format!("{}-{sequence}", winner_key.operator);
+            let outcome = one.publish(&winner_key, &content(&model), None).await;
+            assert_eq!(
+                outcome,
+                Ok(PublishOutcome::Accepted(BundleSequence(sequence)))
+            );
 
-            let told = two.publish(&loser_key, &content("lost"), None).await;
+            let outcome = two.publish(&loser_key, &content("lost"), None).await;
             let winner = BundleSequence(sequence);
             let operator = winner_key.operator.clone();
-            assert_eq!(told, Ok(PublishOutcome::Conflict { winner, operator }));
-            until("the winner is in force", || goes_by(&daemon, &mark)).await;
+            assert_eq!(outcome, Ok(PublishOutcome::Conflict { winner, operator }));
+            wait_until("the accepted version is active", || {
+                is_active(&daemon, &model)
+            })
+            .await;
         }
         assert_eq!(daemon.held.sequence(), BundleSequence(3));
     });
@@ -80,48 +84,48 @@
 
 #[test]
 fn publish_rollback() {
-    // Version 2 was a mistake. The operator restores version 1: a new version
-    // 3 with the content of version 1, which every daemon goes by.
+    // An operator rolls back version 2 by publishing version 3 with the content
+    // of version 1, which the daemon activates.
     run(async |world| {
         let daemon = world.daemon();
         let mut publisher = world.publisher().await;
-        for mark in ["v1", "v2"] {
-            let told = publisher.publish(&awa(), &content(mark), None).await;
-            assert!(matches!(told, Ok(PublishOutcome::Accepted(_))));
+        for model in ["v1", "v2"] {
+            let outcome = publisher.publish(&awa(), &content(model), None).await;
+            assert!(matches!(outcome, Ok(PublishOutcome::Accepted(_))));
         }
         let old = publisher
             .version_content(BundleSequence(1))
             .await
-            .expect("the log answers");
-        let old = old.expect("the log still has version 1");
-        let told = publisher
+            .expect("the log replies");
+        let old = old.expect("version 1 is still in the log");
+        let outcome = publisher
             .publish(&luz(), &old, Some(BundleSequence(1)))
             .await;
-        assert_eq!(told, Ok(PublishOutcome::Accepted(BundleSequence(3))));
+        assert_eq!(outcome, Ok(PublishOutcome::Accepted(BundleSequence(3))));
 
-        until("version 3 is in force", || {
+        wait_until("version 3 is active", || {
             daemon.held.sequence() == BundleSequence(3)
         })
         .await;
-        assert!(goes_by(&daemon, "v1"));
+        assert!(is_active(&daemon, "v1"));
     });
 }
 
 #[test]
 fn publish_log_down() {
-    // The log is down from the start: the operator hears "unknown", and what
-    // comes of it later is seen by looking again.
+    // The log is down before publication, so the outcome is unknown. After the
+    // outage the log can be searched again.
     run(async |world| {
         let mut publisher = world.publisher().await;
         world.down(true);
-        let told = publisher.publish(&awa(), &content("v1"), None).await;
-        assert_eq!(told, Ok(PublishOutcome::Unknown));
+        let outcome = publisher.publish(&awa(), &content("v1"), None).await;
+        assert_eq!(outcome, Ok(PublishOutcome::Unknown));
         world.down(false);
         let found = world
             .log
             .find(STREAM, "none")
             .await
-            .expect("the log answers");
+            .expect("the log replies");
         assert_eq!(found, None);
     });
 }
