--- a/crates/bundle/src/accept.rs
+++ b/crates/bundle/src/accept.rs
@@ -28,7 +28,7 @@
 use crate::verdict::{RecordError, Verdict};
 
 /// Number of past versions kept to find the winner of a conflict.
-const HISTORY: usize = 256;
+const MAX_HISTORY: usize = 256;
 
 /// Section and name of each changed entry.
 pub type ChangedEntries = BTreeSet<(String, String)>;
@@ -284,7 +284,7 @@
         };
         self.history.retain(|p| p.sequence < past.sequence);
         self.history.push_back(past);
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
         self.head = Some(head);
--- a/crates/bundle/src/index.rs
+++ b/crates/bundle/src/index.rs
@@ -20,7 +20,7 @@
 pub struct IndexedBundle {
     /// The bundle.
     bundle: Bundle,
-    /// Workspace name by token hash.
+    /// Workspace name by SHA-256 of the token.
     tokens: HashMap<Hash, Arc<str>>,
     /// Whether two workspaces share a token, which `check` rejects.
     duplicate_tokens: bool,
--- a/crates/claims/src/claims.rs
+++ b/crates/claims/src/claims.rs
@@ -55,7 +55,7 @@
 pub struct Settings {
     /// Address of the platform's log.
     pub log: SocketAddr,
-    /// The entry's name.
+    /// Name of the entry.
     pub entry_name: String,
     /// How long a claim owns its key.
     pub claim_window: HumanDuration,
@@ -90,7 +90,7 @@
 
 /// A claim that is waiting for the log.
 struct PendingClaim {
-    claimed: ClaimRequest,
+    request: ClaimRequest,
     /// Time at which it was queued, which is before it can be appended.
     queued_at: Instant,
     reply: oneshot::Sender<Result<Claim, ClaimDenied>>,
@@ -143,7 +143,7 @@
 
         let (reply, answer) = oneshot::channel();
         self.pending.borrow_mut().push(PendingClaim {
-            claimed: ClaimRequest {
+            request: ClaimRequest {
                 key,
                 body,
                 ticket: TicketText(ticket),
@@ -241,7 +241,7 @@
         let record = Record {
             entry: self.settings.entry_name.clone(),
             ends,
-            claims: batch.iter().map(|p| p.claimed.clone()).collect(),
+            claims: batch.iter().map(|p| p.request.clone()).collect(),
         };
         match self.append(&record).await {
             Ok(()) => self.resolve(batch),
@@ -267,23 +267,23 @@
     /// Replies to the waiting calls of an appended batch.
     fn resolve(self: &Rc<Self>, batch: Vec<PendingClaim>) {
         for PendingClaim {
-            claimed,
+            request,
             queued_at,
             reply,
         } in batch
         {
-            let ticket = claimed.ticket.0;
+            let ticket = request.ticket.0;
             let table = self.table.borrow();
             let window = table.window();
             let start_deadline = queued_at + window.saturating_sub(START_MARGIN.min(window / 4));
-            let outcome = match table.owner(&claimed.key) {
+            let outcome = match table.owner(&request.key) {
                 Some(owner) if owner.ticket == ticket => Ok(Claim::new(
                     Rc::clone(self),
-                    claimed.key,
+                    request.key,
                     ticket,
                     start_deadline,
                 )),
-                Some(owner) => Err(self.denial(owner, claimed.body)),
+                Some(owner) => Err(self.denial(owner, request.body)),
                 // The claim expired while the log was slow.
                 None => Err(log_unavailable()),
             };
@@ -301,10 +301,10 @@
     fn deny_batch(&self, batch: Vec<PendingClaim>, ends: Vec<ClaimEnd>) {
         let mut queued_ends = self.ends.borrow_mut();
         queued_ends.extend(ends);
-        for PendingClaim { claimed, reply, .. } in batch {
+        for PendingClaim { request, reply, .. } in batch {
             queued_ends.push(ClaimEnd {
-                key: claimed.key,
-                ticket: claimed.ticket,
+                key: request.key,
+                ticket: request.ticket,
                 outcome: CallOutcome::NotRun,
             });
             metrics::counter!("pimentocart_claims_total", "outcome" => Refusal::LogUnavailable.as_str())
--- a/crates/claims/src/table.rs
+++ b/crates/claims/src/table.rs
@@ -87,11 +87,11 @@
         };
 
         let entry: Rc<str> = record.entry.into();
-        for ended in &record.ends {
-            self.apply_end(ended);
+        for end in &record.ends {
+            self.apply_end(end);
         }
-        for claimed in &record.claims {
-            self.apply_claim(claimed, &entry, time_ms);
+        for request in &record.claims {
+            self.apply_claim(request, &entry, time_ms);
         }
     }
 
@@ -127,31 +127,31 @@
     }
 
     /// Applies a claim. The first claim owns the key; later ones are ignored.
-    fn apply_claim(&mut self, claimed: &ClaimRequest, entry: &Rc<str>, time_ms: u64) {
-        if self.owners.contains_key(&claimed.key) {
+    fn apply_claim(&mut self, request: &ClaimRequest, entry: &Rc<str>, time_ms: u64) {
+        if self.owners.contains_key(&request.key) {
             return;
         }
         let expires_ms = time_ms.saturating_add(self.window_ms);
-        let ticket = claimed.ticket.0;
+        let ticket = request.ticket.0;
         let owner = KeyOwner {
             ticket,
-            body: claimed.body,
+            body: request.body,
             entry: Rc::clone(entry),
             expires_ms,
             outcome: None,
         };
-        self.owners.insert(claimed.key, owner);
-        self.expiries.push_back((expires_ms, claimed.key, ticket));
+        self.owners.insert(request.key, owner);
+        self.expiries.push_back((expires_ms, request.key, ticket));
     }
 
-    fn apply_end(&mut self, ended: &ClaimEnd) {
-        let owner = self.owners.get_mut(&ended.key);
-        let Some(owner) = owner.filter(|o| o.ticket == ended.ticket.0) else {
+    fn apply_end(&mut self, end: &ClaimEnd) {
+        let owner = self.owners.get_mut(&end.key);
+        let Some(owner) = owner.filter(|o| o.ticket == end.ticket.0) else {
             return;
         };
-        match ended.outcome {
+        match end.outcome {
             CallOutcome::NotRun => {
-                self.owners.remove(&ended.key);
+                self.owners.remove(&end.key);
             }
             outcome => owner.outcome = Some(outcome),
         }
--- a/crates/claims/tests/failures.rs
+++ b/crates/claims/tests/failures.rs
@@ -176,8 +176,8 @@
 
 #[test]
 fn claim_log_down() {
-    // While the log is down, a call that must not be repeated is refused as not
-    // executed. After the outage the same key can be claimed.
+    // While the log is down, a call that must not be repeated is refused twice as
+    // not executed. After the outage the same key can be claimed.
     run(async |log| {
         let entry = log.entry("one", HumanDuration::secs(60));
         log.faults.change(|f| f.down = true);
--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -103,7 +103,7 @@
     /// limits the load on the log and the daemon during an outage.
     fn back_off(&mut self, error: &Error, ctx: &mut Context<Self>) {
         debug!("log read failed", kv: { error = error.to_string().as_str() });
-        self.state.set_reachable(false);
+        self.state.set_log_reachable(false);
         let pause = self.backoff.mul_f64(rand::random_range(0.5..1.0));
         self.backoff = (self.backoff * 2).min(self.settings.max_backoff.0);
         ctx.run_later(pause, Self::read);
@@ -111,7 +111,7 @@
 
     /// Evaluates the records of a page.
     fn apply_page(&mut self, page: &Page, ctx: &mut Context<Self>) {
-        self.state.set_reachable(true);
+        self.state.set_log_reachable(true);
         self.backoff = FIRST_BACKOFF;
         self.state.with_acceptor(|a| a.skip_expired(page.first));
         for entry in &page.records {
--- a/crates/follow/src/state.rs
+++ b/crates/follow/src/state.rs
@@ -192,7 +192,7 @@
         verdict
     }
 
-    pub(crate) fn set_reachable(&self, reachable: bool) {
+    pub(crate) fn set_log_reachable(&self, reachable: bool) {
         if self.log_reachable.replace(reachable) != reachable {
             info!("log reachability changed", kv: { reachable = reachable });
         }
--- a/crates/follow/tests/failures/publishing.rs
+++ b/crates/follow/tests/failures/publishing.rs
@@ -8,7 +8,7 @@
 #[test]
 fn publish_reply_lost() {
     // The record is appended but the reply is lost. The publisher finds the
-    // record by its id and reports it as accepted. It is in the log only once.
+    // record by its id and reports it as version 1. It is in the log only once.
     run(async |world| {
         let mut publisher = world.publisher().await;
         world.faults.change(|f| f.lose = 1);
@@ -22,7 +22,7 @@
 fn publish_reply_lost_in_outage() {
     // The record is appended, the reply is lost and the log goes down, so the
     // publisher cannot look for the record and reports an unknown outcome. Two
-    // retries after the outage report it as accepted and append nothing.
+    // retries after the outage report version 1 as accepted and append nothing.
     run(async |world| {
         let mut publisher = world.publisher().await;
         world.faults.change(|f| {
@@ -49,10 +49,10 @@
 
 #[test]
 fn publish_race_and_reply_lost() {
-    // Two operators publish a successor of the same version. The first record
-    // gets the lower offset, but its reply is lost. The first operator must see
-    // it accepted, the second one a conflict with it, and daemons activate the
-    // first. Repeated with the operators swapped.
+    // Two operators publish a successor of version 1. The first record gets the
+    // lower offset, but its reply is lost. The first operator must see it
+    // accepted as version 2, the second one a conflict with version 2, and the
+    // daemon activates the first. Repeated with the operators swapped.
     run(async |world| {
         let daemon = world.daemon();
         let mut first = world.publisher().await;
