--- a/crates/bundle/src/accept/checkpoint.rs
+++ b/crates/bundle/src/accept/checkpoint.rs
@@ -124,8 +124,8 @@
         }
         // The writer had processed the active version's offset without
         // accepting that version.
-        let outdated = processed >= head.accepted_offset;
-        if outdated {
+        let missed_head = processed >= head.accepted_offset;
+        if missed_head {
             Verdict::StaleCheckpoint
         } else {
             Verdict::Known
--- a/crates/claims/src/claims.rs
+++ b/crates/claims/src/claims.rs
@@ -193,14 +193,14 @@
         // A call in progress may end soon. A call that ended keeps its key until
         // the claim expires.
         let remaining_ms = owner.expires_ms.saturating_sub(self.clock.wall_ms());
-        let after = match owner.outcome {
+        let retry_after = match owner.outcome {
             None => IN_PROGRESS_RETRY,
             Some(_) => Duration::from_millis(remaining_ms),
         };
         ClaimDenied {
             reason: Refusal::KeyInUse,
             outcome: owner.outcome,
-            retry_after: Some(after),
+            retry_after: Some(retry_after),
         }
     }
 
@@ -337,9 +337,9 @@
 
 /// Reads and appends claims until the last other reference is dropped.
 async fn run(claims: Rc<Claims>) {
-    let mut last = claims.clock.now();
+    let mut last_append = claims.clock.now();
     loop {
-        claims.wait().await;
+        claims.wait_for_work().await;
         if Rc::strong_count(&claims) == 1 {
             return;
         }
@@ -352,16 +352,16 @@
         claims.caught_up.set(true);
 
         // Claims made within the interval after an append share the next one.
-        let since = claims.clock.now().saturating_duration_since(last);
+        let since = claims.clock.now().saturating_duration_since(last_append);
         tokio::time::sleep(claims.settings.append_interval.0.saturating_sub(since)).await;
-        last = claims.clock.now();
+        last_append = claims.clock.now();
         claims.flush().await;
     }
 }
 
 impl Claims {
     /// Waits until there is something to append or the idle interval is over.
-    async fn wait(&self) {
+    async fn wait_for_work(&self) {
         let idle = tokio::time::Instant::now() + IDLE_INTERVAL;
         let mut ends_due = None;
         loop {
