--- a/crates/demo/src/plan.rs
+++ b/crates/demo/src/plan.rs
@@ -50,7 +50,7 @@
     let classes: BTreeSet<_> = bundle.classes.keys().cloned().collect();
     for i in 0..WORKSPACE_COUNT {
         let workspace = Workspace {
-            tokens: BTreeSet::from([bundle::token_hash(&workspace_token(i))]),
+            tokens: BTreeSet::from([bundle::index::token_hash(&workspace_token(i))]),
             classes: classes.clone(),
             weight: 1,
         };
