--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -7,7 +7,7 @@
 use crate::slopes::Slopes;
 
 /// The size to design for.
-mod size {
+mod scale {
     /// Entries.
     pub(super) const ENTRIES: f64 = 1_500.0;
     /// Backend servers, each with a sidecar.
@@ -45,12 +45,12 @@
 const MICROS: f64 = 1e6;
 
 /// What one daemon handles at the peak.
-struct Share {
+struct DaemonLoad {
     name: &'static str,
     prefix: &'static str,
     requests: f64,
     pieces: f64,
-    open: f64,
+    streams: f64,
     peers: f64,
 }
 
@@ -61,125 +61,125 @@
 /// Names the line that the slopes do not have.
 pub fn tables(slopes: &Slopes) -> Result<String, String> {
     let mut out = String::new();
-    for share in [entry(), sidecar()] {
+    for load in [entry(), sidecar()] {
         // Writing to memory cannot fail.
-        let _ = write!(out, "{}", table(&share, slopes)?);
+        let _ = write!(out, "{}", table(&load, slopes)?);
     }
     let _ = write!(out, "{}", changes(slopes)?);
     Ok(out)
 }
 
-fn entry() -> Share {
-    let share = 1.0 / size::ENTRIES;
-    Share {
+fn entry() -> DaemonLoad {
+    let share = 1.0 / scale::ENTRIES;
+    DaemonLoad {
         name: "entry",
         prefix: "entry",
-        requests: size::REQUESTS * share,
-        pieces: size::TOKENS * share,
-        open: size::TOKENS * size::GAP * share,
-        peers: size::MODELS * size::SUBSET,
+        requests: scale::REQUESTS * share,
+        pieces: scale::TOKENS * share,
+        streams: scale::TOKENS * scale::GAP * share,
+        peers: scale::MODELS * scale::SUBSET,
     }
 }
 
-fn sidecar() -> Share {
-    let share = 1.0 / size::SIDECARS;
-    Share {
+fn sidecar() -> DaemonLoad {
+    let share = 1.0 / scale::SIDECARS;
+    DaemonLoad {
         name: "sidecar",
         prefix: "sidecar",
-        requests: size::REQUESTS * share,
-        pieces: size::TOKENS * share,
-        open: size::TOKENS * size::GAP * share,
-        peers: size::ENTRIES * size::MODELS * size::SUBSET * share,
+        requests: scale::REQUESTS * share,
+        pieces: scale::TOKENS * share,
+        streams: scale::TOKENS * scale::GAP * share,
+        peers: scale::ENTRIES * scale::MODELS * scale::SUBSET * share,
     }
 }
 
-fn table(share: &Share, slopes: &Slopes) -> Result<String, String> {
-    let per_one = |name: &str| slope(slopes, name);
-    let cpu = |by: &str| per_one(&format!("{}_us_by_{by}", share.prefix));
-    let link = |by: &str| per_one(&format!("link_bytes_by_{by}"));
-    let idle = base(slopes, &format!("{}_us_by_peer_second", share.prefix))?;
+fn table(load: &DaemonLoad, slopes: &Slopes) -> Result<String, String> {
+    let unit_cost = |name: &str| slope(slopes, name);
+    let cpu = |by: &str| unit_cost(&format!("{}_us_by_{by}", load.prefix));
+    let link = |by: &str| unit_cost(&format!("link_bytes_by_{by}"));
+    let idle = intercept(slopes, &format!("{}_us_by_peer_second", load.prefix))?;
     let rows = [
         ("the process itself, idle", 1.0, idle, 0.0, 0.0),
         (
             "requests a second",
-            share.requests,
+            load.requests,
             cpu("request")?,
             link("request")?,
             0.0,
         ),
         (
             "pieces a second",
-            share.pieces,
+            load.pieces,
             cpu("piece")?,
             link("piece")?,
             0.0,
         ),
         (
             "open streams",
-            share.open,
+            load.streams,
             cpu("open_stream_second")?,
             link("open_stream_second")?,
-            per_one("state_bytes_by_open_stream")?,
+            unit_cost("state_bytes_by_open_stream")?,
         ),
         (
             "peers",
-            share.peers,
+            load.peers,
             cpu("peer_second")?,
             link("peer_second")?,
-            per_one("connection_bytes_by_peer")?,
+            unit_cost("connection_bytes_by_peer")?,
         ),
     ];
 
     let mut out = format!(
         "### {}\n\n| what | how many | us each a second | share of a core | bytes/s | state, MB |\n|---|---|---|---|---|---|\n",
-        share.name
+        load.name
     );
-    let (mut cores, mut traffic, mut state) = (0.0, 0.0, 0.0);
-    for (name, count, us, bytes, held) in rows {
-        let (us, bytes, held) = (us.max(0.0), bytes.max(0.0), held.max(0.0));
+    let (mut cores, mut traffic, mut state_bytes) = (0.0, 0.0, 0.0);
+    for (name, count, us, bytes, state_each) in rows {
+        let (us, bytes, state_each) = (us.max(0.0), bytes.max(0.0), state_each.max(0.0));
         cores += count * us / MICROS;
         traffic += count * bytes;
-        state += count * held;
+        state_bytes += count * state_each;
         let _ = writeln!(
             out,
             "| {name} | {count:.1} | {us:.2} | {:.4} | {:.0} | {:.2} |",
             count * us / MICROS,
             count * bytes,
-            count * held / 1e6
+            count * state_each / 1e6
         );
     }
-    let lookup = per_one("lookup_bytes_by_workspace")? * size::WORKSPACES;
+    let index_bytes = unit_cost("lookup_bytes_by_workspace")? * scale::WORKSPACES;
     let _ = writeln!(
         out,
         "| workspaces | {:.0} | | | | {:.2} |",
-        size::WORKSPACES,
-        lookup / 1e6
+        scale::WORKSPACES,
+        index_bytes / 1e6
     );
     let _ = writeln!(
         out,
         "| all | | | {cores:.4} | {traffic:.0} | {:.2} |\n",
-        (state + lookup) / 1e6
+        (state_bytes + index_bytes) / 1e6
     );
 
-    let control = (idle.max(0.0) + share.peers * cpu("peer_second")?.max(0.0)) / MICROS;
-    let bytes = share.peers * link("peer_second")?.max(0.0);
+    let control = (idle.max(0.0) + load.peers * cpu("peer_second")?.max(0.0)) / MICROS;
+    let bytes = load.peers * link("peer_second")?.max(0.0);
     let _ = writeln!(
         out,
         "Control alone, without the changes below: {} of a core, {} bytes/s, {} MB of state.\n",
-        against(control, budget::CORE),
-        against(bytes, budget::TRAFFIC),
-        against((state + lookup) / 1e6, budget::BYTES / 1e6)
+        with_budget(control, budget::CORE),
+        with_budget(bytes, budget::TRAFFIC),
+        with_budget((state_bytes + index_bytes) / 1e6, budget::BYTES / 1e6)
     );
     Ok(out)
 }
 
 /// What changes of the bundle cost each daemon.
 fn changes(slopes: &Slopes) -> Result<String, String> {
-    let rate = size::CHANGES / DAY;
+    let rate = scale::CHANGES / DAY;
     let bytes = slope(slopes, "bundle_bytes_by_workspace")?;
     let us = slope(slopes, "bundle_change_us_by_workspace")?;
     let rows = [
-        ("the whole bundle", size::WORKSPACES),
+        ("the whole bundle", scale::WORKSPACES),
         ("one workspace", 1.0),
     ];
     let mut out = String::from(
@@ -190,8 +190,8 @@
             out,
             "| {name} | {:.0} | {} | {} |",
             bytes * count,
-            against(bytes * count * rate, budget::TRAFFIC),
-            against(us * count * rate / MICROS, budget::CORE)
+            with_budget(bytes * count * rate, budget::TRAFFIC),
+            with_budget(us * count * rate / MICROS, budget::CORE)
         );
     }
     let _ = writeln!(out, "\n{rate:.4} changes a second.");
@@ -199,7 +199,7 @@
 }
 
 /// A figure beside its budget.
-fn against(value: f64, budget: f64) -> String {
+fn with_budget(value: f64, budget: f64) -> String {
     let mark = if value > budget { ", BREAKS" } else { "" };
     format!("{value:.4} (budget {budget:.3}{mark})")
 }
@@ -208,8 +208,8 @@
     line(slopes, name).map(|l| l.slope)
 }
 
-fn base(slopes: &Slopes, name: &str) -> Result<f64, String> {
-    line(slopes, name).map(|l| l.base)
+fn intercept(slopes: &Slopes, name: &str) -> Result<f64, String> {
+    line(slopes, name).map(|l| l.intercept)
 }
 
 fn line<'a>(slopes: &'a Slopes, name: &str) -> Result<&'a Line, String> {
--- a/crates/bench/src/callers.rs
+++ b/crates/bench/src/closed_loop.rs
@@ -13,14 +13,14 @@
 use load::{Arrival, Ending, caller};
 use serde_json::json;
 
-use crate::site::{CLASS, TOKEN};
+use crate::testbed::{CLASS, TOKEN};
 
 /// Threads that send.
 const THREADS: u64 = 4;
 
 /// What a number of requests came to.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Tally {
+pub struct Totals {
     /// Answers that were whole.
     pub whole: u64,
     /// Requests that ended otherwise.
@@ -28,7 +28,7 @@
     /// Tokens received.
     pub tokens: u64,
     /// From the first request to the last answer.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 /// One request.
@@ -53,81 +53,87 @@
 
 /// Sends `count` requests for `answer` tokens each, `open` of them at once.
 #[must_use]
-pub fn send(entry: SocketAddr, count: u64, open: u64, answer: u32) -> Tally {
-    let began = Instant::now();
+pub fn send_requests(entry: SocketAddr, count: u64, in_flight: u64, answer: u32) -> Totals {
+    let started = Instant::now();
     let next = Arc::new(AtomicU64::new(0));
     let threads: Vec<_> = (0..THREADS)
         .map(|_| {
             let next = Arc::clone(&next);
-            thread::spawn(move || part(entry, &next, count, open.div_ceil(THREADS), answer))
+            thread::spawn(move || worker(entry, &next, count, in_flight.div_ceil(THREADS), answer))
         })
         .collect();
 
-    let mut tally = Tally::default();
+    let mut totals = Totals::default();
     for thread in threads {
         let part = thread.join().unwrap_or_default();
-        tally.whole += part.whole;
-        tally.failed += part.failed;
-        tally.tokens += part.tokens;
+        totals.whole += part.whole;
+        totals.failed += part.failed;
+        totals.tokens += part.tokens;
     }
-    tally.took = began.elapsed();
-    tally
+    totals.elapsed = started.elapsed();
+    totals
 }
 
 /// One thread's part of the requests.
-fn part(entry: SocketAddr, next: &Arc<AtomicU64>, count: u64, open: u64, answer: u32) -> Tally {
+fn worker(
+    entry: SocketAddr,
+    next: &Arc<AtomicU64>,
+    count: u64,
+    in_flight: u64,
+    answer: u32,
+) -> Totals {
     actix_rt::System::new().block_on(async {
         let http = caller::client();
         let balancer = Arc::new(Balancer::new(&[entry]));
-        let loops: Vec<_> = (0..open)
+        let tasks: Vec<_> = (0..in_flight)
             .map(|_| {
                 let (http, balancer) = (http.clone(), Arc::clone(&balancer));
                 let next = Arc::clone(next);
                 actix_rt::spawn(async move {
-                    let mut tally = Tally::default();
+                    let mut totals = Totals::default();
                     loop {
                         let number = next.fetch_add(1, Ordering::Relaxed);
                         if number >= count {
-                            return tally;
+                            return totals;
                         }
                         let sent = arrival(number, answer);
                         let outcome = caller::call(http.clone(), &balancer, sent).await;
                         let whole = outcome.ending == Ending::Whole && !outcome.mixed;
-                        tally.whole += u64::from(whole);
-                        tally.failed += u64::from(!whole);
-                        tally.tokens += u64::from(outcome.tokens);
+                        totals.whole += u64::from(whole);
+                        totals.failed += u64::from(!whole);
+                        totals.tokens += u64::from(outcome.tokens);
                     }
                 })
             })
             .collect();
 
-        let mut tally = Tally::default();
-        for task in loops {
+        let mut totals = Totals::default();
+        for task in tasks {
             let part = task.await.unwrap_or_default();
-            tally.whole += part.whole;
-            tally.failed += part.failed;
-            tally.tokens += part.tokens;
+            totals.whole += part.whole;
+            totals.failed += part.failed;
+            totals.tokens += part.tokens;
         }
-        tally
+        totals
     })
 }
 
 /// Where one request goes.
 #[derive(Debug, Clone, Copy)]
-pub enum Way {
+pub enum Route {
     /// Through the entry at an address.
     Entry(SocketAddr),
     /// To the engine stand-in at an address.
     Direct(SocketAddr),
 }
 
-impl Way {
+impl Route {
     /// Opens a stream; returns it with the time until its first event.
     ///
     /// # Errors
     ///
     /// Returns what went wrong, in words.
-    pub async fn open(
+    pub async fn open_stream(
         self,
         http: &awc::Client,
         number: u64,
@@ -145,7 +151,7 @@
             "length": answer,
         });
 
-        let began = Instant::now();
+        let started = Instant::now();
         let request = http.post(url).bearer_auth(TOKEN);
         let request = request.insert_header(("x-request-id", format!("direct-{number}")));
         let sent = request.send_json(&body).await;
@@ -156,6 +162,6 @@
         let mut events = Box::pin(response.timeout(Duration::MAX).eventsource());
         let first = events.next().await.ok_or("no event")?;
         first.map_err(|e| e.to_string())?;
-        Ok((began.elapsed(), events))
+        Ok((started.elapsed(), events))
     }
 }
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -17,9 +17,11 @@
     /// Cost of one more.
     pub slope: f64,
     /// Standard error of the slope.
-    pub error: f64,
+    #[serde(rename = "error")]
+    pub std_error: f64,
     /// Cost at size zero.
-    pub base: f64,
+    #[serde(rename = "base")]
+    pub intercept: f64,
     /// Share of the variance that the line explains, at most 1.
     pub r2: f64,
     /// The points.
@@ -42,17 +44,17 @@
             .sum();
 
         let slope = sxy / sxx;
-        let base = mean_y - slope * mean_x;
-        let rest: f64 = points
+        let intercept = mean_y - slope * mean_x;
+        let residual: f64 = points
             .iter()
-            .map(|p| (p.cost - base - slope * p.size).powi(2))
+            .map(|p| (p.cost - intercept - slope * p.size).powi(2))
             .sum();
         Self {
             slope,
-            error: (rest / (n - 2.0) / sxx).sqrt(),
-            base,
+            std_error: (residual / (n - 2.0) / sxx).sqrt(),
+            intercept,
             // Costs that are all the same leave nothing to explain.
-            r2: if syy > 0.0 { 1.0 - rest / syy } else { 1.0 },
+            r2: if syy > 0.0 { 1.0 - residual / syy } else { 1.0 },
             points: points.to_vec(),
         }
     }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -8,10 +8,10 @@
 //! - [`slopes`]: cost by peer, request, piece, open stream and workspace.
 //! - [`capacity`]: the slopes multiplied to the size to design for.
 
-pub mod callers;
 pub mod capacity;
-pub mod cost;
+pub mod closed_loop;
 pub mod fit;
 pub mod overhead;
-pub mod site;
+pub mod resources;
 pub mod slopes;
+pub mod testbed;
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -8,30 +8,30 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::callers::{self, Way};
-use crate::cost;
-use crate::site::{Layout, Site};
+use crate::closed_loop::{self, Route};
+use crate::resources;
+use crate::testbed::{Testbed, TestbedConfig};
 
 /// Requests on each way for the added time.
-const PAIRS: u64 = 3000;
+const LATENCY_REQUESTS: u64 = 3000;
 
 /// Requests for requests a second, and for pieces a second.
-const REQUESTS: u64 = 20_000;
+const THROUGHPUT_REQUESTS: u64 = 20_000;
 const STREAMS: u64 = 640;
 
 /// Tokens of an answer for pieces a second.
-const ANSWER: u32 = 1000;
+const ANSWER_TOKENS: u32 = 1000;
 
 /// Requests open at once for throughput.
-const OPEN: u64 = 64;
+const CONCURRENCY: u64 = 64;
 
 /// What was measured.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Overhead {
     /// Time to the first token at the engine itself, in microseconds.
-    pub direct_us: Times,
+    pub direct_us: Percentiles,
     /// Time to the first token through the router, in microseconds.
-    pub routed_us: Times,
+    pub routed_us: Percentiles,
     /// Requests a second through one entry.
     pub requests: Rate,
     /// Streamed pieces a second through one entry.
@@ -42,7 +42,7 @@
 
 /// Quantiles of a time, in microseconds.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Times {
+pub struct Percentiles {
     /// The median.
     pub p50: u64,
     /// The 99th percentile.
@@ -71,17 +71,17 @@
 ///
 /// Returns what went wrong, in words.
 pub fn measure() -> Result<Overhead, String> {
-    let idle_site = Layout {
+    let config = TestbedConfig {
         engines: 4,
         slots: 16,
         step: HumanDuration::default(),
     };
-    let site = idle_site.start();
-    let idle_bytes = cost::memory();
-    let (direct_us, routed_us) = added(&site)?;
-    let requests = rate(&site, REQUESTS, 1, |t| t.whole);
-    let pieces = rate(&site, STREAMS, ANSWER, |t| t.tokens);
-    site.end();
+    let testbed = config.start();
+    let idle_bytes = resources::resident_bytes();
+    let (direct_us, routed_us) = measure_latency(&testbed)?;
+    let requests = measure_rate(&testbed, THROUGHPUT_REQUESTS, 1, |t| t.whole);
+    let pieces = measure_rate(&testbed, STREAMS, ANSWER_TOKENS, |t| t.tokens);
+    testbed.stop();
     Ok(Overhead {
         direct_us,
         routed_us,
@@ -93,41 +93,49 @@
 
 /// Time to the first token on both ways, in turn, so that whatever else the
 /// machine does falls on both.
-fn added(site: &Site) -> Result<(Times, Times), String> {
-    let ways = [Way::Direct(site.engines[0]), Way::Entry(site.entry)];
+fn measure_latency(testbed: &Testbed) -> Result<(Percentiles, Percentiles), String> {
+    let routes = [
+        Route::Direct(testbed.engines[0]),
+        Route::Entry(testbed.entry),
+    ];
     let mut times = [histogram()?, histogram()?];
     actix_rt::System::new().block_on(async {
         let http = load::caller::client();
-        for number in 0..PAIRS {
-            for (way, times) in ways.iter().zip(&mut times) {
-                let (first, rest) = way.open(&http, number, 2).await?;
+        for number in 0..LATENCY_REQUESTS {
+            for (route, times) in routes.iter().zip(&mut times) {
+                let (first, rest) = route.open_stream(&http, number, 2).await?;
                 times.saturating_record(micros(first));
                 rest.for_each(|_| async {}).await;
             }
         }
         Ok::<_, String>(())
     })?;
-    Ok((Times::of(&times[0]), Times::of(&times[1])))
+    Ok((Percentiles::of(&times[0]), Percentiles::of(&times[1])))
 }
 
 /// Items a second with many requests open.
-fn rate(site: &Site, count: u64, answer: u32, items: impl Fn(&callers::Tally) -> u64) -> Rate {
-    let (entry, sidecar) = (cost::cpu("entry"), cost::cpu("sidecar"));
-    let tally = callers::send(site.entry, count, OPEN, answer);
-    let entry = cost::cpu("entry") - entry;
-    let sidecar = cost::cpu("sidecar") - sidecar;
-
-    let items = items(&tally).max(1) as f64;
+fn measure_rate(
+    testbed: &Testbed,
+    count: u64,
+    answer: u32,
+    items: impl Fn(&closed_loop::Totals) -> u64,
+) -> Rate {
+    let (entry, sidecar) = (resources::cpu_time("entry"), resources::cpu_time("sidecar"));
+    let totals = closed_loop::send_requests(testbed.entry, count, CONCURRENCY, answer);
+    let entry = resources::cpu_time("entry") - entry;
+    let sidecar = resources::cpu_time("sidecar") - sidecar;
+
+    let items = items(&totals).max(1) as f64;
     Rate {
-        per_second: items / tally.took.as_secs_f64(),
+        per_second: items / totals.elapsed.as_secs_f64(),
         per_core: items / entry.as_secs_f64(),
         entry_us: entry.as_secs_f64() * 1e6 / items,
         sidecar_us: sidecar.as_secs_f64() * 1e6 / items,
-        failed: tally.failed,
+        failed: totals.failed,
     }
 }
 
-impl Times {
+impl Percentiles {
     fn of(histogram: &Histogram<u64>) -> Self {
         Self {
             p50: histogram.value_at_quantile(0.50),
--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/resources.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 /// Longest thread name that the operating system keeps.
-const NAME_LIMIT: usize = 15;
+const THREAD_NAME_LIMIT: usize = 15;
 
 /// Processor time that all threads whose name starts with `prefix` have used.
 #[must_use]
-pub fn cpu(prefix: &str) -> Duration {
-    let prefix = &prefix[..prefix.len().min(NAME_LIMIT)];
-    let Ok(tasks) = fs::read_dir("/proc/self/task") else {
+pub fn cpu_time(prefix: &str) -> Duration {
+    let prefix = &prefix[..prefix.len().min(THREAD_NAME_LIMIT)];
+    let Ok(threads) = fs::read_dir("/proc/self/task") else {
         return Duration::ZERO;
     };
-    let paths = tasks.flatten().map(|task| task.path());
+    let paths = threads.flatten().map(|thread| thread.path());
     let named = paths.filter(|path| {
         fs::read_to_string(path.join("comm")).is_ok_and(|name| name.starts_with(prefix))
     });
@@ -27,7 +27,7 @@
 
 /// Memory of the process that is in use, in bytes.
 #[must_use]
-pub fn memory() -> u64 {
+pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmRSS:"));
     let kib = line.and_then(|l| l.split_whitespace().nth(1)?.parse::<u64>().ok());
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -11,19 +11,19 @@
 use serde::{Deserialize, Serialize};
 use wire::{Peer, Timeouts};
 
-use crate::callers::{self, Way};
-use crate::cost;
+use crate::closed_loop::{self, Route};
 use crate::fit::{Line, Point};
-use crate::site::{self, Layout, Site};
+use crate::resources;
+use crate::testbed::{self, Testbed, TestbedConfig};
 
 /// How long open streams and idle peers are watched.
-const WATCH: Duration = Duration::from_secs(4);
+const SAMPLE_TIME: Duration = Duration::from_secs(4);
 
 /// How long what was just set up is left alone first.
-const SETTLE: Duration = Duration::from_millis(1500);
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 /// Requests open at once.
-const OPEN: u64 = 32;
+const CONCURRENCY: u64 = 32;
 
 /// All slopes by name; the name tells the unit and by what it grows.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -34,18 +34,18 @@
 
 /// What a site has cost so far.
 #[derive(Debug, Clone, Copy)]
-struct Spent {
+struct Usage {
     entry_us: f64,
     sidecar_us: f64,
     link_bytes: f64,
 }
 
-impl Spent {
-    fn of(site: &Site) -> Self {
+impl Usage {
+    fn sample(testbed: &Testbed) -> Self {
         Self {
-            entry_us: cost::cpu("entry").as_secs_f64() * 1e6,
-            sidecar_us: cost::cpu("sidecar").as_secs_f64() * 1e6,
-            link_bytes: site.traffic.get().bytes.total() as f64,
+            entry_us: resources::cpu_time("entry").as_secs_f64() * 1e6,
+            sidecar_us: resources::cpu_time("sidecar").as_secs_f64() * 1e6,
+            link_bytes: testbed.traffic.get().bytes.total() as f64,
         }
     }
 
@@ -69,17 +69,17 @@
         points.push(Point { size, cost });
     }
 
-    fn add_spent(&mut self, by: &str, size: u64, spent: Spent, seconds: f64) {
-        self.add(&format!("entry_us_by_{by}"), size, spent.entry_us / seconds);
+    fn add_usage(&mut self, by: &str, size: u64, usage: Usage, seconds: f64) {
+        self.add(&format!("entry_us_by_{by}"), size, usage.entry_us / seconds);
         self.add(
             &format!("sidecar_us_by_{by}"),
             size,
-            spent.sidecar_us / seconds,
+            usage.sidecar_us / seconds,
         );
         self.add(
             &format!("link_bytes_by_{by}"),
             size,
-            spent.link_bytes / seconds,
+            usage.link_bytes / seconds,
         );
     }
 }
@@ -105,172 +105,172 @@
     })
 }
 
-fn fast(engines: u8) -> Site {
-    let layout = Layout {
+fn start_fast(engines: u8) -> Testbed {
+    let config = TestbedConfig {
         engines,
         slots: 16,
         step: HumanDuration::default(),
     };
-    layout.start()
+    config.start()
 }
 
 /// Cost of requests with an answer of one token.
 fn requests(points: &mut Points) {
-    let site = fast(4);
-    let _ = callers::send(site.entry, 500, OPEN, 1);
+    let testbed = start_fast(4);
+    let _ = closed_loop::send_requests(testbed.entry, 500, CONCURRENCY, 1);
     for count in [1000, 2000, 4000, 8000] {
-        let before = Spent::of(&site);
-        let _ = callers::send(site.entry, count, OPEN, 1);
-        let spent = Spent::of(&site).since(before);
-        points.add_spent("request", count, spent, 1.0);
+        let before = Usage::sample(&testbed);
+        let _ = closed_loop::send_requests(testbed.entry, count, CONCURRENCY, 1);
+        let usage = Usage::sample(&testbed).since(before);
+        points.add_usage("request", count, usage, 1.0);
     }
-    site.end();
+    testbed.stop();
 }
 
 /// Cost of the pieces of answers.
 fn pieces(points: &mut Points) {
-    let layout = Layout {
+    let config = TestbedConfig {
         engines: 4,
         slots: 16,
         step: HumanDuration::ms(3),
     };
-    let site = layout.start();
-    let _ = callers::send(site.entry, 64, OPEN, 50);
+    let testbed = config.start();
+    let _ = closed_loop::send_requests(testbed.entry, 64, CONCURRENCY, 50);
     for answer in [50, 100, 200, 400] {
-        let before = Spent::of(&site);
-        let tally = callers::send(site.entry, 64, OPEN, answer);
-        let spent = Spent::of(&site).since(before);
-        points.add_spent("piece", tally.tokens, spent, 1.0);
+        let before = Usage::sample(&testbed);
+        let totals = closed_loop::send_requests(testbed.entry, 64, CONCURRENCY, answer);
+        let usage = Usage::sample(&testbed).since(before);
+        points.add_usage("piece", totals.tokens, usage, 1.0);
     }
-    site.end();
+    testbed.stop();
 }
 
 /// Cost of streams that are open and wait for their next piece.
 fn streams(points: &mut Points) -> Result<(), String> {
     for count in [250, 500, 1000] {
-        let site = slow();
-        let seconds = WATCH.as_secs_f64();
+        let testbed = start_slow();
+        let seconds = SAMPLE_TIME.as_secs_f64();
         actix_rt::System::new().block_on(async {
             // Both kinds stay open together: memory that one had given back
             // would be used again by the other and go uncounted.
-            let direct = hold(&site, count, Way::Direct(site.engines[0])).await?;
-            let routed = hold(&site, count, Way::Entry(site.entry)).await?;
+            let direct = hold_streams(&testbed, count, Route::Direct(testbed.engines[0])).await?;
+            let routed = hold_streams(&testbed, count, Route::Entry(testbed.entry)).await?;
             let bytes = routed.bytes - direct.bytes;
             points.add("state_bytes_by_open_stream", count, bytes);
-            points.add_spent("open_stream_second", count, routed.spent, seconds);
+            points.add_usage("open_stream_second", count, routed.usage, seconds);
             Ok::<_, String>(())
         })?;
-        site.end();
+        testbed.stop();
     }
     Ok(())
 }
 
 /// A site whose engine makes a token every few seconds.
-fn slow() -> Site {
-    let layout = Layout {
+fn start_slow() -> Testbed {
+    let config = TestbedConfig {
         engines: 1,
         slots: 4096,
         step: HumanDuration::ms(2500),
     };
-    layout.start()
+    config.start()
 }
 
 /// What open streams cost while nothing passes. They stay open for as long as
 /// this lives.
-struct Held<S> {
+struct OpenStreams<S> {
     bytes: f64,
-    spent: Spent,
-    _open: Vec<S>,
+    usage: Usage,
+    _streams: Vec<S>,
 }
 
-async fn hold(
-    site: &Site,
+async fn hold_streams(
+    testbed: &Testbed,
     count: u64,
-    way: Way,
-) -> Result<Held<impl futures_util::Stream + use<>>, String> {
-    let before = cost::memory();
+    route: Route,
+) -> Result<OpenStreams<impl futures_util::Stream + use<>>, String> {
+    let before = resources::resident_bytes();
     let http = load::caller::client();
     let opening = (0..count).map(|number| {
         let http = http.clone();
-        actix_rt::spawn(async move { way.open(&http, number, 10_000).await })
+        actix_rt::spawn(async move { route.open_stream(&http, number, 10_000).await })
     });
     let opening: Vec<_> = opening.collect();
-    let mut open = Vec::new();
+    let mut streams = Vec::new();
     for stream in opening {
         let (_, stream) = stream.await.map_err(|e| e.to_string())??;
-        open.push(stream);
+        streams.push(stream);
     }
 
-    tokio::time::sleep(SETTLE).await;
-    let start = Spent::of(site);
-    tokio::time::sleep(WATCH).await;
-    Ok(Held {
-        bytes: cost::memory() as f64 - before as f64,
-        spent: Spent::of(site).since(start),
-        _open: open,
+    tokio::time::sleep(SETTLE_TIME).await;
+    let start = Usage::sample(testbed);
+    tokio::time::sleep(SAMPLE_TIME).await;
+    Ok(OpenStreams {
+        bytes: resources::resident_bytes() as f64 - before as f64,
+        usage: Usage::sample(testbed).since(start),
+        _streams: streams,
     })
 }
 
 /// Cost of connections to sidecars on which nothing passes, both ends of each
 /// counted together.
 fn peers(points: &mut Points) -> Result<(), String> {
-    let site = fast(1);
+    let testbed = start_fast(1);
     actix_rt::System::new().block_on(async {
-        let before = cost::memory();
-        let stamp = wire::CallHeader {
+        let before = resources::resident_bytes();
+        let call_header = wire::CallHeader {
             sequence: BundleSequence::default(),
         };
-        let mut open = Vec::new();
+        let mut peers = Vec::new();
         for count in [200, 400, 800, 1600] {
-            while open.len() < count {
-                let peer = Peer::new(site.link, Timeouts::default());
-                let sent = peer.cancel(stamp, RequestId::random()).await;
+            while peers.len() < count {
+                let peer = Peer::new(testbed.proxy, Timeouts::default());
+                let sent = peer.cancel(call_header, RequestId::random()).await;
                 sent.map_err(|e| e.to_string())?;
-                open.push(peer);
+                peers.push(peer);
             }
-            tokio::time::sleep(SETTLE).await;
-            let bytes = cost::memory() as f64 - before as f64;
+            tokio::time::sleep(SETTLE_TIME).await;
+            let bytes = resources::resident_bytes() as f64 - before as f64;
             let count = count as u64;
             points.add("connection_bytes_by_peer", count, bytes);
 
-            let start = Spent::of(&site);
-            tokio::time::sleep(WATCH).await;
-            let spent = Spent::of(&site).since(start);
-            points.add_spent("peer_second", count, spent, WATCH.as_secs_f64());
+            let start = Usage::sample(&testbed);
+            tokio::time::sleep(SAMPLE_TIME).await;
+            let usage = Usage::sample(&testbed).since(start);
+            points.add_usage("peer_second", count, usage, SAMPLE_TIME.as_secs_f64());
         }
         Ok::<_, String>(())
     })?;
-    site.end();
+    testbed.stop();
     Ok(())
 }
 
 /// Cost of workspaces in the bundle, and so of a change that carries it whole.
 fn workspaces(points: &mut Points) -> Result<(), String> {
-    let mut kept = Vec::new();
+    let mut retained = Vec::new();
     for count in [5_000, 10_000, 20_000, 46_000] {
-        let bundle = site::bundle(count);
+        let bundle = testbed::bundle(count);
         let json = serde_json::to_vec(&bundle).map_err(|e| e.to_string())?;
         let size = count as u64;
         points.add("bundle_bytes_by_workspace", size, json.len() as f64);
 
-        let began = Instant::now();
+        let started = Instant::now();
         let parsed: bundle::Bundle = serde_json::from_slice(&json).map_err(|e| e.to_string())?;
-        let parse = began.elapsed();
-        let before = cost::memory();
-        let lookup = IndexedBundle::new(parsed);
-        let took = parse + (began.elapsed() - parse);
+        let parse_time = started.elapsed();
+        let before = resources::resident_bytes();
+        let index = IndexedBundle::new(parsed);
+        let change_time = parse_time + (started.elapsed() - parse_time);
         points.add(
             "bundle_change_us_by_workspace",
             size,
-            took.as_secs_f64() * 1e6,
+            change_time.as_secs_f64() * 1e6,
         );
         drop(bundle);
         drop(json);
 
-        let copy = lookup.clone();
-        let bytes = cost::memory() as f64 - before as f64;
+        let copy = index.clone();
+        let bytes = resources::resident_bytes() as f64 - before as f64;
         points.add("lookup_bytes_by_workspace", size, bytes);
-        kept.push((lookup, copy));
+        retained.push((index, copy));
     }
     Ok(())
 }
@@ -286,7 +286,7 @@
             writeln!(
                 f,
                 "{name:<34} {:>12.3} {:>10.3} {:>14.1} {:>7.4}",
-                line.slope, line.error, line.base, line.r2
+                line.slope, line.std_error, line.intercept, line.r2
             )?;
         }
         Ok(())
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/testbed.rs
@@ -17,7 +17,7 @@
 const PORT: u16 = 7200;
 
 /// Time for the daemons to start listening.
-const WARM_UP: Duration = Duration::from_millis(400);
+const STARTUP_DELAY: Duration = Duration::from_millis(400);
 
 /// The one class and model.
 pub const CLASS: &str = "bench";
@@ -26,14 +26,14 @@
 pub const TOKEN: &str = "bench-token";
 
 /// A target that no request misses.
-const NEVER: HumanDuration = HumanDuration::secs(3600);
+const LOOSE_TARGET: HumanDuration = HumanDuration::secs(3600);
 
 /// Counts the sites of a process, so that each has addresses of its own.
-static SITES: AtomicU8 = AtomicU8::new(0);
+static TESTBEDS: AtomicU8 = AtomicU8::new(0);
 
 /// How a site is laid out.
 #[derive(Debug, Clone, Copy)]
-pub struct Layout {
+pub struct TestbedConfig {
     /// Engines, each with a sidecar.
     pub engines: u8,
     /// Requests that an engine runs at once.
@@ -43,11 +43,11 @@
 }
 
 /// A site that runs.
-pub struct Site {
+pub struct Testbed {
     /// The entry.
     pub entry: SocketAddr,
     /// The first sidecar, as the entry reaches it.
-    pub link: SocketAddr,
+    pub proxy: SocketAddr,
     /// The engines.
     pub engines: Vec<SocketAddr>,
     /// Bytes that passed between the entry and the sidecars.
@@ -55,15 +55,15 @@
     hosts: Vec<Host>,
 }
 
-impl Layout {
+impl TestbedConfig {
     /// Starts the site and waits until it listens.
     #[must_use]
-    pub fn start(self) -> Site {
+    pub fn start(self) -> Testbed {
         let [_, _, a, b] = std::process::id().to_be_bytes();
-        let number = SITES.fetch_add(1, Ordering::Relaxed);
-        let net = [a.wrapping_mul(7).wrapping_add(b).max(1), number];
+        let number = TESTBEDS.fetch_add(1, Ordering::Relaxed);
+        let subnet = [a.wrapping_mul(7).wrapping_add(b).max(1), number];
         let addr = |role: u8, i: u8| {
-            let ip = Ipv4Addr::new(127, net[0], net[1], role * 64 + i + 1);
+            let ip = Ipv4Addr::new(127, subnet[0], subnet[1], role * 64 + i + 1);
             SocketAddr::new(IpAddr::V4(ip), PORT)
         };
 
@@ -71,22 +71,22 @@
         let mut hosts = Vec::new();
         let mut known = Vec::new();
         for i in 0..self.engines {
-            let (engine, sidecar, link) = (addr(1, i), addr(2, i), addr(3, i));
+            let (engine, sidecar, proxy) = (addr(1, i), addr(2, i), addr(3, i));
             hosts.push(self.start_engine(engine));
             hosts.push(self.start_sidecar(i, sidecar, engine));
-            hosts.push(start_link(link, sidecar, traffic.clone()));
+            hosts.push(start_proxy(proxy, sidecar, traffic.clone()));
             known.push(Known {
                 name: format!("sidecar-{i}"),
-                addr: link,
+                addr: proxy,
                 zone: "a".to_owned(),
                 serves: CLASS.to_owned(),
             });
         }
         hosts.push(start_entry(addr(0, 0), known));
-        thread::sleep(WARM_UP);
-        Site {
+        thread::sleep(STARTUP_DELAY);
+        Testbed {
             entry: addr(0, 0),
-            link: addr(3, 0),
+            proxy: addr(3, 0),
             engines: (0..self.engines).map(|i| addr(1, i)).collect(),
             traffic,
             hosts,
@@ -125,14 +125,14 @@
     }
 }
 
-impl Site {
+impl Testbed {
     /// Ends everything.
-    pub fn end(self) {
+    pub fn stop(self) {
         self.hosts.iter().for_each(Host::crash);
     }
 }
 
-fn start_link(listen: SocketAddr, target: SocketAddr, traffic: Control<silence::Faults>) -> Host {
+fn start_proxy(listen: SocketAddr, target: SocketAddr, traffic: Control<silence::Faults>) -> Host {
     Host::start("link", move |stop| {
         silence::run(listen, target, traffic.clone(), stop)
     })
@@ -160,9 +160,9 @@
     let class = Class {
         tier: Tier(0),
         targets: Targets {
-            first_token: NEVER,
-            token_gap: NEVER,
-            full_answer: NEVER,
+            first_token: LOOSE_TARGET,
+            token_gap: LOOSE_TARGET,
+            full_answer: LOOSE_TARGET,
         },
         model: CLASS.to_owned(),
     };
