--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,40 +1,40 @@
-//! The measured slopes multiplied to the size to design for; the tables of
-//! docs/CAPACITY.md come from here.
+//! Extrapolates the measured slopes to the target deployment size. Produces
+//! the tables of docs/CAPACITY.md.
 
 use std::fmt::Write as _;
 
 use crate::fit::Line;
 use crate::slopes::Slopes;
 
-/// The size to design for.
+/// Size of the deployment that the router is designed for.
 mod scale {
     /// Entries.
     pub(super) const ENTRIES: f64 = 1_500.0;
     /// Backend servers, each with a sidecar.
     pub(super) const SIDECARS: f64 = 10_000.0;
-    /// Requests a second at the peak.
+    /// Requests per second at the peak.
     pub(super) const REQUESTS: f64 = 50_000.0;
-    /// Tokens a second at the peak.
+    /// Tokens per second at the peak.
     pub(super) const TOKENS: f64 = 14_000_000.0;
     /// Time between tokens, in seconds.
     pub(super) const GAP: f64 = 0.043;
     /// Workspaces.
     pub(super) const WORKSPACES: f64 = 46_000.0;
-    /// Models in steady use.
+    /// Models that each entry routes to at any time.
     pub(super) const MODELS: f64 = 12.0;
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub(super) const CHANGES: f64 = 27_000.0;
-    /// Sidecars of one model that an entry keeps a connection to.
+    /// Sidecars of each model that an entry keeps a connection to.
     pub(super) const SUBSET: f64 = 8.0;
 }
 
-/// What a daemon may spend for control.
+/// Limits on what a daemon may use for control traffic.
 mod budget {
-    /// Share of a core.
+    /// Share of one CPU core.
     pub(super) const CORE: f64 = 0.041;
     /// Memory, in bytes.
     pub(super) const BYTES: f64 = 128.0 * 1024.0 * 1024.0;
-    /// Traffic, in bytes a second.
+    /// Traffic, in bytes per second.
     pub(super) const TRAFFIC: f64 = 8.0 * 1024.0;
 }
 
@@ -44,7 +44,7 @@
 /// Microseconds in a second.
 const MICROS: f64 = 1e6;
 
-/// What one daemon handles at the peak.
+/// Load of one daemon at the peak.
 struct DaemonLoad {
     name: &'static str,
     prefix: &'static str,
@@ -54,11 +54,11 @@
     peers: f64,
 }
 
-/// Works out the tables, as Markdown.
+/// Computes the tables, as Markdown.
 ///
 /// # Errors
 ///
-/// Names the line that the slopes do not have.
+/// Names the line that is missing from the slopes.
 pub fn tables(slopes: &Slopes) -> Result<String, String> {
     let mut out = String::new();
     for load in [entry(), sidecar()] {
@@ -173,7 +173,7 @@
     Ok(out)
 }
 
-/// What changes of the bundle cost each daemon.
+/// Cost of bundle changes for each daemon.
 fn changes(slopes: &Slopes) -> Result<String, String> {
     let rate = scale::CHANGES / DAY;
     let bytes = slope(slopes, "bundle_bytes_by_workspace")?;
@@ -198,7 +198,7 @@
     Ok(out)
 }
 
-/// A figure beside its budget.
+/// Formats a figure with its budget, and marks it when it exceeds the budget.
 fn with_budget(value: f64, budget: f64) -> String {
     let mark = if value > budget { ", BREAKS" } else { "" };
     format!("{value:.4} (budget {budget:.3}{mark})")
--- a/crates/bench/src/closed_loop.rs
+++ b/crates/bench/src/closed_loop.rs
@@ -1,4 +1,5 @@
-//! Callers that send the next request when one has ended.
+//! A closed-loop load generator: each client sends its next request when the
+//! previous one has ended.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,15 +16,15 @@
 
 use crate::testbed::{CLASS, TOKEN};
 
-/// Threads that send.
+/// Threads that send requests, each with an event loop of its own.
 const THREADS: u64 = 4;
 
-/// What a number of requests came to.
+/// Results of a batch of requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Totals {
-    /// Answers that were whole.
+    /// Requests that received a complete answer.
     pub whole: u64,
-    /// Requests that ended otherwise.
+    /// Requests that ended in any other way.
     pub failed: u64,
     /// Tokens received.
     pub tokens: u64,
@@ -31,7 +32,7 @@
     pub elapsed: Duration,
 }
 
-/// One request.
+/// The request with this number, which asks for `answer` tokens.
 #[must_use]
 pub fn arrival(number: u64, answer: u32) -> Arrival {
     Arrival {
@@ -51,7 +52,8 @@
     }
 }
 
-/// Sends `count` requests for `answer` tokens each, `open` of them at once.
+/// Sends `count` requests for `answer` tokens each, at most `in_flight` of
+/// them at a time (rounded up to a multiple of the number of threads).
 #[must_use]
 pub fn send_requests(entry: SocketAddr, count: u64, in_flight: u64, answer: u32) -> Totals {
     let started = Instant::now();
@@ -74,7 +76,8 @@
     totals
 }
 
-/// One thread's part of the requests.
+/// Sends requests from one thread until the shared counter `next` reaches
+/// `count`.
 fn worker(
     entry: SocketAddr,
     next: &Arc<AtomicU64>,
@@ -118,21 +121,21 @@
     })
 }
 
-/// Where one request goes.
+/// The route by which a request reaches an engine.
 #[derive(Debug, Clone, Copy)]
 pub enum Route {
     /// Through the entry at an address.
     Entry(SocketAddr),
-    /// To the engine stand-in at an address.
+    /// Straight to the engine stand-in at an address.
     Direct(SocketAddr),
 }
 
 impl Route {
-    /// Opens a stream; returns it with the time until its first event.
+    /// Opens a streamed completion; returns it with the time to its first event.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong, in words.
+    /// Returns a description of the failed request.
     pub async fn open_stream(
         self,
         http: &awc::Client,
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -1,20 +1,20 @@
-//! A straight line through measured points.
+//! Least-squares fit of a straight line through measured points.
 
 use serde::{Deserialize, Serialize};
 
-/// One measured point: a size and what it cost.
+/// One measurement: the cost at a given size.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size.
+    /// Number of items, such as requests or open streams.
     pub size: f64,
-    /// What was measured at it.
+    /// Cost measured at this size.
     pub cost: f64,
 }
 
-/// A line by least squares.
+/// A line fitted by least squares.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Cost of one more.
+    /// Cost of each additional item.
     pub slope: f64,
     /// Standard error of the slope.
     #[serde(rename = "error")]
@@ -22,15 +22,16 @@
     /// Cost at size zero.
     #[serde(rename = "base")]
     pub intercept: f64,
-    /// Share of the variance that the line explains, at most 1.
+    /// Coefficient of determination: the share of the variance that the line
+    /// explains, at most 1.
     pub r2: f64,
-    /// The points.
+    /// The fitted points.
     pub points: Vec<Point>,
 }
 
 impl Line {
-    /// Fits a line. Needs two different sizes for a slope and three points
-    /// for an error; without them the figures are not numbers.
+    /// Fits a line. The slope needs two different sizes and its standard error
+    /// three points; with fewer they are NaN or infinite.
     #[must_use]
     pub fn fit(points: &[Point]) -> Self {
         let n = points.len() as f64;
@@ -53,7 +54,7 @@
             slope,
             std_error: (residual / (n - 2.0) / sxx).sqrt(),
             intercept,
-            // Costs that are all the same leave nothing to explain.
+            // Equal costs have no variance, which a flat line fits exactly.
             r2: if syy > 0.0 { 1.0 - residual / syy } else { 1.0 },
             points: points.to_vec(),
         }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,12 +1,13 @@
-//! Measurements of the router itself: what it adds, and how its cost grows.
+//! Benchmarks of the router itself: added latency, throughput and how its
+//! resource use grows with load.
 //!
-//! - [`site`]: one entry before a few sidecars and stand-ins.
-//! - [`callers`]: callers that send the next request when one has ended.
-//! - [`cost`]: processor time by thread, and memory of the process.
-//! - [`fit`]: least squares with their error.
-//! - [`overhead`]: added time, throughput and memory.
-//! - [`slopes`]: cost by peer, request, piece, open stream and workspace.
-//! - [`capacity`]: the slopes multiplied to the size to design for.
+//! - [`testbed`]: one entry with a few sidecars and engine stand-ins.
+//! - [`closed_loop`]: a closed-loop load generator.
+//! - [`resources`]: CPU time by thread and resident memory of the process.
+//! - [`fit`]: least-squares fit of a line with its standard error.
+//! - [`overhead`]: added latency, throughput and idle memory.
+//! - [`slopes`]: cost per peer, request, chunk, open stream and workspace.
+//! - [`capacity`]: the slopes extrapolated to the target deployment size.
 
 pub mod capacity;
 pub mod closed_loop;
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,4 +1,5 @@
-//! What the router adds to a call of the engine itself.
+//! Overhead of a call through the router, compared with calling the engine
+//! directly.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -12,35 +13,36 @@
 use crate::resources;
 use crate::testbed::{Testbed, TestbedConfig};
 
-/// Requests on each way for the added time.
+/// Requests by each route in the latency measurement.
 const LATENCY_REQUESTS: u64 = 3000;
 
-/// Requests for requests a second, and for pieces a second.
+/// Requests in the measurements of requests and of chunks per second.
 const THROUGHPUT_REQUESTS: u64 = 20_000;
 const STREAMS: u64 = 640;
 
-/// Tokens of an answer for pieces a second.
+/// Tokens of each answer in the measurement of chunks per second.
 const ANSWER_TOKENS: u32 = 1000;
 
-/// Requests open at once for throughput.
+/// Concurrent requests in the throughput measurements.
 const CONCURRENCY: u64 = 64;
 
-/// What was measured.
+/// Results of the overhead benchmark.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Overhead {
-    /// Time to the first token at the engine itself, in microseconds.
+    /// Time to the first token when the engine is called directly, in
+    /// microseconds.
     pub direct_us: Percentiles,
     /// Time to the first token through the router, in microseconds.
     pub routed_us: Percentiles,
-    /// Requests a second through one entry.
+    /// Requests per second through one entry.
     pub requests: Rate,
-    /// Streamed pieces a second through one entry.
+    /// Streamed chunks per second through one entry.
     pub pieces: Rate,
-    /// Memory of the process with everything idle, in bytes.
+    /// Resident memory of the whole process while idle, in bytes.
     pub idle_bytes: u64,
 }
 
-/// Quantiles of a time, in microseconds.
+/// Percentiles of a latency, in microseconds.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Percentiles {
     /// The median.
@@ -49,27 +51,27 @@
     pub p99: u64,
 }
 
-/// A rate and what it cost.
+/// A throughput and its CPU cost.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Rate {
-    /// Items a second of wall time.
+    /// Items per second of wall time.
     pub per_second: f64,
-    /// Items a second of the entry's processor time: what one core could
-    /// carry.
+    /// Items per second of the entry's CPU time: the throughput that one core
+    /// could sustain.
     pub per_core: f64,
-    /// The entry's processor time for one item, in microseconds.
+    /// CPU time of the entry for each item, in microseconds.
     pub entry_us: f64,
-    /// The sidecars' processor time for one item, in microseconds.
+    /// CPU time of all sidecars for each item, in microseconds.
     pub sidecar_us: f64,
-    /// Requests that did not end whole.
+    /// Requests without a complete answer.
     pub failed: u64,
 }
 
-/// Measures everything.
+/// Runs all measurements on a fresh testbed.
 ///
 /// # Errors
 ///
-/// Returns what went wrong, in words.
+/// Returns a description of the request that failed.
 pub fn measure() -> Result<Overhead, String> {
     let config = TestbedConfig {
         engines: 4,
@@ -91,8 +93,8 @@
     })
 }
 
-/// Time to the first token on both ways, in turn, so that whatever else the
-/// machine does falls on both.
+/// Measures the time to the first token by both routes. The routes alternate
+/// so that other load on the machine affects both equally.
 fn measure_latency(testbed: &Testbed) -> Result<(Percentiles, Percentiles), String> {
     let routes = [
         Route::Direct(testbed.engines[0]),
@@ -113,7 +115,8 @@
     Ok((Percentiles::of(&times[0]), Percentiles::of(&times[1])))
 }
 
-/// Items a second with many requests open.
+/// Measures throughput with [`CONCURRENCY`] requests in flight; `items`
+/// selects what is counted.
 fn measure_rate(
     testbed: &Testbed,
     count: u64,
--- a/crates/bench/src/resources.rs
+++ b/crates/bench/src/resources.rs
@@ -1,13 +1,12 @@
-//! Processor time by thread, and memory of the process, as the operating
-//! system counts them.
+//! CPU time by thread and resident memory of the process, read from `/proc`.
 
 use std::fs;
 use std::time::Duration;
 
-/// Longest thread name that the operating system keeps.
+/// Linux truncates thread names to this number of bytes.
 const THREAD_NAME_LIMIT: usize = 15;
 
-/// Processor time that all threads whose name starts with `prefix` have used.
+/// CPU time used so far by all threads whose name starts with `prefix`.
 #[must_use]
 pub fn cpu_time(prefix: &str) -> Duration {
     let prefix = &prefix[..prefix.len().min(THREAD_NAME_LIMIT)];
@@ -25,7 +24,7 @@
         .sum()
 }
 
-/// Memory of the process that is in use, in bytes.
+/// Resident memory of the process, in bytes; 0 if it cannot be read.
 #[must_use]
 pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,5 +1,5 @@
-//! How the router's cost grows: by request, piece, open stream, peer and
-//! workspace, each from at least three sizes.
+//! Measures how the router's cost grows with the number of requests, chunks,
+//! open streams, peers and workspaces, each at three sizes or more.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -16,23 +16,25 @@
 use crate::resources;
 use crate::testbed::{self, Testbed, TestbedConfig};
 
-/// How long open streams and idle peers are watched.
+/// How long resource use of open streams and idle peers is sampled.
 const SAMPLE_TIME: Duration = Duration::from_secs(4);
 
-/// How long what was just set up is left alone first.
+/// Time for new connections to become idle before sampling starts.
 const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
-/// Requests open at once.
+/// Concurrent requests.
 const CONCURRENCY: u64 = 32;
 
-/// All slopes by name; the name tells the unit and by what it grows.
+/// Fitted lines by name. The name gives the unit of the cost and the item that
+/// it is measured per, as in `entry_us_by_request`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Slopes {
-    /// The lines by name.
+    /// Lines by name.
     pub lines: BTreeMap<String, Line>,
 }
 
-/// What a site has cost so far.
+/// Resources that a testbed has used: CPU time of the daemons in microseconds,
+/// and bytes between entry and sidecars.
 #[derive(Debug, Clone, Copy)]
 struct Usage {
     entry_us: f64,
@@ -58,7 +60,7 @@
     }
 }
 
-/// Points by the name of their line.
+/// Measured points by the name of their line.
 #[derive(Default)]
 struct Points(BTreeMap<String, Vec<Point>>);
 
@@ -88,11 +90,11 @@
 ///
 /// # Errors
 ///
-/// Returns what went wrong, in words.
+/// Returns a description of the request or conversion that failed.
 pub fn measure() -> Result<Slopes, String> {
     let mut points = Points::default();
-    // First what needs little memory: what others gave back would be used
-    // again and go uncounted.
+    // The measurement that needs little memory comes first: memory that another
+    // one has freed would be reused and not be counted.
     peers(&mut points)?;
     requests(&mut points);
     pieces(&mut points);
@@ -114,7 +116,7 @@
     config.start()
 }
 
-/// Cost of requests with an answer of one token.
+/// Measures the cost of requests with an answer of one token.
 fn requests(points: &mut Points) {
     let testbed = start_fast(4);
     let _ = closed_loop::send_requests(testbed.entry, 500, CONCURRENCY, 1);
@@ -127,7 +129,7 @@
     testbed.stop();
 }
 
-/// Cost of the pieces of answers.
+/// Measures the cost of the chunks of streamed answers.
 fn pieces(points: &mut Points) {
     let config = TestbedConfig {
         engines: 4,
@@ -145,14 +147,14 @@
     testbed.stop();
 }
 
-/// Cost of streams that are open and wait for their next piece.
+/// Measures the cost of open streams that wait for their next chunk.
 fn streams(points: &mut Points) -> Result<(), String> {
     for count in [250, 500, 1000] {
         let testbed = start_slow();
         let seconds = SAMPLE_TIME.as_secs_f64();
         actix_rt::System::new().block_on(async {
-            // Both kinds stay open together: memory that one had given back
-            // would be used again by the other and go uncounted.
+            // Both sets of streams stay open together: memory freed by one
+            // would be reused by the other and not be counted.
             let direct = hold_streams(&testbed, count, Route::Direct(testbed.engines[0])).await?;
             let routed = hold_streams(&testbed, count, Route::Entry(testbed.entry)).await?;
             let bytes = routed.bytes - direct.bytes;
@@ -165,7 +167,7 @@
     Ok(())
 }
 
-/// A site whose engine makes a token every few seconds.
+/// Starts a testbed whose engine generates a token every 2.5 seconds.
 fn start_slow() -> Testbed {
     let config = TestbedConfig {
         engines: 1,
@@ -175,8 +177,8 @@
     config.start()
 }
 
-/// What open streams cost while nothing passes. They stay open for as long as
-/// this lives.
+/// Cost of streams while no data passes. They stay open until this value is
+/// dropped.
 struct OpenStreams<S> {
     bytes: f64,
     usage: Usage,
@@ -211,8 +213,8 @@
     })
 }
 
-/// Cost of connections to sidecars on which nothing passes, both ends of each
-/// counted together.
+/// Measures the cost of idle connections to sidecars, counting both ends of
+/// each connection together.
 fn peers(points: &mut Points) -> Result<(), String> {
     let testbed = start_fast(1);
     actix_rt::System::new().block_on(async {
@@ -244,7 +246,8 @@
     Ok(())
 }
 
-/// Cost of workspaces in the bundle, and so of a change that carries it whole.
+/// Measures the cost of workspaces in the bundle, which is also the cost of a
+/// change that carries the whole bundle.
 fn workspaces(points: &mut Points) -> Result<(), String> {
     let mut retained = Vec::new();
     for count in [5_000, 10_000, 20_000, 46_000] {
--- a/crates/bench/src/testbed.rs
+++ b/crates/bench/src/testbed.rs
@@ -1,4 +1,5 @@
-//! One entry before a few sidecars and stand-ins, each on a thread of its own.
+//! One entry with a few sidecars and engine stand-ins, each on a thread of its
+//! own.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,50 +14,50 @@
 use entry::settings::Known;
 use standin::{Control, Ledger, silence};
 
-/// Port on which every daemon listens, each on an address of its own.
+/// Port of every daemon; each listens on a loopback address of its own.
 const PORT: u16 = 7200;
 
-/// Time for the daemons to start listening.
+/// Time that the daemons get to start listening.
 const STARTUP_DELAY: Duration = Duration::from_millis(400);
 
-/// The one class and model.
+/// Name of the only class and of the only model.
 pub const CLASS: &str = "bench";
 
-/// The one bearer token.
+/// Bearer token of the first workspace.
 pub const TOKEN: &str = "bench-token";
 
-/// A target that no request misses.
+/// A latency target that no request misses.
 const LOOSE_TARGET: HumanDuration = HumanDuration::secs(3600);
 
-/// Counts the sites of a process, so that each has addresses of its own.
+/// Number of testbeds started by this process, to give each its own addresses.
 static TESTBEDS: AtomicU8 = AtomicU8::new(0);
 
-/// How a site is laid out.
+/// Configuration of a testbed.
 #[derive(Debug, Clone, Copy)]
 pub struct TestbedConfig {
-    /// Engines, each with a sidecar.
+    /// Number of engines, each with a sidecar.
     pub engines: u8,
-    /// Requests that an engine runs at once.
+    /// Requests that an engine runs concurrently.
     pub slots: usize,
-    /// Time of an engine's step.
+    /// Duration of one decoding step of an engine.
     pub step: HumanDuration,
 }
 
-/// A site that runs.
+/// A running testbed.
 pub struct Testbed {
-    /// The entry.
+    /// Address of the entry.
     pub entry: SocketAddr,
-    /// The first sidecar, as the entry reaches it.
+    /// Address of the byte-counting proxy in front of the first sidecar.
     pub proxy: SocketAddr,
-    /// The engines.
+    /// Addresses of the engines.
     pub engines: Vec<SocketAddr>,
-    /// Bytes that passed between the entry and the sidecars.
+    /// Counts the bytes that pass between the entry and the sidecars.
     pub traffic: Control<silence::Faults>,
     hosts: Vec<Host>,
 }
 
 impl TestbedConfig {
-    /// Starts the site and waits until it listens.
+    /// Starts the testbed and gives its daemons time to listen.
     #[must_use]
     pub fn start(self) -> Testbed {
         let [_, _, a, b] = std::process::id().to_be_bytes();
@@ -126,7 +127,7 @@
 }
 
 impl Testbed {
-    /// Ends everything.
+    /// Stops all daemons at once, without draining.
     pub fn stop(self) {
         self.hosts.iter().for_each(Host::crash);
     }
@@ -153,7 +154,7 @@
     })
 }
 
-/// A bundle with one class and so many workspaces.
+/// A bundle with one class and the given number of workspaces.
 #[must_use]
 pub fn bundle(workspaces: usize) -> Bundle {
     let mut bundle = Bundle::default();
--- a/crates/bench/tests/fit.rs
+++ b/crates/bench/tests/fit.rs
@@ -1,4 +1,4 @@
-//! The line through measured points.
+//! Least-squares fit of a line through measured points.
 
 use bench::fit::{Line, Point};
 
@@ -19,7 +19,7 @@
     assert!(line.std_error.abs() < 1e-9 && (line.r2 - 1.0).abs() < 1e-9);
 }
 
-/// Worked out by hand: slope 1.9, residuals -0.1, 0.0, 0.3, -0.2.
+/// Expected values computed by hand: slope 1.9, residuals -0.1, 0.0, 0.3, -0.2.
 #[test]
 fn fit_noisy_points() {
     let line = Line::fit(&points(&[2.0, 4.0, 6.2, 7.6]));
