--- a/crates/cli/src/commands/bench.rs
+++ b/crates/cli/src/commands/bench.rs
@@ -1,4 +1,4 @@
-//! `bench`: measurements of the router itself.
+//! `bench`: benchmarks of the router itself.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,56 +8,56 @@
 use bpaf::Bpaf;
 use serde::Serialize;
 
-use crate::Outcome;
+use crate::CommandResult;
 
-/// Measure the router itself.
+/// Measure the overhead and capacity of the router.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, generate(bench))]
 pub(crate) struct Bench {
     #[bpaf(external)]
-    what: What,
+    benchmark: Benchmark,
 }
 
 #[derive(Debug, Clone, Bpaf)]
-enum What {
-    /// Added time to the first token, requests and pieces a second, memory
+enum Benchmark {
+    /// Added time to the first token, requests and chunks per second, idle memory
     #[bpaf(command)]
     Overhead {
-        /// Where to write the figures as JSON
+        /// Where to write the results as JSON
         #[bpaf(argument("FILE"))]
         report: Option<PathBuf>,
     },
-    /// Cost by request, piece, open stream, peer and workspace
+    /// Cost per request, chunk, open stream, peer and workspace
     #[bpaf(command)]
     Slopes {
-        /// Where to write the lines as JSON
+        /// Where to write the fitted lines as JSON
         #[bpaf(argument("FILE"))]
         report: Option<PathBuf>,
     },
-    /// The slopes multiplied to the size to design for
+    /// Extrapolate the slopes to the target deployment size
     #[bpaf(command)]
     Capacity {
-        /// The file that `bench slopes` wrote
+        /// Report written by `bench slopes`
         #[bpaf(argument("FILE"))]
         slopes: PathBuf,
     },
 }
 
 impl Bench {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         logging::init(Level::Error);
-        match self.what {
-            What::Overhead { report } => {
+        match self.benchmark {
+            Benchmark::Overhead { report } => {
                 let overhead = bench::overhead::measure()?;
                 println!("{overhead}");
-                write(report.as_deref(), &overhead)
+                write_report(report.as_deref(), &overhead)
             }
-            What::Slopes { report } => {
+            Benchmark::Slopes { report } => {
                 let slopes = bench::slopes::measure()?;
                 println!("{slopes}");
-                write(report.as_deref(), &slopes)
+                write_report(report.as_deref(), &slopes)
             }
-            What::Capacity { slopes } => {
+            Benchmark::Capacity { slopes } => {
                 let slopes: bench::slopes::Slopes = settings::load(&slopes)?;
                 println!("{}", bench::capacity::tables(&slopes)?);
                 Ok(ExitCode::SUCCESS)
@@ -66,7 +66,7 @@
     }
 }
 
-fn write<T: Serialize>(path: Option<&Path>, value: &T) -> Outcome {
+fn write_report<T: Serialize>(path: Option<&Path>, value: &T) -> CommandResult {
     if let Some(path) = path {
         std::fs::write(path, serde_json::to_string_pretty(value)?)?;
     }
--- a/crates/cli/src/commands/bundle.rs
+++ b/crates/cli/src/commands/bundle.rs
@@ -1,4 +1,4 @@
-//! `bundle`: declaring, checking, signing and rolling out.
+//! `bundle`: creates, checks, signs, publishes and rolls back bundles.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,18 +11,18 @@
 use bundle::record::content_operators;
 use bundle::{Content, SecretKey};
 use clients::log::Log;
-use follow::{PublishOutcome as Told, Publisher, Settings};
+use follow::{PublishOutcome, Publisher, Settings};
 use serde_json::Value;
 
-use crate::{BAD_INPUT, Outcome};
+use crate::{BAD_INPUT, CommandResult};
 
-/// Exit code when another version won, or nobody can tell.
+/// Exit code when a concurrent version won, or the outcome is unknown.
 const NOT_ACCEPTED: u8 = 1;
 
-/// A bundle to start from.
+/// Template for a new bundle.
 const TEMPLATE: &str = include_str!("bundle_template.json");
 
-/// Declare, check, sign and roll out the bundle.
+/// Create, check, sign and publish the bundle.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command("bundle"), generate(bundle))]
 pub(crate) struct BundleCommand {
@@ -32,17 +32,17 @@
 
 #[derive(Debug, Clone, Bpaf)]
 enum Action {
-    /// Print a bundle to start from
+    /// Print a template for a new bundle
     #[bpaf(command)]
     New,
-    /// Print every fault of a bundle
+    /// Check a bundle and print every error
     #[bpaf(command)]
     Check {
         /// The bundle
         #[bpaf(positional("BUNDLE"))]
         file: PathBuf,
     },
-    /// Sign a bundle off
+    /// Sign a bundle
     #[bpaf(command)]
     Sign {
         /// The operator's secret key
@@ -55,7 +55,7 @@
         #[bpaf(positional("BUNDLE"))]
         file: PathBuf,
     },
-    /// Roll a signed bundle out
+    /// Publish a signed bundle
     #[bpaf(command)]
     Publish {
         /// The operator's secret key
@@ -68,7 +68,7 @@
         #[bpaf(positional("SIGNED"))]
         file: PathBuf,
     },
-    /// Roll back to an earlier version, as a new version with its content
+    /// Publish the content of an earlier version as a new version
     #[bpaf(command)]
     Rollback {
         /// The operator's secret key
@@ -91,7 +91,7 @@
         #[bpaf(argument("N"))]
         version: Option<u64>,
     },
-    /// Print what changes from one bundle to another
+    /// Print the changes from one bundle to another
     #[bpaf(command)]
     Diff {
         /// The bundle before
@@ -104,36 +104,36 @@
 }
 
 impl BundleCommand {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         match self.action {
             Action::New => {
                 print!("{TEMPLATE}");
                 Ok(ExitCode::SUCCESS)
             }
-            Action::Check { file } => Ok(report(&settings::load(&file)?)),
+            Action::Check { file } => Ok(print_findings(&settings::load(&file)?)),
             Action::Sign { key, out, file } => sign(&key, &out, &file),
             Action::Diff { from, to } => diff(&from, &to),
             Action::Publish {
                 key,
                 settings,
                 file,
-            } => with_log(async || publish(&key, &settings, &file).await),
+            } => run_async(async || publish(&key, &settings, &file).await),
             Action::Rollback { key, settings, to } => {
-                with_log(async || rollback(&key, &settings, BundleSequence(to)).await)
+                run_async(async || rollback(&key, &settings, BundleSequence(to)).await)
             }
             Action::Show { settings, version } => {
-                with_log(async || show(&settings, version.map(BundleSequence)).await)
+                run_async(async || show(&settings, version.map(BundleSequence)).await)
             }
         }
     }
 }
 
-fn with_log(work: impl AsyncFnOnce() -> Outcome) -> Outcome {
-    actix_rt::System::new().block_on(work())
+fn run_async(command: impl AsyncFnOnce() -> CommandResult) -> CommandResult {
+    actix_rt::System::new().block_on(command())
 }
 
-/// Prints every fault of a bundle.
-fn report(json: &Value) -> ExitCode {
+/// Prints every error in a bundle; the exit code is 0 if there are none.
+fn print_findings(json: &Value) -> ExitCode {
     let findings = check(json);
     for finding in &findings {
         println!("{finding}");
@@ -144,9 +144,9 @@
     }
 }
 
-fn sign(key: &Path, out: &Path, file: &Path) -> Outcome {
+fn sign(key: &Path, out: &Path, file: &Path) -> CommandResult {
     let json: Value = settings::load(file)?;
-    if report(&json) != ExitCode::SUCCESS {
+    if print_findings(&json) != ExitCode::SUCCESS {
         return Ok(ExitCode::from(BAD_INPUT));
     }
     let key: SecretKey = settings::load(key)?;
@@ -156,45 +156,49 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn diff(from: &Path, to: &Path) -> Outcome {
+fn diff(from: &Path, to: &Path) -> CommandResult {
     let from = Content::from_json(&settings::load(from)?)?;
     let to = Content::from_json(&settings::load(to)?)?;
     println!("{}", serde_json::to_string_pretty(&from.patch_to(&to))?);
     Ok(ExitCode::SUCCESS)
 }
 
-async fn publish(key: &Path, settings: &Path, file: &Path) -> Outcome {
+async fn publish(key: &Path, settings: &Path, file: &Path) -> CommandResult {
     let (key, approval): (SecretKey, Approval) = (settings::load(key)?, settings::load(file)?);
-    let Some(mut publisher) = read(settings).await? else {
-        return Ok(unknown());
+    let Some(mut publisher) = read_log(settings).await? else {
+        return Ok(print_unknown());
     };
-    // Checked against those who may sign now, not those whom the new bundle
-    // names itself.
+    // The signer must be an operator of the bundle in force. The operators
+    // that the new bundle names could be the signer's own.
     let content = approval.content(publisher.acceptor().operators())?;
-    if report(&approval.bundle) != ExitCode::SUCCESS {
+    if print_findings(&approval.bundle) != ExitCode::SUCCESS {
         return Ok(ExitCode::from(BAD_INPUT));
     }
-    Ok(tell(publisher.publish(&key, &content, None).await?))
+    Ok(print_outcome(
+        publisher.publish(&key, &content, None).await?,
+    ))
 }
 
-async fn rollback(key: &Path, settings: &Path, to: BundleSequence) -> Outcome {
+async fn rollback(key: &Path, settings: &Path, to: BundleSequence) -> CommandResult {
     let key: SecretKey = settings::load(key)?;
-    let Some(mut publisher) = read(settings).await? else {
-        return Ok(unknown());
+    let Some(mut publisher) = read_log(settings).await? else {
+        return Ok(print_unknown());
     };
     let Ok(content) = publisher.version_content(to).await else {
-        return Ok(unknown());
+        return Ok(print_unknown());
     };
     let missing = format!(
         "step=rollback: the log has no version {to} (hint: publish its signed file instead)"
     );
     let content = content.ok_or(missing)?;
-    Ok(tell(publisher.publish(&key, &content, Some(to)).await?))
+    Ok(print_outcome(
+        publisher.publish(&key, &content, Some(to)).await?,
+    ))
 }
 
-async fn show(settings: &Path, version: Option<BundleSequence>) -> Outcome {
-    let Some(publisher) = read(settings).await? else {
-        return Ok(unknown());
+async fn show(settings: &Path, version: Option<BundleSequence>) -> CommandResult {
+    let Some(publisher) = read_log(settings).await? else {
+        return Ok(print_unknown());
     };
     for version in publisher.versions() {
         let restores = version
@@ -208,11 +212,11 @@
 
     let sequence = version.unwrap_or(publisher.acceptor().sequence());
     let Ok(content) = publisher.version_content(sequence).await else {
-        return Ok(unknown());
+        return Ok(print_unknown());
     };
     let content = content.ok_or_else(|| format!("step=show: the log has no version {sequence}"))?;
-    // An operator that the content names may still not sign: only those of
-    // the version in force may.
+    // The operators that this content names. Only those of the version in
+    // force may sign.
     eprintln!(
         "signers={}",
         content_operators(&content)
@@ -224,8 +228,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads the log; `None` when it does not answer.
-async fn read(settings: &Path) -> Result<Option<Publisher>, Box<dyn std::error::Error>> {
+/// Reads the bundle log to its end; `None` if the log is unreachable.
+async fn read_log(settings: &Path) -> Result<Option<Publisher>, Box<dyn std::error::Error>> {
     let settings: Settings = settings::load(settings)?;
     let mut publisher = Publisher::new(Log::new(settings.log), settings.trust);
     match publisher.read_to_end().await {
@@ -237,25 +241,25 @@
     }
 }
 
-fn tell(told: Told) -> ExitCode {
-    match told {
-        Told::Accepted(sequence) => {
+fn print_outcome(outcome: PublishOutcome) -> ExitCode {
+    match outcome {
+        PublishOutcome::Accepted(sequence) => {
             println!("accepted as {sequence}");
             ExitCode::SUCCESS
         }
-        Told::Conflict { winner, operator } => {
+        PublishOutcome::Conflict { winner, operator } => {
             println!("beaten by version {winner} of {operator}");
             ExitCode::from(NOT_ACCEPTED)
         }
-        Told::Refused(verdict) => {
+        PublishOutcome::Refused(verdict) => {
             println!("refused: {verdict}");
             ExitCode::from(BAD_INPUT)
         }
-        Told::Unknown => unknown(),
+        PublishOutcome::Unknown => print_unknown(),
     }
 }
 
-fn unknown() -> ExitCode {
+fn print_unknown() -> ExitCode {
     println!("unknown, look again");
     ExitCode::from(NOT_ACCEPTED)
 }
--- a/crates/cli/src/commands/compare.rs
+++ b/crates/cli/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `compare`: policies side by side on the same seeded arrivals.
+//! `compare`: runs several policies on the same seeded arrivals.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,20 +9,20 @@
 use demo::faults::FaultPlan;
 use demo::{Arm, Fleet, Options, compare};
 
-use crate::Outcome;
+use crate::CommandResult;
 
-/// Run policies in turn on the same seeded arrivals, with a burst, a
-/// straggler and late load reports, and print them side by side.
+/// Run several policies on the same seeded arrivals, with a burst, a
+/// straggler and delayed load reports, and compare the results.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, generate(compare))]
 pub(crate) struct Compare {
-    /// Policies, as in late,random
+    /// Policies to compare, as in late,random
     #[bpaf(argument("A,B"))]
     arms: List<Arm>,
-    /// Whose fleet: teranga or tallerazul
+    /// Fleet to run: teranga or tallerazul
     #[bpaf(argument("FLEET"))]
     fleet: Fleet,
-    /// How long requests arrive in each run, as in 30s
+    /// Duration of the load in each run, as in 30s
     #[bpaf(
         long("for"),
         argument("TIME"),
@@ -30,17 +30,17 @@
         display_fallback
     )]
     time: HumanDuration,
-    /// Seeds, as in 1,2,3
+    /// Seeds of the runs, as in 1,2,3
     #[bpaf(argument("N,M"))]
     seeds: List<u64>,
-    /// One backend server's host crashes too
+    /// One backend server's host crashes in the middle of each run
     crash: bool,
     /// Where to write all reports as JSON
     #[bpaf(argument("FILE"))]
     report: Option<PathBuf>,
 }
 
-/// A list of values with commas between them.
+/// A comma-separated list of values.
 #[derive(Debug, Clone)]
 struct List<T>(Vec<T>);
 
@@ -59,7 +59,7 @@
 }
 
 impl Compare {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         logging::init(Level::Error);
         let options = Options {
             fleet: self.fleet,
--- a/crates/cli/src/commands/daemons.rs
+++ b/crates/cli/src/commands/daemons.rs
@@ -1,4 +1,4 @@
-//! `entry`, `sidecar`, `forward` and `admission`: the daemons.
+//! `entry`, `sidecar`, `forward` and `admission`: run one of the daemons.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use platform::engine::EngineClient;
 use platform::headers::HeaderCodec;
 
-use crate::{Outcome, daemon};
+use crate::{CommandResult, daemon};
 
 /// Run the daemon on an entry host.
 #[derive(Debug, Clone, Bpaf)]
@@ -19,13 +19,13 @@
     /// JSON settings
     #[bpaf(argument("FILE"))]
     settings: PathBuf,
-    /// A bundle to go by for ever, in place of that in the platform's log
+    /// Fixed bundle to use instead of the one in the platform's log
     #[bpaf(argument("FILE"))]
     bundle: Option<PathBuf>,
 }
 
 impl Entry {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         let settings: entry::Settings = settings::load(&self.settings)?;
         let bundle = self.bundle.as_deref().map(settings::load).transpose()?;
         logging::init_daemon(settings.log_level)?;
@@ -43,7 +43,7 @@
 }
 
 impl Sidecar {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         let settings: sidecar::Settings = settings::load(&self.settings)?;
         logging::init_daemon(settings.log_level)?;
         daemon::run(|stop| sidecar::run(settings, stop))
@@ -60,7 +60,7 @@
 }
 
 impl Forward {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         let settings: forward::Settings = settings::load(&self.settings)?;
         settings.check()?;
         logging::init_daemon(settings.log_level)?;
@@ -75,8 +75,7 @@
     }
 }
 
-/// Run the daemon beside an engine that says which routed call may go there
-/// and when
+/// Run the daemon beside an engine that decides which routed calls it admits
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, generate(admission))]
 pub(crate) struct Admission {
@@ -86,7 +85,7 @@
 }
 
 impl Admission {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         let settings: admission::Settings = settings::load(&self.settings)?;
         settings.check()?;
         logging::init_daemon(settings.log_level)?;
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a whole fleet on loopback in one process, under load.
+//! `demo`: runs a whole fleet on loopback in one process, under load.
 
 use std::path::PathBuf;
 
@@ -8,16 +8,16 @@
 use demo::faults::FaultPlan;
 use demo::{Arm, Fleet, Options};
 
-use crate::Outcome;
+use crate::CommandResult;
 
 /// Run a whole fleet on loopback in one process, under load.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, generate(demo))]
 pub(crate) struct Demo {
-    /// Whose fleet: teranga or tallerazul
+    /// Fleet to run: teranga or tallerazul
     #[bpaf(argument("FLEET"))]
     fleet: Fleet,
-    /// How long requests arrive, as in 10s
+    /// Duration of the load, as in 10s
     #[bpaf(
         long("for"),
         argument("TIME"),
@@ -25,16 +25,16 @@
         display_fallback
     )]
     time: HumanDuration,
-    /// Seed of all random numbers
+    /// Seed of the random numbers
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     seed: u64,
-    /// One lower-tier class comes at 5 times its rate in the middle third
+    /// One lower-tier class arrives at 5 times its rate in the middle third
     burst: bool,
-    /// One model engine is 4 times slower and load reports are 0.5 s late
+    /// One model engine is 4 times slower and load reports are delayed by 0.5 s
     straggler: bool,
     /// One backend server's host crashes in the middle of the run
     crash: bool,
-    /// Further faults with their times, as JSON
+    /// JSON fault plan: further faults and when they occur
     #[bpaf(argument("FILE"))]
     faults: Option<PathBuf>,
     /// Where to write the report as JSON
@@ -43,7 +43,7 @@
 }
 
 impl Demo {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         logging::init(Level::Warn);
         let faults = self.faults.as_deref().map(settings::load::<FaultPlan>);
         let options = Options {
@@ -61,6 +61,6 @@
         let run = demo::run(&options);
         println!("{}", run.report);
         super::load::print_lost(&run);
-        super::load::finish(&run.report, self.report.as_deref())
+        super::load::finish_run(&run.report, self.report.as_deref())
     }
 }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the story of one request, from the logs of several daemons.
+//! `explain`: the timeline of one request, from the logs of several daemons.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -7,16 +7,16 @@
 use bpaf::Bpaf;
 use snafu::{ResultExt, Snafu};
 
-use crate::Outcome;
+use crate::CommandResult;
 
-/// Tell what became of a request, from the logs of the daemons that saw it
+/// Print the timeline of a request, from the logs of the daemons that handled it
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, generate(explain))]
 pub(crate) struct Explain {
-    /// The request's id, as its caller sent it
+    /// Id of the request, as its caller sent it
     #[bpaf(positional("ID"))]
     id: String,
-    /// Log files; a file's name stands for the daemon unless its lines name it
+    /// Log files; the file name is the daemon's name if the lines have none
     #[bpaf(positional("LOG"), some("name at least one log file"))]
     logs: Vec<PathBuf>,
 }
@@ -31,23 +31,23 @@
 }
 
 impl Explain {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         let mut lines = Vec::new();
         for log in &self.logs {
-            lines.extend(read(log)?);
+            lines.extend(read_log(log)?);
         }
-        let story = request_timeline(&self.id, &lines);
-        let Some(first) = story.first().map(|l| l.time) else {
+        let timeline = request_timeline(&self.id, &lines);
+        let Some(first) = timeline.first().map(|l| l.time) else {
             eprintln!(
-                "pimentocart: no line names id={} in {} lines of {} files (hint: the id is the \
-                 caller's own; lines may have been left out under load)",
+                "pimentocart: id={} not found in {} lines of {} log files (hint: use the id that \
+                 the caller sent; daemons drop log lines under load)",
                 self.id,
                 lines.len(),
                 self.logs.len()
             );
             return Ok(ExitCode::FAILURE);
         };
-        for line in &story {
+        for line in &timeline {
             println!(
                 "{:>7} ms  {}  {}",
                 line.time - first,
@@ -59,7 +59,7 @@
     }
 }
 
-fn read(log: &Path) -> Result<Vec<LogLine>, Error> {
+fn read_log(log: &Path) -> Result<Vec<LogLine>, Error> {
     let file = log.display().to_string();
     let bytes = std::fs::read(log).context(ReadSnafu { file })?;
     let text = String::from_utf8_lossy(&bytes);
--- a/crates/cli/src/commands/keys.rs
+++ b/crates/cli/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `keys`: operators' keys.
+//! `keys`: generates the signing keys of operators.
 
 use std::fs::OpenOptions;
 use std::io::Write as _;
@@ -9,12 +9,12 @@
 use bpaf::Bpaf;
 use bundle::SecretKey;
 
-use crate::Outcome;
+use crate::CommandResult;
 
-/// Only the operator may read the secret.
-const PRIVATE: u32 = 0o600;
+/// File mode of a secret key: only its owner may read it.
+const OWNER_ONLY_MODE: u32 = 0o600;
 
-/// Make operators' keys.
+/// Generate the signing keys of operators.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, generate(keys))]
 pub(crate) struct Keys {
@@ -24,10 +24,10 @@
 
 #[derive(Debug, Clone, Bpaf)]
 enum KeyAction {
-    /// Make a key and print its public part for the bundle's operators
+    /// Generate a key and print its public part for the operators of the bundle
     #[bpaf(command)]
     New {
-        /// The operator's name
+        /// Name of the operator
         #[bpaf(argument("NAME"))]
         operator: String,
         /// Where to write the secret key; never overwritten
@@ -37,15 +37,16 @@
 }
 
 impl Keys {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         let KeyAction::New { operator, out } = self.key_action;
         let key = SecretKey::random(&operator);
 
-        // Overwriting a key would lock its operator out of the next bundle.
+        // `create_new` fails if the file exists: overwriting a key that the
+        // bundle trusts would stop its operator from signing the next bundle.
         let file = OpenOptions::new()
             .write(true)
             .create_new(true)
-            .mode(PRIVATE)
+            .mode(OWNER_ONLY_MODE)
             .open(&out);
         let mut file = file.map_err(|e| format!("step=write_key file={}: {e}", out.display()))?;
         writeln!(file, "{}", serde_json::to_string_pretty(&key)?)?;
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `load`: an open-loop load generator against any entries.
+//! `load`: runs an open-loop load generator against entries.
 
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 use load::{Ending, Report, Run};
 use standin::Ledger;
 
-use crate::Outcome;
+use crate::CommandResult;
 
 /// Send a seeded mix of requests to entries and report on the answers.
 #[derive(Debug, Clone, Bpaf)]
@@ -24,28 +24,28 @@
 }
 
 impl Load {
-    pub(crate) fn run(self) -> Outcome {
+    pub(crate) fn run(self) -> CommandResult {
         let settings: load::Settings = settings::load(&self.settings)?;
         let ledger = Ledger::default();
         let arrivals = settings.mix.arrivals();
         let outcomes = load::drive::drive(&arrivals, &settings.entries, true);
         for addr in &settings.ledgers {
-            ledger.merge(&fetch(*addr)?);
+            ledger.merge(&fetch_ledger(*addr)?);
         }
         if settings.ledgers.is_empty() {
-            println!("no ledgers given: doubled, false_not_run and tokens_made cannot be told");
+            println!("no ledgers given: doubled, false_not_run and tokens_made are not measured");
         }
 
         let report = load::judge::judge(&settings.mix, arrivals.len(), &outcomes, &ledger);
         println!("{report}");
         let run = Run { report, outcomes };
         print_lost(&run);
-        finish(&run.report, self.report.as_deref())
+        finish_run(&run.report, self.report.as_deref())
     }
 }
 
-/// Fetches what a stand-in saw.
-fn fetch(
+/// Fetches the requests that a stand-in has recorded.
+fn fetch_ledger(
     addr: std::net::SocketAddr,
 ) -> Result<HashMap<String, standin::ledger::Seen>, Box<dyn std::error::Error>> {
     actix_rt::System::new().block_on(async {
@@ -56,16 +56,16 @@
     })
 }
 
-/// Most lost requests that are printed one by one.
-const SHOWN: usize = 10;
+/// Maximum number of lost requests to print.
+const MAX_LOST_SHOWN: usize = 10;
 
-/// Prints what became of lost requests, if any.
+/// Prints details of the lost requests, at most [`MAX_LOST_SHOWN`] of them.
 pub(crate) fn print_lost(run: &Run) {
     let lost = run.outcomes.iter().filter_map(|o| match &o.ending {
         Ending::Lost(reason) => Some((o, reason)),
         _ => None,
     });
-    for (outcome, reason) in lost.take(SHOWN) {
+    for (outcome, reason) in lost.take(MAX_LOST_SHOWN) {
         let arrival = &outcome.arrival;
         println!(
             "lost mark={} at={:.1}s ended={:.1}s tokens={} of={} stream={} reason={reason:?}",
@@ -79,8 +79,9 @@
     }
 }
 
-/// Writes the report and turns it into an exit code.
-pub(crate) fn finish(report: &Report, path: Option<&Path>) -> Outcome {
+/// Writes the report to `path`, if given; the exit code is 0 if the report is
+/// sound.
+pub(crate) fn finish_run(report: &Report, path: Option<&Path>) -> CommandResult {
     if let Some(path) = path {
         std::fs::write(path, serde_json::to_string_pretty(report)?)?;
     }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, a file for each group.
+//! The commands of the program, one module for each group.
 
 pub(crate) mod bench;
 pub(crate) mod bundle;
--- a/crates/cli/src/commands/standin.rs
+++ b/crates/cli/src/commands/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: stand-ins for parts of the platform.
+//! `standin`: runs simulated platform components.
 
 use std::path::PathBuf;
 
@@ -7,18 +7,18 @@
 use standin::hosts::Registry;
 use standin::{Control, Ledger};
 
-use crate::{Outcome, daemon};
+use crate::{CommandResult, daemon};
 
-/// Run a stand-in for a part of the platform.
+/// Run a simulated component of the platform.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, generate(standin))]
 pub(crate) struct Standin {
     #[bpaf(external)]
-    part: Part,
+    component: Component,
 }
 
 #[derive(Debug, Clone, Bpaf)]
-enum Part {
+enum Component {
     /// A model engine
     #[bpaf(command)]
     Engine {
@@ -26,7 +26,7 @@
         #[bpaf(argument("FILE"))]
         settings: PathBuf,
     },
-    /// The list of hosts
+    /// The host list
     #[bpaf(command)]
     Hosts {
         /// JSON settings
@@ -47,7 +47,7 @@
         #[bpaf(argument("FILE"))]
         settings: PathBuf,
     },
-    /// The side of a model engine that takes orders
+    /// The control endpoint of a model engine, which executes orders
     #[bpaf(command)]
     Orders {
         /// JSON settings
@@ -64,33 +64,33 @@
 }
 
 impl Standin {
-    pub(crate) fn run(self) -> Outcome {
-        match self.part {
-            Part::Engine { settings } => {
+    pub(crate) fn run(self) -> CommandResult {
+        match self.component {
+            Component::Engine { settings } => {
                 let settings = settings::load(&settings)?;
                 daemon::run(|stop| standin::engine::run(settings, Ledger::default(), stop))
             }
-            Part::Hosts { settings } => {
+            Component::Hosts { settings } => {
                 let settings: standin::hosts::Settings = settings::load(&settings)?;
                 let registry = Registry::new(settings.hosts.clone());
                 daemon::run(|stop| standin::hosts::run(settings, registry, stop))
             }
-            Part::Log { settings } => {
+            Component::Log { settings } => {
                 let settings: standin::log::Settings = settings::load(&settings)?;
                 let control = Control::new(settings.faults.clone());
                 daemon::run(|stop| standin::log::run(settings, control, stop))
             }
-            Part::Weights { settings } => {
+            Component::Weights { settings } => {
                 let settings = settings::load(&settings)?;
                 let store = standin::weights::Store::default();
                 daemon::run(|stop| standin::weights::run(settings, store, stop))
             }
-            Part::Orders { settings } => {
+            Component::Orders { settings } => {
                 let settings = settings::load(&settings)?;
                 let record = standin::orders::Record::default();
                 daemon::run(|stop| standin::orders::run(settings, record, stop))
             }
-            Part::Plain { settings } => {
+            Component::Plain { settings } => {
                 let settings = settings::load(&settings)?;
                 daemon::run(|stop| standin::plain::run(settings, Ledger::default(), stop))
             }
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: what a daemon believes.
+//! `status`: prints the current state of a daemon.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -8,25 +8,25 @@
 use serde_json::Value;
 use snafu::Snafu;
 
-use crate::Outcome;
+use crate::CommandResult;
 
-/// Longest wait for a daemon's answer.
+/// Timeout of the request to the daemon.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Show what an entry or a sidecar believes: bundle, peers, load, drains.
+/// Show the state of an entry or a sidecar: bundle, peers, load, drains.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, generate(status))]
 pub(crate) struct Status {
-    /// The daemon's operators' address, as in 127.0.0.1:7101
+    /// Address at which the daemon answers operators, as in 127.0.0.1:7101
     #[bpaf(argument("ADDR"))]
     at: SocketAddr,
 }
 
-/// Why a daemon's view could not be shown.
+/// Why a daemon's state could not be fetched.
 #[derive(Debug, Snafu)]
 enum Error {
     #[snafu(display(
-        "step={step} peer={peer}: {detail} (hint: give the operators' address of a running daemon)"
+        "step={step} peer={peer}: {detail} (hint: use the operators' address of a running daemon)"
     ))]
     Fetch {
         step: &'static str,
@@ -36,14 +36,14 @@
 }
 
 impl Status {
-    pub(crate) fn run(self) -> Outcome {
-        let status = actix_rt::System::new().block_on(fetch(self.at))?;
+    pub(crate) fn run(self) -> CommandResult {
+        let status = actix_rt::System::new().block_on(fetch_status(self.at))?;
         println!("{}", serde_json::to_string_pretty(&status)?);
         Ok(ExitCode::SUCCESS)
     }
 }
 
-async fn fetch(peer: SocketAddr) -> Result<Value, Error> {
+async fn fetch_status(peer: SocketAddr) -> Result<Value, Error> {
     let fail = |step, detail: String| Error::Fetch { step, peer, detail };
     let http = awc::Client::builder().timeout(TIMEOUT).finish();
     let sent = http.get(format!("http://{peer}/status")).send().await;
--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Running one daemon in the foreground.
+//! Runs one daemon in the foreground and handles its signals.
 
 use std::io;
 use std::process::ExitCode;
@@ -6,27 +6,28 @@
 use base::stop::StopSignal;
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::Outcome;
+use crate::CommandResult;
 
-/// Runs one daemon until it is told to stop by SIGTERM or SIGINT.
-pub(crate) fn run<F, Fut>(body: F) -> Outcome
+/// Runs one daemon until SIGTERM or SIGINT stops it. SIGHUP requests a reload
+/// of its settings.
+pub(crate) fn run<F, Fut>(serve: F) -> CommandResult
 where
     F: FnOnce(StopSignal) -> Fut,
     Fut: Future<Output = io::Result<()>>,
 {
-    let ended = base::telemetry::with_recorder(|| {
+    let result = base::telemetry::with_recorder(|| {
         actix_rt::System::new().block_on(async {
             let stop = StopSignal::new();
-            actix_rt::spawn(signals(stop.clone()));
-            body(stop).await
+            actix_rt::spawn(handle_signals(stop.clone()));
+            serve(stop).await
         })
     });
     base::logging::flush();
-    ended?;
+    result?;
     Ok(ExitCode::SUCCESS)
 }
 
-async fn signals(stop: StopSignal) {
+async fn handle_signals(stop: StopSignal) {
     let term = signal(SignalKind::terminate());
     let int = signal(SignalKind::interrupt());
     let hup = signal(SignalKind::hangup());
@@ -37,7 +38,7 @@
         tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
-            // Without a handler the signal would end the process and cut off
+            // By default SIGHUP terminates the process, which would cut off
             // every call in progress.
             _ = hup.recv() => stop.request_reload(),
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
 //! The `pimentocart` command line.
 //!
-//! Each command reads its settings, does its work in another package and
-//! turns the outcome into an exit code; see [`commands`].
+//! Each command reads its settings, calls another package for the work and
+//! turns the result into an exit code; see [`commands`].
 
 mod commands;
 mod daemon;
@@ -10,14 +10,14 @@
 
 use bpaf::{Bpaf, ParseFailure};
 
-/// Exit code for bad input.
+/// Exit code for invalid arguments, settings or input files.
 const BAD_INPUT: u8 = 2;
 
-/// Width to which help is wrapped.
+/// Column at which help text is wrapped.
 const TERMINAL_WIDTH: usize = 100;
 
-/// What a command comes to.
-type Outcome = Result<ExitCode, Box<dyn std::error::Error>>;
+/// Exit code of a command, or the error that `main` prints.
+type CommandResult = Result<ExitCode, Box<dyn std::error::Error>>;
 
 /// A router for language-model traffic with service levels and priorities.
 #[derive(Debug, Clone, Bpaf)]
@@ -41,9 +41,9 @@
 fn main() -> ExitCode {
     let command = match command().run_inner(bpaf::Args::current_args()) {
         Ok(command) => command,
-        Err(failure) => return explain(&failure),
+        Err(failure) => return report_parse_failure(&failure),
     };
-    let outcome = match command {
+    let result = match command {
         Command::Entry(c) => c.run(),
         Command::Sidecar(c) => c.run(),
         Command::Forward(c) => c.run(),
@@ -58,14 +58,14 @@
         Command::Explain(c) => c.run(),
         Command::Status(c) => c.run(),
     };
-    outcome.unwrap_or_else(|e| {
+    result.unwrap_or_else(|e| {
         eprintln!("pimentocart: {e}");
         ExitCode::from(BAD_INPUT)
     })
 }
 
-/// Shows the help that was asked for, or what is wrong with the arguments.
-fn explain(failure: &ParseFailure) -> ExitCode {
+/// Prints the requested help, or the error in the arguments.
+fn report_parse_failure(failure: &ParseFailure) -> ExitCode {
     failure.print_message(TERMINAL_WIDTH);
     match failure {
         ParseFailure::Stderr(_) => ExitCode::from(BAD_INPUT),
