--- a/crates/cli/tests/processes/bundles.rs
+++ b/crates/cli/tests/processes/bundles.rs
@@ -1,4 +1,4 @@
-//! The operators' commands, against a log stand-in.
+//! Tests of the `keys` and `bundle` commands against a simulated log.
 
 use std::fs;
 use std::net::TcpListener;
@@ -11,25 +11,26 @@
 use standin::log::Faults;
 use standin::{Control, log};
 
-/// An operator's directory, and a log to publish to.
-struct Desk {
+/// A working directory with operators' keys and settings, and a log to publish
+/// to.
+struct OperatorDir {
     dir: PathBuf,
     faults: Control<Faults>,
     log: Host,
 }
 
-impl Desk {
-    /// Starts a log and makes the operators' keys and settings.
+impl OperatorDir {
+    /// Starts a log and generates the operators' keys and settings.
     fn new(name: &str) -> Self {
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let dir = dir.join(format!("{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&dir);
-        fs::create_dir_all(&dir).expect("the directory can be made");
+        fs::create_dir_all(&dir).expect("cannot create the directory");
 
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let addr = listener.local_addr().expect("it has an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
+        let addr = listener.local_addr().expect("listener has no address");
         let faults = Control::new(Faults::default());
-        let desk = Self {
+        let operators = Self {
             dir,
             log: start_log(listener, &faults),
             faults,
@@ -38,42 +39,43 @@
         let mut trust = serde_json::Map::new();
         for operator in ["awa", "luz"] {
             let out = format!("{operator}.key");
-            let (code, said) = desk.run(&["keys", "new", "--operator", operator, "--out", &out]);
-            assert_eq!(code, Some(0), "{said}");
-            let printed: Value = serde_json::from_str(&said).expect("JSON");
-            trust.extend(printed.as_object().expect("an object").clone());
+            let (code, output) =
+                operators.run(&["keys", "new", "--operator", operator, "--out", &out]);
+            assert_eq!(code, Some(0), "{output}");
+            let printed: Value = serde_json::from_str(&output).expect("invalid JSON");
+            trust.extend(printed.as_object().expect("not a JSON object").clone());
         }
-        desk.write("log.json", &json!({ "log": addr, "trust": trust }));
-        desk
+        operators.write("log.json", &json!({ "log": addr, "trust": trust }));
+        operators
     }
 
-    /// Runs a command in the directory; gives its exit code and what it
-    /// printed, errors included.
+    /// Runs a command in the directory; returns its exit code, and its stdout
+    /// and stderr together.
     fn run(&self, args: &[&str]) -> (Option<i32>, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pimentocart"));
         let output = command.args(args).current_dir(&self.dir).output();
-        let output = output.expect("the program starts");
-        let said = [output.stdout, output.stderr].concat();
+        let output = output.expect("cannot start the program");
+        let printed = [output.stdout, output.stderr].concat();
         (
             output.status.code(),
-            String::from_utf8_lossy(&said).into_owned(),
+            String::from_utf8_lossy(&printed).into_owned(),
         )
     }
 
     fn write(&self, name: &str, value: &Value) {
-        let text = serde_json::to_string_pretty(value).expect("JSON");
-        fs::write(self.dir.join(name), text).expect("the file can be written");
+        let text = serde_json::to_string_pretty(value).expect("invalid JSON");
+        fs::write(self.dir.join(name), text).expect("cannot write the file");
     }
 
     fn read(&self, name: &str) -> Value {
-        let text = fs::read_to_string(self.dir.join(name)).expect("the file is there");
-        serde_json::from_str(&text).expect("JSON")
+        let text = fs::read_to_string(self.dir.join(name)).expect("cannot read the file");
+        serde_json::from_str(&text).expect("invalid JSON")
     }
 
-    /// Writes a bundle whose workspace has the given weight, and signs it.
+    /// Writes and signs a bundle whose workspace has the given weight.
     fn sign(&self, operator: &str, weight: u32) {
         let (_, template) = self.run(&["bundle", "new"]);
-        let mut bundle: Value = serde_json::from_str(&template).expect("JSON");
+        let mut bundle: Value = serde_json::from_str(&template).expect("invalid JSON");
         bundle["operators"] = self.read("log.json")["trust"].clone();
         bundle["workspaces"]["mairie"]["weight"] = json!(weight);
         self.write("bundle.json", &bundle);
@@ -87,8 +89,8 @@
             "signed.json",
             "bundle.json",
         ];
-        let (code, said) = self.run(&args);
-        assert_eq!(code, Some(0), "{said}");
+        let (code, output) = self.run(&args);
+        assert_eq!(code, Some(0), "{output}");
     }
 
     fn publish(&self, operator: &str) -> (Option<i32>, String) {
@@ -105,15 +107,15 @@
     }
 }
 
-impl Drop for Desk {
+impl Drop for OperatorDir {
     fn drop(&mut self) {
         self.log.end();
         let _ = fs::remove_dir_all(&self.dir);
     }
 }
 
-/// Starts a log on a listener that stays bound from the moment its port was
-/// chosen: a port that is given back in between may be taken by another test.
+/// Starts a log on a listener that is already bound. If the port were released
+/// and bound again, another test could take it in between.
 fn start_log(listener: TcpListener, faults: &Control<Faults>) -> Host {
     let faults = faults.clone();
     Host::start("log", move |stop: StopSignal| {
@@ -128,36 +130,42 @@
 }
 
 #[test]
-fn port_is_kept() {
-    // Another test that asks the system for a port of its own must not get
-    // the one that the operators' settings name: the operator would hear
-    // "no connection" from whoever listens there, or from nobody.
-    let desk = Desk::new("port");
-    let settings = desk.read("log.json");
-    let addr = settings["log"].as_str().expect("an address");
-    assert!(TcpListener::bind(addr).is_err(), "somebody else may listen");
+fn log_port_stays_bound() {
+    // Guards against another test binding the port that the operators'
+    // settings name: publishing would then fail to connect to the log.
+    let operators = OperatorDir::new("port");
+    let settings = operators.read("log.json");
+    let addr = settings["log"]
+        .as_str()
+        .expect("the log address is not a string");
+    assert!(
+        TcpListener::bind(addr).is_err(),
+        "another listener could bind the port"
+    );
     assert!(std::net::TcpStream::connect(addr).is_ok());
 }
 
 #[test]
 fn bundle_rollout() {
-    // An operator writes a bundle, is told what is wrong with it, signs it
-    // and rolls it out, twice, and back to the first version. The log is down
-    // then: the operator hears that nobody knows, and with the same command
-    // afterwards that it is accepted.
-    let desk = Desk::new("rollout");
-    let (_, template) = desk.run(&["bundle", "new"]);
-    fs::write(desk.dir.join("draft.json"), template).expect("written");
-    let (code, said) = desk.run(&["bundle", "check", "draft.json"]);
+    // Covers the whole rollout: check, sign, publish two versions and roll back
+    // to the first. Publishing while the log is down must report an unknown
+    // outcome, and repeating the same command afterwards must be accepted once.
+    let operators = OperatorDir::new("rollout");
+    let (_, template) = operators.run(&["bundle", "new"]);
+    fs::write(operators.dir.join("draft.json"), template).expect("cannot write the draft");
+    let (code, output) = operators.run(&["bundle", "check", "draft.json"]);
     assert_eq!(code, Some(2));
-    assert!(said.starts_with("operators: no operator (hint: "), "{said}");
+    assert!(
+        output.starts_with("operators: no operator (hint: "),
+        "{output}"
+    );
 
     for (weight, sequence) in [(1, 1), (2, 2)] {
-        desk.sign("awa", weight);
+        operators.sign("awa", weight);
         let expected = (Some(0), format!("accepted as {sequence}\n"));
-        assert_eq!(desk.publish("awa"), expected);
+        assert_eq!(operators.publish("awa"), expected);
     }
-    let back = [
+    let rollback = [
         "bundle",
         "rollback",
         "--key",
@@ -167,37 +175,47 @@
         "--to",
         "1",
     ];
-    assert_eq!(desk.run(&back), (Some(0), "accepted as 3\n".to_owned()));
-    let (code, said) = desk.run(&["bundle", "show", "--settings", "log.json"]);
-    assert_eq!(code, Some(0), "{said}");
-    assert!(said.contains("\"weight\": 1"), "{said}");
+    assert_eq!(
+        operators.run(&rollback),
+        (Some(0), "accepted as 3\n".to_owned())
+    );
+    let (code, output) = operators.run(&["bundle", "show", "--settings", "log.json"]);
+    assert_eq!(code, Some(0), "{output}");
+    assert!(output.contains("\"weight\": 1"), "{output}");
     assert!(
-        said.contains("version=3 offset=2 operator=luz restores=1"),
-        "{said}"
+        output.contains("version=3 offset=2 operator=luz restores=1"),
+        "{output}"
     );
 
-    desk.sign("luz", 4);
-    desk.faults.change(|f| f.down = true);
-    let (code, said) = desk.publish("luz");
+    operators.sign("luz", 4);
+    operators.faults.change(|f| f.down = true);
+    let (code, output) = operators.publish("luz");
     assert_eq!(code, Some(1));
-    assert!(said.contains("unknown, look again\n"), "{said}");
-    desk.faults.change(|f| f.down = false);
-    assert_eq!(desk.publish("luz"), (Some(0), "accepted as 4\n".to_owned()));
-    assert_eq!(desk.publish("luz"), (Some(0), "accepted as 4\n".to_owned()));
+    assert!(output.contains("unknown, look again\n"), "{output}");
+    operators.faults.change(|f| f.down = false);
+    assert_eq!(
+        operators.publish("luz"),
+        (Some(0), "accepted as 4\n".to_owned())
+    );
+    assert_eq!(
+        operators.publish("luz"),
+        (Some(0), "accepted as 4\n".to_owned())
+    );
 }
 
 #[test]
-fn bundle_refused() {
-    // A signed bundle that was edited afterwards, one signed by a stranger
-    // and a rollback to a version that never was are bad input.
-    let desk = Desk::new("refused");
-    desk.sign("awa", 1);
-    let mut signed = desk.read("signed.json");
+fn invalid_bundle_is_refused() {
+    // Guards against accepting a bundle that was edited after signing, one
+    // signed by an unknown operator, or a rollback to a missing version: all
+    // three must exit with code 2.
+    let operators = OperatorDir::new("refused");
+    operators.sign("awa", 1);
+    let mut signed = operators.read("signed.json");
     signed["bundle"]["workspaces"]["mairie"]["weight"] = json!(9);
-    desk.write("signed.json", &signed);
-    let (code, said) = desk.publish("awa");
-    assert_eq!(code, Some(2), "{said}");
-    assert!(said.contains("not the one that awa signed"), "{said}");
+    operators.write("signed.json", &signed);
+    let (code, output) = operators.publish("awa");
+    assert_eq!(code, Some(2), "{output}");
+    assert!(output.contains("not the one that awa signed"), "{output}");
 
     let stranger = [
         "keys",
@@ -207,14 +225,18 @@
         "--out",
         "stranger.key",
     ];
-    assert_eq!(desk.run(&stranger).0, Some(0));
-    assert_eq!(desk.run(&stranger).0, Some(2), "a key is never overwritten");
-    desk.sign("stranger", 1);
-    let (code, said) = desk.publish("stranger");
-    assert_eq!(code, Some(2), "{said}");
-    assert!(said.contains("unknown operator"), "{said}");
-
-    let back = [
+    assert_eq!(operators.run(&stranger).0, Some(0));
+    assert_eq!(
+        operators.run(&stranger).0,
+        Some(2),
+        "a key is never overwritten"
+    );
+    operators.sign("stranger", 1);
+    let (code, output) = operators.publish("stranger");
+    assert_eq!(code, Some(2), "{output}");
+    assert!(output.contains("unknown operator"), "{output}");
+
+    let rollback = [
         "bundle",
         "rollback",
         "--key",
@@ -224,20 +246,24 @@
         "--to",
         "7",
     ];
-    let (code, said) = desk.run(&back);
-    assert_eq!(code, Some(2), "{said}");
-    assert!(said.contains("no version 7"), "{said}");
+    let (code, output) = operators.run(&rollback);
+    assert_eq!(code, Some(2), "{output}");
+    assert!(output.contains("no version 7"), "{output}");
 }
 
 #[test]
 fn bundle_diff() {
-    let desk = Desk::new("diff");
-    desk.sign("awa", 1);
-    fs::copy(desk.dir.join("bundle.json"), desk.dir.join("old.json")).expect("copied");
-    desk.sign("awa", 2);
-    let (code, said) = desk.run(&["bundle", "diff", "old.json", "bundle.json"]);
-    assert_eq!(code, Some(0), "{said}");
-    let patch: Value = serde_json::from_str(&said).expect("JSON");
+    let operators = OperatorDir::new("diff");
+    operators.sign("awa", 1);
+    fs::copy(
+        operators.dir.join("bundle.json"),
+        operators.dir.join("old.json"),
+    )
+    .expect("cannot copy the bundle");
+    operators.sign("awa", 2);
+    let (code, output) = operators.run(&["bundle", "diff", "old.json", "bundle.json"]);
+    assert_eq!(code, Some(0), "{output}");
+    let patch: Value = serde_json::from_str(&output).expect("invalid JSON");
     let value = json!({ "tokens": [], "classes": ["counter"], "weight": 2 });
     assert_eq!(patch, json!({ "workspaces": { "mairie": value } }));
 }
--- a/crates/cli/tests/processes/caller.rs
+++ b/crates/cli/tests/processes/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that reads its answer line by line, as slowly as it is made.
+//! An HTTP client that reads a streamed answer line by line.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,23 +6,24 @@
 
 use serde_json::{Value, json};
 
-/// Longest wait for a line.
+/// Timeout of each read.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One call on a connection of its own.
+/// One call, on its own connection.
 pub(crate) struct Call {
     reader: BufReader<TcpStream>,
 }
 
 /// How an answer ended for its caller.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// With the end mark, after so many tokens.
-    Whole(usize),
-    /// With an error: its reason and what was said about having run.
-    Refused(String, String),
-    /// Without an end.
-    Cut,
+pub(crate) enum Outcome {
+    /// With the end marker, after this number of tokens.
+    Complete(usize),
+    /// With an error: its `type`, and `ran`, which says whether the request was
+    /// executed.
+    Error(String, String),
+    /// Without an end marker or an error.
+    Truncated,
 }
 
 impl Call {
@@ -35,30 +36,30 @@
         Self::send(entry, "/v1/completions", &body)
     }
 
-    /// Makes a call of a plain service that must not be repeated.
-    pub(crate) fn letter(entry: SocketAddr, mark: &str) -> Self {
+    /// Sends a call that must not be repeated to the plain service `letters`.
+    pub(crate) fn unrepeatable(entry: SocketAddr, mark: &str) -> Self {
         Self::send(entry, "/v1/services/letters/send", &json!({ "mark": mark }))
     }
 
     fn send(entry: SocketAddr, path: &str, body: &Value) -> Self {
         let body = body.to_string();
-        let mut stream = TcpStream::connect(entry).expect("the entry listens");
+        let mut stream = TcpStream::connect(entry).expect("cannot connect to the entry");
         stream
             .set_read_timeout(Some(TIMEOUT))
-            .expect("a timeout can be set");
+            .expect("cannot set the timeout");
         write!(
             stream,
             "POST {path} HTTP/1.1\r\nhost: e\r\nauthorization: Bearer alpha\r\n\
              connection: close\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         )
-        .expect("the request goes out");
+        .expect("cannot send the request");
         Self {
             reader: BufReader::new(stream),
         }
     }
 
-    /// Reads until the first token came.
+    /// Reads until the first token has arrived.
     pub(crate) fn first_token(&mut self) {
         let mut line = String::new();
         while !is_token(&line) {
@@ -66,30 +67,30 @@
             let read = self
                 .reader
                 .read_line(&mut line)
-                .expect("the stream goes on");
+                .expect("cannot read the stream");
             assert!(read > 0, "the stream ended before its first token");
         }
     }
 
-    /// Reads to the end. `before` tokens were read already.
-    pub(crate) fn end(mut self, before: usize) -> End {
+    /// Reads to the end; `before` is the number of tokens read already.
+    pub(crate) fn end(mut self, before: usize) -> Outcome {
         let mut text = String::new();
-        // A connection that is reset ends the answer too.
+        // A connection reset also ends the answer.
         let _ = self.reader.read_to_string(&mut text);
         let tokens = before + text.lines().filter(|l| is_token(l)).count();
         if text.contains("data: [DONE]") {
-            return End::Whole(tokens);
+            return Outcome::Complete(tokens);
         }
         if text.contains(r#""done":true"#) {
-            return End::Whole(0);
+            return Outcome::Complete(0);
         }
         let error = text.lines().find_map(|line| {
             let line = line.strip_prefix("data: ").unwrap_or(line);
             let value: Value = serde_json::from_str(line).ok()?;
-            let word = |key: &str| value["error"][key].as_str().map(str::to_owned);
-            Some(End::Refused(word("type")?, word("ran")?))
+            let field = |key: &str| value["error"][key].as_str().map(str::to_owned);
+            Some(Outcome::Error(field("type")?, field("ran")?))
         });
-        error.unwrap_or(End::Cut)
+        error.unwrap_or(Outcome::Truncated)
     }
 }
 
--- a/crates/cli/tests/processes/main.rs
+++ b/crates/cli/tests/processes/main.rs
@@ -1,7 +1,8 @@
-//! The daemons as processes of their own, as operators run them: what they
-//! do with bad settings, when told to stop, when killed and when frozen.
+//! Tests of the daemons as separate processes, as operators run them: invalid
+//! settings, SIGTERM, SIGKILL and SIGSTOP, and the `bundle` commands.
 //!
-//! The stand-ins run inside the test, so that it sees what they saw.
+//! Simulated backends run in the test process, so that tests can inspect the
+//! requests that they received.
 
 mod bundles;
 mod caller;
--- a/crates/cli/tests/processes/settings.rs
+++ b/crates/cli/tests/processes/settings.rs
@@ -1,5 +1,5 @@
-//! Bad input on the command line: one line with the place, what was found and
-//! a hint, and exit code 2.
+//! Invalid arguments and settings must give exit code 2; errors in settings
+//! print one line with the key, the value found and a hint.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -7,13 +7,16 @@
 
 use rstest::rstest;
 
-/// Numbers the files of this process.
+/// Number of files written by this process, to give each its own name.
 static FILES: AtomicU32 = AtomicU32::new(0);
 
-/// Runs the program and returns its exit code and what it said.
+/// Runs the program; returns its exit code and stderr.
 fn run(args: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pimentocart"));
-    let output = command.args(args).output().expect("the program starts");
+    let output = command
+        .args(args)
+        .output()
+        .expect("cannot start the program");
     (
         output.status.code(),
         String::from_utf8_lossy(&output.stderr).into_owned(),
@@ -24,8 +27,8 @@
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let number = FILES.fetch_add(1, Ordering::Relaxed);
     let path = path.join(format!("{name}-{}-{number}.json", std::process::id()));
-    std::fs::write(&path, text).expect("the file can be written");
-    path.to_str().expect("the path is text").to_owned()
+    std::fs::write(&path, text).expect("cannot write the file");
+    path.to_str().expect("the path is not UTF-8").to_owned()
 }
 
 #[rstest]
@@ -49,10 +52,10 @@
 )]
 #[case::not_json("{", "EOF while parsing")]
 #[case::two_values("{} {}", "key=.: ")]
-fn settings_fault(#[case] text: &str, #[case] said: &str) {
+fn invalid_settings(#[case] text: &str, #[case] expected: &str) {
     let (code, stderr) = run(&["sidecar", "--settings", &file("fault", text)]);
     assert_eq!(code, Some(2), "{stderr}");
-    assert!(stderr.contains(said), "{stderr}");
+    assert!(stderr.contains(expected), "{stderr}");
     assert!(stderr.contains("hint: "), "{stderr}");
     assert_eq!(stderr.trim_end().lines().count(), 1, "{stderr}");
 }
@@ -63,25 +66,25 @@
 #[case::unknown_command(&["entree"], "entree")]
 #[case::unknown_fleet(&["demo", "--fleet", "nobody"], "expected teranga or tallerazul")]
 #[case::no_daemon(&["status", "--at", "127.0.0.1:1"], "peer=127.0.0.1:1")]
-fn arguments_fault(#[case] args: &[&str], #[case] said: &str) {
+fn invalid_arguments(#[case] args: &[&str], #[case] expected: &str) {
     let (code, stderr) = run(args);
     assert_eq!(code, Some(2), "{stderr}");
-    assert!(stderr.contains(said), "{stderr}");
+    assert!(stderr.contains(expected), "{stderr}");
 }
 
 #[test]
-fn listen_taken() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = taken.local_addr().expect("it has an address");
+fn listen_address_in_use() {
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
+    let addr = occupied.local_addr().expect("listener has no address");
     let text = format!(
         r#"{{ "name": "s", "zone": "z", "listen": "{addr}",
              "backend": {{ "engine": {{ "addr": "127.0.0.1:1", "slots": 1 }} }} }}"#
     );
     let (code, stderr) = run(&["sidecar", "--settings", &file("taken", &text)]);
     assert_eq!(code, Some(2), "{stderr}");
-    let said = format!("key=listen: found {addr}");
+    let expected = format!("key=listen: found {addr}");
     assert!(
-        stderr.contains(&said) && stderr.contains("hint: "),
+        stderr.contains(&expected) && stderr.contains("hint: "),
         "{stderr}"
     );
 }
@@ -89,9 +92,12 @@
 #[rstest]
 #[case::all(&["--help"], "Available commands")]
 #[case::demo(&["demo", "--help"], "--fleet")]
-fn help_code(#[case] args: &[&str], #[case] said: &str) {
+fn help_exits_with_zero(#[case] args: &[&str], #[case] expected: &str) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pimentocart"));
-    let output = command.args(args).output().expect("the program starts");
+    let output = command
+        .args(args)
+        .output()
+        .expect("cannot start the program");
     assert_eq!(output.status.code(), Some(0));
-    assert!(String::from_utf8_lossy(&output.stdout).contains(said));
+    assert!(String::from_utf8_lossy(&output.stdout).contains(expected));
 }
