--- a/crates/cli/tests/forward/caller.rs
+++ b/crates/cli/tests/forward/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of the entry.
+//! An HTTP client that calls the entry.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,38 +6,38 @@
 
 use crate::platform::header;
 
-/// A caller gives an answer up after this.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(8);
+/// Read timeout of a caller.
+pub(crate) const READ_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What a caller saw.
+/// Outcome of a call for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Seen {
-    /// A whole answer with this status and body.
-    Whole(u16, String),
-    /// An answer that broke off.
-    Cut,
+pub(crate) enum Outcome {
+    /// A complete answer with this status and body.
+    Complete(u16, String),
+    /// A truncated answer.
+    Truncated,
     /// No answer.
-    Nothing,
+    NoAnswer,
 }
 
-/// Makes one call on a connection of its own.
-pub(crate) fn call(at: SocketAddr, path: &str, id: &str) -> Seen {
+/// Makes one call, on its own connection.
+pub(crate) fn call(at: SocketAddr, path: &str, id: &str) -> Outcome {
     let Ok(mut stream) = TcpStream::connect(at) else {
-        return Seen::Nothing;
+        return Outcome::NoAnswer;
     };
-    let _ = stream.set_read_timeout(Some(PATIENCE));
+    let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
     let request = format!(
         "POST {path} HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 6000\r\n\
          X-Token-Count: 1000,40\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody"
     );
     if stream.write_all(request.as_bytes()).is_err() {
-        return Seen::Nothing;
+        return Outcome::NoAnswer;
     }
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all);
     let all = String::from_utf8_lossy(&all).into_owned();
     let Some((head, body)) = all.split_once("\r\n\r\n") else {
-        return Seen::Nothing;
+        return Outcome::NoAnswer;
     };
     let status = head
         .split(' ')
@@ -49,7 +49,7 @@
         None => body.ends_with("0\r\n\r\n"),
     };
     match whole {
-        true => Seen::Whole(status, body.to_owned()),
-        false => Seen::Cut,
+        true => Outcome::Complete(status, body.to_owned()),
+        false => Outcome::Truncated,
     }
 }
--- a/crates/cli/tests/forward/fatal.rs
+++ b/crates/cli/tests/forward/fatal.rs
@@ -1,4 +1,4 @@
-//! A request that ends each server that begins it, sent again and again.
+//! A request that crashes every server that executes it, sent repeatedly.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -6,18 +6,18 @@
 use nix::sys::signal::Signal;
 use rstest::rstest;
 
-use crate::caller::{Seen, call};
-use crate::platform::{Platform, Server, until};
+use crate::caller::{Outcome, call};
+use crate::platform::{Platform, Server, wait_until};
 use crate::process::Entry;
 
-/// Sends of the request. Each would end a server.
-const SENDS: usize = 10;
+/// How often the request is sent. Each time would crash a server.
+const ATTEMPTS: usize = 10;
 
-/// Servers that may end: three until the request is known, and three more that
-/// it may reach while all entries learn of it.
-const ENDS: u32 = 6;
+/// Servers that may crash: three until the request is blocked, and three more
+/// that it may reach while all entries learn of it.
+const MAX_CRASHES: u32 = 6;
 
-/// A fleet whose ended servers are replaced.
+/// A fleet whose crashed servers are replaced.
 struct Fleet {
     platform: Arc<Platform>,
     entries: Vec<Entry>,
@@ -41,27 +41,26 @@
         fleet
     }
 
-    /// Starts a new server in place of each that has ended, and waits until
-    /// all entries serve.
+    /// Replaces each crashed server, and waits until all entries serve calls.
     fn replace(&mut self) {
         for server in &mut self.servers {
-            if server.ended() {
-                server.delist();
-                *server = server.next();
+            if server.is_stopped() {
+                server.deregister();
+                *server = server.replacement();
             }
         }
         for entry in &self.entries {
             for path in ["/safe/x", "/engine/x"] {
-                until("all serve", || served(&call(entry.at(), path, "other")));
+                wait_until("all serve", || served(&call(entry.addr(), path, "other")));
             }
         }
     }
 
-    /// Sends the request so many times, to one entry after the other.
+    /// Sends the request `times` times, alternating between the entries.
     fn send(&mut self, path: &str, times: usize) {
         for n in 0..times {
             call(
-                self.entries[n % self.entries.len()].at(),
+                self.entries[n % self.entries.len()].addr(),
                 path,
                 &format!("try-{n}"),
             );
@@ -69,88 +68,88 @@
         }
     }
 
-    fn ended(&self) -> u32 {
-        self.platform.ended.load(Ordering::SeqCst)
+    fn crashes(&self) -> u32 {
+        self.platform.crashes.load(Ordering::SeqCst)
     }
 }
 
-fn served(seen: &Seen) -> bool {
-    matches!(seen, Seen::Whole(200, _))
+fn served(seen: &Outcome) -> bool {
+    matches!(seen, Outcome::Complete(200, _))
 }
 
-/// Guards against a request that ends servers being passed on for ever, since
-/// each of its tries has a new identity and comes to another entry.
+/// Guards against forwarding a fatal request forever: each attempt has a new
+/// request id and goes to another entry, so ids alone cannot identify it.
 #[rstest]
 #[case::safe("/safe/fatal")]
 #[case::once("/once/fatal")]
 #[case::stream("/stream/fatal")]
 #[case::engine("/engine/fatal")]
-fn fatal_request_is_stopped(#[case] path: &str) {
+fn fatal_request_is_blocked(#[case] path: &str) {
     let name = path.replace('/', "-");
     let mut fleet = Fleet::start(&format!("stopped{name}"));
-    fleet.send(path, SENDS);
-    let ended = fleet.ended();
-    assert!(ended <= ENDS, "{ended} servers ended");
+    fleet.send(path, ATTEMPTS);
+    let crashes = fleet.crashes();
+    assert!(crashes <= MAX_CRASHES, "{crashes} servers crashed");
 }
 
-/// Guards against a request being known by one entry alone, or only for as long
-/// as that entry lives: entries that start again learn of it from the store.
+/// Guards against losing the record of a fatal request when entries restart:
+/// they must read it from the store.
 #[test]
-fn fatal_request_known_after_a_restart() {
+fn fatal_request_blocked_after_restart() {
     let mut fleet = Fleet::start("restart");
-    fleet.send("/safe/fatal", SENDS);
+    fleet.send("/safe/fatal", ATTEMPTS);
     for entry in &mut fleet.entries {
         entry.signal(Signal::SIGKILL);
         entry.wait();
         entry.restart();
     }
-    until("all know", || {
+    wait_until("all entries know the crashes", || {
         fleet.entries.iter().all(|e| e.status("crashes") >= 3)
     });
     fleet.replace();
-    let before = fleet.ended();
+    let before = fleet.crashes();
     fleet.send("/safe/fatal", 4);
-    assert_eq!(fleet.ended(), before);
+    assert_eq!(fleet.crashes(), before);
 }
 
-/// Guards against a request being passed on again while the store is away.
+/// Guards against forwarding a known fatal request during a store outage.
 #[test]
-fn fatal_request_refused_while_the_store_is_away() {
+fn fatal_request_refused_during_store_outage() {
     let mut fleet = Fleet::start("away");
-    fleet.send("/safe/fatal", SENDS);
-    until("all know", || {
+    fleet.send("/safe/fatal", ATTEMPTS);
+    wait_until("all entries know the crashes", || {
         fleet.entries.iter().all(|e| e.status("crashes") >= 3)
     });
     fleet.platform.down.store(true, Ordering::SeqCst);
-    let before = fleet.ended();
+    let before = fleet.crashes();
     for (n, entry) in fleet.entries.iter().enumerate() {
-        let seen = call(entry.at(), "/safe/fatal", &format!("away-{n}"));
-        assert!(matches!(seen, Seen::Whole(503, _)), "{seen:?}");
+        let seen = call(entry.addr(), "/safe/fatal", &format!("away-{n}"));
+        assert!(matches!(seen, Outcome::Complete(503, _)), "{seen:?}");
     }
-    assert_eq!(fleet.ended(), before);
+    assert_eq!(fleet.crashes(), before);
 }
 
-/// Guards against each entry counting for itself while the store is away: they
-/// tell each other what the store has not taken.
+/// Guards against each entry counting crashes alone during a store outage: the
+/// entries must exchange the crashes that the store did not accept.
 #[test]
-fn fatal_request_is_stopped_while_the_store_is_away() {
+fn crashes_are_gossiped_during_store_outage() {
     let mut fleet = Fleet::start("told");
-    for _ in 0..SENDS {
+    for _ in 0..ATTEMPTS {
         fleet.servers.push(fleet.platform.server());
     }
     let listed = fleet.servers.len() as u64;
-    until("all know each other and the servers", || {
+    wait_until("all entries know each other and the servers", || {
         let known = |e: &Entry| e.status("entries") == 1 && e.status("servers") == listed;
         fleet.entries.iter().all(known)
     });
     fleet.platform.down.store(true, Ordering::SeqCst);
-    for n in 0..SENDS {
+    for n in 0..ATTEMPTS {
         let entry = &fleet.entries[n % fleet.entries.len()];
-        call(entry.at(), "/once/fatal", &format!("away-{n}"));
-        let held = u64::from(fleet.ended());
-        until("all know", || {
+        call(entry.addr(), "/once/fatal", &format!("away-{n}"));
+        let held = u64::from(fleet.crashes());
+        wait_until("all entries know the crashes", || {
             fleet.entries.iter().all(|e| e.status("crashes") >= held)
         });
     }
-    assert_eq!(fleet.ended(), 3);
+    assert_eq!(fleet.crashes(), 3);
 }
--- a/crates/cli/tests/forward/limits.rs
+++ b/crates/cli/tests/forward/limits.rs
@@ -1,25 +1,26 @@
-//! A server that names how many requests a second it takes.
+//! A server that sets its own rate limit.
 
 use rstest::rstest;
 
-use crate::caller::{Seen, call};
-use crate::platform::{Platform, Word, until};
+use crate::caller::{Outcome, call};
+use crate::platform::{Platform, ServerHint, wait_until};
 use crate::process::Entry;
 
-/// A limit that allows each of two entries one request in half an hour.
-const HARDLY_ANY: &str = "0.001";
+/// A limit in requests per second that allows each of two entries one request
+/// per half hour.
+const TINY_LIMIT: &str = "0.001";
 
 /// Calls of each entry.
 const CALLS: usize = 30;
 
-/// Guards against a server in need being sent what it has said that it does not
-/// take, while others of its service have room.
+/// Guards against exceeding the rate limit of an overloaded server while other
+/// servers of its service have capacity.
 #[rstest]
 #[case::safe("/safe/x")]
 #[case::once("/once/x")]
 #[case::stream("/stream/x")]
 #[case::engine("/engine/x")]
-fn named_limit_is_kept(#[case] path: &str) {
+fn server_limit_is_respected(#[case] path: &str) {
     let (platform, store) = Platform::start();
     let start = || match path.contains("engine") {
         true => platform.engine(),
@@ -28,26 +29,26 @@
     let (limited, _other) = (start(), start());
     let name = path.replace('/', "-");
     let entries = [0, 1].map(|n| Entry::start(&format!("limit{name}{n}"), store, None));
-    until("ready", || entries.iter().all(Entry::ready));
+    wait_until("the entry is ready", || entries.iter().all(Entry::ready));
 
-    limited.say(Word::Limit(HARDLY_ANY));
-    let mut tries = 0;
+    limited.set_hint(ServerHint::Limit(TINY_LIMIT));
+    let mut calls = 0;
     let mut served = |entry: &Entry| {
-        tries += 1;
-        let seen = call(entry.at(), path, &format!("{tries}"));
-        assert!(matches!(seen, Seen::Whole(200, _)), "{seen:?}");
+        calls += 1;
+        let seen = call(entry.addr(), path, &format!("{calls}"));
+        assert!(matches!(seen, Outcome::Complete(200, _)), "{seen:?}");
     };
     for entry in &entries {
-        let before = limited.arrived();
-        until("it is told", || {
+        let before = limited.received();
+        wait_until("the entry receives the limit", || {
             served(entry);
-            limited.arrived() > before
+            limited.received() > before
         });
     }
-    let told = limited.arrived();
+    let baseline = limited.received();
     for _ in 0..CALLS {
         entries.iter().for_each(&mut served);
     }
-    let more = limited.arrived() - told;
+    let more = limited.received() - baseline;
     assert!(more <= 2, "{more} requests of {} reached it", 2 * CALLS);
 }
--- a/crates/cli/tests/forward/main.rs
+++ b/crates/cli/tests/forward/main.rs
@@ -1,13 +1,12 @@
-//! The entry for routed calls as a process of its own, before a stand-in for
-//! the platform's store and for backend servers: told to read its settings
-//! again, to stop, killed and frozen, calls that end
-//! servers, and a soak of all of that by seeds.
+//! Tests of the entry for routed calls as a separate process, with a simulated
+//! store and simulated backend servers: signals, rate limits and backoff that
+//! servers ask for, requests that crash servers, and a randomized soak test.
 
 mod caller;
 mod fatal;
+mod hints;
 mod limits;
 mod platform;
 mod process;
 mod signals;
 mod soak;
-mod words;
--- a/crates/cli/tests/forward/platform.rs
+++ b/crates/cli/tests/forward/platform.rs
@@ -1,5 +1,4 @@
-//! Stand-ins for the platform's store and for backend servers. Everything
-//! listens on loopback.
+//! Simulated platform store and backend servers, listening on loopback.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{BufRead, BufReader, Write};
@@ -13,75 +12,75 @@
 use base64::engine::general_purpose::STANDARD;
 use serde_json::json;
 
-/// How often a condition is looked at, and the pause between.
-const TRIES: u32 = 1500;
-const PAUSE: Duration = Duration::from_millis(20);
+/// Limit and interval of polling a condition: 30 s in total.
+const MAX_POLLS: u32 = 1500;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The host of the engines and of the sidecar beside them.
-pub(crate) const ENGINES: &str = "127.0.0.2";
+/// Loopback address of the engines and of the sidecar beside them.
+pub(crate) const ENGINE_HOST: &str = "127.0.0.2";
 
-/// A path that holds this ends each server that begins a call to it.
-pub(crate) const FATAL: &str = "fatal";
+/// A call whose request line contains this text crashes the server.
+pub(crate) const FATAL_MARKER: &str = "fatal";
 
-/// Events of a stream.
-pub(crate) const EVENTS: u32 = 6;
+/// Number of events in a stream.
+pub(crate) const STREAM_EVENTS: u32 = 6;
 
-/// The store's keyed topics: records by topic, in order.
+/// Keyed topics of the store: key and value of each record, in append order.
 type Topics = HashMap<String, Vec<(String, String)>>;
 
 /// Waits until a condition holds.
-pub(crate) fn until(what: &str, mut done: impl FnMut() -> bool) {
-    for _ in 0..TRIES {
+pub(crate) fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
+    for _ in 0..MAX_POLLS {
         if done() {
             return;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
-    panic!("never: {what}");
+    panic!("timed out waiting: {what}");
 }
 
-/// What a server says of itself in its answers.
+/// A hint that a server sends in its answers.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Word {
-    /// It takes so many requests a second.
+pub(crate) enum ServerHint {
+    /// The server accepts this number of requests per second.
     Limit(&'static str),
-    /// It leaves.
+    /// The server is leaving.
     Leaving,
-    /// It turns requests away, and wants none for so many seconds.
-    Rest(&'static str),
+    /// The server refuses requests, and asks for none for this number of seconds.
+    Backoff(&'static str),
 }
 
-/// The platform: its store, and what its servers saw.
+/// The platform: its store, and records of the calls to its servers.
 #[derive(Default)]
 pub(crate) struct Platform {
     topics: Mutex<Topics>,
-    /// What was written last under each key of each topic, whatever the store
-    /// has lost since.
+    /// Latest value written for each topic and key, including writes that the
+    /// store has lost since.
     newest: Mutex<BTreeMap<(String, String), String>>,
-    /// Whether the store refuses all calls.
+    /// Whether the store answers every request with 503.
     pub(crate) down: AtomicBool,
-    /// How often each call ran, by its identity.
+    /// Number of runs of each call, by request id.
     pub(crate) runs: Mutex<BTreeMap<String, u32>>,
-    /// Calls that came to each server.
-    pub(crate) arrived: Mutex<BTreeMap<String, u32>>,
-    /// What servers say of themselves in their answers.
-    words: Mutex<BTreeMap<String, Word>>,
-    /// How many servers have ended under a fatal call.
-    pub(crate) ended: AtomicU32,
+    /// Number of calls received by each server.
+    pub(crate) received: Mutex<BTreeMap<String, u32>>,
+    /// Hint that each server sends in its answers.
+    hints: Mutex<BTreeMap<String, ServerHint>>,
+    /// Number of servers that a fatal call has crashed.
+    pub(crate) crashes: AtomicU32,
     version: AtomicU32,
     servers: AtomicU32,
-    /// How often the store has come back from an old copy.
+    /// Number of times that the store was restored from an old backup.
     era: AtomicU32,
-    /// How many of these times what was lost is not written again yet.
-    rewinding: AtomicU32,
+    /// Number of restores whose lost records are not rewritten yet.
+    pending_restores: AtomicU32,
 }
 
 impl Platform {
     /// Starts a store; returns it and its address.
     pub(crate) fn start() -> (Arc<Self>, SocketAddr) {
         let platform = Arc::new(Self::default());
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a listener");
+        let addr = listener.local_addr().expect("socket has no address");
         let own = Arc::clone(&platform);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -89,12 +88,12 @@
                 thread::spawn(move || own.serve(stream));
             }
         });
-        platform.declare();
+        platform.publish_config();
         (platform, addr)
     }
 
-    /// Writes a new version of the configuration.
-    pub(crate) fn declare(&self) {
+    /// Publishes a new version of the configuration.
+    pub(crate) fn publish_config(&self) {
         let version = self.version.fetch_add(3, Ordering::SeqCst) + 3;
         let route = |name: &str, kind: &str, service: &str, attempts: u32| {
             json!({"name": name, "hostname": "h.example", "path_prefix": format!("/{name}/"),
@@ -109,21 +108,21 @@
         self.write("keyed.op", "config", &config.to_string());
     }
 
-    /// Writes a record; an empty value drops the key.
+    /// Appends a record; an empty value deletes the key.
     fn write(&self, topic: &str, key: &str, value: &str) {
-        let mut topics = self.topics.lock().expect("not poisoned");
+        let mut topics = self.topics.lock().expect("mutex poisoned");
         let records = topics.entry(topic.to_owned()).or_default();
         records.push((key.to_owned(), value.to_owned()));
-        let mut newest = self.newest.lock().expect("not poisoned");
+        let mut newest = self.newest.lock().expect("mutex poisoned");
         newest.insert((topic.to_owned(), key.to_owned()), value.to_owned());
     }
 
-    /// Has the store come back from a copy that lacks the newest `count` records
-    /// of each topic. The operators and the servers write what holds for the keys
-    /// that are lost again after `pause`.
-    pub(crate) fn rewind(self: &Arc<Self>, count: usize, pause: Duration) {
+    /// Restores the store from a backup that lacks the newest `count` records of
+    /// each topic. After `pause`, the latest values of the lost keys are written
+    /// again, as operators and servers would do.
+    pub(crate) fn restore_backup(self: &Arc<Self>, count: usize, pause: Duration) {
         let mut lost = BTreeSet::new();
-        let mut topics = self.topics.lock().expect("not poisoned");
+        let mut topics = self.topics.lock().expect("mutex poisoned");
         for (topic, records) in topics.iter_mut() {
             let tail = records.split_off(records.len().saturating_sub(count));
             if ["keyed.op", "keyed.servers"].contains(&topic.as_str()) {
@@ -132,43 +131,43 @@
         }
         self.era.fetch_add(1, Ordering::SeqCst);
         drop(topics);
-        self.rewinding.fetch_add(1, Ordering::SeqCst);
+        self.pending_restores.fetch_add(1, Ordering::SeqCst);
         let own = Arc::clone(self);
         thread::spawn(move || {
             thread::sleep(pause);
             for (topic, key) in lost {
-                let newest = own.newest.lock().expect("not poisoned");
+                let newest = own.newest.lock().expect("mutex poisoned");
                 let value = newest[&(topic.clone(), key.clone())].clone();
                 drop(newest);
                 own.write(&topic, &key, &value);
             }
-            own.rewinding.fetch_sub(1, Ordering::SeqCst);
+            own.pending_restores.fetch_sub(1, Ordering::SeqCst);
         });
     }
 
-    /// Ends what was brought about and lasts: an outage, what servers say, and a store that
-    /// lacks what is written again.
-    pub(crate) fn recover(&self) {
+    /// Ends all lasting faults: ends a store outage, clears the servers' hints,
+    /// and waits until lost records are rewritten.
+    pub(crate) fn end_faults(&self) {
         self.down.store(false, Ordering::SeqCst);
-        self.words.lock().expect("not poisoned").clear();
-        until("all is written again", || {
-            self.rewinding.load(Ordering::SeqCst) == 0
+        self.hints.lock().expect("mutex poisoned").clear();
+        wait_until("all lost records are rewritten", || {
+            self.pending_restores.load(Ordering::SeqCst) == 0
         });
     }
 
-    /// Starts a plain backend server and lists it.
+    /// Starts a plain backend server and registers it.
     pub(crate) fn server(self: &Arc<Self>) -> Server {
         self.start_server("app", "127.0.0.1")
     }
 
-    /// Starts a model engine and lists it.
+    /// Starts a model engine and registers it.
     pub(crate) fn engine(self: &Arc<Self>) -> Server {
-        self.start_server("llm", ENGINES)
+        self.start_server("llm", ENGINE_HOST)
     }
 
     fn start_server(self: &Arc<Self>, service: &'static str, host: &'static str) -> Server {
-        let listener = TcpListener::bind((host, 0)).expect("a listener");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind((host, 0)).expect("cannot bind a listener");
+        let addr = listener.local_addr().expect("socket has no address");
         let number = self.servers.fetch_add(1, Ordering::SeqCst);
         let server = Server {
             platform: Arc::clone(self),
@@ -176,29 +175,29 @@
             host,
             id: format!("i-{number}"),
             addr,
-            gone: Arc::default(),
+            stopped: Arc::default(),
         };
-        server.list("ready");
-        let (own, id, gone) = (
+        server.register("ready");
+        let (own, id, stopped) = (
             Arc::clone(self),
             server.id.clone(),
-            Arc::clone(&server.gone),
+            Arc::clone(&server.stopped),
         );
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if gone.load(Ordering::SeqCst) {
+                if stopped.load(Ordering::SeqCst) {
                     return;
                 }
-                let (own, id, gone) = (Arc::clone(&own), id.clone(), Arc::clone(&gone));
-                thread::spawn(move || own.run(&stream, &id, &gone));
+                let (own, id, stopped) = (Arc::clone(&own), id.clone(), Arc::clone(&stopped));
+                thread::spawn(move || own.run(&stream, &id, &stopped));
             }
         });
         server
     }
 
-    /// Answers the store's calls on one connection.
+    /// Serves requests to the store on one connection.
     fn serve(&self, mut stream: TcpStream) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut reader = BufReader::new(stream.try_clone().expect("cannot clone the stream"));
         while let Some((head, body)) = read(&mut reader) {
             if self.down.load(Ordering::SeqCst) {
                 answer(&mut stream, "503 Down", b"");
@@ -212,10 +211,10 @@
             let topic = query("topic").unwrap_or_default();
             if line.contains("log-newest") {
                 let (era, page) = self.newest(&topic);
-                answer(&mut stream, &in_era("200 OK", era), page.as_bytes());
+                answer(&mut stream, &with_era("200 OK", era), page.as_bytes());
             } else if line.contains("log-read") {
                 let from = query("from").and_then(|f| f.parse().ok()).unwrap_or(0);
-                let (era, records) = self.after(&topic, from);
+                let (era, records) = self.records_from(&topic, from);
                 let status = if records.is_some() {
                     "200 OK"
                 } else {
@@ -223,7 +222,7 @@
                 };
                 answer(
                     &mut stream,
-                    &in_era(status, era),
+                    &with_era(status, era),
                     &records.unwrap_or_default(),
                 );
             } else {
@@ -231,14 +230,14 @@
                 let era = self.era.load(Ordering::SeqCst);
                 answer(
                     &mut stream,
-                    &in_era("200 OK", era),
+                    &with_era("200 OK", era),
                     b"{\"offset\":0,\"end\":1}",
                 );
             }
         }
     }
 
-    /// Takes the records of one call.
+    /// Appends the length-prefixed records in a request body.
     fn append(&self, topic: &str, mut body: &[u8]) {
         while let Some((length, rest)) = body.split_first_chunk::<4>() {
             let (record, rest) = rest.split_at(u32::from_be_bytes(*length) as usize);
@@ -249,9 +248,9 @@
         }
     }
 
-    /// The newest records of a topic, and the era that they are of.
+    /// The latest value of each key of a topic, and the era of the store.
     fn newest(&self, topic: &str) -> (u32, String) {
-        let topics = self.topics.lock().expect("not poisoned");
+        let topics = self.topics.lock().expect("mutex poisoned");
         let era = self.era.load(Ordering::SeqCst);
         let records = topics.get(topic).map_or(&[][..], Vec::as_slice);
         let newest: BTreeMap<_, _> = records.iter().map(|(k, v)| (k, v)).collect();
@@ -262,12 +261,12 @@
         (era, page.to_string())
     }
 
-    /// The records of a topic from an offset on, if there is such an offset, and
-    /// the era that they are of.
-    fn after(&self, topic: &str, from: usize) -> (u32, Option<Vec<u8>>) {
-        // Stands for the long poll, so that nobody asks in a loop.
-        thread::sleep(PAUSE);
-        let topics = self.topics.lock().expect("not poisoned");
+    /// The era of the store, and the records of a topic from an offset on;
+    /// `None` if the offset is past the end.
+    fn records_from(&self, topic: &str, from: usize) -> (u32, Option<Vec<u8>>) {
+        // Simulates a long poll, so that clients do not poll in a busy loop.
+        thread::sleep(POLL_INTERVAL);
+        let topics = self.topics.lock().expect("mutex poisoned");
         let era = self.era.load(Ordering::SeqCst);
         let records = topics.get(topic).map_or(&[][..], Vec::as_slice);
         let Some(records) = records.get(from..) else {
@@ -275,35 +274,35 @@
         };
         let mut all = vec![0; 16];
         for (key, value) in records {
-            let length = u32::try_from(1 + key.len() + value.len()).expect("short");
+            let length = u32::try_from(1 + key.len() + value.len()).expect("record too long");
             all.extend_from_slice(&length.to_be_bytes());
-            all.push(u8::try_from(key.len()).expect("short"));
+            all.push(u8::try_from(key.len()).expect("record too long"));
             all.extend_from_slice(key.as_bytes());
             all.extend_from_slice(value.as_bytes());
         }
         (era, Some(all))
     }
 
-    /// Runs the calls that come to a backend server on one connection.
-    fn run(&self, stream: &TcpStream, own: &str, gone: &AtomicBool) {
-        let mut out = stream.try_clone().expect("a clone");
+    /// Serves calls to a backend server on one connection.
+    fn run(&self, stream: &TcpStream, own: &str, stopped: &AtomicBool) {
+        let mut out = stream.try_clone().expect("cannot clone the stream");
         let mut reader = BufReader::new(stream);
         while let Some((head, _)) = read(&mut reader) {
             let id = header(&head, "x-request-id").unwrap_or_default();
-            if gone.load(Ordering::SeqCst) {
+            if stopped.load(Ordering::SeqCst) {
                 return;
             }
             if header(&head, "x-expect-instance").as_deref() != Some(own) {
                 answer(&mut out, "421 Other", b"");
                 continue;
             }
-            let mut arrived = self.arrived.lock().expect("not poisoned");
-            *arrived.entry(own.to_owned()).or_default() += 1;
-            drop(arrived);
-            let words = self.words.lock().expect("not poisoned");
-            let word = words.get(own).copied();
-            drop(words);
-            if let Some(Word::Rest(seconds)) = word {
+            let mut received = self.received.lock().expect("mutex poisoned");
+            *received.entry(own.to_owned()).or_default() += 1;
+            drop(received);
+            let hints = self.hints.lock().expect("mutex poisoned");
+            let hint = hints.get(own).copied();
+            drop(hints);
+            if let Some(ServerHint::Backoff(seconds)) = hint {
                 let refusal = format!(
                     "503 Busy\r\nX-Request-Id: {id}\r\nX-Not-Executed: 1\r\n\
                      Retry-After: {seconds}"
@@ -314,25 +313,29 @@
             *self
                 .runs
                 .lock()
-                .expect("not poisoned")
+                .expect("mutex poisoned")
                 .entry(id.clone())
                 .or_default() += 1;
-            if head.lines().next().is_some_and(|l| l.contains(FATAL)) {
-                self.ended.fetch_add(1, Ordering::SeqCst);
-                gone.store(true, Ordering::SeqCst);
-                // A process that ends closes its listener no later than its
-                // connections. Each connection made here wakes it.
-                let addr = stream.local_addr().expect("an address");
-                until("the listener is closed", || {
+            if head
+                .lines()
+                .next()
+                .is_some_and(|l| l.contains(FATAL_MARKER))
+            {
+                self.crashes.fetch_add(1, Ordering::SeqCst);
+                stopped.store(true, Ordering::SeqCst);
+                // When a process crashes, its listener closes no later than its
+                // connections. Each connection made here wakes the accept loop.
+                let addr = stream.local_addr().expect("socket has no address");
+                wait_until("the listener is closed", || {
                     TcpStream::connect(addr).is_err()
                 });
                 return;
             }
             let mut marks = format!("X-Request-Id: {id}\r\nX-Response-Seal: {own}\r\n");
-            match word {
-                Some(Word::Limit(limit)) => marks += &format!("Server-Limit: {limit}\r\n"),
-                Some(Word::Leaving) => marks += "Server-Leaving: 1\r\n",
-                Some(Word::Rest(_)) | None => {}
+            match hint {
+                Some(ServerHint::Limit(limit)) => marks += &format!("Server-Limit: {limit}\r\n"),
+                Some(ServerHint::Leaving) => marks += "Server-Leaving: 1\r\n",
+                Some(ServerHint::Backoff(_)) | None => {}
             }
             if !head.starts_with("POST /stream/") && !head.starts_with("POST /engine/") {
                 let body = format!("answer to {id}");
@@ -346,9 +349,9 @@
             }
             let head = format!("HTTP/1.1 200 OK\r\n{marks}Transfer-Encoding: chunked\r\n\r\n");
             let _ = out.write_all(head.as_bytes());
-            for number in 1..=EVENTS {
+            for number in 1..=STREAM_EVENTS {
                 thread::sleep(Duration::from_millis(15));
-                if gone.load(Ordering::SeqCst) {
+                if stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 let event = format!("id: {number}\ndata: {id}\n\n");
@@ -360,28 +363,28 @@
     }
 }
 
-/// One life of a backend server.
+/// One incarnation of a backend server.
 pub(crate) struct Server {
     platform: Arc<Platform>,
     service: &'static str,
     host: &'static str,
     id: String,
     addr: SocketAddr,
-    gone: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Server {
-    fn list(&self, state: &str) {
+    fn register(&self, state: &str) {
         let entry = json!({"service": self.service, "address": self.addr, "zone": "a", "slots": 8,
             "state": state, "seq": 1});
         self.platform
             .write("keyed.servers", &self.id, &entry.to_string());
     }
 
-    /// Announces that it leaves, goes on serving for a while, and ends.
+    /// Announces that the server leaves; it serves for another 2.5 s and stops.
     pub(crate) fn leave(self) {
-        self.say(Word::Leaving);
-        self.list("draining");
+        self.set_hint(ServerHint::Leaving);
+        self.register("draining");
         thread::spawn(move || {
             thread::sleep(Duration::from_millis(2500));
             self.platform.write("keyed.servers", &self.id, "");
@@ -389,41 +392,41 @@
         });
     }
 
-    /// Has it say this in its answers from now on.
-    pub(crate) fn say(&self, word: Word) {
-        let mut words = self.platform.words.lock().expect("not poisoned");
-        words.insert(self.id.clone(), word);
+    /// Sets the hint that the server sends in its answers from now on.
+    pub(crate) fn set_hint(&self, hint: ServerHint) {
+        let mut hints = self.platform.hints.lock().expect("mutex poisoned");
+        hints.insert(self.id.clone(), hint);
     }
 
-    /// Calls that have come to it.
-    pub(crate) fn arrived(&self) -> u32 {
-        let arrived = self.platform.arrived.lock().expect("not poisoned");
-        arrived.get(&self.id).copied().unwrap_or(0)
+    /// Number of calls that the server has received.
+    pub(crate) fn received(&self) -> u32 {
+        let received = self.platform.received.lock().expect("mutex poisoned");
+        received.get(&self.id).copied().unwrap_or(0)
     }
 
-    /// Whether it has ended.
-    pub(crate) fn ended(&self) -> bool {
-        self.gone.load(Ordering::SeqCst)
+    /// Whether the server has stopped.
+    pub(crate) fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::SeqCst)
     }
 
-    /// Starts another server of the same service.
-    pub(crate) fn next(&self) -> Self {
+    /// Starts another server of the same service on the same host.
+    pub(crate) fn replacement(&self) -> Self {
         self.platform.start_server(self.service, self.host)
     }
 
-    /// Takes it off the platform's list.
-    pub(crate) fn delist(&self) {
+    /// Deletes the server's record from the store.
+    pub(crate) fn deregister(&self) {
         self.platform.write("keyed.servers", &self.id, "");
     }
 
-    /// Ends at once: connections in use are closed, new ones refused.
+    /// Stops at once: open connections are closed and new ones refused.
     pub(crate) fn crash(&self) {
-        self.gone.store(true, Ordering::SeqCst);
+        self.stopped.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.addr);
     }
 
-    /// Ends at once; the platform notices seconds later.
-    pub(crate) fn die(self) {
+    /// Stops at once; its record is deleted from the store 2 s later.
+    pub(crate) fn crash_unannounced(self) {
         self.crash();
         thread::spawn(move || {
             thread::sleep(Duration::from_secs(2));
@@ -432,7 +435,7 @@
     }
 }
 
-/// Reads one message with its body; none at the end of the connection.
+/// Reads one message with its body; `None` at the end of the connection.
 fn read(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -454,12 +457,12 @@
     let _ = stream.write_all(&[head.as_bytes(), body].concat());
 }
 
-/// A status with the header that names an era.
-fn in_era(status: &str, era: u32) -> String {
+/// Appends the header with the store's era to a status line.
+fn with_era(status: &str, era: u32) -> String {
     format!("{status}\r\nStore-Era: {era}")
 }
 
-/// The value of a header.
+/// The value of a header; its name is matched without regard to case.
 pub(crate) fn header(head: &str, name: &str) -> Option<String> {
     let mut lines = head.lines().filter_map(|l| l.split_once(": "));
     let found = lines.find(|(n, _)| n.eq_ignore_ascii_case(name));
--- a/crates/cli/tests/forward/process.rs
+++ b/crates/cli/tests/forward/process.rs
@@ -1,4 +1,4 @@
-//! The daemons as processes of their own.
+//! Starts the daemons as child processes.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, ToSocketAddrs, UdpSocket};
@@ -11,57 +11,59 @@
 use nix::unistd::Pid;
 use serde_json::json;
 
-use crate::caller::PATIENCE;
-use crate::platform::{ENGINES, until};
+use crate::caller::READ_TIMEOUT;
+use crate::platform::{ENGINE_HOST, wait_until};
 
-/// The ports of an entry, on its own address.
+/// Ports of an entry; each entry has its own loopback address.
 const LISTEN: u16 = 7101;
 const READY: u16 = 7102;
 const GOSSIP: u16 = 7103;
 
-/// A daemon as a process.
+/// A daemon that runs as a child process.
 pub(crate) struct Process {
     child: Option<Child>,
-    verb: &'static str,
+    subcommand: &'static str,
     settings: PathBuf,
 }
 
 impl Process {
-    fn start(verb: &'static str, name: &str, settings: &serde_json::Value) -> Self {
+    fn start(subcommand: &'static str, name: &str, settings: &serde_json::Value) -> Self {
         let dir = std::env::temp_dir().join(format!("pimentocart-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a folder");
+        std::fs::create_dir_all(&dir).expect("cannot create the directory");
         let path = dir.join("settings.json");
-        std::fs::write(&path, settings.to_string()).expect("settings");
+        std::fs::write(&path, settings.to_string()).expect("cannot write the settings");
         let mut process = Self {
             child: None,
-            verb,
+            subcommand,
             settings: path,
         };
         process.restart();
         process
     }
 
-    /// Starts the process again; the one before has ended.
+    /// Starts the process again after the previous one has ended.
     pub(crate) fn restart(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pimentocart"));
-        let command = command.args([self.verb, "--settings"]).arg(&self.settings);
-        // What ends a process early is said there and nowhere else.
+        let command = command
+            .args([self.subcommand, "--settings"])
+            .arg(&self.settings);
+        // A startup error is printed to stderr only.
         let command = command.stdout(Stdio::null()).stderr(Stdio::inherit());
-        self.child = Some(command.spawn().expect("the program starts"));
+        self.child = Some(command.spawn().expect("cannot start the program"));
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
-        let child = self.child.as_ref().expect("it runs");
-        let id = i32::try_from(child.id()).expect("a process id");
-        signal::kill(Pid::from_raw(id), signal).expect("the process is there");
+        let child = self.child.as_ref().expect("process is not running");
+        let id = i32::try_from(child.id()).expect("process id out of range");
+        signal::kill(Pid::from_raw(id), signal).expect("cannot signal the process");
     }
 
     /// Waits until the process has ended; returns its exit code.
     pub(crate) fn wait(&mut self) -> Option<i32> {
-        let mut child = self.child.take().expect("it runs");
+        let mut child = self.child.take().expect("process is not running");
         let mut status = None;
-        until("the process ends", || {
-            status = child.try_wait().expect("the process is ours");
+        wait_until("the process ends", || {
+            status = child.try_wait().expect("cannot wait for the process");
             status.is_some()
         });
         status.and_then(|s| s.code())
@@ -82,18 +84,18 @@
     }
 }
 
-/// Starts a sidecar beside the engines; returns it and its port, which is the
-/// entries' too.
+/// Starts a sidecar beside the engines; returns it and its port, which the
+/// entries must use on their own addresses too.
 pub(crate) fn sidecar(name: &str) -> (Process, u16) {
-    let socket = UdpSocket::bind((ENGINES, 0)).expect("a port");
-    let listen = socket.local_addr().expect("an address");
-    let settings = json!({"name": name, "listen": listen, "engine": (ENGINES, 1)
-        .to_socket_addrs().expect("an address").next(), "report_every": "50ms"});
+    let socket = UdpSocket::bind((ENGINE_HOST, 0)).expect("cannot bind a port");
+    let listen = socket.local_addr().expect("socket has no address");
+    let settings = json!({"name": name, "listen": listen, "engine": (ENGINE_HOST, 1)
+        .to_socket_addrs().expect("socket has no address").next(), "report_every": "50ms"});
     drop(socket);
     (Process::start("admission", name, &settings), listen.port())
 }
 
-/// The entry as a process.
+/// An entry that runs as a child process.
 pub(crate) struct Entry {
     process: Process,
     listen: SocketAddr,
@@ -115,17 +117,17 @@
 }
 
 impl Entry {
-    /// Starts an entry; `grants` is the sidecars' port, if there are any.
+    /// Starts an entry; `grants` is the port of the sidecars, if there are any.
     pub(crate) fn start(name: &str, store: SocketAddr, grants: Option<u16>) -> Self {
-        Self::start_at(own_ip(), name, store, grants)
+        Self::start_at(unique_ip(), name, store, grants)
     }
 
-    /// Starts an entry while somebody else, for whom the listener stands, has
-    /// the port at which its neighbours would ask.
-    pub(crate) fn start_without_port(name: &str, store: SocketAddr) -> (Self, TcpListener) {
-        let ip = own_ip();
-        let tables = TcpListener::bind((ip, GOSSIP)).expect("a port");
-        (Self::start_at(ip, name, store, None), tables)
+    /// Starts an entry while the returned listener holds the port on which the
+    /// entry would serve its peers.
+    pub(crate) fn start_with_peer_port_taken(name: &str, store: SocketAddr) -> (Self, TcpListener) {
+        let ip = unique_ip();
+        let listener = TcpListener::bind((ip, GOSSIP)).expect("cannot bind a port");
+        (Self::start_at(ip, name, store, None), listener)
     }
 
     fn start_at(ip: Ipv4Addr, name: &str, store: SocketAddr, grants: Option<u16>) -> Self {
@@ -142,24 +144,25 @@
         }
     }
 
-    /// Whether it says that it is ready.
+    /// Whether the readiness check succeeds.
     pub(crate) fn ready(&self) -> bool {
-        self.operators("/ready").starts_with("HTTP/1.1 200")
+        self.get_status_page("/ready").starts_with("HTTP/1.1 200")
     }
 
-    /// A number of what it believes.
+    /// A number from the entry's status report; 0 if it is not available.
     pub(crate) fn status(&self, name: &str) -> u64 {
-        let answer = self.operators("/status");
+        let answer = self.get_status_page("/status");
         let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
         let status: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
         status[name].as_u64().unwrap_or(0)
     }
 
-    /// What it answers operators; nothing while it does not.
-    fn operators(&self, path: &str) -> String {
+    /// Sends a GET request to the operators' address; returns the response, or
+    /// an empty string if there is none.
+    fn get_status_page(&self, path: &str) -> String {
         let mut answer = String::new();
         if let Ok(mut stream) = TcpStream::connect(self.ready) {
-            let _ = stream.set_read_timeout(Some(PATIENCE));
+            let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
             let head = format!("GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
             let _ = stream.write_all(head.as_bytes());
             let _ = stream.read_to_string(&mut answer);
@@ -167,14 +170,14 @@
         answer
     }
 
-    pub(crate) fn at(&self) -> SocketAddr {
+    pub(crate) fn addr(&self) -> SocketAddr {
         self.listen
     }
 }
 
-/// A loopback address of one entry's own, where no port is taken. A port that
-/// was free a moment ago may belong to another test by the time it is used.
-fn own_ip() -> Ipv4Addr {
+/// A loopback address that no other entry uses, so that all its ports are free.
+/// On a shared address, another test could take a free port before it is used.
+fn unique_ip() -> Ipv4Addr {
     static COUNT: AtomicU8 = AtomicU8::new(0);
     let [_, _, a, b] = std::process::id().to_be_bytes();
     let number = COUNT.fetch_add(1, Ordering::SeqCst) % 250 + 1;
--- a/crates/cli/tests/forward/soak.rs
+++ b/crates/cli/tests/forward/soak.rs
@@ -1,9 +1,10 @@
-//! Faults by seeds: processes stopped, frozen, killed and restarted, servers
-//! leaving and dying, the store down and back, also from an old copy, servers
-//! that name limits or ask for rest, configurations in series, in any order and overlapping,
-//! while callers check what they were promised.
+//! Randomized soak test. While callers check every answer, seeded random faults
+//! occur in any order and overlap: processes are stopped, paused, killed and
+//! restarted; servers leave and crash; the store goes down and is restored,
+//! also from an old backup; servers set rate limits or ask for backoff; and
+//! configurations are published one after another.
 //!
-//! `SOAK_SEEDS=100-149` plays those seeds in place of the few of every run.
+//! `SOAK_SEEDS=100-149` runs those seeds instead of the few default ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,53 +17,53 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use crate::caller::{Seen, call};
-use crate::platform::{EVENTS, Platform, Server, Word, until};
+use crate::caller::{Outcome, call};
+use crate::platform::{Platform, STREAM_EVENTS, Server, ServerHint, wait_until};
 use crate::process::{Entry, Process, sidecar};
 
 const CALLERS: usize = 6;
-/// Further callers, whose calls go to the engines beside the sidecar.
+/// Additional callers, whose calls go to the engines beside the sidecar.
 const ENGINE_CALLERS: usize = 4;
 const STEPS: u32 = 14;
 
-/// Seeds that failed once. 16: a process that was told to stop ended after the
-/// last step, and the harness did not start it again as the platform does. 508: an
-/// entry started while the store lacked the configuration, and did not take it
-/// from the copy. 3638: the same where two copies follow each other, the first of
-/// which lacked it.
-const KEPT: [u64; 3] = [16, 508, 3638];
+/// Seeds that failed before. 16: a process exited after the last step due to an
+/// earlier SIGTERM, and the harness did not restart it as the platform does.
+/// 508: an entry started while the store lacked the configuration, and did not
+/// load it from the snapshot. 3638: the same with two successive snapshots, the
+/// first of which lacked it.
+const REGRESSION_SEEDS: [u64; 3] = [16, 508, 3638];
 
-/// What one seed came to.
+/// Results of one seed.
 #[derive(Debug, Default)]
-struct Tally {
+struct SeedResult {
     answers: u32,
     refused: Vec<String>,
-    faults: Vec<String>,
+    errors: Vec<String>,
 }
 
 #[test]
 fn seeds() {
     let range = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1-2".to_owned());
-    let (first, last) = range.split_once('-').expect("FIRST-LAST");
-    let number = |text: &str| text.parse::<u64>().expect("a number");
-    let mut broken = Vec::new();
-    for seed in (number(first)..=number(last)).chain(KEPT) {
-        let tally = play(seed);
-        let refused = tally.refused.len();
-        println!("seed={seed} answers={} refused={refused}", tally.answers);
-        assert!(tally.answers > 0, "seed {seed}: nobody was served");
-        broken.extend(
-            tally
-                .faults
+    let (first, last) = range.split_once('-').expect("SOAK_SEEDS is not FIRST-LAST");
+    let number = |text: &str| text.parse::<u64>().expect("seed is not a number");
+    let mut errors = Vec::new();
+    for seed in (number(first)..=number(last)).chain(REGRESSION_SEEDS) {
+        let result = run_seed(seed);
+        let refused = result.refused.len();
+        println!("seed={seed} answers={} refused={refused}", result.answers);
+        assert!(result.answers > 0, "seed {seed}: no call succeeded");
+        errors.extend(
+            result
+                .errors
                 .into_iter()
                 .map(|f| format!("seed {seed}: {f}")),
         );
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(errors.is_empty(), "{errors:#?}");
 }
 
-/// Plays one seed and checks every promise.
-fn play(seed: u64) -> Tally {
+/// Runs one seed and checks all guarantees.
+fn run_seed(seed: u64) -> SeedResult {
     let (platform, store) = Platform::start();
     let mut servers: Vec<Server> = (0..3).map(|_| platform.server()).collect();
     let engines: Vec<Server> = (0..2).map(|_| platform.engine()).collect();
@@ -70,31 +71,32 @@
     let mut entries: Vec<Entry> = (0..2)
         .map(|i| Entry::start(&format!("soak-{seed}-{i}"), store, Some(port)))
         .collect();
-    until("ready", || entries.iter().all(Entry::ready));
+    wait_until("the entry is ready", || entries.iter().all(Entry::ready));
 
     let end = Arc::new(AtomicBool::new(false));
-    let at: Vec<SocketAddr> = entries.iter().map(Entry::at).collect();
+    let addrs: Vec<SocketAddr> = entries.iter().map(Entry::addr).collect();
     let callers: Vec<_> = (0..CALLERS + ENGINE_CALLERS)
         .map(|i| {
-            let (end, at) = (Arc::clone(&end), at.clone());
-            thread::spawn(move || calls(seed, i, &at, &end))
+            let (end, addrs) = (Arc::clone(&end), addrs.clone());
+            thread::spawn(move || send_calls(seed, i, &addrs, &end))
         })
         .collect();
 
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
-    // Draws of its own, so that the other faults of a seed stay as they are.
-    let mut aside = Pcg64Mcg::new(u128::from(seed) << 1 | 1 << 70 | 1);
-    let mut drills = Pcg64Mcg::new(u128::from(seed) << 1 | 1 << 71 | 1);
+    // Separate random number generators, so that adding a kind of fault does not
+    // change the other faults of a seed.
+    let mut sidecar_rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1 << 70 | 1);
+    let mut platform_rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1 << 71 | 1);
     for _ in 0..STEPS {
-        step(&mut rng, &platform, &mut servers, &mut entries);
-        step_aside(&mut aside, &mut sidecar);
-        drill(&mut drills, &platform, &servers, &engines);
+        process_fault(&mut rng, &platform, &mut servers, &mut entries);
+        sidecar_fault(&mut sidecar_rng, &mut sidecar);
+        platform_fault(&mut platform_rng, &platform, &servers, &engines);
         thread::sleep(Duration::from_millis(rng.random_range(20..250)));
     }
-    platform.recover();
-    // The platform starts again whatever has ended, also a process that was
-    // told to stop a moment ago and ends only now.
-    until("all are ready again", || {
+    platform.end_faults();
+    // The platform restarts every process that has ended, including one that
+    // exits only now due to an earlier SIGTERM.
+    wait_until("all entries are ready again", || {
         for entry in &mut entries {
             if !entry.running() {
                 entry.wait();
@@ -103,35 +105,35 @@
         }
         entries.iter().all(Entry::ready)
     });
-    // An entry learns of a limit's end with the next call that it may send.
-    until("no limit and no rest is left", || {
+    // An entry learns that a limit has ended from the answer to its next call.
+    wait_until("no limit or backoff is left", || {
         let left = |e: &Entry| e.status("limited") + e.status("resting");
         entries.iter().all(|e| left(e) == 0)
     });
     end.store(true, Ordering::SeqCst);
 
     engines.iter().for_each(Server::crash);
-    let mut tally = Tally::default();
+    let mut result = SeedResult::default();
     for caller in callers {
-        let part = caller.join().expect("a caller");
-        tally.answers += part.answers;
-        tally.refused.extend(part.refused);
-        tally.faults.extend(part.faults);
+        let part = caller.join().expect("caller thread panicked");
+        result.answers += part.answers;
+        result.refused.extend(part.refused);
+        result.errors.extend(part.errors);
     }
-    let last = call(entries[0].at(), "/safe/x", &format!("{seed}-last"));
-    if !matches!(last, Seen::Whole(200, _)) {
+    let last = call(entries[0].addr(), "/safe/x", &format!("{seed}-last"));
+    if !matches!(last, Outcome::Complete(200, _)) {
         let known = entries[0].status("servers");
-        tally.faults.push(format!(
+        result.errors.push(format!(
             "not served after all faults ended: {last:?}, {known} servers known"
         ));
     }
-    let runs = platform.runs.lock().expect("not poisoned").clone();
-    judge(&runs, &mut tally);
-    tally
+    let runs = platform.runs.lock().expect("mutex poisoned").clone();
+    check_runs(&runs, &mut result);
+    result
 }
 
-/// One fault, or the end of one.
-fn step(
+/// Injects one fault in an entry, the store or the servers, or ends one.
+fn process_fault(
     rng: &mut Pcg64Mcg,
     platform: &Arc<Platform>,
     servers: &mut Vec<Server>,
@@ -159,7 +161,7 @@
             let down = platform.down.load(Ordering::SeqCst);
             platform.down.store(!down, Ordering::SeqCst);
         }
-        5 => platform.declare(),
+        5 => platform.publish_config(),
         6 => {
             servers.push(platform.server());
             servers.remove(0).leave();
@@ -167,13 +169,13 @@
         _ => {
             servers.push(platform.server());
             let dead = rng.random_range(0..servers.len() - 1);
-            servers.remove(dead).die();
+            servers.remove(dead).crash_unannounced();
         }
     }
 }
 
-/// A fault of the sidecar beside the engines, or the end of one.
-fn step_aside(rng: &mut Pcg64Mcg, sidecar: &mut Process) {
+/// Injects a fault in the sidecar beside the engines, or ends one.
+fn sidecar_fault(rng: &mut Pcg64Mcg, sidecar: &mut Process) {
     if !sidecar.running() {
         println!("  sidecar ended code={:?}", sidecar.wait());
         sidecar.restart();
@@ -190,24 +192,29 @@
     }
 }
 
-/// Now and then the store comes back from an old copy, or a server names how
-/// much it takes or asks for rest.
-fn drill(rng: &mut Pcg64Mcg, platform: &Arc<Platform>, servers: &[Server], engines: &[Server]) {
+/// In 4 of 8 cases restores the store from an old backup, or has a server set a
+/// rate limit or ask for backoff.
+fn platform_fault(
+    rng: &mut Pcg64Mcg,
+    platform: &Arc<Platform>,
+    servers: &[Server],
+    engines: &[Server],
+) {
     let fault = rng.random_range(0..8);
     let (count, ms) = (rng.random_range(0..6), rng.random_range(0..800));
-    println!("  drill={fault}");
+    println!("  platform fault={fault}");
     match fault {
-        0 => platform.rewind(count, Duration::from_millis(ms)),
-        1 => servers[count % servers.len()].say(Word::Limit("20")),
-        2 => servers[count % servers.len()].say(Word::Rest("0.3")),
-        3 => engines[count % engines.len()].say(Word::Rest("0.3")),
+        0 => platform.restore_backup(count, Duration::from_millis(ms)),
+        1 => servers[count % servers.len()].set_hint(ServerHint::Limit("20")),
+        2 => servers[count % servers.len()].set_hint(ServerHint::Backoff("0.3")),
+        3 => engines[count % engines.len()].set_hint(ServerHint::Backoff("0.3")),
         _ => {}
     }
 }
 
-/// Calls one after the other until `end`, and checks each answer.
-fn calls(seed: u64, caller: usize, at: &[SocketAddr], end: &AtomicBool) -> Tally {
-    let mut tally = Tally::default();
+/// Sends calls one after another until `end` is set, and checks each answer.
+fn send_calls(seed: u64, caller: usize, addrs: &[SocketAddr], end: &AtomicBool) -> SeedResult {
+    let mut result = SeedResult::default();
     for i in 0.. {
         if end.load(Ordering::SeqCst) {
             break;
@@ -217,54 +224,54 @@
             _ => "engine",
         };
         let id = format!("{kind}-{seed}-{caller}-{i}");
-        match call(at[i % at.len()], &format!("/{kind}/x"), &id) {
-            Seen::Whole(200, body) => {
-                tally.answers += 1;
-                check(kind, &id, &body, &mut tally);
+        match call(addrs[i % addrs.len()], &format!("/{kind}/x"), &id) {
+            Outcome::Complete(200, body) => {
+                result.answers += 1;
+                check_answer(kind, &id, &body, &mut result);
             }
-            Seen::Whole(429 | 503, _) => {
-                tally.refused.push(id);
+            Outcome::Complete(429 | 503, _) => {
+                result.refused.push(id);
                 thread::sleep(Duration::from_millis(5));
             }
-            Seen::Whole(502 | 504, _) | Seen::Cut => {}
-            Seen::Whole(status, _) => tally.faults.push(format!("{id}: status {status}")),
-            Seen::Nothing => thread::sleep(Duration::from_millis(5)),
+            Outcome::Complete(502 | 504, _) | Outcome::Truncated => {}
+            Outcome::Complete(status, _) => result.errors.push(format!("{id}: status {status}")),
+            Outcome::NoAnswer => thread::sleep(Duration::from_millis(5)),
         }
     }
-    tally
+    result
 }
 
-/// A whole success holds the caller's own answer, and all of it.
-fn check(kind: &str, id: &str, body: &str, tally: &mut Tally) {
-    let own = match kind {
+/// Checks that a successful answer is complete and belongs to this call.
+fn check_answer(kind: &str, id: &str, body: &str, result: &mut SeedResult) {
+    let valid = match kind {
         "stream" | "engine" => {
-            let numbers: Vec<String> = (1..=EVENTS).map(|n| format!("id: {n}")).collect();
+            let numbers: Vec<String> = (1..=STREAM_EVENTS).map(|n| format!("id: {n}")).collect();
             let seen = body.lines().filter(|l| l.starts_with("id: "));
             let data = body.lines().filter(|l| l.starts_with("data: "));
             seen.eq(numbers.iter().map(String::as_str))
-                && data.count() == EVENTS as usize
-                && body.matches(id).count() == EVENTS as usize
+                && data.count() == STREAM_EVENTS as usize
+                && body.matches(id).count() == STREAM_EVENTS as usize
         }
         _ => body == format!("answer to {id}"),
     };
-    if !own {
-        tally.faults.push(format!("{id}: got {body:?}"));
+    if !valid {
+        result.errors.push(format!("{id}: got {body:?}"));
     }
 }
 
-/// What must not be repeated ran once at most, and what was refused as not
-/// run never ran.
-fn judge(runs: &BTreeMap<String, u32>, tally: &mut Tally) {
+/// Checks that unrepeatable calls ran at most once, and that calls that were
+/// refused as not executed never ran.
+fn check_runs(runs: &BTreeMap<String, u32>, result: &mut SeedResult) {
     for (id, count) in runs {
         if *count > 1 && !id.starts_with("safe") {
-            tally.faults.push(format!("{id}: ran {count} times"));
+            result.errors.push(format!("{id}: ran {count} times"));
         }
     }
-    for id in &tally.refused {
+    for id in &result.refused {
         let ran = !id.starts_with("safe") && runs.contains_key(id);
         if ran {
-            tally
-                .faults
+            result
+                .errors
                 .push(format!("{id}: refused as not run, and ran"));
         }
     }
--- a/crates/cli/tests/processes/bundles.rs
+++ b/crates/cli/tests/processes/bundles.rs
@@ -30,7 +30,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port");
         let addr = listener.local_addr().expect("listener has no address");
         let faults = Control::new(Faults::default());
-        let operators = Self {
+        let workdir = Self {
             dir,
             log: start_log(listener, &faults),
             faults,
@@ -40,13 +40,13 @@
         for operator in ["awa", "luz"] {
             let out = format!("{operator}.key");
             let (code, output) =
-                operators.run(&["keys", "new", "--operator", operator, "--out", &out]);
+                workdir.run(&["keys", "new", "--operator", operator, "--out", &out]);
             assert_eq!(code, Some(0), "{output}");
             let printed: Value = serde_json::from_str(&output).expect("invalid JSON");
             trust.extend(printed.as_object().expect("not a JSON object").clone());
         }
-        operators.write("log.json", &json!({ "log": addr, "trust": trust }));
-        operators
+        workdir.write("log.json", &json!({ "log": addr, "trust": trust }));
+        workdir
     }
 
     /// Runs a command in the directory; returns its exit code, and its stdout
@@ -133,8 +133,8 @@
 fn log_port_stays_bound() {
     // Guards against another test binding the port that the operators'
     // settings name: publishing would then fail to connect to the log.
-    let operators = OperatorDir::new("port");
-    let settings = operators.read("log.json");
+    let workdir = OperatorDir::new("port");
+    let settings = workdir.read("log.json");
     let addr = settings["log"]
         .as_str()
         .expect("the log address is not a string");
@@ -150,10 +150,10 @@
     // Covers the whole rollout: check, sign, publish two versions and roll back
     // to the first. Publishing while the log is down must report an unknown
     // outcome, and repeating the same command afterwards must be accepted once.
-    let operators = OperatorDir::new("rollout");
-    let (_, template) = operators.run(&["bundle", "new"]);
-    fs::write(operators.dir.join("draft.json"), template).expect("cannot write the draft");
-    let (code, output) = operators.run(&["bundle", "check", "draft.json"]);
+    let workdir = OperatorDir::new("rollout");
+    let (_, template) = workdir.run(&["bundle", "new"]);
+    fs::write(workdir.dir.join("draft.json"), template).expect("cannot write the draft");
+    let (code, output) = workdir.run(&["bundle", "check", "draft.json"]);
     assert_eq!(code, Some(2));
     assert!(
         output.starts_with("operators: no operator (hint: "),
@@ -161,9 +161,9 @@
     );
 
     for (weight, sequence) in [(1, 1), (2, 2)] {
-        operators.sign("awa", weight);
+        workdir.sign("awa", weight);
         let expected = (Some(0), format!("accepted as {sequence}\n"));
-        assert_eq!(operators.publish("awa"), expected);
+        assert_eq!(workdir.publish("awa"), expected);
     }
     let rollback = [
         "bundle",
@@ -176,10 +176,10 @@
         "1",
     ];
     assert_eq!(
-        operators.run(&rollback),
+        workdir.run(&rollback),
         (Some(0), "accepted as 3\n".to_owned())
     );
-    let (code, output) = operators.run(&["bundle", "show", "--settings", "log.json"]);
+    let (code, output) = workdir.run(&["bundle", "show", "--settings", "log.json"]);
     assert_eq!(code, Some(0), "{output}");
     assert!(output.contains("\"weight\": 1"), "{output}");
     assert!(
@@ -187,18 +187,18 @@
         "{output}"
     );
 
-    operators.sign("luz", 4);
-    operators.faults.change(|f| f.down = true);
-    let (code, output) = operators.publish("luz");
+    workdir.sign("luz", 4);
+    workdir.faults.change(|f| f.down = true);
+    let (code, output) = workdir.publish("luz");
     assert_eq!(code, Some(1));
     assert!(output.contains("unknown, look again\n"), "{output}");
-    operators.faults.change(|f| f.down = false);
+    workdir.faults.change(|f| f.down = false);
     assert_eq!(
-        operators.publish("luz"),
+        workdir.publish("luz"),
         (Some(0), "accepted as 4\n".to_owned())
     );
     assert_eq!(
-        operators.publish("luz"),
+        workdir.publish("luz"),
         (Some(0), "accepted as 4\n".to_owned())
     );
 }
@@ -208,12 +208,12 @@
     // Guards against accepting a bundle that was edited after signing, one
     // signed by an unknown operator, or a rollback to a missing version: all
     // three must exit with code 2.
-    let operators = OperatorDir::new("refused");
-    operators.sign("awa", 1);
-    let mut signed = operators.read("signed.json");
+    let workdir = OperatorDir::new("refused");
+    workdir.sign("awa", 1);
+    let mut signed = workdir.read("signed.json");
     signed["bundle"]["workspaces"]["mairie"]["weight"] = json!(9);
-    operators.write("signed.json", &signed);
-    let (code, output) = operators.publish("awa");
+    workdir.write("signed.json", &signed);
+    let (code, output) = workdir.publish("awa");
     assert_eq!(code, Some(2), "{output}");
     assert!(output.contains("not the one that awa signed"), "{output}");
 
@@ -225,14 +225,14 @@
         "--out",
         "stranger.key",
     ];
-    assert_eq!(operators.run(&stranger).0, Some(0));
+    assert_eq!(workdir.run(&stranger).0, Some(0));
     assert_eq!(
-        operators.run(&stranger).0,
+        workdir.run(&stranger).0,
         Some(2),
         "a key is never overwritten"
     );
-    operators.sign("stranger", 1);
-    let (code, output) = operators.publish("stranger");
+    workdir.sign("stranger", 1);
+    let (code, output) = workdir.publish("stranger");
     assert_eq!(code, Some(2), "{output}");
     assert!(output.contains("unknown operator"), "{output}");
 
@@ -246,22 +246,22 @@
         "--to",
         "7",
     ];
-    let (code, output) = operators.run(&rollback);
+    let (code, output) = workdir.run(&rollback);
     assert_eq!(code, Some(2), "{output}");
     assert!(output.contains("no version 7"), "{output}");
 }
 
 #[test]
 fn bundle_diff() {
-    let operators = OperatorDir::new("diff");
-    operators.sign("awa", 1);
+    let workdir = OperatorDir::new("diff");
+    workdir.sign("awa", 1);
     fs::copy(
-        operators.dir.join("bundle.json"),
-        operators.dir.join("old.json"),
+        workdir.dir.join("bundle.json"),
+        workdir.dir.join("old.json"),
     )
     .expect("cannot copy the bundle");
-    operators.sign("awa", 2);
-    let (code, output) = operators.run(&["bundle", "diff", "old.json", "bundle.json"]);
+    workdir.sign("awa", 2);
+    let (code, output) = workdir.run(&["bundle", "diff", "old.json", "bundle.json"]);
     assert_eq!(code, Some(0), "{output}");
     let patch: Value = serde_json::from_str(&output).expect("invalid JSON");
     let value = json!({ "tokens": [], "classes": ["counter"], "weight": 2 });
--- a/crates/cli/tests/processes/fleet.rs
+++ b/crates/cli/tests/processes/fleet.rs
@@ -84,7 +84,7 @@
         ];
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("the folder can be generated");
+        std::fs::create_dir_all(&dir).expect("cannot create the directory");
 
         let ledger = Ledger::default();
         let hosts = (0..count)
