--- a/crates/scenario/tests/run/words.rs
+++ b/crates/scenario/tests/run/command.rs
@@ -1,28 +1,28 @@
-//! The words of the scripts.
+//! The commands of the scripts and their arguments.
 
 use std::error::Error;
 use std::str::FromStr;
 
 use base::settings::HumanDuration;
 
-/// One command, by the part of the world that it goes to.
+/// One command, by the component that runs it.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Lets time pass.
+    /// Advances the clock.
     Clock(HumanDuration),
     /// For the sidecars.
-    Server(Words),
-    /// For an entry's decisions.
-    Route(Words),
-    /// For the log's readers.
-    Records(Words),
-    /// For membership and leases.
-    Hosts(Words),
+    Server(Args),
+    /// For an entry's routing decisions.
+    Route(Args),
+    /// For the readers of the log.
+    Records(Args),
+    /// For an entry's membership, and leases.
+    Hosts(Args),
 }
 
-/// A command's name and arguments.
+/// Name and arguments of a command.
 #[derive(Debug)]
-pub(crate) struct Words {
+pub(crate) struct Args {
     pub(crate) name: String,
     args: Vec<goldenscript::Argument>,
 }
@@ -50,60 +50,60 @@
     type Error = Box<dyn Error>;
 
     fn try_from(command: &goldenscript::Command) -> Result<Self, Self::Error> {
-        let words = Words {
+        let args = Args {
             name: command.name.clone(),
             args: command.args.clone(),
         };
-        let name = words.name.as_str();
+        let name = args.name.as_str();
         if name == "clock" {
-            return Ok(Self::Clock(words.parse(0)?));
+            return Ok(Self::Clock(args.parse(0)?));
         }
-        let to = [
-            (&SERVER[..], Self::Server as fn(Words) -> Self),
+        let components = [
+            (&SERVER[..], Self::Server as fn(Args) -> Self),
             (&ROUTE[..], Self::Route),
             (&RECORDS[..], Self::Records),
             (&HOSTS[..], Self::Hosts),
         ];
-        let part = to.iter().find(|(names, _)| names.contains(&name));
-        let (_, part) = part.ok_or_else(|| format!("no command {name:?}"))?;
-        Ok(part(words))
+        let component = components.iter().find(|(names, _)| names.contains(&name));
+        let (_, component) = component.ok_or_else(|| format!("no command {name:?}"))?;
+        Ok(component(args))
     }
 }
 
-impl Words {
-    /// The arguments without a key.
-    pub(crate) fn plain(&self) -> impl Iterator<Item = &str> {
+impl Args {
+    /// The positional arguments.
+    pub(crate) fn positional(&self) -> impl Iterator<Item = &str> {
         self.args.iter().filter_map(|arg| match arg {
             goldenscript::Argument::Positional(value) => Some(value.as_str()),
             _ => None,
         })
     }
 
-    /// The argument without a key at a place.
-    pub(crate) fn at(&self, place: usize) -> Result<&str, Box<dyn Error>> {
-        let found = self.plain().nth(place);
+    /// The positional argument at an index.
+    pub(crate) fn at(&self, index: usize) -> Result<&str, Box<dyn Error>> {
+        let found = self.positional().nth(index);
         found.ok_or_else(|| format!("{} needs more arguments", self.name).into())
     }
 
-    /// The same, as a value.
-    pub(crate) fn parse<T: FromStr>(&self, place: usize) -> Result<T, Box<dyn Error>> {
-        let text = self.at(place)?;
+    /// The positional argument at an index, parsed.
+    pub(crate) fn parse<T: FromStr>(&self, index: usize) -> Result<T, Box<dyn Error>> {
+        let text = self.at(index)?;
         text.parse()
             .map_err(|_| format!("{}: bad value {text:?}", self.name).into())
     }
 
-    /// The argument with a key.
-    pub(crate) fn key(&self, key: &str) -> Option<&str> {
+    /// The argument with this key, if given.
+    pub(crate) fn named(&self, key: &str) -> Option<&str> {
         self.args.iter().find_map(|arg| match arg {
             goldenscript::Argument::KeyValue(k, value) if k == key => Some(value.as_str()),
             _ => None,
         })
     }
 
-    /// The same, as a value.
-    pub(crate) fn get<T: FromStr>(&self, key: &str, other: T) -> Result<T, Box<dyn Error>> {
-        let Some(text) = self.key(key) else {
-            return Ok(other);
+    /// The argument with this key, parsed, or a default if it is not given.
+    pub(crate) fn named_or<T: FromStr>(&self, key: &str, default: T) -> Result<T, Box<dyn Error>> {
+        let Some(text) = self.named(key) else {
+            return Ok(default);
         };
         text.parse()
             .map_err(|_| format!("{}: bad value {key}={text}", self.name).into())
--- a/crates/scenario/tests/run/main.rs
+++ b/crates/scenario/tests/run/main.rs
@@ -1,18 +1,20 @@
-//! Runs each script under `tests/scenarios/` against the real decisions.
+//! Runs each script under `tests/scenarios/` against the production decision
+//! logic.
 //!
-//! - `server`: sidecars with their queues and tickets, before small engines.
-//! - `route`: what an entry decides about servers and retries.
-//! - `records`: bundles and claims in the log's order.
-//! - `hosts`: membership and leases.
+//! - `command`: parses the commands of the scripts.
+//! - `server`: sidecars with their queues and tickets, and simulated engines.
+//! - `route`: an entry's placement, outlier ejection and retries.
+//! - `records`: bundles and claims, applied in log order.
+//! - `hosts`: an entry's membership, and leases.
 //!
-//! Refresh the expected output by
-//! `UPDATE_GOLDENFILES=1 cargo test -p scenario`, and read the difference.
+//! Update the expected output with
+//! `UPDATE_GOLDENFILES=1 cargo test -p scenario`, and review the diff.
 
+mod command;
 mod hosts;
 mod records;
 mod route;
 mod server;
-mod words;
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -20,40 +22,41 @@
 use base::clock::ManualClock;
 use rstest::rstest;
 
-use words::Command;
+use command::Command;
 
-/// What a command of a script says.
-type Said = Result<String, Box<dyn Error>>;
+/// The text that a command of a script prints.
+type CommandOutput = Result<String, Box<dyn Error>>;
 
 #[rstest]
-fn scenario_holds(#[files("tests/scenarios/*")] path: PathBuf) {
-    // Nothing ever waits, so tasks that the decisions spawn get no turn: the
-    // script plays the backend servers' part.
+fn scenario(#[files("tests/scenarios/*")] path: PathBuf) {
+    // The commands never yield, so spawned tasks do not run: the script
+    // simulates the backend servers instead.
     actix_rt::System::new().block_on(async move {
-        goldenscript::run(&mut World::default(), path).expect("the scenario differs");
+        goldenscript::run(&mut Simulation::default(), path)
+            .expect("the output differs from the script");
     });
 }
 
-/// Everything in one scenario.
+/// The simulated components of one scenario.
 #[derive(Default)]
-struct World {
+struct Simulation {
     clock: ManualClock,
     fleet: server::Fleet,
-    route: route::Route,
+    router: route::Router,
     records: records::Records,
     hosts: hosts::Hosts,
 }
 
-impl goldenscript::Runner for World {
+impl goldenscript::Runner for Simulation {
     type Command = Command;
 
-    fn run(&mut self, command: &Command, _: &goldenscript::Context) -> Said {
+    fn run(&mut self, command: &Command, _: &goldenscript::Context) -> CommandOutput {
         match command {
-            Command::Clock(step) => Ok(self.fleet.pass(&self.clock, step.0)),
-            Command::Server(words) => self.fleet.run(&self.clock, words),
-            Command::Route(words) => self.route.run(&self.clock, words),
-            Command::Records(words) => self.records.run(&self.clock, words),
-            Command::Hosts(words) => self.hosts.run(&self.clock, words),
+            Command::Clock(step) => Ok(self.fleet.advance(&self.clock, step.0)),
+            Command::Server(args) => self.fleet.run(&self.clock, args),
+            Command::Route(args) => self.router.run(&self.clock, args),
+            Command::Records(args) => self.records.run(&self.clock, args),
+            Command::Hosts(args) => self.hosts.run(&self.clock, args),
         }
     }
 }
--- a/crates/scenario/tests/run/records.rs
+++ b/crates/scenario/tests/run/records.rs
@@ -1,4 +1,4 @@
-//! Bundles and claims in the log's order, as many readers see them.
+//! Bundles and idempotency claims in log order, as several readers see them.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -14,57 +14,58 @@
 use claims::table::ClaimTable;
 use serde_json::json;
 
-use crate::Said;
-use crate::words::Words;
+use crate::CommandOutput;
+use crate::command::Args;
 
-/// How long a claim owns its key, in milliseconds.
-const WINDOW_MS: u64 = 60_000;
+/// Lifetime of a claim, in milliseconds.
+const CLAIM_WINDOW_MS: u64 = 60_000;
 
-/// The log with its readers.
+/// The log and its readers.
 #[derive(Default)]
 pub(crate) struct Records {
-    /// The offset of the oldest record that is left.
-    first: u64,
+    /// Offset of the oldest record that has not expired.
+    oldest: u64,
     log: Vec<Vec<u8>>,
-    /// Records that operators made and did not append yet.
-    made: BTreeMap<String, Record>,
+    /// Signed records by name, which `append` may append any number of times.
+    signed_records: BTreeMap<String, Record>,
     readers: BTreeMap<String, Acceptor>,
     claims: Vec<(u64, String)>,
     tables: BTreeMap<String, ClaimTable>,
 }
 
 impl Records {
-    pub(crate) fn run(&mut self, clock: &ManualClock, words: &Words) -> Said {
-        match words.name.as_str() {
-            "reader" => self.reader(words),
-            "publish" => self.publish(words),
-            "append" => self.append(words),
-            "read" => self.read(words),
-            "expire" => self.expire(words),
-            "checkpoint" => self.checkpoint(words),
-            "force" => self.force(words),
-            "adopt" => self.adopt(words),
-            _ => self.claim(clock, words),
+    pub(crate) fn run(&mut self, clock: &ManualClock, args: &Args) -> CommandOutput {
+        match args.name.as_str() {
+            "reader" => self.reader(args),
+            "publish" => self.publish(args),
+            "append" => self.append(args),
+            "read" => self.read(args),
+            "expire" => self.expire(args),
+            "checkpoint" => self.checkpoint(args),
+            "force" => self.force(args),
+            "adopt" => self.adopt(args),
+            _ => self.claim(clock, args),
         }
     }
 
-    /// Adds fresh readers: `reader a b`.
-    fn reader(&mut self, words: &Words) -> Said {
-        for name in words.plain() {
-            self.readers.insert(name.to_owned(), Acceptor::new(trust()));
+    /// Adds readers that hold no bundle: `reader a b`.
+    fn reader(&mut self, args: &Args) -> CommandOutput {
+        for name in args.positional() {
+            self.readers
+                .insert(name.to_owned(), Acceptor::new(trusted_operators()));
         }
         Ok(String::new())
     }
 
-    /// An operator makes the next version after what a reader holds, without
+    /// Signs the version that follows the bundle of reader `as`, without
     /// appending it: `publish RECORD by=awa as=a mark=one`.
-    fn publish(&mut self, words: &Words) -> Said {
-        let key = key(words.key("by").unwrap_or("awa"));
+    fn publish(&mut self, args: &Args) -> CommandOutput {
+        let key = secret_key(args.named("by").unwrap_or("awa"));
         let reader = self
             .readers
-            .get(words.key("as").unwrap_or("a"))
-            .ok_or("no such reader")?;
-        let content = content(words.key("mark").unwrap_or("one"))?;
+            .get(args.named("as").unwrap_or("a"))
+            .ok_or("unknown reader")?;
+        let content = content(args.named("mark").unwrap_or("one"))?;
         let parent = reader.head().map(|h| h.signed.id());
         let header = Header {
             sequence: BundleSequence(reader.sequence().0 + 1),
@@ -78,49 +79,48 @@
             signed: SignedHeader::new(header, &key)?,
             payload: Payload::Delta(reader.content().patch_to(&content)),
         };
-        self.made.insert(words.at(0)?.to_owned(), record);
+        self.signed_records.insert(args.at(0)?.to_owned(), record);
         Ok(String::new())
     }
 
-    /// Appends records in order: `append RECORD...`; the same one may be
-    /// appended again.
-    fn append(&mut self, words: &Words) -> Said {
+    /// Appends records in the given order, also repeatedly: `append RECORD...`.
+    fn append(&mut self, args: &Args) -> CommandOutput {
         let mut out = String::new();
-        for name in words.plain() {
-            let record = self.made.get(name).ok_or("no such record")?;
+        for name in args.positional() {
+            let record = self.signed_records.get(name).ok_or("unknown record")?;
             self.log.push(record.bytes());
             writeln!(out, "{name} at {}", self.log.len() - 1)?;
         }
         Ok(out)
     }
 
-    /// Lets readers read to the end: `read a b`.
-    fn read(&mut self, words: &Words) -> Said {
+    /// Has readers apply the log to its end, and prints the verdicts: `read a b`.
+    fn read(&mut self, args: &Args) -> CommandOutput {
         let mut out = String::new();
-        for name in words.plain() {
-            let reader = self.readers.get_mut(name).ok_or("no such reader")?;
+        for name in args.positional() {
+            let reader = self.readers.get_mut(name).ok_or("unknown reader")?;
             loop {
-                reader.skip_expired(Offset(self.first));
+                reader.skip_expired(Offset(self.oldest));
                 let at = reader.next_offset();
                 let Some(bytes) = self.log.get(at.0 as usize) else {
                     break;
                 };
                 let verdict = reader.apply(at, bytes);
-                writeln!(out, "{name} {at} {}", shown(&verdict))?;
+                writeln!(out, "{name} {at} {}", format_verdict(&verdict))?;
             }
         }
         Ok(out)
     }
 
-    /// Lets the log forget everything before an offset: `expire 3`.
-    fn expire(&mut self, words: &Words) -> Said {
-        self.first = words.parse(0)?;
+    /// Expires all records before an offset: `expire 3`.
+    fn expire(&mut self, args: &Args) -> CommandOutput {
+        self.oldest = args.parse(0)?;
         Ok(String::new())
     }
 
     /// A reader appends a checkpoint: `checkpoint a`.
-    fn checkpoint(&mut self, words: &Words) -> Said {
-        let reader = self.readers.get(words.at(0)?).ok_or("no such reader")?;
+    fn checkpoint(&mut self, args: &Args) -> CommandOutput {
+        let reader = self.readers.get(args.at(0)?).ok_or("unknown reader")?;
         let records = reader.checkpoint_records();
         if records.is_empty() {
             return Ok("nothing to vouch for\n".to_owned());
@@ -129,11 +129,11 @@
         Ok(format!("at {}\n", self.log.len() - 1))
     }
 
-    /// Says which version readers hold: `force a b`.
-    fn force(&mut self, words: &Words) -> Said {
+    /// Prints the version in force at each reader: `force a b`.
+    fn force(&mut self, args: &Args) -> CommandOutput {
         let mut out = String::new();
-        for name in words.plain() {
-            let reader = self.readers.get(name).ok_or("no such reader")?;
+        for name in args.positional() {
+            let reader = self.readers.get(name).ok_or("unknown reader")?;
             let mark = reader
                 .content()
                 .section("models")
@@ -144,16 +144,16 @@
         Ok(out)
     }
 
-    /// A reader takes over what another holds: `adopt b from=a`.
-    fn adopt(&mut self, words: &Words) -> Said {
+    /// A reader adopts another reader's snapshot: `adopt b from=a`.
+    fn adopt(&mut self, args: &Args) -> CommandOutput {
         let from = self
             .readers
-            .get(words.key("from").unwrap_or("a"))
-            .ok_or("no such reader")?;
+            .get(args.named("from").unwrap_or("a"))
+            .ok_or("unknown reader")?;
         let Some(checkpoint) = from.snapshot() else {
             return Ok("nothing to take over\n".to_owned());
         };
-        let to = self.readers.get_mut(words.at(0)?).ok_or("no such reader")?;
+        let to = self.readers.get_mut(args.at(0)?).ok_or("unknown reader")?;
         match to.adopt(checkpoint) {
             Ok(true) => Ok("taken over\n".to_owned()),
             Ok(false) => Ok("not newer\n".to_owned()),
@@ -161,13 +161,13 @@
         }
     }
 
-    /// An entry claims a key: `claim e1 key=k body=b`. Says who owns it for
-    /// every reader of the log up to there.
-    fn claim(&mut self, clock: &ManualClock, words: &Words) -> Said {
-        let entry = words.at(0)?;
+    /// An entry claims an idempotency key and prints the owner of the key after
+    /// reading the log to its end: `claim e1 key=k body=b`.
+    fn claim(&mut self, clock: &ManualClock, args: &Args) -> CommandOutput {
+        let entry = args.at(0)?;
         let (key, body) = (
-            words.key("key").unwrap_or("k"),
-            words.key("body").unwrap_or("b"),
+            args.named("key").unwrap_or("k"),
+            args.named("body").unwrap_or("b"),
         );
         let ticket = RequestId(self.claims.len() as u128 + 1);
         let record = claims::record::Record {
@@ -185,7 +185,7 @@
         let table = self
             .tables
             .entry(entry.to_owned())
-            .or_insert_with(|| ClaimTable::new(WINDOW_MS));
+            .or_insert_with(|| ClaimTable::new(CLAIM_WINDOW_MS));
         for (at, (time_ms, text)) in self.claims.iter().enumerate() {
             table.apply(Offset(at as u64), *time_ms, text);
         }
@@ -209,7 +209,7 @@
     }
 }
 
-fn shown(verdict: &Verdict) -> String {
+fn format_verdict(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Accepted(sequence) => format!("accepted as {sequence}"),
         Verdict::Conflict { winner, operator } => {
@@ -221,21 +221,21 @@
     }
 }
 
-/// The operators `awa` and `luz` may sign; anyone else may not.
-fn key(name: &str) -> SecretKey {
+/// The secret key of an operator, derived from the first byte of the name.
+fn secret_key(name: &str) -> SecretKey {
     let secret = name.bytes().next().unwrap_or(0);
     SecretKey::from_secret(name, &[secret; 32])
 }
 
-fn trust() -> Operators {
-    let pair = |name: &str| (name.to_owned(), key(name).public_key);
+fn trusted_operators() -> Operators {
+    let pair = |name: &str| (name.to_owned(), secret_key(name).public_key);
     ["awa", "luz"].into_iter().map(pair).collect()
 }
 
-/// Content that differs by `mark` alone.
+/// Bundle content that contains `mark` as the name and version of its model.
 fn content(mark: &str) -> Result<Content, Box<dyn Error>> {
     let json = json!({
-        "operators": trust(),
+        "operators": trusted_operators(),
         "workspaces": { "mairie": { "tokens": [], "classes": ["counter"], "weight": 1 } },
         "models": { mark: { "version": mark } },
     });
--- a/crates/scenario/tests/run/server.rs
+++ b/crates/scenario/tests/run/server.rs
@@ -1,5 +1,5 @@
-//! Sidecars with their real queues and tickets, before small engines that
-//! make a token for each running request every step.
+//! Sidecars with their production queues and tickets, and simulated engines
+//! that generate one token for each running request in every step.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -22,16 +22,16 @@
     StartRequest,
 };
 
-use crate::Said;
-use crate::words::Words;
+use crate::CommandOutput;
+use crate::command::Args;
 
-/// How finely time passes.
+/// Resolution of the simulated time.
 const TICK: Duration = Duration::from_millis(5);
 
-/// How long one reserve or pull is held, in milliseconds.
+/// Duration for which one reserve or pull holds its request, in milliseconds.
 const POLL_MS: u32 = 250;
 
-/// The sidecars and the calls of a scenario.
+/// The sidecars and calls of a scenario.
 #[derive(Default)]
 pub(crate) struct Fleet {
     servers: BTreeMap<String, Server>,
@@ -43,219 +43,220 @@
 struct Server {
     state: Rc<State>,
     settings: Settings,
-    /// Time of one step of its engine.
+    /// Duration of one decoding step of its engine.
     step: Duration,
-    /// The life before the last restart.
-    earlier: Option<Incarnation>,
+    /// The incarnation before the last restart.
+    previous: Option<Incarnation>,
     runs: Vec<Run>,
 }
 
-/// A request that runs at an engine.
+/// A request that an engine runs.
 struct Run {
     entry: Rc<Entry>,
     call: usize,
-    /// Tokens still to make.
-    left: u32,
-    made: u32,
-    /// When the next token is made, on the manual clock.
-    next: Duration,
+    /// Tokens still to generate.
+    remaining: u32,
+    generated: u32,
+    /// Time of the next token, on the manual clock.
+    next_token: Duration,
 }
 
-/// A caller's request, with its entry's part.
+/// A request of a caller, and its state at the entry.
 struct Call {
     name: String,
-    ask: ReserveRequest,
+    request: ReserveRequest,
     length: u32,
     arrives: Duration,
-    /// When its targets were set, so that time left can be counted down.
-    first: Duration,
-    whole: Duration,
-    /// The sidecars that are asked for a slot.
+    /// Target of the first token, from the arrival on.
+    first_target: Duration,
+    /// Target of the complete answer, from the arrival on.
+    total_target: Duration,
+    /// The candidate sidecars, at which the entry reserves a slot.
     servers: Vec<String>,
-    /// Whether a slot is started as soon as it is held.
-    auto: bool,
-    /// Whether its entry asks and pulls.
-    alive: bool,
-    loud: bool,
-    stand: Stand,
+    /// Whether the entry starts the request as soon as a sidecar holds a slot.
+    auto_start: bool,
+    /// Whether the entry still reserves and pulls; false after it crashed.
+    entry_alive: bool,
+    /// Whether changes of its status are printed.
+    verbose: bool,
+    status: CallStatus,
 }
 
-/// Where a call stands for its caller.
+/// Status of a call as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Stand {
-    Coming,
+enum CallStatus {
+    NotArrived,
     Waiting,
     Running,
-    Whole,
+    Complete,
     Refused(Refusal),
-    Broken(Refusal),
+    Interrupted(Refusal),
 }
 
 impl Fleet {
-    pub(crate) fn run(&mut self, clock: &ManualClock, words: &Words) -> Said {
-        match words.name.as_str() {
-            "sidecar" => self.sidecar(clock, words),
-            "call" => self.call(clock, words),
-            "start" => self.start_by_hand(words),
-            "cancel" => self.cancel(words),
-            "drain" => self.drain(words),
-            "restart" => self.restart(clock, words),
-            "vanish" => self.vanish(words),
-            "pull" => self.pull_by_hand(words),
-            "load" => self.load(words),
-            _ => self.tally(words),
+    pub(crate) fn run(&mut self, clock: &ManualClock, args: &Args) -> CommandOutput {
+        match args.name.as_str() {
+            "sidecar" => self.sidecar(clock, args),
+            "call" => self.call(clock, args),
+            "start" => self.start_by_hand(args),
+            "cancel" => self.cancel(args),
+            "drain" => self.drain(args),
+            "restart" => self.restart(clock, args),
+            "vanish" => self.vanish(args),
+            "pull" => self.pull_by_hand(args),
+            "load" => self.load(args),
+            _ => self.tally(args),
         }
     }
 
-    /// Lets time pass; says what happened to the loud calls.
-    pub(crate) fn pass(&mut self, clock: &ManualClock, step: Duration) -> String {
+    /// Advances the clock; returns the status changes of verbose calls.
+    pub(crate) fn advance(&mut self, clock: &ManualClock, step: Duration) -> String {
         let end = clock.elapsed() + step;
         while clock.elapsed() < end {
             clock.advance(TICK.min(end - clock.elapsed()));
             for server in self.servers.values() {
                 server.state.sweep();
             }
-            self.work(clock.elapsed());
-            self.ask(clock);
+            self.run_engines(clock.elapsed());
+            self.poll_calls(clock);
         }
         std::mem::take(&mut self.events)
     }
 
     /// Adds a sidecar: `sidecar a slots=2 step=5ms limit=10 policy=full
     /// guaranteed=0.05 preempt=true`.
-    fn sidecar(&mut self, clock: &ManualClock, words: &Words) -> Said {
-        let name = words.at(0)?.to_owned();
-        let policy = words.key("policy").unwrap_or("full");
+    fn sidecar(&mut self, clock: &ManualClock, args: &Args) -> CommandOutput {
+        let name = args.at(0)?.to_owned();
+        let policy = args.named("policy").unwrap_or("full");
         let settings: Settings = serde_json::from_value(json!({
             "name": name, "zone": "z", "listen": "127.0.0.1:1",
-            "backend": { "engine": { "addr": "127.0.0.1:1", "slots": words.get("slots", 1)? } },
+            "backend": { "engine": { "addr": "127.0.0.1:1", "slots": args.named_or("slots", 1)? } },
             "queue": {
-                "limit": words.get("limit", 1000)?,
+                "limit": args.named_or("limit", 1000)?,
                 "policy": policy,
-                "guaranteed": words.get("guaranteed", 0.05)?,
-                "preempt": words.get("preempt", true)?,
-                "headroom": words.get("headroom", 0.5)?,
+                "guaranteed": args.named_or("guaranteed", 0.05)?,
+                "preempt": args.named_or("preempt", true)?,
+                "headroom": args.named_or("headroom", 0.5)?,
             },
         }))?;
         let server = Server {
             state: State::new(settings.clone(), Rc::new(clock.clone())),
             settings,
-            step: words.get("step", HumanDuration::ms(10))?.0,
-            earlier: None,
+            step: args.named_or("step", HumanDuration::ms(10))?.0,
+            previous: None,
             runs: Vec::new(),
         };
         self.servers.insert(name, server);
         Ok(String::new())
     }
 
-    /// Makes calls: `call a,b NAME tier=0 class=c workspace=w first=1s
+    /// Adds calls: `call a,b NAME tier=0 class=c workspace=w first=1s
     /// whole=20s prompt=10 length=20 repeatable=true count=1 every=0ms
     /// auto=true`.
-    fn call(&mut self, clock: &ManualClock, words: &Words) -> Said {
-        let servers: Vec<String> = words.at(0)?.split(',').map(str::to_owned).collect();
-        let count: u32 = words.get("count", 1)?;
-        let every = words.get("every", HumanDuration::ms(0))?.0;
-        let tier: u8 = words.get("tier", 0)?;
+    fn call(&mut self, clock: &ManualClock, args: &Args) -> CommandOutput {
+        let servers: Vec<String> = args.at(0)?.split(',').map(str::to_owned).collect();
+        let count: u32 = args.named_or("count", 1)?;
+        let every = args.named_or("every", HumanDuration::ms(0))?.0;
+        let tier: u8 = args.named_or("tier", 0)?;
         for i in 0..count {
             let name = match count {
-                1 => words.at(1)?.to_owned(),
-                _ => format!("{}-{i}", words.at(1)?),
+                1 => args.at(1)?.to_owned(),
+                _ => format!("{}-{i}", args.at(1)?),
             };
             let ticket = RequestId(self.calls.len() as u128 + 1);
-            let first = words.get("first", HumanDuration::secs(10))?.0;
-            let whole = words.get("whole", HumanDuration::secs(60))?.0;
+            let first_target = args.named_or("first", HumanDuration::secs(10))?.0;
+            let total_target = args.named_or("whole", HumanDuration::secs(60))?.0;
             self.calls.push(Call {
-                ask: ReserveRequest {
+                request: ReserveRequest {
                     ticket,
-                    class: words.key("class").unwrap_or("class").to_owned(),
-                    workspace: words.key("workspace").unwrap_or("workspace").to_owned(),
-                    weight: words.get("weight", 1)?,
+                    class: args.named("class").unwrap_or("class").to_owned(),
+                    workspace: args.named("workspace").unwrap_or("workspace").to_owned(),
+                    weight: args.named_or("weight", 1)?,
                     tier: Tier(tier),
                     ttft_budget_us: 0,
                     total_budget_us: 0,
-                    prompt_tokens: words.get("prompt", 10)?,
+                    prompt_tokens: args.named_or("prompt", 10)?,
                     max_tokens: 4096,
                     prefix_hash: 0,
-                    repeatable: words.get("repeatable", true)?,
+                    repeatable: args.named_or("repeatable", true)?,
                     preemptions: 0,
                     wait_ms: POLL_MS,
                 },
                 name,
-                length: words.get("length", 20)?,
+                length: args.named_or("length", 20)?,
                 arrives: clock.elapsed() + every * i,
-                first,
-                whole,
+                first_target,
+                total_target,
                 servers: servers.clone(),
-                auto: words.get("auto", true)?,
-                alive: true,
-                loud: count == 1,
-                stand: Stand::Coming,
+                auto_start: args.named_or("auto", true)?,
+                entry_alive: true,
+                verbose: count == 1,
+                status: CallStatus::NotArrived,
             });
         }
-        self.ask(clock);
+        self.poll_calls(clock);
         Ok(std::mem::take(&mut self.events))
     }
 
-    /// Starts a call by hand: `start a NAME life=now|earlier`.
-    fn start_by_hand(&mut self, words: &Words) -> Said {
-        let call = self.find(words.at(1)?)?;
-        let server = self.servers.get(words.at(0)?).ok_or("no such sidecar")?;
-        let life = match words.key("life") {
-            Some("earlier") => server.earlier.ok_or("it has had one life only")?,
+    /// Starts a call explicitly, for the current or the previous incarnation of
+    /// the sidecar: `start a NAME life=now|earlier`.
+    fn start_by_hand(&mut self, args: &Args) -> CommandOutput {
+        let call = self.find_call(args.at(1)?)?;
+        let server = self.servers.get(args.at(0)?).ok_or("unknown sidecar")?;
+        let incarnation = match args.named("life") {
+            Some("earlier") => server.previous.ok_or("the sidecar has not restarted")?,
             _ => server.state.incarnation,
         };
-        let started = start(&server.state, self.calls[call].ask.ticket, life);
+        let started = start(&server.state, self.calls[call].request.ticket, incarnation);
         if started == StartOutcome::Running {
-            self.begin(words.at(0)?, call, Duration::ZERO);
+            self.record_start(args.at(0)?, call, Duration::ZERO);
         }
         Ok(format!("{started:?}\n"))
     }
 
     /// Cancels a call at a sidecar: `cancel a NAME`.
-    fn cancel(&mut self, words: &Words) -> Said {
-        let call = self.find(words.at(1)?)?;
-        let ticket = self.calls[call].ask.ticket;
-        self.calls[call].alive = false;
-        let server = self.servers.get(words.at(0)?).ok_or("no such sidecar")?;
+    fn cancel(&mut self, args: &Args) -> CommandOutput {
+        let call = self.find_call(args.at(1)?)?;
+        let ticket = self.calls[call].request.ticket;
+        self.calls[call].entry_alive = false;
+        let server = self.servers.get(args.at(0)?).ok_or("unknown sidecar")?;
         Ok(format!("{:?}\n", server.state.cancel(ticket)))
     }
 
-    /// Tells a sidecar to stop: `drain a`.
-    fn drain(&mut self, words: &Words) -> Said {
-        let server = self.servers.get(words.at(0)?).ok_or("no such sidecar")?;
+    /// Starts the drain of a sidecar: `drain a`.
+    fn drain(&mut self, args: &Args) -> CommandOutput {
+        let server = self.servers.get(args.at(0)?).ok_or("unknown sidecar")?;
         let drain = pin!(server.state.drain(Duration::from_secs(60)));
-        // The first turn closes the queue; the rest waits for its end.
+        // The first poll closes the queue; later polls only wait for running
+        // requests.
         let _ = drain.poll(&mut Context::from_waker(Waker::noop()));
         Ok(String::new())
     }
 
-    /// Ends a sidecar's life at once and begins the next: `restart a`.
-    fn restart(&mut self, clock: &ManualClock, words: &Words) -> Said {
-        let server = self
-            .servers
-            .get_mut(words.at(0)?)
-            .ok_or("no such sidecar")?;
-        server.earlier = Some(server.state.incarnation);
+    /// Replaces a sidecar by its next incarnation, without a drain: `restart a`.
+    fn restart(&mut self, clock: &ManualClock, args: &Args) -> CommandOutput {
+        let server = self.servers.get_mut(args.at(0)?).ok_or("unknown sidecar")?;
+        server.previous = Some(server.state.incarnation);
         server.state = State::new(server.settings.clone(), Rc::new(clock.clone()));
         server.runs.clear();
         Ok(String::new())
     }
 
     /// The entry of a call crashes: `vanish NAME`.
-    fn vanish(&mut self, words: &Words) -> Said {
-        let call = self.find(words.at(0)?)?;
-        self.calls[call].alive = false;
+    fn vanish(&mut self, args: &Args) -> CommandOutput {
+        let call = self.find_call(args.at(0)?)?;
+        self.calls[call].entry_alive = false;
         Ok(String::new())
     }
 
-    /// Pulls pieces by hand: `pull a NAME from=0`.
-    fn pull_by_hand(&mut self, words: &Words) -> Said {
-        let call = self.find(words.at(1)?)?;
-        let server = self.servers.get(words.at(0)?).ok_or("no such sidecar")?;
-        let Some(entry) = server.state.find(self.calls[call].ask.ticket) else {
+    /// Pulls chunks explicitly: `pull a NAME from=0`.
+    fn pull_by_hand(&mut self, args: &Args) -> CommandOutput {
+        let call = self.find_call(args.at(1)?)?;
+        let server = self.servers.get(args.at(0)?).ok_or("unknown sidecar")?;
+        let Some(entry) = server.state.find(self.calls[call].request.ticket) else {
             return Ok("unknown\n".to_owned());
         };
-        match server.state.pull(&entry, words.get("from", 0)?) {
+        match server.state.pull(&entry, args.named_or("from", 0)?) {
             PullOutcome::Unknown => Ok("unknown\n".to_owned()),
             PullOutcome::Chunks { first, chunks, end } => {
                 let end = match end {
@@ -272,9 +273,9 @@
         }
     }
 
-    /// Says how a sidecar stands: `load a`.
-    fn load(&mut self, words: &Words) -> Said {
-        let server = self.servers.get(words.at(0)?).ok_or("no such sidecar")?;
+    /// Prints the load of a sidecar: `load a`.
+    fn load(&mut self, args: &Args) -> CommandOutput {
+        let server = self.servers.get(args.at(0)?).ok_or("unknown sidecar")?;
         let load = server.state.load();
         let draining = if load.draining { " draining" } else { "" };
         Ok(format!(
@@ -283,45 +284,45 @@
         ))
     }
 
-    /// Counts how the calls whose names begin alike stand: `tally NAME...`.
-    fn tally(&mut self, words: &Words) -> Said {
+    /// Counts the calls with a name prefix by status: `tally NAME...`.
+    fn tally(&mut self, args: &Args) -> CommandOutput {
         let mut out = String::new();
-        for name in words.plain() {
+        for name in args.positional() {
             let mut counts: BTreeMap<String, u32> = BTreeMap::new();
             for call in self.calls.iter().filter(|c| c.name.starts_with(name)) {
-                *counts.entry(shown(call.stand)).or_default() += 1;
+                *counts.entry(format_status(call.status)).or_default() += 1;
             }
             let counts: Vec<_> = counts
                 .iter()
-                .map(|(stand, n)| format!("{stand}={n}"))
+                .map(|(status, n)| format!("{status}={n}"))
                 .collect();
             writeln!(out, "{name}: {}", counts.join(" "))?;
         }
         Ok(out)
     }
 
-    fn find(&self, name: &str) -> Result<usize, Box<dyn Error>> {
+    fn find_call(&self, name: &str) -> Result<usize, Box<dyn Error>> {
         let found = self.calls.iter().position(|c| c.name == name);
-        found.ok_or_else(|| format!("no call {name:?}").into())
+        found.ok_or_else(|| format!("unknown call {name:?}").into())
     }
 
-    /// Has the engines make what is due.
-    fn work(&mut self, now: Duration) {
+    /// Has the engines generate all tokens that are due.
+    fn run_engines(&mut self, now: Duration) {
         let mut ended = Vec::new();
         for server in self.servers.values_mut() {
             let (state, step) = (&server.state, server.step);
             server.runs.retain_mut(|run| {
-                while run.next <= now && run.left > 0 && !run.entry.stop.is_triggered() {
+                while run.next_token <= now && run.remaining > 0 && !run.entry.stop.is_triggered() {
                     let data = Bytes::from_static(b"word ");
                     state.push(&run.entry, Chunk { tokens: 1, data });
-                    run.left -= 1;
-                    run.made += 1;
-                    run.next += step;
+                    run.remaining -= 1;
+                    run.generated += 1;
+                    run.next_token += step;
                 }
-                let end = match (run.left, run.entry.stop.is_triggered()) {
+                let end = match (run.remaining, run.entry.stop.is_triggered()) {
                     (_, true) => state.stopped(&run.entry),
                     (0, _) => ResponseEnd::Complete {
-                        chunk_count: run.made,
+                        chunk_count: run.generated,
                         status: 200,
                         finish_reason: "stop".to_owned(),
                         cached_tokens: 0,
@@ -334,64 +335,65 @@
             });
         }
         for (call, end) in ended {
-            let stand = match end {
-                ResponseEnd::Complete { .. } => Stand::Whole,
-                ResponseEnd::Interrupted { reason, .. } => Stand::Broken(reason),
+            let status = match end {
+                ResponseEnd::Complete { .. } => CallStatus::Complete,
+                ResponseEnd::Interrupted { reason, .. } => CallStatus::Interrupted(reason),
             };
-            self.set(now, call, stand);
+            self.set_status(now, call, status);
         }
     }
 
-    /// Has the calls' entries ask, start and pull.
-    fn ask(&mut self, clock: &ManualClock) {
+    /// Has the entries reserve, start and pull their calls.
+    fn poll_calls(&mut self, clock: &ManualClock) {
         let now = clock.elapsed();
         for i in 0..self.calls.len() {
             let call = &mut self.calls[i];
-            if !call.alive || call.arrives > now {
+            if !call.entry_alive || call.arrives > now {
                 continue;
             }
-            match call.stand {
-                Stand::Coming | Stand::Waiting => self.reserve(now, i),
-                Stand::Running => self.pull(i),
+            match call.status {
+                CallStatus::NotArrived | CallStatus::Waiting => self.reserve(now, i),
+                CallStatus::Running => self.pull(i),
                 _ => {}
             }
         }
     }
 
-    /// Asks each of a call's sidecars; the first that is ready gets it.
+    /// Reserves at each candidate sidecar; starts the call at the first one that
+    /// is ready.
     fn reserve(&mut self, now: Duration, i: usize) {
         let call = &mut self.calls[i];
         let waited = now - call.arrives;
         let left = |target: Duration| target.saturating_sub(waited).as_micros() as u64;
-        call.ask.ttft_budget_us = left(call.first);
-        call.ask.total_budget_us = left(call.whole);
+        call.request.ttft_budget_us = left(call.first_target);
+        call.request.total_budget_us = left(call.total_target);
 
-        let (ask, names) = (call.ask.clone(), call.servers.clone());
+        let (request, names) = (call.request.clone(), call.servers.clone());
         let mut refused = None;
-        let mut open = false;
+        let mut pending = false;
         for name in &names {
             let state = Rc::clone(&self.servers[name].state);
-            match state.reserve(&ask).1 {
-                ReserveOutcome::Ready { .. } if self.calls[i].auto => {
-                    if start(&state, ask.ticket, state.incarnation) == StartOutcome::Running {
-                        self.begin(name, i, now);
+            match state.reserve(&request).1 {
+                ReserveOutcome::Ready { .. } if self.calls[i].auto_start => {
+                    if start(&state, request.ticket, state.incarnation) == StartOutcome::Running {
+                        self.record_start(name, i, now);
                         self.cancel_others(i, name);
                         return;
                     }
                 }
                 ReserveOutcome::Refused { reason, .. } => refused = Some(reason),
-                _ => open = true,
+                _ => pending = true,
             }
         }
-        let stand = match refused.filter(|_| !open) {
-            Some(reason) => Stand::Refused(reason),
-            None => Stand::Waiting,
+        let status = match refused.filter(|_| !pending) {
+            Some(reason) => CallStatus::Refused(reason),
+            None => CallStatus::Waiting,
         };
-        self.set(now, i, stand);
+        self.set_status(now, i, status);
     }
 
-    fn begin(&mut self, name: &str, call: usize, now: Duration) {
-        let (ticket, length) = (self.calls[call].ask.ticket, self.calls[call].length);
+    fn record_start(&mut self, name: &str, call: usize, now: Duration) {
+        let (ticket, length) = (self.calls[call].request.ticket, self.calls[call].length);
         let Some(server) = self.servers.get_mut(name) else {
             return;
         };
@@ -401,34 +403,34 @@
         if server.runs.iter().any(|run| run.call == call) {
             return;
         }
-        let next = now + server.step;
+        let next_token = now + server.step;
         server.runs.push(Run {
             entry,
             call,
-            left: length,
-            made: 0,
-            next,
+            remaining: length,
+            generated: 0,
+            next_token,
         });
-        if self.calls[call].loud {
+        if self.calls[call].verbose {
             let _ = writeln!(
                 self.events,
                 "{} {} runs at {name}",
-                shown_time(now),
+                format_time(now),
                 self.calls[call].name
             );
         }
-        self.calls[call].stand = Stand::Running;
+        self.calls[call].status = CallStatus::Running;
     }
 
-    fn cancel_others(&mut self, call: usize, won: &str) {
-        let ticket = self.calls[call].ask.ticket;
-        for name in self.calls[call].servers.iter().filter(|n| *n != won) {
+    fn cancel_others(&mut self, call: usize, winner: &str) {
+        let ticket = self.calls[call].request.ticket;
+        for name in self.calls[call].servers.iter().filter(|n| *n != winner) {
             self.servers[name].state.cancel(ticket);
         }
     }
 
     fn pull(&mut self, i: usize) {
-        let ticket = self.calls[i].ask.ticket;
+        let ticket = self.calls[i].request.ticket;
         for name in &self.calls[i].servers {
             let state = &self.servers[name].state;
             let Some(entry) = state.find(ticket) else {
@@ -440,18 +442,18 @@
         }
     }
 
-    fn set(&mut self, now: Duration, i: usize, stand: Stand) {
+    fn set_status(&mut self, now: Duration, i: usize, status: CallStatus) {
         let call = &mut self.calls[i];
-        if call.loud && call.stand != stand {
+        if call.verbose && call.status != status {
             let _ = writeln!(
                 self.events,
                 "{} {} {}",
-                shown_time(now),
+                format_time(now),
                 call.name,
-                shown(stand)
+                format_status(status)
             );
         }
-        call.stand = stand;
+        call.status = status;
     }
 }
 
@@ -467,17 +469,17 @@
     })
 }
 
-fn shown(stand: Stand) -> String {
-    match stand {
-        Stand::Coming => "coming".to_owned(),
-        Stand::Waiting => "waits".to_owned(),
-        Stand::Running => "runs".to_owned(),
-        Stand::Whole => "whole".to_owned(),
-        Stand::Refused(reason) => format!("refused/{reason}/{}", Executed::No),
-        Stand::Broken(reason) => format!("broken/{reason}"),
+fn format_status(status: CallStatus) -> String {
+    match status {
+        CallStatus::NotArrived => "coming".to_owned(),
+        CallStatus::Waiting => "waits".to_owned(),
+        CallStatus::Running => "runs".to_owned(),
+        CallStatus::Complete => "whole".to_owned(),
+        CallStatus::Refused(reason) => format!("refused/{reason}/{}", Executed::No),
+        CallStatus::Interrupted(reason) => format!("broken/{reason}"),
     }
 }
 
-fn shown_time(now: Duration) -> String {
+fn format_time(now: Duration) -> String {
     format!("{:>6.3}s", now.as_secs_f64())
 }
