--- a/crates/scenario/tests/run/hosts.rs
+++ b/crates/scenario/tests/run/hosts.rs
@@ -153,7 +153,7 @@
         let lease = self
             .leases
             .get(holder)
-            .ok_or("the sidecar never current the lease")?;
+            .ok_or("the sidecar never held the lease")?;
         let Some(token) = lease.fencing_token(clock.now()) else {
             return Ok(format!("{holder} gives no order: its lease lapsed\n"));
         };
--- a/crates/scenario/tests/run/server.rs
+++ b/crates/scenario/tests/run/server.rs
@@ -98,12 +98,12 @@
         match args.name.as_str() {
             "sidecar" => self.sidecar(clock, args),
             "call" => self.call(clock, args),
-            "start" => self.start_by_hand(args),
+            "start" => self.start_call(args),
             "cancel" => self.cancel(args),
             "drain" => self.drain(args),
             "restart" => self.restart(clock, args),
             "vanish" => self.vanish(args),
-            "pull" => self.pull_by_hand(args),
+            "pull" => self.pull_chunks(args),
             "load" => self.load(args),
             _ => self.tally(args),
         }
@@ -200,7 +200,7 @@
 
     /// Starts a call explicitly, for the current or the previous incarnation of
     /// the sidecar: `start a NAME life=now|earlier`.
-    fn start_by_hand(&mut self, args: &Args) -> CommandOutput {
+    fn start_call(&mut self, args: &Args) -> CommandOutput {
         let call = self.find_call(args.at(1)?)?;
         let server = self.servers.get(args.at(0)?).ok_or("unknown sidecar")?;
         let incarnation = match args.named("life") {
@@ -250,7 +250,7 @@
     }
 
     /// Pulls chunks explicitly: `pull a NAME from=0`.
-    fn pull_by_hand(&mut self, args: &Args) -> CommandOutput {
+    fn pull_chunks(&mut self, args: &Args) -> CommandOutput {
         let call = self.find_call(args.at(1)?)?;
         let server = self.servers.get(args.at(0)?).ok_or("unknown sidecar")?;
         let Some(entry) = server.state.find(self.calls[call].request.ticket) else {
