--- a/crates/cli/tests/forward/fatal.rs
+++ b/crates/cli/tests/forward/fatal.rs
@@ -73,8 +73,8 @@
     }
 }
 
-fn served(seen: &Outcome) -> bool {
-    matches!(seen, Outcome::Complete(200, _))
+fn served(outcome: &Outcome) -> bool {
+    matches!(outcome, Outcome::Complete(200, _))
 }
 
 /// Guards against forwarding a fatal request forever: each attempt has a new
@@ -123,8 +123,8 @@
     fleet.platform.down.store(true, Ordering::SeqCst);
     let before = fleet.crashes();
     for (n, entry) in fleet.entries.iter().enumerate() {
-        let seen = call(entry.addr(), "/safe/fatal", &format!("away-{n}"));
-        assert!(matches!(seen, Outcome::Complete(503, _)), "{seen:?}");
+        let outcome = call(entry.addr(), "/safe/fatal", &format!("away-{n}"));
+        assert!(matches!(outcome, Outcome::Complete(503, _)), "{outcome:?}");
     }
     assert_eq!(fleet.crashes(), before);
 }
--- a/crates/cli/tests/forward/hints.rs
+++ b/crates/cli/tests/forward/hints.rs
@@ -82,8 +82,8 @@
     fn count_hinting(&mut self) -> u32 {
         let before = self.hinting.received();
         for _ in 0..CALLS {
-            let seen = self.call();
-            assert!(matches!(seen, Outcome::Complete(200, _)), "{seen:?}");
+            let outcome = self.call();
+            assert!(matches!(outcome, Outcome::Complete(200, _)), "{outcome:?}");
         }
         self.hinting.received() - before
     }
--- a/crates/cli/tests/forward/limits.rs
+++ b/crates/cli/tests/forward/limits.rs
@@ -35,8 +35,8 @@
     let mut calls = 0;
     let mut served = |entry: &Entry| {
         calls += 1;
-        let seen = call(entry.addr(), path, &format!("{calls}"));
-        assert!(matches!(seen, Outcome::Complete(200, _)), "{seen:?}");
+        let outcome = call(entry.addr(), path, &format!("{calls}"));
+        assert!(matches!(outcome, Outcome::Complete(200, _)), "{outcome:?}");
     };
     for entry in &entries {
         let before = limited.received();
--- a/crates/cli/tests/forward/signals.rs
+++ b/crates/cli/tests/forward/signals.rs
@@ -8,8 +8,8 @@
 use crate::platform::{Platform, STREAM_EVENTS, wait_until};
 use crate::process::Entry;
 
-fn events(seen: &Outcome) -> usize {
-    match seen {
+fn events(outcome: &Outcome) -> usize {
+    match outcome {
         Outcome::Complete(200, body) => body.matches("data: ").count(),
         _ => 0,
     }
--- a/crates/cli/tests/forward/soak.rs
+++ b/crates/cli/tests/forward/soak.rs
@@ -105,7 +105,7 @@
         }
         entries.iter().all(Entry::ready)
     });
-    // An entry learns that a limit has ended from the answer to its next call.
+    // An entry learns that a limit has ended with its next allowed call.
     wait_until("no limit or backoff is left", || {
         let left = |e: &Entry| e.status("limited") + e.status("resting");
         entries.iter().all(|e| left(e) == 0)
