--- a/crates/bench/src/callers.rs
+++ b/crates/bench/src/closed_loop.rs
@@ -1,4 +1,5 @@
-//! Callers that send the next request when one has ended.
+//! A closed-loop load generator: each client sends its next request when the
+//! previous one has ended.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,25 +14,25 @@
 use load::{Arrival, Ending, caller};
 use serde_json::json;
 
-use crate::site::{CLASS, TOKEN};
+use crate::testbed::{CLASS, TOKEN};
 
-/// Threads that send.
+/// Threads that send requests, each with an event loop of its own.
 const THREADS: u64 = 4;
 
-/// What a number of requests came to.
+/// Results of a batch of requests.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Tally {
-    /// Answers that were whole.
+pub struct Totals {
+    /// Requests that received a complete answer.
     pub whole: u64,
-    /// Requests that ended otherwise.
+    /// Requests that ended in any other way.
     pub failed: u64,
     /// Tokens received.
     pub tokens: u64,
     /// From the first request to the last answer.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
-/// One request.
+/// The request with this number, which asks for `answer` tokens.
 #[must_use]
 pub fn arrival(number: u64, answer_tokens: u32) -> Arrival {
     Arrival {
@@ -51,83 +52,91 @@
     }
 }
 
-/// Sends `count` requests for `answer` tokens each, `open` of them at once.
+/// Sends `count` requests for `answer` tokens each, at most `in_flight` of
+/// them at a time (rounded up to a multiple of the number of threads).
 #[must_use]
-pub fn send(entry: SocketAddr, count: u64, open: u64, answer: u32) -> Tally {
-    let began = Instant::now();
+pub fn send_requests(entry: SocketAddr, count: u64, in_flight: u64, answer: u32) -> Totals {
+    let started = Instant::now();
     let next = Arc::new(AtomicU64::new(0));
     let threads: Vec<_> = (0..THREADS)
         .map(|_| {
             let next = Arc::clone(&next);
-            thread::spawn(move || part(entry, &next, count, open.div_ceil(THREADS), answer))
+            thread::spawn(move || worker(entry, &next, count, in_flight.div_ceil(THREADS), answer))
         })
         .collect();
 
-    let mut tally = Tally::default();
+    let mut totals = Totals::default();
     for thread in threads {
         let part = thread.join().unwrap_or_default();
-        tally.whole += part.whole;
-        tally.failed += part.failed;
-        tally.tokens += part.tokens;
+        totals.whole += part.whole;
+        totals.failed += part.failed;
+        totals.tokens += part.tokens;
     }
-    tally.took = began.elapsed();
-    tally
+    totals.elapsed = started.elapsed();
+    totals
 }
 
-/// One thread's part of the requests.
-fn part(entry: SocketAddr, next: &Arc<AtomicU64>, count: u64, open: u64, answer: u32) -> Tally {
+/// Sends requests from one thread until the shared counter `next` reaches
+/// `count`.
+fn worker(
+    entry: SocketAddr,
+    next: &Arc<AtomicU64>,
+    count: u64,
+    in_flight: u64,
+    answer: u32,
+) -> Totals {
     actix_rt::System::new().block_on(async {
         let http = caller::http_client();
         let balancer = Arc::new(Balancer::new(&[entry]));
-        let loops: Vec<_> = (0..open)
+        let tasks: Vec<_> = (0..in_flight)
             .map(|_| {
                 let (http, balancer) = (http.clone(), Arc::clone(&balancer));
                 let next = Arc::clone(next);
                 actix_rt::spawn(async move {
-                    let mut tally = Tally::default();
+                    let mut totals = Totals::default();
                     loop {
                         let number = next.fetch_add(1, Ordering::Relaxed);
                         if number >= count {
-                            return tally;
+                            return totals;
                         }
                         let sent = arrival(number, answer);
                         let outcome = caller::send_request(http.clone(), &balancer, sent).await;
                         let whole = outcome.ending == Ending::Completed && !outcome.corrupted;
-                        tally.whole += u64::from(whole);
-                        tally.failed += u64::from(!whole);
-                        tally.tokens += u64::from(outcome.tokens);
+                        totals.whole += u64::from(whole);
+                        totals.failed += u64::from(!whole);
+                        totals.tokens += u64::from(outcome.tokens);
                     }
                 })
             })
             .collect();
 
-        let mut tally = Tally::default();
-        for task in loops {
+        let mut totals = Totals::default();
+        for task in tasks {
             let part = task.await.unwrap_or_default();
-            tally.whole += part.whole;
-            tally.failed += part.failed;
-            tally.tokens += part.tokens;
+            totals.whole += part.whole;
+            totals.failed += part.failed;
+            totals.tokens += part.tokens;
         }
-        tally
+        totals
     })
 }
 
-/// Where one request goes.
+/// The route by which a request reaches an engine.
 #[derive(Debug, Clone, Copy)]
-pub enum Way {
+pub enum Route {
     /// Through the entry at an address.
     Entry(SocketAddr),
-    /// To the engine stand-in at an address.
+    /// Straight to the engine stand-in at an address.
     Direct(SocketAddr),
 }
 
-impl Way {
-    /// Opens a stream; returns it with the time until its first event.
+impl Route {
+    /// Opens a streamed completion; returns it with the time to its first event.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong, in words.
-    pub async fn open(
+    /// Returns a description of the failed request.
+    pub async fn open_stream(
         self,
         http: &awc::Client,
         number: u64,
@@ -145,7 +154,7 @@
             "length": answer,
         });
 
-        let began = Instant::now();
+        let started = Instant::now();
         let request = http.post(url).bearer_auth(TOKEN);
         let request = request.insert_header(("x-request-id", format!("direct-{number}")));
         let sent = request.send_json(&body).await;
@@ -156,6 +165,6 @@
         let mut events = Box::pin(response.timeout(Duration::MAX).eventsource());
         let first = events.next().await.ok_or("no event")?;
         first.map_err(|e| e.to_string())?;
-        Ok((began.elapsed(), events))
+        Ok((started.elapsed(), events))
     }
 }
--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/resources.rs
@@ -1,20 +1,19 @@
-//! Processor time by thread, and memory of the process, as the operating
-//! system counts them.
+//! CPU time by thread and resident memory of the process, read from `/proc`.
 
 use std::fs;
 use std::time::Duration;
 
-/// Longest thread name that the operating system keeps.
-const NAME_LIMIT: usize = 15;
+/// Linux truncates thread names to this number of bytes.
+const THREAD_NAME_LIMIT: usize = 15;
 
-/// Processor time that all threads whose name starts with `prefix` have used.
+/// CPU time used so far by all threads whose name starts with `prefix`.
 #[must_use]
-pub fn cpu(prefix: &str) -> Duration {
-    let prefix = &prefix[..prefix.len().min(NAME_LIMIT)];
-    let Ok(tasks) = fs::read_dir("/proc/self/task") else {
+pub fn cpu_time(prefix: &str) -> Duration {
+    let prefix = &prefix[..prefix.len().min(THREAD_NAME_LIMIT)];
+    let Ok(threads) = fs::read_dir("/proc/self/task") else {
         return Duration::ZERO;
     };
-    let paths = tasks.flatten().map(|task| task.path());
+    let paths = threads.flatten().map(|thread| thread.path());
     let named = paths.filter(|path| {
         fs::read_to_string(path.join("comm")).is_ok_and(|name| name.starts_with(prefix))
     });
@@ -25,9 +24,9 @@
         .sum()
 }
 
-/// Memory of the process that is in use, in bytes.
+/// Resident memory of the process, in bytes; 0 if it cannot be read.
 #[must_use]
-pub fn memory() -> u64 {
+pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmRSS:"));
     let kib = line.and_then(|l| l.split_whitespace().nth(1)?.parse::<u64>().ok());
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/testbed.rs
@@ -1,4 +1,5 @@
-//! One entry before a few sidecars and stand-ins, each on a thread of its own.
+//! One entry with a few sidecars and engine stand-ins, each on a thread of its
+//! own.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,57 +14,57 @@
 use entry::settings::SidecarInfo;
 use standin::{FaultControl, Ledger, proxy};
 
-/// Port on which every daemon listens, each on an address of its own.
+/// Port of every daemon; each listens on a loopback address of its own.
 const PORT: u16 = 7200;
 
-/// Time for the daemons to start listening.
-const WARM_UP: Duration = Duration::from_millis(400);
+/// Time that the daemons get to start listening.
+const STARTUP_DELAY: Duration = Duration::from_millis(400);
 
-/// The one class and model.
+/// Name of the only class and of the only model.
 pub const CLASS: &str = "bench";
 
-/// The one bearer token.
+/// Bearer token of the first workspace.
 pub const TOKEN: &str = "bench-token";
 
-/// A target that no request misses.
-const NEVER: HumanDuration = HumanDuration::secs(3600);
+/// A latency target that no request misses.
+const LOOSE_TARGET: HumanDuration = HumanDuration::secs(3600);
 
-/// Counts the sites of a process, so that each has addresses of its own.
-static SITES: AtomicU8 = AtomicU8::new(0);
+/// Number of testbeds started by this process, to give each its own addresses.
+static TESTBEDS: AtomicU8 = AtomicU8::new(0);
 
-/// How a site is laid out.
+/// Configuration of a testbed.
 #[derive(Debug, Clone, Copy)]
-pub struct Layout {
-    /// Engines, each with a sidecar.
+pub struct TestbedConfig {
+    /// Number of engines, each with a sidecar.
     pub engines: u8,
-    /// Requests that an engine runs at once.
+    /// Requests that an engine runs concurrently.
     pub slots: usize,
-    /// Time of an engine's step.
+    /// Duration of one decoding step of an engine.
     pub step: HumanDuration,
 }
 
-/// A site that runs.
-pub struct Site {
-    /// The entry.
+/// A running testbed.
+pub struct Testbed {
+    /// Address of the entry.
     pub entry: SocketAddr,
-    /// The first sidecar, as the entry reaches it.
-    pub link: SocketAddr,
-    /// The engines.
+    /// Address of the byte-counting proxy in front of the first sidecar.
+    pub proxy: SocketAddr,
+    /// Addresses of the engines.
     pub engines: Vec<SocketAddr>,
-    /// Bytes that passed between the entry and the sidecars.
+    /// Counts the bytes that pass between the entry and the sidecars.
     pub traffic: FaultControl<proxy::Faults>,
     hosts: Vec<Daemon>,
 }
 
-impl Layout {
-    /// Starts the site and waits until it listens.
+impl TestbedConfig {
+    /// Starts the testbed and gives its daemons time to listen.
     #[must_use]
-    pub fn start(self) -> Site {
+    pub fn start(self) -> Testbed {
         let [_, _, a, b] = std::process::id().to_be_bytes();
-        let number = SITES.fetch_add(1, Ordering::Relaxed);
-        let net = [a.wrapping_mul(7).wrapping_add(b).max(1), number];
+        let number = TESTBEDS.fetch_add(1, Ordering::Relaxed);
+        let subnet = [a.wrapping_mul(7).wrapping_add(b).max(1), number];
         let addr = |role: u8, i: u8| {
-            let ip = Ipv4Addr::new(127, net[0], net[1], role * 64 + i + 1);
+            let ip = Ipv4Addr::new(127, subnet[0], subnet[1], role * 64 + i + 1);
             SocketAddr::new(IpAddr::V4(ip), PORT)
         };
 
@@ -71,22 +72,22 @@
         let mut hosts = Vec::new();
         let mut known = Vec::new();
         for i in 0..self.engines {
-            let (engine, sidecar, link) = (addr(1, i), addr(2, i), addr(3, i));
+            let (engine, sidecar, proxy) = (addr(1, i), addr(2, i), addr(3, i));
             hosts.push(self.start_engine(engine));
             hosts.push(self.start_sidecar(i, sidecar, engine));
-            hosts.push(start_link(link, sidecar, traffic.clone()));
+            hosts.push(start_proxy(proxy, sidecar, traffic.clone()));
             known.push(SidecarInfo {
                 name: format!("sidecar-{i}"),
-                addr: link,
+                addr: proxy,
                 zone: "a".to_owned(),
                 serves: CLASS.to_owned(),
             });
         }
         hosts.push(start_entry(addr(0, 0), known));
-        thread::sleep(WARM_UP);
-        Site {
+        thread::sleep(STARTUP_DELAY);
+        Testbed {
             entry: addr(0, 0),
-            link: addr(3, 0),
+            proxy: addr(3, 0),
             engines: (0..self.engines).map(|i| addr(1, i)).collect(),
             traffic,
             hosts,
@@ -125,14 +126,14 @@
     }
 }
 
-impl Site {
-    /// Ends everything.
-    pub fn end(self) {
+impl Testbed {
+    /// Stops all daemons at once, without draining.
+    pub fn stop(self) {
         self.hosts.iter().for_each(Daemon::crash);
     }
 }
 
-fn start_link(
+fn start_proxy(
     listen: SocketAddr,
     target: SocketAddr,
     traffic: FaultControl<proxy::Faults>,
@@ -157,16 +158,16 @@
     })
 }
 
-/// A bundle with one class and so many workspaces.
+/// A bundle with one class and the given number of workspaces.
 #[must_use]
 pub fn bundle(workspaces: usize) -> Bundle {
     let mut bundle = Bundle::default();
     let class = Class {
         tier: Tier(0),
         targets: Targets {
-            first_token: NEVER,
-            token_gap: NEVER,
-            full_answer: NEVER,
+            first_token: LOOSE_TARGET,
+            token_gap: LOOSE_TARGET,
+            full_answer: LOOSE_TARGET,
         },
         model: CLASS.to_owned(),
     };
