--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -239,11 +239,8 @@
 }
 
 fn no_server() -> RequestError {
-    RequestError::not_run(
-        Refusal::NoServer,
-        "no backend server is available for this request",
-    )
-    .with_retry_after(DEFAULT_RETRY_AFTER)
+    RequestError::not_run(Refusal::NoServer, "no backend server can take it")
+        .with_retry_after(DEFAULT_RETRY_AFTER)
 }
 
 /// The failure of a round in which no sidecar granted a slot. A refusal with a
@@ -260,9 +257,7 @@
     let reason = rejection.and_then(|r| r.refusal);
     let error = match reason {
         None | Some(Refusal::Draining) => no_server(),
-        Some(reason) => {
-            RequestError::not_run(reason, "no backend server can serve this request in time")
-        }
+        Some(reason) => RequestError::not_run(reason, "no backend server can take it in time"),
     };
     AttemptFailure {
         attempt: FailedAttempt {
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -53,11 +53,8 @@
 /// The error for a request that arrives while the entry refuses new ones.
 #[must_use]
 pub fn draining_error() -> RequestError {
-    RequestError::not_run(
-        Refusal::Draining,
-        "this entry is shutting down; retry at another one",
-    )
-    .with_retry_after(Duration::from_secs(1))
+    RequestError::not_run(Refusal::Draining, "this entry stops; ask another one")
+        .with_retry_after(Duration::from_secs(1))
 }
 
 /// The error of a request that is aborted at the drain's time limit. It may have
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -146,8 +146,8 @@
 /// because it is draining.
 fn begin_request(http: &HttpRequest) -> Result<(&Rc<State>, OpenRequest), RequestError> {
     let state = http.app_data::<Rc<State>>();
-    let state = state
-        .ok_or_else(|| RequestError::not_run(Refusal::NoBundle, "the entry is not configured"))?;
+    let state =
+        state.ok_or_else(|| RequestError::not_run(Refusal::NoBundle, "the entry is not set up"))?;
     if state.refusing.get() {
         return Err(drain::draining_error());
     }
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -126,17 +126,13 @@
 fn denied_error(denied: ClaimDenied) -> RequestError {
     let (ran, hint) = match (denied.reason, denied.outcome) {
         (Refusal::KeyReused, _) => (Executed::No, "the key was used with another request"),
-        (Refusal::KeyInUse, Some(CallOutcome::Completed)) => (
-            Executed::Unknown,
-            "the first call with this key ran to completion",
-        ),
-        (Refusal::KeyInUse, _) => (
-            Executed::Unknown,
-            "another entry accepted a call with this key",
-        ),
+        (Refusal::KeyInUse, Some(CallOutcome::Completed)) => {
+            (Executed::Unknown, "the first call ran to its end")
+        }
+        (Refusal::KeyInUse, _) => (Executed::Unknown, "another entry took a call with this key"),
         _ => (
             Executed::No,
-            "the idempotency key cannot be claimed: the platform's log does not answer",
+            "the platform's log is needed and does not answer",
         ),
     };
     RequestError {
@@ -150,7 +146,7 @@
 /// The error of a call that waited longer than its claim is valid.
 #[must_use]
 pub fn claim_expired() -> RequestError {
-    let hint = "the claim of the idempotency key expired while the call waited";
+    let hint = "the claim of the idempotency key lapsed while the call waited";
     RequestError::not_run(Refusal::Expired, hint).with_retry_after(Duration::from_secs(1))
 }
 
@@ -325,7 +321,7 @@
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
         retry_after: None,
-        hint: "the first call with this key was aborted by its caller".to_owned(),
+        hint: "the first call with this key was broken off by its caller".to_owned(),
     }
 }
 
