--- a/crates/claims/src/claims.rs
+++ b/crates/claims/src/claims.rs
@@ -240,7 +240,7 @@
         match self.append(&record).await {
             Ok(()) => self.resolve(batch),
             Err(e) => {
-                debug!("claims not appended", kv: { error = e.to_string().as_str() });
+                debug!("appending idempotency claims to the log failed", kv: { error = e.to_string().as_str() });
                 self.caught_up.set(false);
                 self.deny_batch(batch, record.ends);
             }
--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -158,7 +158,7 @@
                 self.checkpoint_stale = false;
             }
             Verdict::Adopted(sequence) => {
-                info!("bundle adopted", kv: { sequence = sequence.0 });
+                info!("bundle adopted from a checkpoint", kv: { sequence = sequence.0 });
                 self.head_ms = time_ms;
                 self.checkpoint_ms = time_ms;
                 self.checkpoint_stale = false;
@@ -198,7 +198,7 @@
             .gap_deadline
             .get_or_insert_with(|| now + self.settings.checkpoint_delay.0 * GAP_DELAYS);
         if pass <= now {
-            warn!("bundle stream has a gap", kv: { first = page.first_offset.0 });
+            warn!("gap in the bundle stream skipped", kv: { first = page.first_offset.0 });
             self.held.with_acceptor(|a| a.skip_gap(page.first_offset));
             self.checkpoint_stale = true;
             self.gap_deadline = None;
@@ -278,7 +278,7 @@
         let outcome = if taken.is_ok() { "ok" } else { "refused" };
         metrics::counter!("pimentocart_bundle_transfers_total", "outcome" => outcome).increment(1);
         if let Err(e) = &taken {
-            warn!("transfer refused", kv: { error = e.to_string().as_str() });
+            warn!("bundle transfer from a peer refused", kv: { error = e.to_string().as_str() });
         }
         taken
     }
--- a/crates/follow/src/state.rs
+++ b/crates/follow/src/state.rs
@@ -222,7 +222,7 @@
                 *self.active.borrow_mut() = Some(Rc::new(ActiveVersion { sequence, bundle }));
             }
             Err(e) => {
-                error!("bundle not understood", kv: { sequence = sequence.0, error = e.to_string().as_str() });
+                error!("bundle not activated: content not supported by this build", kv: { sequence = sequence.0, error = e.to_string().as_str() });
                 return false;
             }
         }
--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -232,7 +232,7 @@
 /// Logs the call if it is refused from now on.
 fn log_refusal(state: &State, now: Instant, fingerprint: Fingerprint) {
     if state.crashes.refusal_left(now, fingerprint).is_some() {
-        warn!("call crashes servers", kv: { fingerprint = fingerprint.to_string().as_str() });
+        warn!("call refused from now on after server crashes", kv: { fingerprint = fingerprint.to_string().as_str() });
     }
 }
 
@@ -245,7 +245,7 @@
         let crash = match key.parse::<Crash>() {
             Ok(crash) => crash,
             Err(cause) => {
-                warn!("record not understood", kv: { key = &*key, cause = cause.as_str() });
+                warn!("invalid crash record skipped", kv: { key = &*key, cause = cause.as_str() });
                 continue;
             }
         };
--- a/crates/forward/src/drain.rs
+++ b/crates/forward/src/drain.rs
@@ -18,6 +18,6 @@
     state.stopping.trigger();
     info!("entry drains", kv: { name = state.settings.name.as_str(), open = state.open_calls.get() });
     tokio::time::sleep(state.settings.deregistration_delay()).await;
-    info!("entry closes", kv: { name = state.settings.name.as_str(), open = state.open_calls.get() });
+    info!("entry closes its listener", kv: { name = state.settings.name.as_str(), open = state.open_calls.get() });
     closed.trigger();
 }
--- a/crates/forward/src/duties/election.rs
+++ b/crates/forward/src/duties/election.rs
@@ -82,7 +82,7 @@
                 candidate.record_read_failure(now);
                 // Only the first of consecutive failures is logged.
                 if candidate.failed_first() {
-                    warn!("duties not read", kv: { cause = e.to_string().as_str() });
+                    warn!("reading the duty record failed", kv: { cause = e.to_string().as_str() });
                 }
                 return Step::Wait;
             }
@@ -100,7 +100,7 @@
                 .containing(self.fleet_time());
             let mut usage = kept.map_or_else(|| UsageState::starting_at(window), |k| k.usage);
             for window in usage.catch_up(self.next_window.get(), &self.usage.borrow()) {
-                warn!("usage window not in the store", kv: { window = window });
+                warn!("finalized usage window missing from the duty record", kv: { window = window });
             }
             *self.usage.borrow_mut() = usage;
             self.stored_windows.borrow_mut().clear();
@@ -133,7 +133,7 @@
         if self.held_since.get().is_none() {
             self.held_since.set(Some(now));
             self.holder.set(None);
-            info!("duties taken", kv: { token = token, place = self.peers_ahead(), at = log_end });
+            info!("duties acquired by this entry", kv: { token = token, place = self.peers_ahead(), at = log_end });
         }
         metrics::gauge!("pimentocart_duties_held").set(1.0);
         let usage = self.usage.borrow();
@@ -163,7 +163,7 @@
         let before = usage.finalized.len();
         let missed = counter.finalize(time, held_for, gathered, &mut usage);
         for window in missed {
-            warn!("usage window missed", kv: { window = window, token = token });
+            warn!("usage window missed its report deadline", kv: { window = window, token = token });
             metrics::counter!("pimentocart_usage_reports_total", "outcome" => "missed")
                 .increment(1);
         }
@@ -177,7 +177,7 @@
         let term = self.candidate.borrow_mut().resign(now, pause);
         let Some(term) = term else { return };
         let token = term.token;
-        info!("duties given up", kv: { token = token, for_good = pause.is_none() });
+        info!("duties released by this entry", kv: { token = token, for_good = pause.is_none() });
         self.write(records, term).await;
         self.send_holder_notice(token, true);
     }
@@ -186,7 +186,7 @@
     fn clear_if_lost(&self) {
         let held = self.candidate.borrow().term().is_some();
         if !held && self.held_since.take().is_some() {
-            info!("duties lost", kv: { end = self.candidate.borrow().log_end() });
+            info!("duties no longer held by this entry", kv: { end = self.candidate.borrow().log_end() });
             metrics::gauge!("pimentocart_duties_held").set(0.0);
             self.stored_windows.borrow_mut().clear();
         }
--- a/crates/forward/src/duties/messages.rs
+++ b/crates/forward/src/duties/messages.rs
@@ -54,7 +54,7 @@
         match duties::decode(&buffer[..length]) {
             Ok(Message::Counts(counts)) => duties.apply_counts(from, counts),
             Ok(Message::Holder(notice)) => duties.apply_notice(from, notice),
-            Err(e) => warn!("duty message not understood", kv: {
+            Err(e) => warn!("duty message not decoded", kv: {
                 peer = from.to_string().as_str(), cause = e.to_string().as_str()
             }),
         }
@@ -128,7 +128,7 @@
         candidate.observe_record(now, notice.log_end, notice.released);
         let holder = (!notice.released).then_some(from);
         if self.holder.replace(holder) != holder {
-            info!("duties held elsewhere", kv: {
+            info!("duty holder changed", kv: {
                 peer = from.to_string().as_str(), token = notice.fencing_token, released = notice.released
             });
         }
--- a/crates/forward/src/duties/report.rs
+++ b/crates/forward/src/duties/report.rs
@@ -83,7 +83,7 @@
         metrics::counter!("pimentocart_usage_reports_total", "outcome" => label).increment(1);
         let requests: u64 = counts.values().sum();
         if *outcome != DutyOutcome::Accepted {
-            warn!("usage not reported", kv: {
+            warn!("usage report not accepted", kv: {
                 window = window, outcome = label, after_ms = elapsed_ms,
                 detail = format!("{outcome:?}").as_str()
             });
--- a/crates/forward/src/duties/scale.rs
+++ b/crates/forward/src/duties/scale.rs
@@ -129,7 +129,7 @@
         let label = outcome.label();
         metrics::counter!("pimentocart_server_orders_total", "outcome" => label).increment(1);
         let load = load.copied().unwrap_or_default();
-        info!("servers ordered", kv: {
+        info!("scaling order finished", kv: {
             service, zone = &*order.zone, count = order.count, outcome = label,
             serving = load.serving, busy = format!("{:.2}", load.busy_servers).as_str()
         });
@@ -143,7 +143,7 @@
                 self.candidate.borrow_mut().reject_token(now, *token);
             }
             DutyOutcome::Refused(_) | DutyOutcome::Unanswered(_) | DutyOutcome::NotHeld => {
-                warn!("servers not ordered", kv: { service, detail = format!("{outcome:?}").as_str() });
+                warn!("scaling order not accepted", kv: { service, detail = format!("{outcome:?}").as_str() });
             }
         }
     }
--- a/crates/forward/src/grants.rs
+++ b/crates/forward/src/grants.rs
@@ -348,7 +348,7 @@
                         let _ = sender.send(answer);
                     }
                 }
-                Err(e) => warn!("message not understood", kv: {
+                Err(e) => warn!("grant response not decoded", kv: {
                     peer = from.to_string().as_str(), cause = e.to_string().as_str()
                 }),
             }
--- a/crates/forward/src/http.rs
+++ b/crates/forward/src/http.rs
@@ -61,7 +61,7 @@
     let call = match Call::from_request(state, incoming) {
         Ok(call) => Rc::new(call),
         Err(reply) => {
-            info!("call denied", kv: {
+            info!("call rejected before placement", kv: {
                 id = id.as_deref().unwrap_or("-"),
                 status = reply.status,
                 reason = reply.reason.as_str(),
--- a/crates/forward/src/neighbours.rs
+++ b/crates/forward/src/neighbours.rs
@@ -104,7 +104,7 @@
         }
         Err(e) => {
             metrics::counter!("pimentocart_neighbour_failures_total").increment(1);
-            info!("neighbour lost", kv: {
+            info!("polling a neighbour failed", kv: {
                 peer = addr.to_string().as_str(), cause = e.to_string().as_str()
             });
             state.zone_readers.borrow_mut().record_failure(now, addr);
@@ -134,7 +134,7 @@
 /// Logs and counts the source of the tables: a neighbour, or the store.
 fn record_source(neighbour: Option<SocketAddr>) {
     let source = neighbour.map_or_else(|| "store".to_owned(), |addr| addr.to_string());
-    info!("tables followed", kv: { source = source.as_str() });
+    info!("source of the tables changed", kv: { source = source.as_str() });
     metrics::gauge!("pimentocart_reads_store").set(if neighbour.is_none() { 1.0 } else { 0.0 });
 }
 
--- a/crates/sidecar/src/run/engine.rs
+++ b/crates/sidecar/src/run/engine.rs
@@ -111,7 +111,7 @@
                 Err(fault) => fault,
             },
             Ok(Err(e)) if e.not_run() => {
-                warn!("run failed", kv: { ticket = ticket.to_string().as_str(), error = e.to_string().as_str() });
+                warn!("engine did not run the request", kv: { ticket = ticket.to_string().as_str(), error = e.to_string().as_str() });
                 health::record_error(self.state, &e);
                 return failed(&e);
             }
