--- a/crates/demo/src/rollout.rs
+++ b/crates/demo/src/rollout.rs
@@ -86,7 +86,7 @@
         bundle.operators.extend(self.operators());
         let mut publisher = Publisher::new(LogClient::new(self.log), self.operators());
         if let Err(e) = publisher.read_to_end().await {
-            debug!("log unreadable", kv: { error = e.to_string().as_str() });
+            debug!("reading the bundle log failed", kv: { error = e.to_string().as_str() });
             return PublishOutcome::Unknown;
         }
         let content = Content::from_bundle(&bundle);
