--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -1,34 +1,37 @@
-//! A straight line through measured points.
+//! Least-squares fit of a straight line through measured points.
 
 use serde::{Deserialize, Serialize};
 
-/// One measured point: a size and what it cost.
+/// One measurement: the cost at a given size.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size.
+    /// Number of items, such as requests or open streams.
     pub size: f64,
-    /// What was measured at it.
+    /// Cost measured at this size.
     pub cost: f64,
 }
 
-/// A line by least squares.
+/// A line fitted by least squares.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Cost of one more.
+    /// Cost of each additional item.
     pub slope: f64,
     /// Standard error of the slope.
-    pub error: f64,
+    #[serde(rename = "error")]
+    pub std_error: f64,
     /// Cost at size zero.
-    pub base: f64,
-    /// Share of the variance that the line explains, at most 1.
+    #[serde(rename = "base")]
+    pub intercept: f64,
+    /// Coefficient of determination: the share of the variance that the line
+    /// explains, at most 1.
     pub r2: f64,
-    /// The points.
+    /// The fitted points.
     pub points: Vec<Point>,
 }
 
 impl Line {
-    /// Fits a line. Needs two different sizes for a slope and three points
-    /// for an error; without them the figures are not numbers.
+    /// Fits a line. The slope needs two different sizes and its standard error
+    /// three points; with fewer they are NaN or infinite.
     #[must_use]
     pub fn fit(points: &[Point]) -> Self {
         let n = points.len() as f64;
@@ -42,17 +45,17 @@
             .sum();
 
         let slope = sxy / sxx;
-        let base = mean_y - slope * mean_x;
-        let rest: f64 = points
+        let intercept = mean_y - slope * mean_x;
+        let residual: f64 = points
             .iter()
-            .map(|p| (p.cost - base - slope * p.size).powi(2))
+            .map(|p| (p.cost - intercept - slope * p.size).powi(2))
             .sum();
         Self {
             slope,
-            error: (rest / (n - 2.0) / sxx).sqrt(),
-            base,
-            // Costs that are all the same leave nothing to explain.
-            r2: if syy > 0.0 { 1.0 - rest / syy } else { 1.0 },
+            std_error: (residual / (n - 2.0) / sxx).sqrt(),
+            intercept,
+            // Equal costs have no variance, which a flat line fits exactly.
+            r2: if syy > 0.0 { 1.0 - residual / syy } else { 1.0 },
             points: points.to_vec(),
         }
     }
--- a/crates/demo/tests/failures/drain.rs
+++ b/crates/demo/tests/failures/drain.rs
@@ -37,7 +37,7 @@
                 while on.get() {
                     let mark = format!("c{caller}-{number}");
                     let first = (caller + number) % entries.len();
-                    let answer = balanced(&entries, first, &mark, length).await;
+                    let answer = call_balanced(&entries, first, &mark, length).await;
                     answers.borrow_mut().push((mark, answer));
                     number += 1;
                 }
@@ -69,17 +69,17 @@
 /// Sends a request as a load balancer does: to an entry that is ready, and to
 /// the next one if that refused the connection or was draining. An entry that
 /// is no longer ready still serves requests during its linger time.
-async fn balanced(entries: &[SocketAddr], first: usize, mark: &str, length: u32) -> Answer {
+async fn call_balanced(entries: &[SocketAddr], first: usize, mark: &str, length: u32) -> Answer {
     let mut answer = None;
     for turn in 0..entries.len() * 4 {
         let entry = entries[(first + turn) % entries.len()];
         if !ready(entry).await {
             continue;
         }
-        let got = call(entry, mark, length).await;
-        let elsewhere = got.status == 0 || got.body["error"]["type"] == "draining";
-        answer = Some(got);
-        if !elsewhere {
+        let attempt = call(entry, mark, length).await;
+        let try_next = attempt.status == 0 || attempt.body["error"]["type"] == "draining";
+        answer = Some(attempt);
+        if !try_next {
             break;
         }
     }
@@ -186,7 +186,7 @@
 
     let entry = fleet.entry_addr(0);
     let long = actix_rt::spawn(async move { call(entry, "long", LONG).await });
-    until("the answer has started", || {
+    until("the answer started", || {
         fleet.ledger.counts("long").output_tokens > 0
     })
     .await;
@@ -218,7 +218,7 @@
 
     let entry = fleet.entry_addr(0);
     let long = actix_rt::spawn(async move { call(entry, "long", LONG * 100).await });
-    until("the answer has started", || {
+    until("the answer started", || {
         fleet.ledger.counts("long").output_tokens > 0
     })
     .await;
@@ -227,10 +227,10 @@
     assert_eq!(long.body["error"]["type"], "draining", "{long:?}");
     assert_eq!(long.body["error"]["ran"], "partial");
 
-    let made = Cell::new(0);
+    let last_count = Cell::new(0);
     until("the engine stops generating", || {
-        let before = made.replace(fleet.ledger.counts("long").output_tokens);
-        before == made.get()
+        let before = last_count.replace(fleet.ledger.counts("long").output_tokens);
+        before == last_count.get()
     })
     .await;
 }
@@ -249,10 +249,7 @@
     fleet.registry.control.change(|f| *f = lag);
 
     let callers = Callers::start(12, &[fleet.entry_addr(0)], LONG);
-    until("both servers run requests", || {
-        fleet.ledger.all_counts().len() > 10
-    })
-    .await;
+    until("both are used", || fleet.ledger.all_counts().len() > 10).await;
     callers.on.set(false);
     fleet.ask("sidecar-0");
     fleet.stop("engine-0").await;
--- a/crates/demo/tests/failures/silence.rs
+++ b/crates/demo/tests/failures/silence.rs
@@ -9,7 +9,7 @@
 async fn start_answer(fleet: &Fleet, mark: &'static str) -> actix_rt::task::JoinHandle<Answer> {
     let entry = fleet.entry_addr(0);
     let task = actix_rt::spawn(async move { call(entry, mark, LONG).await });
-    until("the answer has started", || {
+    until("the answer started", || {
         fleet.ledger.counts(mark).output_tokens > 5
     })
     .await;
@@ -25,9 +25,9 @@
 
     let answer = start_answer(&fleet, "muted").await;
     fleet.engines[&0].change(|f| f.mute_generation += 1);
-    let made = fleet.ledger.counts("muted").output_tokens;
+    let generated = fleet.ledger.counts("muted").output_tokens;
     until("the answer continues", || {
-        fleet.ledger.counts("muted").output_tokens > made + 150
+        fleet.ledger.counts("muted").output_tokens > generated + 150
     })
     .await;
     fleet.engines[&0].change(|f| f.mute_generation += 1);
--- a/crates/entry/src/idempotency.rs
+++ b/crates/entry/src/idempotency.rs
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 ///
-/// Returns the refusal to answer with.
+/// Returns the error for the caller.
 pub async fn run_once(
     state: &Rc<State>,
     mut request: Request,
@@ -93,7 +93,7 @@
     request.claim = claimed.inspect_err(|error| first_call.fail(error))?;
     let claim = request.claim.clone();
     match run(request).await {
-        Ok(response) => Ok(first_call.record_response(response, claim)),
+        Ok(response) => Ok(first_call.cache_response(response, claim)),
         Err(error) => {
             if let Some(claim) = claim {
                 claim.finish(claim_end(error.ran));
@@ -126,17 +126,13 @@
 fn denied_error(denied: ClaimDenied) -> RequestError {
     let (ran, hint) = match (denied.reason, denied.outcome) {
         (Refusal::KeyReused, _) => (Executed::No, "the key was used with another request"),
-        (Refusal::KeyInUse, Some(CallOutcome::Completed)) => (
-            Executed::Unknown,
-            "the first call with this key ran to completion",
-        ),
-        (Refusal::KeyInUse, _) => (
-            Executed::Unknown,
-            "another entry accepted a call with this key",
-        ),
+        (Refusal::KeyInUse, Some(CallOutcome::Completed)) => {
+            (Executed::Unknown, "the first call ran to its end")
+        }
+        (Refusal::KeyInUse, _) => (Executed::Unknown, "another entry took a call with this key"),
         _ => (
             Executed::No,
-            "the idempotency key cannot be claimed: the platform's log does not answer",
+            "the platform's log is needed and does not answer",
         ),
     };
     RequestError {
@@ -150,7 +146,7 @@
 /// The error of a call that waited longer than its claim is valid.
 #[must_use]
 pub fn claim_expired() -> RequestError {
-    let hint = "the claim of the idempotency key expired while the call waited";
+    let hint = "the claim of the idempotency key lapsed while the call waited";
     RequestError::not_run(Refusal::Expired, hint).with_retry_after(Duration::from_secs(1))
 }
 
@@ -215,7 +211,7 @@
     }
 
     /// Returns the response with a body that is cached while it is sent.
-    fn record_response(self, response: HttpResponse, claim: Option<Rc<Claim>>) -> HttpResponse {
+    fn cache_response(self, response: HttpResponse, claim: Option<Rc<Claim>>) -> HttpResponse {
         self.finished.set(true);
         let content_type = response.headers().get(CONTENT_TYPE);
         *self.call.head.borrow_mut() = Some(ResponseHead {
@@ -258,17 +254,17 @@
 }
 
 impl Tee {
-    fn record_data(&self, data: &[u8]) {
+    fn cache_data(&self, data: &[u8]) {
         self.call.body.borrow_mut().extend_from_slice(data);
         self.call.changed.notify_waiters();
         self.state.keyed_calls.add_bytes(data.len());
         // A body of known size is not polled again after its last byte.
         if self.inner.size() == BodySize::Sized(self.call.body.borrow().len() as u64) {
-            self.finish_claim();
+            self.finish_call();
         }
     }
 
-    fn finish_claim(&self) {
+    fn finish_call(&self) {
         let event_stream = self.call.is_event_stream();
         let complete = !event_stream || self.call.body.borrow().ends_with(DONE_EVENT);
         if let Some(claim) = &self.claim {
@@ -296,8 +292,8 @@
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
         let polled = Pin::new(&mut self.inner).poll_next(cx);
         match &polled {
-            Poll::Ready(Some(Ok(data))) => self.record_data(data),
-            Poll::Ready(None) => self.finish_claim(),
+            Poll::Ready(Some(Ok(data))) => self.cache_data(data),
+            Poll::Ready(None) => self.finish_call(),
             Poll::Ready(Some(Err(_))) | Poll::Pending => {}
         }
         polled
@@ -313,7 +309,7 @@
             return;
         }
         if self.inner.size() == BodySize::Sized(0) {
-            return self.finish_claim();
+            return self.finish_call();
         }
         self.call.finish(Err(aborted_error()));
         self.state.keyed_calls.remove(&self.key);
@@ -325,7 +321,7 @@
         reason: Refusal::OutcomeUnknown,
         ran: Executed::Unknown,
         retry_after: None,
-        hint: "the first call with this key was aborted by its caller".to_owned(),
+        hint: "the first call with this key was broken off by its caller".to_owned(),
     }
 }
 
@@ -425,8 +421,8 @@
 
     /// Adds to the cached size and evicts the oldest answers beyond the limits.
     /// Calls that have already joined an evicted answer still get all of it.
-    fn add_bytes(&self, by: usize) {
-        self.cached_bytes.set(self.cached_bytes.get() + by);
+    fn add_bytes(&self, size: usize) {
+        self.cached_bytes.set(self.cached_bytes.get() + size);
         while self.cached_bytes.get() > MAX_CACHED_BYTES
             || self.order.borrow().len() > MAX_CACHED_CALLS
         {
